--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,15 +13,15 @@
 from decklb.lab.register import World
 from decklb.lab.upkeep import Step, budget, doubled
 from decklb.maintenance import messages as m
-from decklb.maintenance.conductor import Conductor, Own, manager
+from decklb.maintenance.conductor import manager
 from decklb.maintenance.errors import AlreadyPlanned, MaintenanceError, NobodyNamed, NoMajority, NoSuchJob, NotOut
 from decklb.maintenance.plan import Engine, Facts, Plan, Stage, advance, back, cancel, named, overdue, request
 from decklb.maintenance.register import Register, Settled
 from decklb.maintenance.settings import MaintenanceSettings
 from decklb.maintenance.store import PlanStore, PlanStoreError
+from tests.maintenance_fleet import ENGINES, Fleet
 
 S = MaintenanceSettings(members=3, most=2, most_zone=1, most_share=0.5, warm=1000.0, drain=500.0, window=5000.0)
-ENGINES = {f"{z}{i}": Engine(f"{z}{i}", z, 8.0) for z in "ab" for i in range(2)}
 
 
 def facts(wall=0, load=None, told=True, unwell=(), **engines):
@@ -295,48 +295,6 @@
         self.assertEqual((r.promised, r.accepted[0]), ((2, "m1"), (1, "m1")))
 
 
-class Fleet:
-    """Conductors on a network that loses a tenth of the words, by seed."""
-
-    def __init__(self, seed):
-        self.rng, self.now, self.queue = random.Random(seed), 0.0, []
-        self.names = ["m0", "m1", "m2"]
-        self.s = replace_settings(members=3, absent=3000.0, patience=200.0, tick=100.0, fresh=1000.0)
-        self.nodes = {n: self.make(n) for n in self.names}
-        self.busy, self.down, self.dead = {}, set(), set()
-
-    def make(self, name):
-        c = Conductor(self.s, name, self.rng.getrandbits(40), random.Random(self.rng.random()), self.now)
-        c.engines = {n: (e.zone, e.cores) for n, e in ENGINES.items()}
-        return c
-
-    def run(self, ms, watch=lambda: None):
-        end = self.now + ms
-        while self.now < end:
-            for sender, to, data in self.queue:
-                if to not in self.dead and sender not in self.dead:
-                    self.nodes[to].hear(self.now, sender, data)
-            self.queue.clear()
-            alive = [n for n in self.names if n not in self.dead]
-            for name in alive:
-                c = self.nodes[name]
-                c.members(self.now, alive, self.names)
-                c.tick(self.now, 1000.0 + self.now, Own(self.busy, frozenset(self.down)))
-            for name in alive:
-                c = self.nodes[name]
-                for to, data in c.out:
-                    self.queue += [
-                        (name, o, data) for o in ([to] if to else self.names) if o != name and self.rng.random() > 0.1
-                    ]
-                c.out = []
-            watch()
-            self.now += 50.0
-
-
-def replace_settings(**more):
-    return MaintenanceSettings(most_share=0.5, warm=300.0, drain=2000.0, window=9000.0, **more)
-
-
 class Conductors(unittest.TestCase):
     def work(self, fleet, killed):
         """Each machine that is out goes down and comes back; the driver dies once in the middle, if asked to."""
