--- a/decklb/lab/liar.py
+++ b/decklb/lab/liar.py
@@ -12,8 +12,8 @@
     """Patch, then run the command line as it is."""
     zone = sys.argv.pop(1)
     from decklb.lab.jumpy import main as jumpy
-    from decklb.locality.sight import Sight
-    from decklb.locality.zones import View
+    from decklb.locality.consensus import View
+    from decklb.locality.health_observer import Sight
 
     honest = Sight.view
 
--- a/decklb/lab/locality.py
+++ b/decklb/lab/locality.py
@@ -1,6 +1,6 @@
 """Zones judged in common against each manager judging alone, on a simulated network and a fluid of requests.
 
-Managers stand in zones, two zones a region; each sends the requests of its own callers by `locality.spill`, by the
+Managers stand in zones, two zones a region; each sends the requests of its own callers by `locality.spillover`, by the
 states that it holds. A case breaks something for a while. Seeded: the same seed, the same run, with the same faults for
 both ways of judging.
 """
@@ -11,11 +11,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field, replace
 
-from decklb.locality.council import Council
+from decklb.locality.consensus import State, View
+from decklb.locality.coordinator import Council
 from decklb.locality.runtime import LARGE
 from decklb.locality.settings import ALONE, COMMON, LocalitySettings
-from decklb.locality.spill import Place, shares, usable
-from decklb.locality.zones import State, View
+from decklb.locality.spillover import Place, shares, usable
 
 STEP = 250.0  # ms between ticks of a member
 CASES = ("lost", "parted", "slow", "region", "halves", "liar", "flicker")
--- a/decklb/lab/register.py
+++ b/decklb/lab/register.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from decklb.maintenance.register import Memory, Message, Register
+from decklb.maintenance.replicated_register import Memory, Message, Register
 
 PATIENCE = 100.0  # ms
 END = 12_000.0
--- a/decklb/lab/zonal.py
+++ b/decklb/lab/zonal.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 
 from decklb.lab.verdict import Line
+from decklb.locality.consensus import State
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.spill import Place, usable
-from decklb.locality.zones import State
+from decklb.locality.spillover import Place, usable
 
 WINDOW = 1.0  # seconds over which the load of a returning zone is taken
 
--- a/decklb/locality/council.py
+++ b/decklb/locality/coordinator.py
@@ -10,8 +10,8 @@
 from decklb.cluster.messages import WireError
 from decklb.cluster.node import Notice
 from decklb.locality import messages as m
+from decklb.locality.consensus import Ballot, Decided, State, View, Zones
 from decklb.locality.settings import ALONE, LocalitySettings
-from decklb.locality.zones import Ballot, Decided, State, View, Zones
 
 
 class Council:
--- a/decklb/locality/sight.py
+++ b/decklb/locality/health_observer.py
@@ -11,8 +11,8 @@
 from zlib import crc32
 
 from decklb.interface import Entry, Outcome, Phase
+from decklb.locality.consensus import View
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.zones import View
 
 SAMPLE = 8  # engines of a zone that one member looks at
 MEMBERS = 16  # from which on each looks more rarely, so that engines bear no more probes as the fleet grows
--- a/decklb/locality/messages.py
+++ b/decklb/locality/messages.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from decklb.cluster.messages import WireError
-from decklb.locality.zones import Ballot, Decided, State
+from decklb.locality.consensus import Ballot, Decided, State
 
 VERSION = 1
 TOPIC = "locality"
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -13,11 +13,11 @@
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Entry, Outcome
-from decklb.locality.council import Council
+from decklb.locality.coordinator import Council
+from decklb.locality.health_observer import Sight, in_use
 from decklb.locality.messages import TOPIC
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.sight import Sight, in_use
-from decklb.locality.steering import Steering
+from decklb.locality.zone_selector import Steering
 from decklb.wire.prober import Address, Prober
 
 LARGE = 50  # members from which on words are told more rarely, so that each bears no more of them
--- a/decklb/locality/spill.py
+++ b/decklb/locality/spillover.py
@@ -9,8 +9,8 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
+from decklb.locality.consensus import State
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.zones import State
 
 
 @dataclass(frozen=True, slots=True)
--- a/decklb/locality/steering.py
+++ b/decklb/locality/zone_selector.py
@@ -1,4 +1,4 @@
-"""To which zone each request goes, one by one, so that the shares of `spill` come out exactly (free of I/O)."""
+"""To which zone each request goes, one by one, so that the shares of `spillover` come out exactly (free of I/O)."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 
 from decklb.interface import ClassSpec, Entry, Phase
-from decklb.locality.council import Council
+from decklb.locality.consensus import State
+from decklb.locality.coordinator import Council
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.spill import Place, shares
-from decklb.locality.zones import State
+from decklb.locality.spillover import Place, shares
 
 AGAIN = 100.0  # ms for which shares are kept
 BURST = 250.0  # ms of a returning zone's budget that may come at once
--- a/decklb/maintenance/messages.py
+++ b/decklb/maintenance/messages.py
@@ -9,7 +9,7 @@
 
 from decklb.cluster.messages import WireError
 from decklb.maintenance.plan import Plan
-from decklb.maintenance.register import (
+from decklb.maintenance.replicated_register import (
     Accept,
     Accepted,
     Held,
--- a/decklb/maintenance/conductor.py
+++ b/decklb/maintenance/orchestrator.py
@@ -32,7 +32,7 @@
     overdue,
     request,
 )
-from decklb.maintenance.register import Memory, Register, Settled
+from decklb.maintenance.replicated_register import Memory, Register, Settled
 from decklb.maintenance.settings import MaintenanceSettings
 
 Told = Callable[[Plan | Exception], None]
--- a/decklb/maintenance/plan.py
+++ b/decklb/maintenance/plan.py
@@ -1,8 +1,8 @@
 """The one plan of the fleet: jobs, their machines, and what may be done next (free of I/O).
 
 A plan is a value that is never changed in place: each function takes one and returns the next. Which next one stands
-is settled by `register.py`, so whoever proposes a step that another has done already proposes it on the plan as it then
-is, where it is no step any more.
+is settled by `replicated_register.py`, so whoever proposes a step that another has done already proposes it on the plan
+as it then is, where it is no step any more.
 """
 
 from __future__ import annotations
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -15,14 +15,14 @@
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Entry, Phase
+from decklb.locality.consensus import State
+from decklb.locality.health_observer import in_use
 from decklb.locality.runtime import LocalityService
-from decklb.locality.sight import in_use
-from decklb.locality.zones import State
-from decklb.maintenance.conductor import Conductor, Own
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.messages import TOPIC
+from decklb.maintenance.orchestrator import Conductor, Own
 from decklb.maintenance.plan import Plan, Stage
-from decklb.maintenance.register import Memory
+from decklb.maintenance.replicated_register import Memory
 from decklb.maintenance.settings import MaintenanceSettings
 from decklb.wire.prober import Address, Prober
 
--- a/decklb/maintenance/store.py
+++ b/decklb/maintenance/store.py
@@ -15,7 +15,7 @@
 from decklb.handoff.store import boot_id
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.messages import read_plan
-from decklb.maintenance.register import NONE, Ballot, Memory
+from decklb.maintenance.replicated_register import NONE, Ballot, Memory
 
 VERSION = 1
 ROOM = 16 << 20  # bytes: one value of at most 64 KiB, and LMDB's copies
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -2,7 +2,7 @@
 
 import random
 
-from decklb.maintenance.conductor import Conductor, Own
+from decklb.maintenance.orchestrator import Conductor, Own
 from decklb.maintenance.plan import Engine
 from decklb.maintenance.settings import MaintenanceSettings
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -6,12 +6,12 @@
 from decklb.interface import ClassSpec, Entry, Outcome, Phase
 from decklb.lab.locality import play
 from decklb.locality import messages
-from decklb.locality.council import Council
+from decklb.locality.consensus import Ballot, Decided, State, View, Zones, seen_as
+from decklb.locality.coordinator import Council
+from decklb.locality.health_observer import Sight
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.sight import Sight
-from decklb.locality.spill import Place, shares, usable
-from decklb.locality.steering import Steering
-from decklb.locality.zones import Ballot, Decided, State, View, Zones, seen_as
+from decklb.locality.spillover import Place, shares, usable
+from decklb.locality.zone_selector import Steering
 
 S = LocalitySettings()
 DEAD, WELL = View(0.0), View(1.0)
--- a/tests/test_locality_wire_format.py
+++ b/tests/test_locality_wire_format.py
@@ -12,7 +12,7 @@
 
 from decklb.lab.locality import CASES, play
 from decklb.locality import messages
-from decklb.locality.zones import Ballot, Decided, State
+from decklb.locality.consensus import Ballot, Decided, State
 
 EXPECTED = json.loads((Path(__file__).parent / "golden" / "locality_messages.json").read_text())
 SENDER = "m1"
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,10 +13,10 @@
 from decklb.lab.register import World
 from decklb.lab.upkeep import Step, budget, doubled
 from decklb.maintenance import messages as m
-from decklb.maintenance.conductor import manager
 from decklb.maintenance.errors import AlreadyPlanned, MaintenanceError, NobodyNamed, NoMajority, NoSuchJob, NotOut
+from decklb.maintenance.orchestrator import manager
 from decklb.maintenance.plan import Engine, Facts, Plan, Stage, advance, back, cancel, named, overdue, request
-from decklb.maintenance.register import Register, Settled
+from decklb.maintenance.replicated_register import Register, Settled
 from decklb.maintenance.settings import MaintenanceSettings
 from decklb.maintenance.store import PlanStore, PlanStoreError
 from tests.maintenance_fleet import ENGINES, Fleet
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -16,7 +16,17 @@
 from decklb.maintenance import messages
 from decklb.maintenance.messages import Report
 from decklb.maintenance.plan import Job, Machine, Plan, Stage, back, cancel
-from decklb.maintenance.register import Accept, Accepted, Held, Prepare, Promise, Read, Refused, Register, Settled
+from decklb.maintenance.replicated_register import (
+    Accept,
+    Accepted,
+    Held,
+    Prepare,
+    Promise,
+    Read,
+    Refused,
+    Register,
+    Settled,
+)
 from decklb.maintenance.store import PlanStore
 from tests.maintenance_fleet import Fleet
 
