--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -81,15 +81,16 @@
         )
     if (y := c.locality) is not None:
         click.echo(
-            f"locality: zone {y.zone} of {len(y.region_of)} zones in {len(y.regions)} regions, judged "
-            f"{'by ' + str(y.members // 2 + 1) + ' members at least' if y.judge == 'common' else 'alone'}, "
-            f"a state holds {y.hold:g}ms at least"
+            f"locality: zone {y.home_zone} of {len(y.region_of)} zones in {len(y.regions)} regions, judged "
+            f"{f'by {y.member_count // 2 + 1} members at least' if y.decision_mode == 'common' else 'alone'}, "
+            f"a state holds {y.min_state_duration_ms:g}ms at least"
         )
     if (n := c.maintenance) is not None:
         click.echo(
-            f"maintenance: {n.most} machines out at a time, {n.most_zone} of a zone, {100 * n.most_share:g}% "
-            f"of its cores, agreed on by {n.members // 2 + 1} of {n.members} members; {n.drain:g}ms to drain, "
-            f"{n.warm:g}ms to warm"
+            f"maintenance: {n.max_unavailable} machines out at a time, {n.max_unavailable_per_zone} of a zone, "
+            f"{100 * n.max_unavailable_zone_fraction:g}% of its cores, "
+            f"agreed on by {n.member_count // 2 + 1} of {n.member_count} members; "
+            f"{n.drain_timeout_ms:g}ms to drain, {n.warm_up_ms:g}ms to warm"
         )
     if c.control:
         click.echo(f"control: {c.control}")
--- a/decklb/config/operators.py
+++ b/decklb/config/operators.py
@@ -20,7 +20,7 @@
 from decklb.config.units import duration, share, size, written
 from decklb.config.xml import read
 from decklb.handoff.settings import HandoffSettings
-from decklb.locality.settings import LocalitySettings
+from decklb.locality.settings import DecisionMode, LocalitySettings
 from decklb.maintenance.settings import MaintenanceSettings
 
 Json = dict[str, Any]
@@ -106,42 +106,42 @@
 
 
 LOCALITY: dict[str, tuple[str, Convert]] = {
-    "zone": ("zone", str),
-    "members": ("members", int),
-    "judge": ("judge", str),
-    "misses": ("misses", int),
-    "slow": ("slow", float),
-    "tick": ("tick", duration),
-    "look": ("look", duration),
-    "timeout": ("timeout", duration),
-    "fresh": ("fresh", duration),
-    "settle": ("settle", duration),
-    "hold": ("hold", duration),
-    "retry": ("retry", duration),
-    "keep": ("keep", duration),
-    "ramp": ("ramp", duration),
-    "ramp-floor": ("ramp_floor", share),
-    "out": ("out", share),
-    "degraded": ("degraded", share),
-    "full": ("full", share),
-    "panic": ("panic", share),
+    "zone": ("home_zone", str),
+    "members": ("member_count", int),
+    "judge": ("decision_mode", DecisionMode),
+    "misses": ("unhealthy_threshold", int),
+    "slow": ("degraded_latency_ratio", float),
+    "tick": ("tick_ms", duration),
+    "look": ("probe_interval_ms", duration),
+    "timeout": ("probe_timeout_ms", duration),
+    "fresh": ("observation_ttl_ms", duration),
+    "settle": ("stabilization_ms", duration),
+    "hold": ("min_state_duration_ms", duration),
+    "retry": ("vote_timeout_ms", duration),
+    "keep": ("isolation_grace_ms", duration),
+    "ramp": ("recovery_ramp_ms", duration),
+    "ramp-floor": ("recovery_min_fraction", share),
+    "out": ("out_threshold", share),
+    "degraded": ("degraded_threshold", share),
+    "full": ("max_utilization", share),
+    "panic": ("panic_threshold", share),
 }
 
 
 MAINTENANCE: dict[str, tuple[str, Convert]] = {
-    "members": ("members", int),
-    "most": ("most", int),
-    "most-zone": ("most_zone", int),
-    "most-share": ("most_share", share),
-    "reserve": ("reserve", share),
-    "drain": ("drain", duration),
-    "warm": ("warm", duration),
-    "window": ("window", duration),
-    "tick": ("tick", duration),
-    "patience": ("patience", duration),
-    "fresh": ("fresh", duration),
-    "absent": ("absent", duration),
-    "kept": ("kept", int),
+    "members": ("member_count", int),
+    "most": ("max_unavailable", int),
+    "most-zone": ("max_unavailable_per_zone", int),
+    "most-share": ("max_unavailable_zone_fraction", share),
+    "reserve": ("max_utilization", share),
+    "drain": ("drain_timeout_ms", duration),
+    "warm": ("warm_up_ms", duration),
+    "window": ("default_window_ms", duration),
+    "tick": ("tick_ms", duration),
+    "patience": ("round_timeout_ms", duration),
+    "fresh": ("report_ttl_ms", duration),
+    "absent": ("absent_after_ms", duration),
+    "kept": ("retained_jobs", int),
 }
 
 
@@ -170,7 +170,7 @@
     config.cluster, config.control = book.cluster(config.name), book.control()
     config.handoff, config.locality, config.maintenance = book.handoff(), book.locality(), book.maintenance()
     if config.maintenance is not None and config.handoff is not None and not config.handoff.data:
-        config.maintenance = replace(config.maintenance, memory=config.handoff.life)
+        config.maintenance = replace(config.maintenance, manager_voting_delay_ms=config.handoff.life)
     book.settle()
     return config
 
@@ -453,7 +453,7 @@
             self.fault(element, "<maintenance> needs <locality>: its budgets go by what members see of zones and load")
         if self.root.find("control") is None:
             self.fault(element, "<maintenance> needs <control>: operators ask for machines over it")
-        more = {"data": self._path(element.attrib["data"])} if "data" in element.attrib else {}
+        more = {"data_directory": self._path(element.attrib["data"])} if "data" in element.attrib else {}
         made: MaintenanceSettings | None = self.check(
             element, lambda: MaintenanceSettings(**_taken(element, MAINTENANCE) | more)
         )
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -104,7 +104,7 @@
     from decklb.locality.runtime import LocalityService
 
     s = config.locality
-    return LocalityService(clock, s, member, parts.dispatcher, prober(reactor, clock, config, 4 * s.fresh))
+    return LocalityService(clock, s, member, parts.dispatcher, prober(reactor, clock, config, 4 * s.observation_ttl_ms))
 
 
 def maintenance(
@@ -124,7 +124,7 @@
     from decklb.maintenance.runtime import MaintenanceService
 
     s = config.maintenance
-    probes = prober(reactor, clock, config, 4 * s.fresh)
+    probes = prober(reactor, clock, config, 4 * s.report_ttl_ms)
     try:
         return MaintenanceService(clock, s, member, near, parts.dispatcher, probes, changed, leave)
     except MaintenanceError as error:
--- a/decklb/lab/locality.py
+++ b/decklb/lab/locality.py
@@ -14,7 +14,7 @@
 from decklb.locality.consensus import State, View
 from decklb.locality.coordinator import Council
 from decklb.locality.runtime import LARGE
-from decklb.locality.settings import ALONE, COMMON, LocalitySettings
+from decklb.locality.settings import DecisionMode, LocalitySettings
 from decklb.locality.spillover import Place, shares, usable
 
 STEP = 250.0  # ms between ticks of a member
@@ -52,12 +52,12 @@
     s = replace(
         settings or LocalitySettings(),
         regions=regions,
-        zone=names[0],
-        members=managers,
-        judge=COMMON if common else ALONE,
+        home_zone=names[0],
+        member_count=managers,
+        decision_mode=DecisionMode.COMMON if common else DecisionMode.ALONE,
     )
     home = {f"m{i}": names[i % zones] for i in range(managers)}
-    members = {m: Council(replace(s, zone=home[m]), m, 0.0) for m in home}
+    members = {m: Council(replace(s, home_zone=home[m]), m, 0.0) for m in home}
     capacity, load = 1000.0, 600.0
     mine = load * zones / managers  # requests a second of one manager's callers
     for council in members.values():
@@ -117,7 +117,8 @@
             bears = capacity * truth[z]
             if case in ("lost", "region", "halves") and z in struck and now >= MENDED:
                 # It returns cold: what it bears grows over the ramp.
-                bears = min(bears, usable(Place(region[z], capacity, load, State.RETURNING, MENDED), now, s) / s.full)
+                place = Place(region[z], capacity, load, State.RETURNING, MENDED)
+                bears = min(bears, usable(place, now, s) / s.max_utilization)
                 if arriving[z] > 0:
                     told.flood = max(told.flood, arriving[z] / bears)
             failed += max(0.0, arriving[z] - bears)
--- a/decklb/lab/regions.py
+++ b/decklb/lab/regions.py
@@ -36,16 +36,16 @@
 STRUCK, MENDED, END = 3.0, 9.0, 20.0  # seconds from the start of the load
 CASES = ("lost", "parted", "slow", "region", "halves", "clocks", "liar")
 LOCALITY = LocalitySettings(
-    tick=100.0,
-    look=400.0,
-    timeout=400.0,
-    fresh=1200.0,
-    settle=400.0,
-    hold=2000.0,
-    retry=800.0,
-    keep=4000.0,
-    ramp=8000.0,
-    slow=2.0,
+    tick_ms=100.0,
+    probe_interval_ms=400.0,
+    probe_timeout_ms=400.0,
+    observation_ttl_ms=1200.0,
+    stabilization_ms=400.0,
+    min_state_duration_ms=2000.0,
+    vote_timeout_ms=800.0,
+    isolation_grace_ms=4000.0,
+    recovery_ramp_ms=8000.0,
+    degraded_latency_ratio=2.0,
 )
 SETTINGS = """<decklb version="1">
   <process name="{name}" listen="127.0.0.1:0" sockets="1024"/>
@@ -95,10 +95,20 @@
         """The `<locality>` element of a manager."""
         s = LOCALITY
         figures = " ".join(
-            f'{k}="{getattr(s, k):g}ms"'
-            for k in ("tick", "look", "timeout", "fresh", "settle", "hold", "retry", "keep", "ramp")
+            f'{attribute}="{duration:g}ms"'
+            for attribute, duration in (
+                ("tick", s.tick_ms),
+                ("look", s.probe_interval_ms),
+                ("timeout", s.probe_timeout_ms),
+                ("fresh", s.observation_ttl_ms),
+                ("settle", s.stabilization_ms),
+                ("hold", s.min_state_duration_ms),
+                ("retry", s.vote_timeout_ms),
+                ("keep", s.isolation_grace_ms),
+                ("ramp", s.recovery_ramp_ms),
+            )
         )
-        figures += f' slow="{s.slow:g}"'
+        figures += f' slow="{s.degraded_latency_ratio:g}"'
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="{}" kind="k" weight="8"/>'.format(
                 e.name, *self.rig.gates[name, e.name], zone_of(e.name)
@@ -130,7 +140,7 @@
         while time.monotonic() < end:
             rows = [await asyncio.to_thread(ask, str(self.folder / f"{n}.sock"), "zones") for n in self.names]
             if all(r["members"] == len(self.names) for r in rows):
-                return await asyncio.sleep((LOCALITY.fresh + LOCALITY.retry) / 1000)
+                return await asyncio.sleep((LOCALITY.observation_ttl_ms + LOCALITY.vote_timeout_ms) / 1000)
             await asyncio.sleep(0.1)
         raise RuntimeError("the members did not find one another")
 
--- a/decklb/lab/zonal.py
+++ b/decklb/lab/zonal.py
@@ -147,7 +147,7 @@
         end = at + WINDOW
         load = sum(w for t, w in runs if at <= t < end) / 1000 / WINDOW
         place = Place("", capacity, 0.0, State.RETURNING, 1000 * back)
-        if end <= back + settings.ramp / 1000:
+        if end <= back + settings.recovery_ramp_ms / 1000:
             worst = max(worst, 2 * load / (usable(place, 1000 * at, settings) + usable(place, 1000 * end, settings)))
     return round(worst, 3)
 
--- a/decklb/locality/consensus.py
+++ b/decklb/locality/consensus.py
@@ -83,9 +83,9 @@
     edge does not go to and fro."""
     slack = 0.8 if now_state in (State.DEGRADED, State.OUT) else 1.0
     bad = max(1.0 - view.up, view.errors)
-    if bad >= settings.out * slack:
+    if bad >= settings.out_threshold * slack:
         return State.OUT
-    if bad >= settings.degraded * slack or view.slowness >= settings.slow * slack:
+    if bad >= settings.degraded_threshold * slack or view.slowness >= settings.degraded_latency_ratio * slack:
         return State.DEGRADED
     return State.HEALTHY
 
@@ -100,7 +100,7 @@
         self.out: list[Ballot | Decided] = []
         self.alone = False  # no quorum was heard for `keep`: this member goes by its own view
         # A member that starts may have voted in its life before: by then those votes have lapsed everywhere.
-        self.voting_from = now + settings.fresh + settings.retry
+        self.voting_from = now + settings.observation_ttl_ms + settings.vote_timeout_ms
         self._heard: dict[str, float] = {}
         self._quorum_at = now
 
@@ -111,7 +111,7 @@
     @property
     def quorum(self) -> int:
         """How many members decide."""
-        return max(len(self.known), self.s.members) // 2 + 1
+        return max(len(self.known), self.s.member_count) // 2 + 1
 
     def saw(self, now: float, zone: str, view: View) -> None:
         """This member's own view."""
@@ -140,16 +140,17 @@
 
     def up(self, zone: str, now: float) -> float:
         """The share of a zone's capacity that is up: the median of what members reach."""
-        since = now - self.s.fresh
+        since = now - self.s.observation_ttl_ms
         shares = sorted([b.up for b, at in self.zones[zone].ballots.values() if at >= since])
         return shares[len(shares) // 2] if shares else 1.0
 
     def tick(self, now: float) -> None:
         """What time does; to be called a few times a second."""
-        reached = 1 + sum(now - at <= self.s.fresh for name, at in self._heard.items() if name in self.known)
+        heard = [at for name, at in self._heard.items() if name in self.known]
+        reached = 1 + sum(now - at <= self.s.observation_ttl_ms for at in heard)
         if reached >= self.quorum:
             self._quorum_at, self.alone = now, False
-        elif now - self._quorum_at > self.s.keep:
+        elif now - self._quorum_at > self.s.isolation_grace_ms:
             self.alone = True
         for name, z in self.zones.items():
             self._want(now, z)
@@ -160,34 +161,34 @@
 
     def _want(self, now: float, z: Zone) -> None:
         wanted: State | None = None
-        if z.view is not None and now - z.viewed <= self.s.fresh:
+        if z.view is not None and now - z.viewed <= self.s.observation_ttl_ms:
             seen = seen_as(z.view, z.state, self.s)
             if z.state is State.OUT and seen is not State.OUT:
                 wanted = State.RETURNING
             elif z.state is State.RETURNING and seen is State.HEALTHY:
-                wanted = State.HEALTHY if now - z.since >= self.s.ramp else None
+                wanted = State.HEALTHY if now - z.since >= self.s.recovery_ramp_ms else None
             elif seen is not z.state and not (z.state is State.RETURNING and seen is State.DEGRADED):
                 wanted = seen
         if wanted is not z.wanted:
             z.wanted, z.wanted_since = wanted, now
 
     def _vote(self, now: float, name: str, z: Zone) -> None:
-        view = z.view if now - z.viewed <= self.s.fresh else None
-        wish = z.wanted if now - z.wanted_since >= self.s.settle else None
+        view = z.view if now - z.viewed <= self.s.observation_ttl_ms else None
+        wish = z.wanted if now - z.wanted_since >= self.s.stabilization_ms else None
         if view is None or view.weak:
             seers = [
                 b
                 for b, at in z.ballots.values()
-                if b.seen and now - at <= self.s.fresh and not (view is not None and b.cut)
+                if b.seen and now - at <= self.s.observation_ttl_ms and not (view is not None and b.cut)
             ]
             if seers or view is None:
                 wish = self._followed(z, seers)
-        if wish is not None and now >= max(z.since + self.s.hold, self.voting_from):
-            highest = max([z.term, *(b.term for b, at in z.ballots.values() if now - at <= self.s.fresh)])
+        if wish is not None and now >= max(z.since + self.s.min_state_duration_ms, self.voting_from):
+            highest = max([z.term, *(b.term for b, at in z.ballots.values() if now - at <= self.s.observation_ttl_ms)])
             term = max(z.term + 1, highest)
             if z.cast is not None and z.cast[0] >= term:
                 term = z.cast[0]  # one vote a term: another wish waits for the next
-                if z.cast[1] is not wish and now - z.cast_at >= self.s.retry:
+                if z.cast[1] is not wish and now - z.cast_at >= self.s.vote_timeout_ms:
                     term += 1
             if z.cast is None or z.cast[0] < term:
                 z.cast, z.cast_at = (term, wish), now
@@ -216,7 +217,8 @@
     def _count(self, now: float, name: str, z: Zone) -> None:
         tally: dict[tuple[int, State], int] = {}
         for member, (b, at) in z.ballots.items():
-            if member in self.known and b.state is not None and b.term > z.term and now - at <= self.s.fresh:
+            fresh = now - at <= self.s.observation_ttl_ms
+            if member in self.known and b.state is not None and b.term > z.term and fresh:
                 tally[b.term, b.state] = tally.get((b.term, b.state), 0) + 1
         for (term, state), votes in sorted(tally.items()):
             if votes >= self.quorum:
--- a/decklb/locality/coordinator.py
+++ b/decklb/locality/coordinator.py
@@ -11,7 +11,7 @@
 from decklb.cluster.node import Notice
 from decklb.locality import messages as m
 from decklb.locality.consensus import Ballot, Decided, State, View, Zones
-from decklb.locality.settings import ALONE, LocalitySettings
+from decklb.locality.settings import DecisionMode, LocalitySettings
 
 
 class Council:
@@ -22,7 +22,7 @@
         zones = settings.region_of
         self.common = Zones(settings, me, zones, now)
         # The same rules with nobody else: for a member that is cut off, or that is to judge by itself.
-        self.own = Zones(replace(settings, members=1), me, zones, now)
+        self.own = Zones(replace(settings, member_count=1), me, zones, now)
         self.own.voting_from = now
         self.load = 0.0  # cores that this member's own callers ask for
         self.loads: dict[str, tuple[str, float, float]] = {}  # by member: its zone, their cores, when it said so
@@ -37,7 +37,7 @@
     @property
     def alone(self) -> bool:
         """Whether this member goes by its own judgement."""
-        return self.s.judge == ALONE or self.common.alone
+        return self.s.decision_mode == DecisionMode.ALONE or self.common.alone
 
     def members(self, known: Collection[str]) -> None:
         """All members that count; what those told that don't any more goes."""
@@ -66,9 +66,9 @@
         self.own.out.clear()
         self.common.tick(now)
         words, self.common.out = self.common.out, []
-        if self.s.judge != ALONE:
+        if self.s.decision_mode != DecisionMode.ALONE:
             self._say(now, words)
-        if self.common.alone != self._alone and self.s.judge != ALONE:
+        if self.common.alone != self._alone and self.s.decision_mode != DecisionMode.ALONE:
             self._alone = self.common.alone
             self.notices.append(
                 Notice(
@@ -109,10 +109,10 @@
     def demand(self, now: float) -> dict[str, float]:
         """Cores that the callers of each zone ask for, by the word of all members."""
         made = dict.fromkeys(self.common.zones, 0.0)
-        if self.s.zone in made:
-            made[self.s.zone] = self.load
+        if self.s.home_zone in made:
+            made[self.s.home_zone] = self.load
         for home, load, at in self.loads.values():
-            if home in made and now - at <= self.s.fresh:
+            if home in made and now - at <= self.s.observation_ttl_ms:
                 made[home] += load
         return made
 
@@ -120,9 +120,9 @@
         """At once while a vote is open or anything is new, else a few times within what counts as fresh."""
         gist = tuple((w.zone, w.term, w.state) for w in words)
         open_ = any(isinstance(w, Ballot) and w.state is not None for w in words)
-        if open_ or gist != self._said or now - self._said_at >= self.s.fresh / 3:
+        if open_ or gist != self._said or now - self._said_at >= self.s.observation_ttl_ms / 3:
             self._said, self._said_at = gist, now
-            self.out += m.pack(self.s.zone, self.load, words)
+            self.out += m.pack(self.s.home_zone, self.load, words)
 
     def rows(self, now: float) -> list[dict[str, Any]]:
         """For operators: each zone."""
@@ -133,7 +133,7 @@
             votes = {
                 name: b.state.name.lower()
                 for name, (b, at) in sorted(z.ballots.items())
-                if b.state is not None and b.term > z.term and now - at <= self.s.fresh
+                if b.state is not None and b.term > z.term and now - at <= self.s.observation_ttl_ms
             }
             made.append(
                 {
@@ -145,7 +145,7 @@
                     "up": self.up(zone, now),
                     "load_cores": round(demand[zone], 2),
                     "votes": votes,
-                    "home": zone == self.s.zone,
+                    "home": zone == self.s.home_zone,
                 }
             )
         return made
--- a/decklb/locality/health_observer.py
+++ b/decklb/locality/health_observer.py
@@ -96,18 +96,18 @@
             return False
         if not ok:
             e.misses += 1
-            return e.misses == self.s.misses
+            return e.misses == self.s.unhealthy_threshold
         e.misses, e.answered = 0, now
         self._timed(self.zones[e.zone], "", took)
         return False
 
     def down(self) -> list[str]:
         """Engines that this member can't reach."""
-        return [name for name, e in self.engines.items() if e.misses >= self.s.misses]
+        return [name for name, e in self.engines.items() if e.misses >= self.s.unhealthy_threshold]
 
     def due(self, now: float, members: int) -> list[str]:
         """Engines to probe now; each counts as asked."""
-        wait, found = self.s.look * max(1.0, members / MEMBERS), []
+        wait, found = self.s.probe_interval_ms * max(1.0, members / MEMBERS), []
         for zone in self.zones.values():
             for name in zone.looked:
                 e = self.engines[name]
@@ -123,11 +123,11 @@
         if f is None:
             return None
         looked = [self.engines[n] for n in f.looked]
-        if not any(e.misses or now - e.answered <= self.s.fresh for e in looked):
+        if not any(e.misses or now - e.answered <= self.s.observation_ttl_ms for e in looked):
             return None
         cores = sum(e.cores for e in looked)
-        up = sum(e.cores for e in looked if e.misses < self.s.misses) / cores if cores > 0 else 1.0
-        tried = now - f.tried <= self.s.fresh
+        up = sum(e.cores for e in looked if e.misses < self.s.unhealthy_threshold) / cores if cores > 0 else 1.0
+        tried = now - f.tried <= self.s.observation_ttl_ms
         return View(up, f.errors if tried else 0.0, f.slowness, not tried and up >= 1.0)
 
     def _timed(self, zone: Field, lane: str, took: float) -> None:
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -82,7 +82,7 @@
 
     def _arm(self) -> None:
         members = len(self.council.common.known)
-        self.timer = self.clock.call_later(self.s.tick * max(1.0, members / LARGE), self._tick)
+        self.timer = self.clock.call_later(self.s.tick_ms * max(1.0, members / LARGE), self._tick)
 
     def _tick(self) -> None:
         self.timer = None
@@ -101,7 +101,7 @@
         log_notices("zones", notices)
         for engine in self.sight.due(now, len(self.council.common.known)):
             if (address := self.addresses.get(engine)) is not None:
-                self.prober.probe(engine, address, self.s.timeout, self._probed(engine, now))
+                self.prober.probe(engine, address, self.s.probe_timeout_ms, self._probed(engine, now))
         self._tell(now)
         self._arm()
 
--- a/decklb/locality/spillover.py
+++ b/decklb/locality/spillover.py
@@ -30,11 +30,12 @@
     if place.state is State.OUT:
         return 0.0
     if place.state is State.RETURNING:
-        gone = min(1.0, max(0.0, (now - place.since) / settings.ramp))
-        return place.capacity * settings.full * (settings.ramp_floor + (1 - settings.ramp_floor) * gone)
+        gone = min(1.0, max(0.0, (now - place.since) / settings.recovery_ramp_ms))
+        least = settings.recovery_min_fraction
+        return place.capacity * settings.max_utilization * (least + (1 - least) * gone)
     if place.state is State.DEGRADED:
-        return place.capacity * settings.full / 2
-    return place.capacity * settings.full
+        return place.capacity * settings.max_utilization / 2
+    return place.capacity * settings.max_utilization
 
 
 def shares(
@@ -54,7 +55,7 @@
         return {}
     room = {z: usable(p, now, settings) for z, p in open_to.items()}
     total = sum(p.capacity for p in open_to.values())
-    if total <= 0 or sum(room.values()) < settings.panic * settings.full * total:
+    if total <= 0 or sum(room.values()) < settings.panic_threshold * settings.max_utilization * total:
         return _alike(open_to, room)
     region = places[home].region if home in places else ""
     near = {z for z, p in open_to.items() if p.region == region and p.state is not State.OUT}
--- a/decklb/locality/zone_selector.py
+++ b/decklb/locality/zone_selector.py
@@ -98,7 +98,7 @@
             budget = self.budgets.setdefault(zone, Budget(0.0, now))
             if not budget.take(now, plan.returning[zone], work):
                 zone = plan.spare.draw()
-        self.counts["near" if zone == self.s.zone else "away"] += 1
+        self.counts["near" if zone == self.s.home_zone else "away"] += 1
         return zone, plan.open[zone]
 
     def places(self, now: float, council: Council, kinds: Sequence[str] | None = None) -> dict[str, Place]:
@@ -117,7 +117,7 @@
     def _plan(self, now: float, lane: str, council: Council) -> Plan | None:
         spec = self.classes.get(lane)
         places = self.places(now, council, spec.kinds if spec else None)
-        weights = shares(self.s.zone, places, now, self.s, spec.zones if spec else None)
+        weights = shares(self.s.home_zone, places, now, self.s, spec.zones if spec else None)
         if not weights:
             return None
         # Where a try fails, another goes to any zone that is well or to the one drawn; never to one that returns, whose
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -71,7 +71,16 @@
         """`memory` and `keep`: see Register."""
         self.s, self.me, self.boot = settings, me, boot
         self.register: Register[Plan] = Register(
-            me, Plan(), m.pack_plan, m.read_plan, settings.members, settings.patience, rng, now, memory, keep
+            me,
+            Plan(),
+            m.pack_plan,
+            m.read_plan,
+            settings.member_count,
+            settings.round_timeout_ms,
+            rng,
+            now,
+            memory,
+            keep,
         )
         self.engines: dict[str, tuple[str, float]] = {}  # zone and cores of all on the list
         self.out: list[tuple[str, bytes]] = []
@@ -108,7 +117,7 @@
     def ask(self, ident: str, what: Iterable[str], reason: str, window: float, until: float, done: Told) -> None:
         """Take machines out: engines by id, zone or pattern, managers as `manager:NAME`."""
         names, listed = tuple(what), self.machines()
-        wanted = window or self.s.window
+        wanted = window or self.s.default_window_ms
         self.register.propose(lambda p: request(p, ident, names, reason, round(wanted), listed, self.s), done, until)
 
     def cancel(self, ident: str, wall: float, until: float, done: Told) -> None:
@@ -155,7 +164,7 @@
         self._went = frozenset(out & (self._went | own.down))
         idle = not self.register.forgetful and not self.register.busy
         if idle and self.driver == self.me and self._next(self.plan) is not self.plan:
-            self.register.propose(self._next, self._stepped, now + STEP * self.s.patience)
+            self.register.propose(self._next, self._stepped, now + STEP * self.s.round_timeout_ms)
         self._report()
         self._flush()
         self._tell(wall)
@@ -178,7 +187,7 @@
 
     def facts(self, now: float, wall: float, plan: Plan) -> Facts:
         """What is known now, for a step on this plan."""
-        fresh = {n: r for n, (r, at) in self.reports.items() if now - at <= self.s.fresh}
+        fresh = {n: r for n, (r, at) in self.reports.items() if now - at <= self.s.report_ttl_ms}
         told = self.plan.steps >= plan.steps and all(
             n in fresh and fresh[n].steps >= plan.steps or self._absent(n, now) for n in self.since
         )
@@ -189,10 +198,12 @@
             went = (name in self._went) + sum(name in r.went for r in fresh.values())
             # A majority of all members: whoever has said nothing for a while has not said that it is up either.
             engines[name] = Engine(
-                name, zone, cores, 2 * sum(votes) > self.s.members, busy, went=2 * went > self.s.members
+                name, zone, cores, 2 * sum(votes) > self.s.member_count, busy, went=2 * went > self.s.member_count
             )
         clear = all(
-            now - self._started.get(n, now) >= self.s.drain for n in {self.me, *self.since} if not self._absent(n, now)
+            now - self._started.get(n, now) >= self.s.drain_timeout_ms
+            for n in {self.me, *self.since}
+            if not self._absent(n, now)
         )
         return Facts(
             round(wall),
@@ -228,7 +239,7 @@
         if name == self.me:
             return False
         last = self.reports[name][1] if name in self.reports else self.since[name]
-        return name not in self.alive and now - last >= self.s.absent
+        return name not in self.alive and now - last >= self.s.absent_after_ms
 
     def _report(self) -> None:
         away = {x.name for j in self.plan.jobs for x in j.machines if x.stage in AWAY}
--- a/decklb/maintenance/plan.py
+++ b/decklb/maintenance/plan.py
@@ -137,7 +137,7 @@
                 raise AlreadyPlanned(e.name, j.ident)
     job = Job(ident, reason, window, tuple(Machine(e.name, e.zone) for e in some))
     ended = [j.ident for j in plan.jobs if not j.live]
-    dropped = set(ended[: max(0, len(ended) + 1 - settings.kept)])
+    dropped = set(ended[: max(0, len(ended) + 1 - settings.retained_jobs)])
     return replace(plan, jobs=(*(j for j in plan.jobs if j.ident not in dropped), job))
 
 
@@ -200,24 +200,26 @@
         return f"zone {min(facts.unwell)} is not well"
     held = [x for j in plan.jobs for x in j.machines if x.stage in HELD]
     near = [x for x in held if x.zone == m.zone]
-    if len(held) >= settings.most:
-        return f"{len(held)} of {settings.most} machines are out or warming: {held[0].name}"
-    if len(near) >= settings.most_zone:
-        return f"{len(near)} of {settings.most_zone} machines of zone {m.zone} are out or warming: {near[0].name}"
+    if len(held) >= settings.max_unavailable:
+        return f"{len(held)} of {settings.max_unavailable} machines are out or warming: {held[0].name}"
+    if len(near) >= settings.max_unavailable_per_zone:
+        most = settings.max_unavailable_per_zone
+        return f"{len(near)} of {most} machines of zone {m.zone} are out or warming: {near[0].name}"
     if m.zone == MANAGERS:
         return "" if e.up else f"{m.name} is not heard"
     gone = {x.name for x in held} | {m.name}
     zone = [x for x in facts.engines.values() if x.zone == m.zone]
     whole = sum(x.cores for x in zone)
     out = sum(x.cores for x in zone if x.name in gone)
-    if out > settings.most_share * whole + 1e-9:
-        return f"{out:g} of {whole:g} cores of zone {m.zone} would be out; {100 * settings.most_share:g}% may be"
+    most_share = settings.max_unavailable_zone_fraction
+    if out > most_share * whole + 1e-9:
+        return f"{out:g} of {whole:g} cores of zone {m.zone} would be out; {100 * most_share:g}% may be"
     left = sum(x.cores for x in zone if x.up and x.name not in gone)
     load = facts.load.get(m.zone, 0.0)
-    if load > settings.reserve * left:
+    if load > settings.max_utilization * left:
         return f"zone {m.zone} would have {left:g} cores left, too few for its load"
     rest = sum(x.cores for x in facts.engines.values() if x.up and x.name not in gone)
-    if sum(facts.load.values()) > settings.reserve * rest:
+    if sum(facts.load.values()) > settings.max_utilization * rest:
         return f"the fleet would have {rest:g} cores left, too few for its load"
     return ""
 
@@ -232,9 +234,9 @@
     e = facts.engines.get(m.name)
     age = facts.wall - m.at
     if m.stage is Stage.DRAINING:
-        if (
-            facts.told and facts.clear and (e is None or e.busy == 0) or min(age, facts.known) >= settings.drain
-        ):  # while nobody knew of it nobody kept work from there
+        idle = facts.told and facts.clear and (e is None or e.busy == 0)
+        # While nobody knew of it nobody kept work from there.
+        if idle or min(age, facts.known) >= settings.drain_timeout_ms:
             return _move(plan, m, Stage.OUT, facts.wall)
     elif m.stage is Stage.OUT:
         if not m.gone and (e is None or e.went):  # it went down for its work, maybe only for a moment
@@ -248,7 +250,7 @@
 
 def _warm(m: Machine, settings: MaintenanceSettings) -> float:
     """How long a machine warms. With one that votes on no records yet the next would leave too few voters."""
-    return max(settings.warm, settings.memory) if m.zone == MANAGERS else settings.warm
+    return max(settings.warm_up_ms, settings.manager_voting_delay_ms) if m.zone == MANAGERS else settings.warm_up_ms
 
 
 def _move(plan: Plan, m: Machine, stage: Stage, wall: int, boot: int | None = None) -> Plan:
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -52,10 +52,10 @@
         self.dispatcher, self.prober, self.changed, self.leave = dispatcher, prober, changed, leave
         self.store: PlanStore | None = None
         me, memory = cluster.settings.member, None
-        if settings.data:
+        if settings.data_directory:
             from decklb.maintenance.store import PlanStore
 
-            self.store = PlanStore(settings.data, me)
+            self.store = PlanStore(settings.data_directory, me)
             memory = self.store.read()
         self._failed = False  # the store could not be written the last time
         self.conductor = Conductor(
@@ -129,7 +129,7 @@
     def _keep(self, memory: Memory) -> bool:
         """Whether it is on disk, where there is a folder: a member that can't keep its word gives none."""
         if self.store is None:
-            return not self.s.data  # or it is closed
+            return not self.s.data_directory  # or it is closed
         try:
             self.store.write(memory)
         except MaintenanceError as error:
@@ -157,7 +157,7 @@
         return made
 
     def _arm(self) -> None:
-        self.timer = self.clock.call_later(self.s.tick, self._tick)
+        self.timer = self.clock.call_later(self.s.tick_ms, self._tick)
 
     def _tick(self) -> None:
         self.timer = None
@@ -175,7 +175,7 @@
         for name in watched - self._asked:
             if (address := self.addresses.get(name)) is not None:
                 self._asked.add(name)
-                self.prober.probe(name, address, self.s.tick, self._probed(name))
+                self.prober.probe(name, address, self.s.tick_ms, self._probed(name))
         self._pump()
         self._obey(now)
         if not self.closed:  # it may have been this manager's turn
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -10,7 +10,9 @@
 
 
 def replace_settings(**more):
-    return MaintenanceSettings(most_share=0.5, warm=300.0, drain=2000.0, window=9000.0, **more)
+    return MaintenanceSettings(
+        max_unavailable_zone_fraction=0.5, warm_up_ms=300.0, drain_timeout_ms=2000.0, default_window_ms=9000.0, **more
+    )
 
 
 class Fleet:
@@ -19,7 +21,9 @@
     def __init__(self, seed):
         self.rng, self.now, self.queue = random.Random(seed), 0.0, []
         self.names = ["m0", "m1", "m2"]
-        self.s = replace_settings(members=3, absent=3000.0, patience=200.0, tick=100.0, fresh=1000.0)
+        self.s = replace_settings(
+            member_count=3, absent_after_ms=3000.0, round_timeout_ms=200.0, tick_ms=100.0, report_ttl_ms=1000.0
+        )
         self.nodes = {n: self.make(n) for n in self.names}
         self.busy, self.down, self.dead = {}, set(), set()
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -23,7 +23,7 @@
 
 class Votes(unittest.TestCase):
     def fleet(self, count=5):
-        s = replace(S, members=count, zone="z", regions=(("r", ("z",)),))
+        s = replace(S, member_count=count, home_zone="z", regions=(("r", ("z",)),))
         made = {f"m{i}": Council(s, f"m{i}", 0.0) for i in range(count)}
         for council in made.values():
             council.members(made)
@@ -69,10 +69,10 @@
     def test_a_member_that_starts_votes_only_once_its_former_votes_have_lapsed(self):
         fleet = self.fleet()
         for council in fleet.values():
-            council.common.voting_from = S.fresh + S.retry
-        views = dict.fromkeys(fleet, DEAD)
-        self.assertEqual(set(self.run_(fleet, views, 0.0, S.fresh + S.retry).values()), {State.HEALTHY})
-        self.assertEqual(set(self.run_(fleet, views, S.fresh + S.retry, 500.0).values()), {State.OUT})
+            council.common.voting_from = S.observation_ttl_ms + S.vote_timeout_ms
+        views, lapse = dict.fromkeys(fleet, DEAD), S.observation_ttl_ms + S.vote_timeout_ms
+        self.assertEqual(set(self.run_(fleet, views, 0.0, lapse).values()), {State.HEALTHY})
+        self.assertEqual(set(self.run_(fleet, views, lapse, 500.0).values()), {State.OUT})
 
     def test_a_side_that_knows_fewer_than_the_settings_say_decides_nothing(self):
         fleet = self.fleet()
@@ -112,19 +112,20 @@
             now = set(self.run_(fleet, views, i * 500.0, 500.0).values())
             self.assertEqual(len(now), 1)
             changes, before = changes + (now != {before}), next(iter(now))
-        self.assertLessEqual(changes, 30_000.0 / S.hold + 1)
+        self.assertLessEqual(changes, 30_000.0 / S.min_state_duration_ms + 1)
         self.assertGreater(changes, 0)
 
     def test_one_that_no_quorum_reaches_keeps_the_decision_for_a_while_and_then_goes_by_itself(self):
         fleet, cut = self.fleet(), frozenset({"m0"})
         views = {"m0": DEAD} | {f"m{i}": WELL for i in range(1, 5)}
-        self.assertEqual(self.run_(fleet, views, 0.0, S.keep, cut)["m0"], State.HEALTHY)
+        self.assertEqual(self.run_(fleet, views, 0.0, S.isolation_grace_ms, cut)["m0"], State.HEALTHY)
         self.assertFalse(fleet["m0"].alone)
         fleet["m0"].notices.clear()
-        self.assertEqual(self.run_(fleet, views, S.keep, S.fresh + 1000.0, cut)["m0"], State.OUT)
+        grace = S.isolation_grace_ms
+        self.assertEqual(self.run_(fleet, views, grace, S.observation_ttl_ms + 1000.0, cut)["m0"], State.OUT)
         self.assertTrue(fleet["m0"].alone)
         self.assertEqual([n.event for n in fleet["m0"].notices], ["zones-alone", "zone-state"])  # said once
-        self.assertEqual(set(self.run_(fleet, views, 2 * S.keep, 2000.0).values()), {State.HEALTHY})
+        self.assertEqual(set(self.run_(fleet, views, 2 * S.isolation_grace_ms, 2000.0).values()), {State.HEALTHY})
 
     def test_a_state_is_left_well_past_where_it_was_entered(self):
         for up, before, wanted in (
@@ -213,12 +214,12 @@
     def test_only_what_nothing_told_of_lately_is_probed_and_more_rarely_in_a_large_fleet(self):
         sight = self.sight(each=20)
         self.assertEqual(len(sight.due(0.0, 5)), 16)  # a few of each zone
-        self.assertEqual(sight.due(S.look / 2, 5), [])
+        self.assertEqual(sight.due(S.probe_interval_ms / 2, 5), [])
         first = sight.zones["a"].looked[0]
-        sight.ended(S.look, first, "q", Outcome.GOOD, 1.0)
-        self.assertNotIn(first, sight.due(S.look, 5))
-        self.assertEqual(sight.due(3 * S.look, 64), [])
-        self.assertEqual(len(sight.due(5 * S.look, 64)), 16)
+        sight.ended(S.probe_interval_ms, first, "q", Outcome.GOOD, 1.0)
+        self.assertNotIn(first, sight.due(S.probe_interval_ms, 5))
+        self.assertEqual(sight.due(3 * S.probe_interval_ms, 64), [])
+        self.assertEqual(len(sight.due(5 * S.probe_interval_ms, 64)), 16)
 
     def test_probes_alone_are_weak_and_requests_tell_of_errors_and_latency(self):
         sight = self.sight()
@@ -232,14 +233,14 @@
             sight.probed(200.0 + i, "a0", True, 200.0)
         bad, well = sight.view("a", 300.0), sight.view("b", 300.0)
         self.assertFalse(bad.weak or well.weak)
-        self.assertGreater(bad.errors, S.out)
-        self.assertGreater(bad.slowness, S.slow)
+        self.assertGreater(bad.errors, S.out_threshold)
+        self.assertGreater(bad.slowness, S.degraded_latency_ratio)
         self.assertLess(max(well.errors, well.slowness), 1.5)
 
 
 class Drawn(unittest.TestCase):
     def steering(self, **zones):
-        s = replace(S, zone="a", regions=(("r0", ("a", "b")), ("r1", ("c",))))
+        s = replace(S, home_zone="a", regions=(("r0", ("a", "b")), ("r1", ("c",))))
         council = Council(s, "m0", 0.0)
         for zone, state in zones.items():
             council.common.zones[zone].state, council.common.zones[zone].since = state, 0.0
@@ -291,6 +292,6 @@
         for case in ("lost", "region"):
             told = play(case, 2, common=True)
             self.assertEqual(len(told.decided), 12)
-            self.assertLess(max(told.decided), S.settle + 1000.0)
+            self.assertLess(max(told.decided), S.stabilization_ms + 1000.0)
             self.assertLessEqual(told.flood, 1.0)
             self.assertEqual(told.left, 0.0)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -21,7 +21,15 @@
 from decklb.maintenance.store import PlanStore, PlanStoreError
 from tests.maintenance_fleet import ENGINES, Fleet
 
-S = MaintenanceSettings(members=3, most=2, most_zone=1, most_share=0.5, warm=1000.0, drain=500.0, window=5000.0)
+S = MaintenanceSettings(
+    member_count=3,
+    max_unavailable=2,
+    max_unavailable_per_zone=1,
+    max_unavailable_zone_fraction=0.5,
+    warm_up_ms=1000.0,
+    drain_timeout_ms=500.0,
+    default_window_ms=5000.0,
+)
 
 
 def facts(wall=0, load=None, told=True, unwell=(), **engines):
@@ -152,7 +160,7 @@
             self.assertIs(advance(plan, found, S), plan)  # said once
         one = request(Plan(), "k", ["a0"], "", 5000, ENGINES, S)
         self.assertIn("0 cores left", advance(one, facts(a1={"up": False}, load={"a": 1.0}), S).hold)
-        tight = MaintenanceSettings(members=3, most_share=0.4)
+        tight = MaintenanceSettings(member_count=3, max_unavailable_zone_fraction=0.4)
         self.assertIn("40% may be", advance(self.plan, facts(), tight).hold)
 
     def test_budgets_hold_over_all_jobs_and_zones(self):
@@ -206,7 +214,13 @@
     def test_the_next_manager_waits_until_the_one_before_may_vote_on_records_again(self):
         names = [manager("m1"), manager("m2")]
         machines = {n: Engine(n, "managers", 0.0, True, 0, 50) for n in names}
-        s = MaintenanceSettings(members=3, most=2, most_zone=1, warm=1000.0, memory=6000.0)
+        s = MaintenanceSettings(
+            member_count=3,
+            max_unavailable=2,
+            max_unavailable_per_zone=1,
+            warm_up_ms=1000.0,
+            manager_voting_delay_ms=6000.0,
+        )
         plan = request(Plan(), "j", names, "", 5000, machines, s)
         seen = []
         for wall in (100, 200, 300, 5000, 6301, 6400):
@@ -226,7 +240,7 @@
         )
 
     def test_ended_jobs_are_forgotten_in_their_order(self):
-        plan, s = Plan(), MaintenanceSettings(kept=2)
+        plan, s = Plan(), MaintenanceSettings(retained_jobs=2)
         for i in range(5):
             plan = cancel(request(plan, f"j{i}", ["a0"], "", 5000, ENGINES, s), f"j{i}", 1)
         self.assertEqual([j.ident for j in plan.jobs], ["j3", "j4"])
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -45,7 +45,7 @@
             (3.0, 9.0, 20.0),
             100.0,
             16.0,
-            LocalitySettings(ramp=8000.0),
+            LocalitySettings(recovery_ramp_ms=8000.0),
             (),
         )
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -146,12 +146,13 @@
 
     def test_locality_example(self):
         c = config.load(None, str(ROOT / "deploy/locality.xml"))
-        assert c.locality is not None and c.locality.zone == "sala-lima" and c.locality.members == 5
+        assert c.locality is not None and c.locality.home_zone == "sala-lima" and c.locality.member_count == 5
         assert c.locality.region_of == {"sala-lima": "costa", "sala-callao": "costa", "sala-cusco": "sierra"}
 
     def test_maintenance_example(self):
         c = config.load(None, str(ROOT / "deploy/maintenance.xml"))
-        assert c.maintenance is not None and c.maintenance.members == 5 and c.maintenance.most_share == 1.0
+        assert c.maintenance is not None and c.maintenance.member_count == 5
+        assert c.maintenance.max_unavailable_zone_fraction == 1.0
 
     def test_cluster_example(self):
         c = config.load(None, str(ROOT / "deploy/cluster.xml"))
