--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -117,7 +117,13 @@
                 "zones": self._zones,
                 "plan": lambda: {} if plan is None else plan.status(),
             },
-            {} if plan is None else {"plan-request": plan.ask, "plan-cancel": plan.cancel, "plan-back": plan.back},
+            {}
+            if plan is None
+            else {
+                "plan-request": plan.request_maintenance,
+                "plan-cancel": plan.cancel,
+                "plan-back": plan.mark_returned,
+            },
         )
 
     def _members(self) -> dict[str, Any]:
@@ -207,7 +213,7 @@
     def _list(self, entries: list[Entry], addresses: dict[str, tuple[str, int]]) -> None:
         self.listed = entries, addresses
         if self.maintenance is not None:
-            entries = self.maintenance.over(entries, addresses)
+            entries = self.maintenance.apply_plan(entries, addresses)
         self.up = sum(e.phase is Phase.UP for e in entries)
         self.engines.addresses(addresses)
         self.dispatcher.members(entries)
--- a/decklb/lab/register.py
+++ b/decklb/lab/register.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from decklb.maintenance.replicated_register import Memory, Message, Register
+from decklb.maintenance.paxos_messages import AcceptorState, RegisterMessage
+from decklb.maintenance.replicated_register import ReplicatedRegister
 
 PATIENCE = 100.0  # ms
 END = 12_000.0
@@ -39,19 +40,19 @@
         self.rng, self.told, self.now = random.Random(seed), Told(seed), 0.0
         self.names = [f"m{i}" for i in range(members)]
         self.harsh, self.pace, self.slow, self.kept = harsh, pace, slow, kept
-        self.disks: dict[str, Memory] = {}
+        self.disks: dict[str, AcceptorState] = {}
         self.nodes = {n: self.make(n) for n in self.names}
         self.held_until = dict.fromkeys(self.names, 0.0)  # a member that is stopped hears and ticks later
         self.cut: set[str] = set()
-        self._queue: list[tuple[float, int, str, str, Message]] = []
+        self._queue: list[tuple[float, int, str, str, RegisterMessage]] = []
         self._count = itertools.count()
         self._numbers = itertools.count(1)
         self.settled: set[tuple[int, ...]] = set()
         self.open: dict[int, str] = {}
 
-    def make(self, name: str) -> Register[tuple[int, ...]]:
+    def make(self, name: str) -> ReplicatedRegister[tuple[int, ...]]:
         """A node of the register, on what its disk holds."""
-        return Register(
+        return ReplicatedRegister(
             name,
             (),
             lambda v: ",".join(map(str, v)).encode(),
@@ -64,7 +65,7 @@
             partial(self.keep, name),
         )
 
-    def keep(self, name: str, memory: Memory) -> bool:
+    def keep(self, name: str, memory: AcceptorState) -> bool:
         """Write a node's memory to its disk."""
         if self.kept:
             self.disks[name] = memory
@@ -117,9 +118,9 @@
         else:
             self.held_until[name] = self.now + self.rng.uniform(50.0, 800.0)
 
-    def send(self, name: str, node: Register[tuple[int, ...]]) -> None:
+    def send(self, name: str, node: ReplicatedRegister[tuple[int, ...]]) -> None:
         """Put a node's messages on the network, which loses some."""
-        out, node.out = node.out, []
+        out, node.outgoing = node.outgoing, []
         for to, message in out:
             for other in self.names if not to else (to,):
                 if other == name or (name in self.cut) != (other in self.cut) or self.rng.random() < 0.1:
@@ -138,8 +139,8 @@
                 late.append((self.held_until[to], *item[1:]))
                 continue
             node = self.nodes[to]
-            node.hear(self.now, sender, message)
-            self.settled.add(node.settled)
+            node.receive(self.now, sender, message)
+            self.settled.add(node.committed)
             self.send(to, node)
         for item in late:
             heapq.heappush(self._queue, item)
@@ -147,7 +148,7 @@
     def judge(self) -> Told:
         """Compare the changes that were acknowledged with the value that all agree on."""
         t = self.told
-        t.final = max((n.settled for n in self.nodes.values()), key=len)
+        t.final = max((n.committed for n in self.nodes.values()), key=len)
         t.lost = [n for n in t.done if n not in t.final]
         t.twice = [n for n in set(t.final) if t.final.count(n) > 1]
         t.forked = sum(v != t.final[: len(v)] for v in self.settled)
--- a/decklb/lab/upkeep.py
+++ b/decklb/lab/upkeep.py
@@ -38,7 +38,7 @@
     '<handoff members="5" copies="3" lease="600ms" beat="100ms" patience="300ms" resend="60ms" stagger="250ms" '
     'longest="4s" linger="1500ms" slack="500ms"/>\n  '
 )
-LINE = "plan-step job="
+LINE = "maintenance-step "
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,7 +198,7 @@
         for name, p in self.ever:
             for line, at in zip(p.lines, p.stamps, strict=False):
                 if LINE in line:
-                    f = dict(x.split("=", 1) for x in line[line.index(LINE) + 10 :].split())
+                    f = dict(x.split("=", 1) for x in line.split(LINE, 1)[1].split())
                     made.append(Step(name, f["job"], f["machine"], f["stage"], int(f["step"]), at - start))
         return sorted(made, key=lambda s: s.at)
 
--- a/decklb/maintenance/__init__.py
+++ b/decklb/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Machines taken out for work in an order that the members settle: decisions, free of I/O. See docs/maintenance.md."""
+"""Machines taken out for maintenance by one plan, which the members agree on through a replicated register."""
--- /dev/null
+++ b/decklb/maintenance/operator_requests.py
@@ -0,0 +1,115 @@
+"""Changes of the plan that operators ask for: take machines out, cancel a job, report a machine as returned.
+
+Each takes a plan and returns the next, and is idempotent: a proposal that is tried anew may find itself done. Called by
+`orchestrator.py` through the replicated register. Free of I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from fnmatch import fnmatchcase
+
+from msgspec.structs import replace
+
+from decklb.maintenance.errors import (
+    MachineAlreadyPlannedError,
+    MachineNotOutError,
+    UnknownJobError,
+    UnknownMachineError,
+)
+from decklb.maintenance.fleet_status import MachineStatus
+from decklb.maintenance.plan import FINISHED_STAGES, Job, Machine, Plan, Stage, map_machines, move_machine
+
+
+def resolve_machines(targets: Iterable[str], known: Mapping[str, MachineStatus]) -> tuple[MachineStatus, ...]:
+    """The machines that names, zones and patterns with `*` stand for, zone by zone, once each.
+
+    Raises:
+        UnknownMachineError: A target stands for none.
+    """
+    found: dict[str, MachineStatus] = {}
+    for target in targets:
+        matching = [machine for machine in known.values() if _matches(target, machine)]
+        if not matching:
+            raise UnknownMachineError(target)
+        found |= {machine.name: machine for machine in matching}
+    return tuple(sorted(found.values(), key=lambda machine: (machine.zone, machine.name)))
+
+
+def add_job(
+    plan: Plan,
+    job_id: str,
+    targets: Iterable[str],
+    reason: str,
+    window_ms: int,
+    known: Mapping[str, MachineStatus],
+    retained_jobs: int,
+) -> Plan:
+    """The plan with a new job; the same plan if it has a job of that name already.
+
+    Args:
+        plan: The plan before.
+        job_id: The job's name.
+        targets: Machines by name, zone or pattern.
+        reason: For whoever reads the plan.
+        window_ms: For the work on one machine.
+        known: All machines that may be named.
+        retained_jobs: Finished jobs that the plan keeps; the oldest go.
+
+    Raises:
+        UnknownMachineError: A target stands for no machine.
+        MachineAlreadyPlannedError: A machine is in another job that has not finished.
+    """
+    if any(job.job_id == job_id for job in plan.jobs):
+        return plan
+    machines = resolve_machines(targets, known)
+    for machine in machines:
+        for job in plan.jobs:
+            if any(m.name == machine.name and m.stage not in FINISHED_STAGES for m in job.machines):
+                raise MachineAlreadyPlannedError(machine.name, job.job_id)
+    new = Job(job_id, reason, window_ms, tuple(Machine(machine.name, machine.zone) for machine in machines))
+    finished = [job.job_id for job in plan.jobs if not job.active]
+    dropped = set(finished[: max(0, len(finished) + 1 - retained_jobs)])
+    return replace(plan, jobs=(*(job for job in plan.jobs if job.job_id not in dropped), new))
+
+
+def cancel_job(plan: Plan, job_id: str, unix_ms: int) -> Plan:
+    """The plan with a job ended at once: its machines take work again. The same plan if it is cancelled already.
+
+    Raises:
+        UnknownJobError: No active job has that name.
+    """
+    if any(job.job_id == job_id and _cancelled(job) for job in plan.jobs):
+        return plan
+    if not any(job.job_id == job_id and job.active for job in plan.jobs):
+        raise UnknownJobError(job_id)
+    step = plan.step_count + 1
+
+    def cancel(job: Job, machine: Machine) -> Machine:
+        if job.job_id != job_id or machine.stage in FINISHED_STAGES:
+            return machine
+        return replace(machine, stage=Stage.CANCELLED, stage_since_unix_ms=unix_ms, step=step)
+
+    return replace(map_machines(plan, cancel), step_count=step)
+
+
+def mark_returned(plan: Plan, name: str, unix_ms: int) -> Plan:
+    """The plan with a machine back from its work, by an operator's word; the same plan if it warms already.
+
+    Raises:
+        MachineNotOutError: The machine is not out.
+    """
+    machine = plan.active_machine(name)
+    if machine is not None and machine.stage is Stage.WARMING:
+        return plan
+    if machine is None or machine.stage is not Stage.OUT:
+        raise MachineNotOutError(name)
+    return move_machine(plan, machine, Stage.WARMING, unix_ms)
+
+
+def _matches(target: str, machine: MachineStatus) -> bool:
+    return target in (machine.name, machine.zone) or "*" in target and fnmatchcase(machine.name, target)
+
+
+def _cancelled(job: Job) -> bool:
+    return not job.active and any(machine.stage is Stage.CANCELLED for machine in job.machines)
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -1,9 +1,11 @@
-"""One member's whole part in the fleet's plan: its copy of the register, its word to the others, and, where it is the
-one to do so, the next step (free of I/O).
+"""One member's part in the maintenance plan: operators' requests, the steps of the plan, reports to the other members.
 
 Any member takes an operator's request. One member does the steps, the first by a hash of names among those alive, so
 that the loss of one moves the duty at once; should two believe that it is theirs, the register makes one line of what
 both propose, and a step that was done is none on the plan as it then is.
+
+Owns this member's replica of the register and its fleet observer. Driven by `runtime.py` with the time, datagrams and
+observations; free of I/O.
 """
 
 from __future__ import annotations
@@ -11,322 +13,257 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Collection, Iterable, Mapping
-from dataclasses import dataclass, field
 from typing import Any
 from zlib import crc32
 
 from decklb.cluster.messages import WireError
 from decklb.cluster.node import Notice
-from decklb.maintenance import messages as m
-from decklb.maintenance.plan import (
-    AWAY,
-    HELD,
-    MANAGERS,
-    Engine,
-    Facts,
-    Plan,
-    Stage,
-    advance,
-    back,
-    cancel,
-    overdue,
-    request,
+from decklb.maintenance.errors import PlanTooLargeError
+from decklb.maintenance.fleet_observer import FleetObserver, LocalObservation, manager_machine
+from decklb.maintenance.fleet_status import FleetStatus, MachineStatus
+from decklb.maintenance.messages import (
+    MAX_REPORTED_ENGINES,
+    Message,
+    Reassembler,
+    Report,
+    decode_plan,
+    encode_fragments,
+    encode_plan,
 )
-from decklb.maintenance.replicated_register import Memory, Register, Settled
+from decklb.maintenance.operator_requests import add_job, cancel_job, mark_returned
+from decklb.maintenance.paxos_messages import AcceptorState, Committed
+from decklb.maintenance.plan import DISRUPTED_STAGES, MANAGERS_ZONE, UNAVAILABLE_STAGES, Plan
+from decklb.maintenance.plan_events import PlanEvents
+from decklb.maintenance.replicated_register import ReplicatedRegister
+from decklb.maintenance.scheduling import advance
 from decklb.maintenance.settings import MaintenanceSettings
+from decklb.maintenance.status import status_report
 
-Told = Callable[[Plan | Exception], None]
-STEP = 12  # times `patience` for which a step is proposed: three tries, each longer than the one before
-QUIET = 4  # ticks between words of a member that has nothing new to say
-
-
-@dataclass(slots=True)
-class Own:
-    """What this member sees: given at each tick."""
+PlanResult = Callable[[Plan | Exception], None]
+STEP_DEADLINE_FACTOR = 12  # times the round timeout: three rounds, each longer than the one before
+REPORT_EVERY_TICKS = 4  # of a member that has nothing new to report
+MESSAGE_ID_BITS = 31, 20  # random start and room to count, so that two processes of a member share no message id
 
-    busy: Mapping[str, int] = field(default_factory=dict)  # attempts out, by engine
-    down: frozenset[str] = frozenset()  # engines that it can't reach
-    load: Mapping[str, float] = field(default_factory=dict)  # cores, by zone of the callers
-    unwell: frozenset[str] = frozenset()  # zones
 
+class MaintenanceOrchestrator:
+    """One member.
 
-def manager(name: str) -> str:
-    """What a manager is called as a machine."""
-    return f"manager:{name}"
-
-
-class Conductor:
-    """One member. `out` gathers (member, datagram); "" goes to all others."""
+    Attributes:
+        register: The replica of the plan.
+        observer: What is known of the fleet.
+        outgoing: (member, datagram) to be sent; member "" is all others.
+        notices: For the log.
+        counts: Steps proposed and datagrams dropped, by name.
+    """
 
     def __init__(
         self,
         settings: MaintenanceSettings,
-        me: str,
-        boot: int,
+        member: str,
+        incarnation: int,
         rng: random.Random,
         now: float,
-        memory: Memory | None = None,
-        keep: Callable[[Memory], bool] = lambda memory: True,
+        state: AcceptorState | None = None,
+        persist: Callable[[AcceptorState], bool] = lambda state: True,
     ) -> None:
-        """`memory` and `keep`: see Register."""
-        self.s, self.me, self.boot = settings, me, boot
-        self.register: Register[Plan] = Register(
-            me,
+        """Starts a member.
+
+        Args:
+            settings: The budget and the timeouts.
+            member: This member's name.
+            incarnation: Random number of this run of its process.
+            rng: For jitter and message ids.
+            now: The time, ms.
+            state: See ReplicatedRegister.
+            persist: See ReplicatedRegister.
+        """
+        self.register: ReplicatedRegister[Plan] = ReplicatedRegister(
+            member,
             Plan(),
-            m.pack_plan,
-            m.read_plan,
+            encode_plan,
+            decode_plan,
             settings.member_count,
             settings.round_timeout_ms,
             rng,
             now,
-            memory,
-            keep,
+            state,
+            persist,
         )
-        self.engines: dict[str, tuple[str, float]] = {}  # zone and cores of all on the list
-        self.out: list[tuple[str, bytes]] = []
+        self.observer = FleetObserver(settings, member, incarnation, now)
+        self.outgoing: list[tuple[str, bytes]] = []
         self.notices: list[Notice] = []
         self.counts: Counter[str] = Counter()
-        self.alive: frozenset[str] = frozenset((me,))
-        self.reports: dict[str, tuple[m.Report, float]] = {}
-        self.since: dict[str, float] = {}  # when each member was first known here
-        self._started = {me: now}  # when each member's process was first heard here, this one's own included
-        self.own = Own()
-        self._reader = m.Reader()
-        self._word = rng.getrandbits(31) << 20
-        self._said: tuple[Any, ...] = ()
+        self._settings, self._member, self._incarnation = settings, member, incarnation
+        self._reassembler = Reassembler()
+        random_bits, count_bits = MESSAGE_ID_BITS
+        self._message_id = rng.getrandbits(random_bits) << count_bits
+        self._last_report: Report | None = None
         self._ticks = 0
-        self._seen = Plan()  # of which the log has told
-        self._known_since = now  # when this member came to know the plan as it stands
-        self._late: set[str] = set()
-        self._went: frozenset[str] = frozenset()  # engines seen down since they are out
-        self._leaving = False
-        self._now, self._wall = now, 0.0
+        self._events = PlanEvents()
+        self._plan_known_since = now  # when this member came to know the plan as it stands
+        self._restart_claimed = False
+        self._now = now
+        self._unix_offset_ms = 0.0  # of the wall clock to the monotonic one
 
     @property
     def plan(self) -> Plan:
-        """The newest that this member knows to be agreed on."""
-        return self.register.settled
+        """The newest plan that this member knows to be committed."""
+        return self.register.committed
 
     @property
     def driver(self) -> str:
-        """Who does the steps, as this member sees it."""
-        return min(self.alive, key=lambda n: (crc32(f"plan/{n}".encode()), n))
+        """The member that does the steps, as this one sees it."""
+        return min(self.observer.alive, key=lambda name: (crc32(f"plan/{name}".encode()), name))
 
-    # What operators ask, at any member.
-
-    def ask(self, ident: str, what: Iterable[str], reason: str, window: float, until: float, done: Told) -> None:
-        """Take machines out: engines by id, zone or pattern, managers as `manager:NAME`."""
-        names, listed = tuple(what), self.machines()
-        wanted = window or self.s.default_window_ms
-        self.register.propose(lambda p: request(p, ident, names, reason, round(wanted), listed, self.s), done, until)
+    def request_maintenance(
+        self,
+        job_id: str,
+        targets: Iterable[str],
+        reason: str,
+        window_ms: float,
+        deadline: float,
+        on_result: PlanResult,
+    ) -> None:
+        """Take machines out.
+
+        Args:
+            job_id: The job's name.
+            targets: Engines by id, zone or pattern, managers as `manager:NAME`.
+            reason: For whoever reads the plan.
+            window_ms: For the work on one machine; 0 for the default.
+            deadline: Time (ms) past which the request is given up.
+            on_result: Told the plan, or a MaintenanceError.
+        """
+        names, known = tuple(targets), self.observer.known_machines()
+        window = round(window_ms or self._settings.default_window_ms)
+        retained = self._settings.retained_jobs
+        self.register.propose(
+            lambda plan: add_job(plan, job_id, names, reason, window, known, retained), on_result, deadline
+        )
 
-    def cancel(self, ident: str, wall: float, until: float, done: Told) -> None:
+    def cancel(self, job_id: str, unix_ms: float, deadline: float, on_result: PlanResult) -> None:
         """End a job at once."""
-        self.register.propose(lambda p: cancel(p, ident, round(wall)), done, until)
+        self.register.propose(lambda plan: cancel_job(plan, job_id, round(unix_ms)), on_result, deadline)
 
-    def back(self, name: str, wall: float, until: float, done: Told) -> None:
-        """The work on a machine is done."""
-        self.register.propose(lambda p: back(p, name, round(wall)), done, until)
+    def mark_returned(self, name: str, unix_ms: float, deadline: float, on_result: PlanResult) -> None:
+        """Report that the work on a machine is done."""
+        self.register.propose(lambda plan: mark_returned(plan, name, round(unix_ms)), on_result, deadline)
 
-    # Driven from outside.
+    def update_members(self, now: float, alive: Collection[str], known: Collection[str]) -> None:
+        """Take over who is alive, and all members that have not left."""
+        self.observer.update_members(now, alive, known)
 
-    def members(self, now: float, alive: Collection[str], known: Collection[str]) -> None:
-        """Who is alive, and all members that have not left."""
-        self.alive = frozenset(alive) | {self.me}
-        for name in [n for n in self.reports if n not in known]:
-            del self.reports[name]
-        self.since = {n: self.since.get(n, now) for n in known if n != self.me}
+    def update_engines(self, engines: Mapping[str, MachineStatus]) -> None:
+        """Take over the engines of the endpoint list, with their zone and cores."""
+        self.observer.engines = engines
 
-    def hear(self, now: float, sender: str, data: bytes) -> None:
-        """Another member's datagram; one that can't be read is counted and loses nothing else."""
+    def receive(self, now: float, sender: str, data: bytes) -> None:
+        """Handle another member's datagram; one that can't be read is counted and changes nothing."""
         self._now = now
         try:
-            message = self._reader.feed(sender, data)
-            if isinstance(message, m.Report):
-                if sender not in self.reports or self.reports[sender][0].boot != message.boot:
-                    self._started[sender] = now
-                self.reports[sender] = message, now
-                if message.ballot < self.register.settled_at:  # it missed the newest
-                    self._send(sender, Settled(self.register.settled_at, m.pack_plan(self.plan)))
+            message = self._reassembler.receive(sender, data)
+            if isinstance(message, Report):
+                self._on_report(now, sender, message)
             elif message is not None:
-                self.register.hear(now, sender, message)
+                self.register.receive(now, sender, message)
         except WireError as error:
             self.counts[f"dropped-{error.reason}"] += 1
-        self._flush()
+        self._send_register_messages()
 
-    def tick(self, now: float, wall: float, own: Own) -> None:
-        """What time does; `out` and `notices` are to be emptied after it."""
-        self.own = own
+    def tick(self, now: float, unix_ms: float, local: LocalObservation) -> None:
+        """Carry out what is due; `outgoing` and `notices` are to be emptied after it."""
+        self.observer.observe(local)
         self._ticks += 1
         self.register.tick(now)
-        self._now, self._wall = now, wall - now
-        out = {x.name for j in self.plan.jobs for x in j.machines if x.stage is Stage.OUT}
-        self._went = frozenset(out & (self._went | own.down))
-        idle = not self.register.forgetful and not self.register.busy
-        if idle and self.driver == self.me and self._next(self.plan) is not self.plan:
-            self.register.propose(self._next, self._stepped, now + STEP * self.s.round_timeout_ms)
+        self._now, self._unix_offset_ms = now, unix_ms - now
+        self.observer.track_seen_down(self.plan)
+        self._propose_step(now)
         self._report()
-        self._flush()
-        self._tell(wall)
-
-    def away(self) -> frozenset[str]:
-        """Engines that no work may be sent to, by a plan that may have been agreed on too."""
-        return self.plan.away() | self.register.newest.away()
-
-    def watched(self) -> frozenset[str]:
-        """Engines to be probed for the plan: those away or just back."""
-        return frozenset(x.name for j in self.plan.jobs for x in j.machines if x.stage in HELD and x.zone != MANAGERS)
-
-    def leaving(self) -> bool:
-        """Whether this manager is to end now, for a restart: once, and only if it is the run that was told to."""
-        mine = self.plan.machine(manager(self.me))
-        if mine is None or self._leaving or mine.stage not in AWAY or mine.boot != self.boot:
+        self._send_register_messages()
+        if self._events.changed(self.plan):
+            self._plan_known_since = now
+        self.notices += self._events.notices(self.plan, round(unix_ms))
+
+    def unavailable_machines(self) -> frozenset[str]:
+        """Machines that no work may be sent to, also by a plan that is accepted here and may come to be committed."""
+        return self.plan.unavailable_machines() | self.register.newest.unavailable_machines()
+
+    def probed_engines(self) -> frozenset[str]:
+        """Engines to be probed for the plan: those unavailable or just back."""
+        disrupted = self.plan.machines_in(DISRUPTED_STAGES)
+        return frozenset(machine.name for machine in disrupted if machine.zone != MANAGERS_ZONE)
+
+    def claim_restart(self) -> bool:
+        """Whether this manager is to end now for a restart: true once, and only for the run that was told to."""
+        machine = self.plan.active_machine(manager_machine(self._member))
+        if machine is None or self._restart_claimed:
+            return False
+        if machine.stage not in UNAVAILABLE_STAGES or machine.incarnation != self._incarnation:
             return False
-        self._leaving = True
+        self._restart_claimed = True
         return True
 
-    def facts(self, now: float, wall: float, plan: Plan) -> Facts:
-        """What is known now, for a step on this plan."""
-        fresh = {n: r for n, (r, at) in self.reports.items() if now - at <= self.s.report_ttl_ms}
-        told = self.plan.steps >= plan.steps and all(
-            n in fresh and fresh[n].steps >= plan.steps or self._absent(n, now) for n in self.since
-        )
-        engines = {}
-        for name, (zone, cores) in self.engines.items():
-            votes = [name not in r.down for r in fresh.values()] + [name not in self.own.down]
-            busy = self.own.busy.get(name, 0) + sum(r.busy.get(name, 0) for r in fresh.values())
-            went = (name in self._went) + sum(name in r.went for r in fresh.values())
-            # A majority of all members: whoever has said nothing for a while has not said that it is up either.
-            engines[name] = Engine(
-                name, zone, cores, 2 * sum(votes) > self.s.member_count, busy, went=2 * went > self.s.member_count
-            )
-        clear = all(
-            now - self._started.get(n, now) >= self.s.drain_timeout_ms
-            for n in {self.me, *self.since}
-            if not self._absent(n, now)
-        )
-        return Facts(
-            round(wall),
-            engines | self._managers(fresh),
-            self.own.load,
-            self.own.unwell,
-            told,
-            now - self._known_since,
-            clear,
+    def fleet_status(self, now: float, unix_ms: float, plan: Plan) -> FleetStatus:
+        """What is known now, for a step on a plan."""
+        known_for_ms = now - self._plan_known_since
+        return self.observer.fleet_status(now, unix_ms, plan, self.plan.step_count, known_for_ms)
+
+    def status(self, now: float, unix_ms: float) -> dict[str, Any]:
+        """The plan and this member's view of it, for operators."""
+        return status_report(
+            self.plan,
+            round(unix_ms),
+            driver=self.driver,
+            plan_known_to_all=self.fleet_status(now, unix_ms, self.plan).plan_known_to_all,
+            recovering=self.register.recovering,
+            committed_ballot=self.register.committed_ballot,
+            machines=self.observer.known_machines(),
+            counts=self.counts,
         )
 
-    def machines(self) -> Mapping[str, Engine]:
-        """All that may be named."""
-        return {n: Engine(n, zone, cores) for n, (zone, cores) in self.engines.items()} | self._managers(
-            {n: r for n, (r, _) in self.reports.items()}
-        )
+    def _on_report(self, now: float, sender: str, report: Report) -> None:
+        self.observer.add_report(now, sender, report)
+        if report.committed_ballot < self.register.committed_ballot:  # it missed the newest
+            self._send(sender, Committed(self.register.committed_ballot, encode_plan(self.plan)))
 
-    # Inside.
+    def _propose_step(self, now: float) -> None:
+        idle = not self.register.recovering and not self.register.busy
+        if idle and self.driver == self._member and self._next_plan(self.plan) is not self.plan:
+            deadline = now + STEP_DEADLINE_FACTOR * self._settings.round_timeout_ms
+            self.register.propose(self._next_plan, self._count_step, deadline)
 
-    def _next(self, plan: Plan) -> Plan:
-        """By what is known when it is asked: a proposal may have waited."""
-        return advance(plan, self.facts(self._now, self._now + self._wall, plan), self.s)
+    def _next_plan(self, plan: Plan) -> Plan:
+        """The next step by what is known when it is asked for: a proposal may have waited."""
+        fleet = self.fleet_status(self._now, self._now + self._unix_offset_ms, plan)
+        return advance(plan, fleet, self._settings)
 
-    def _managers(self, fresh: Mapping[str, m.Report]) -> dict[str, Engine]:
-        boots = {n: r.boot for n, r in fresh.items()} | {self.me: self.boot}
-        return {
-            manager(n): Engine(manager(n), MANAGERS, 0.0, n in self.alive and n in boots, 0, boots.get(n, 0))
-            for n in {*boots, *self.since}
-        }
-
-    def _absent(self, name: str, now: float) -> bool:
-        """Whether a member has said nothing for so long that it is no longer waited for."""
-        if name == self.me:
-            return False
-        last = self.reports[name][1] if name in self.reports else self.since[name]
-        return name not in self.alive and now - last >= self.s.absent_after_ms
+    def _count_step(self, result: Plan | Exception) -> None:
+        self.counts["steps" if isinstance(result, Plan) else "undecided"] += 1
 
     def _report(self) -> None:
-        away = {x.name for j in self.plan.jobs for x in j.machines if x.stage in AWAY}
-        busy = {n: c for n, c in self.own.busy.items() if n in away and c}
-        down = sorted(n for n in self.own.down if n in self.engines)[:1000]
-        went = sorted(self._went)
-        gist = (self.plan.steps, self.register.settled_at, tuple(sorted(busy.items())), tuple(down), tuple(went))
-        if gist != self._said or self._ticks % QUIET == 0:
-            self._said = gist
-            self._send("", m.Report(self.plan.steps, self.register.settled_at, self.boot, busy, down, went))
-
-    def _stepped(self, plan: Plan | Exception) -> None:
-        self.counts["steps" if isinstance(plan, Plan) else "undecided"] += 1
-
-    def _send(self, to: str, message: m.Message) -> None:
-        self._word += 1
+        """Report to all others, at once where anything is new."""
+        local, engines = self.observer.local, self.observer.engines
+        unavailable = self.plan.unavailable_machines()
+        report = Report(
+            self.plan.step_count,
+            self.register.committed_ballot,
+            self._incarnation,
+            {name: count for name, count in local.in_flight.items() if name in unavailable and count},
+            sorted(name for name in local.unreachable if name in engines)[:MAX_REPORTED_ENGINES],
+            sorted(self.observer.seen_down),
+        )
+        if report != self._last_report or self._ticks % REPORT_EVERY_TICKS == 0:
+            self._last_report = report
+            self._send("", report)
+
+    def _send_register_messages(self) -> None:
+        messages, self.register.outgoing = self.register.outgoing, []
+        for member, message in messages:
+            self._send(member, message)
+
+    def _send(self, member: str, message: Message) -> None:
+        self._message_id += 1
         try:
-            self.out += [(to, data) for data in m.parts(self._word, message)]
-        except ValueError as error:
-            self.notices.append(Notice("plan-too-large", {"error": str(error)}))
-
-    def _flush(self) -> None:
-        out, self.register.out = self.register.out, []
-        for to, message in out:
-            self._send(to, message)
-
-    def _tell(self, wall: float) -> None:
-        """What has changed, for the log."""
-        plan, before = self.plan, self._seen
-        late = {x.name for x in overdue(plan, round(wall))}
-        for name in sorted(late - self._late):
-            self.notices.append(Notice("plan-overdue", {"machine": name}))
-        self._late = late
-        if plan is before:
-            return
-        self._seen, self._known_since = plan, self._now
-        old = {(j.ident, x.name): x.stage for j in before.jobs for x in j.machines}
-        for j in plan.jobs:
-            for x in j.machines:
-                if old.get((j.ident, x.name)) is not x.stage:
-                    self.notices.append(
-                        Notice(
-                            "plan-step",
-                            {
-                                "job": j.ident,
-                                "machine": x.name,
-                                "zone": x.zone,
-                                "stage": x.stage.name.lower(),
-                                "step": x.step,
-                            },
-                        )
-                    )
-        if plan.hold != before.hold and plan.hold:
-            self.notices.append(Notice("plan-held", {"why": plan.hold}))
-
-    def rows(self, now: float, wall: float) -> dict[str, Any]:
-        """For operators."""
-        plan = self.plan
-        late = {x.name for x in overdue(plan, round(wall))}
-        jobs = [
-            {
-                "job": j.ident,
-                "reason": j.reason,
-                "open": j.live,
-                "window_ms": j.window,
-                "machines": [
-                    {
-                        "machine": x.name,
-                        "zone": x.zone,
-                        "stage": x.stage.name.lower(),
-                        "overdue": x.name in late,
-                        "since_ms": max(0, round(wall) - x.at) if x.at else None,
-                    }
-                    for x in j.machines
-                ],
-            }
-            for j in plan.jobs
-        ]
-        facts = self.facts(now, wall, plan)
-        return {
-            "jobs": jobs,
-            "hold": plan.hold,
-            "steps": plan.steps,
-            "driver": self.driver,
-            "told": facts.told,
-            "remembers": not self.register.forgetful,
-            "settled": list(self.register.settled_at),
-            "machines": sorted(self.machines()),
-            "counts": dict(self.counts),
-        }
+            self.outgoing += [(member, datagram) for datagram in encode_fragments(self._message_id, message)]
+        except PlanTooLargeError as error:
+            self.notices.append(Notice("maintenance-plan-too-large", {"error": str(error)}))
--- /dev/null
+++ b/decklb/maintenance/paxos_messages.py
@@ -0,0 +1,101 @@
+"""Types of the replicated register's protocol (CASPaxos): ballots, the acceptor's state and the messages of a round.
+
+No state. Used by the acceptor, the proposer and the register, and encoded by `messages.py`. Tag numbers and the order
+of fields are the wire format.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from msgspec import Struct
+
+
+class Ballot(NamedTuple):
+    """Orders proposals: by number, then by the proposer's name, so that no two proposals share one."""
+
+    number: int
+    proposer: str
+
+
+class AcceptedValue(NamedTuple):
+    """What an acceptor has accepted last: the ballot and the encoded value."""
+
+    ballot: Ballot
+    value: bytes
+
+
+NO_BALLOT = Ballot(0, "")  # below every proposal's
+NOTHING_ACCEPTED = AcceptedValue(NO_BALLOT, b"")
+
+
+class AcceptorState(NamedTuple):
+    """What an acceptor must not forget, or a committed change could be lost."""
+
+    promised: Ballot
+    accepted: AcceptedValue
+
+
+def quorum_size(member_count: int) -> int:
+    """Members of a majority."""
+    return member_count // 2 + 1
+
+
+class Prepare(Struct, array_like=True, tag=1, frozen=True):
+    """Phase 1 request: promise to accept nothing below this ballot, and report what was accepted."""
+
+    ballot: Ballot
+
+
+class Promise(Struct, array_like=True, tag=2, frozen=True):
+    """Phase 1 reply: the ballot is promised; `value` (encoded) was accepted under `accepted`."""
+
+    ballot: Ballot
+    accepted: Ballot
+    value: bytes
+
+
+class Accept(Struct, array_like=True, tag=3, frozen=True):
+    """Phase 2 request: accept this encoded value."""
+
+    ballot: Ballot
+    value: bytes
+
+
+class Accepted(Struct, array_like=True, tag=4, frozen=True):
+    """Phase 2 reply: the value is accepted."""
+
+    ballot: Ballot
+
+
+class Rejected(Struct, array_like=True, tag=5, frozen=True):
+    """Reply to either phase: a higher ballot is promised, or the acceptor recovers (`promised` is then `ballot`)."""
+
+    ballot: Ballot
+    promised: Ballot
+
+
+class Committed(Struct, array_like=True, tag=6, frozen=True):
+    """For learners: a majority has accepted this encoded value."""
+
+    ballot: Ballot
+    value: bytes
+
+
+class StateRequest(Struct, array_like=True, tag=7, frozen=True):
+    """Asks for an acceptor's state on behalf of one that recovers; promises nothing."""
+
+    nonce: int  # of the recovery, so that replies to an earlier process don't count
+
+
+class StateReply(Struct, array_like=True, tag=8, frozen=True):
+    """An acceptor's state; of one that recovers itself (`recovered` false) it says that nothing is known there."""
+
+    nonce: int
+    promised: Ballot
+    accepted: Ballot
+    value: bytes
+    recovered: bool
+
+
+RegisterMessage = Prepare | Promise | Accept | Accepted | Rejected | Committed | StateRequest | StateReply
--- /dev/null
+++ b/decklb/maintenance/plan_events.py
@@ -0,0 +1,57 @@
+"""Turns changes of the plan into notices for the log.
+
+Owns what the log has been told of: the plan as last seen, and the machines known to be overdue. Called by
+`orchestrator.py` at each tick. Free of I/O; `docs/operations/maintenance.md` lists the events.
+"""
+
+from __future__ import annotations
+
+from decklb.cluster.node import Notice
+from decklb.maintenance.plan import Plan, overdue_machines
+
+
+class PlanEvents:
+    """What has changed since the last look."""
+
+    def __init__(self) -> None:
+        self._logged = Plan()
+        self._overdue: set[str] = set()
+
+    def changed(self, plan: Plan) -> bool:
+        """Whether the plan is another than at the last look."""
+        return plan is not self._logged
+
+    def notices(self, plan: Plan, unix_ms: int) -> list[Notice]:
+        """Notices of machines that are newly overdue, of each step, and of a new reason why nothing goes on."""
+        notices = self._newly_overdue(plan, unix_ms)
+        previous, self._logged = self._logged, plan
+        if plan is previous:
+            return notices
+        notices += _steps(previous, plan)
+        if plan.blocked_reason != previous.blocked_reason and plan.blocked_reason:
+            notices.append(Notice("maintenance-blocked", {"reason": plan.blocked_reason}))
+        return notices
+
+    def _newly_overdue(self, plan: Plan, unix_ms: int) -> list[Notice]:
+        overdue = {machine.name for machine in overdue_machines(plan, unix_ms)}
+        new, self._overdue = overdue - self._overdue, overdue
+        return [Notice("maintenance-overdue", {"machine": name}) for name in sorted(new)]
+
+
+def _steps(previous: Plan, plan: Plan) -> list[Notice]:
+    stages = {(job.job_id, machine.name): machine.stage for job in previous.jobs for machine in job.machines}
+    return [
+        Notice(
+            "maintenance-step",
+            {
+                "job": job.job_id,
+                "machine": machine.name,
+                "zone": machine.zone,
+                "stage": machine.stage.name.lower(),
+                "step": machine.step,
+            },
+        )
+        for job in plan.jobs
+        for machine in job.machines
+        if stages.get((job.job_id, machine.name)) is not machine.stage
+    ]
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -1,4 +1,9 @@
-"""The plan on the cluster's datagrams, the engines' connections and a clock; does here what it says of this member."""
+"""The I/O of maintenance: datagrams of the cluster, probes of engines, the clock, the log, the store.
+
+Owns the orchestrator, its timer, the probes of machines in the plan, and the store where the settings name a folder.
+Lays the plan over the endpoint list (`apply_plan`) and ends this manager when the plan says so. Made by
+`daemon.assembly`; the management listener passes operators' requests to it.
+"""
 
 from __future__ import annotations
 
@@ -19,23 +24,27 @@
 from decklb.locality.health_observer import in_use
 from decklb.locality.runtime import LocalityService
 from decklb.maintenance.errors import MaintenanceError
+from decklb.maintenance.fleet_observer import LocalObservation
+from decklb.maintenance.fleet_status import MachineStatus
 from decklb.maintenance.messages import TOPIC
-from decklb.maintenance.orchestrator import Conductor, Own
+from decklb.maintenance.orchestrator import MaintenanceOrchestrator, PlanResult
+from decklb.maintenance.paxos_messages import AcceptorState
 from decklb.maintenance.plan import Plan, Stage
-from decklb.maintenance.replicated_register import Memory
 from decklb.maintenance.settings import MaintenanceSettings
 from decklb.wire.prober import Address, Prober
 
 if TYPE_CHECKING:
     from decklb.maintenance.store import PlanStore
 
-WAIT = 8000.0  # ms after which an operator is told that no majority has answered
-MISSES = 2  # probes in a row without an answer, after which a machine of the plan is down
+REQUEST_TIMEOUT_MS = 8000.0  # after which an operator is told that no majority has answered
+UNREACHABLE_AFTER_FAILURES = 2  # probes in a row, after which a machine of the plan is down
+MAX_JOB_NAME = 64  # characters
+MAX_REASON = 200  # characters; the rest is cut
+INCARNATION_BITS = 48
 
 
 class MaintenanceService:
-    """One member. `changed` is called when the list of engines has to be read over again, `leave` when this manager is
-    to end for a restart."""
+    """One member."""
 
     def __init__(
         self,
@@ -45,180 +54,217 @@
         locality: LocalityService,
         dispatcher: Dispatcher,
         prober: Prober,
-        changed: Callable[[], None],
-        leave: Callable[[], None],
+        on_plan_changed: Callable[[], None],
+        restart: Callable[[], None],
     ) -> None:
-        self.clock, self.s, self.cluster, self.locality = clock, settings, cluster, locality
-        self.dispatcher, self.prober, self.changed, self.leave = dispatcher, prober, changed, leave
+        """Reads the store, where there is one.
+
+        Args:
+            clock: Monotonic time and timers.
+            settings: See MaintenanceSettings.
+            cluster: Carries the datagrams, and knows the members.
+            locality: Knows the zones' states, their load and engines that can't be reached.
+            dispatcher: Knows the attempts in flight.
+            prober: For engines in the plan.
+            on_plan_changed: Called when the endpoint list has to be applied again.
+            restart: Ends this manager gracefully; its supervisor starts it again.
+
+        Raises:
+            PlanStoreError: The folder can't be used.
+        """
+        self.clock, self.settings, self.cluster, self.locality = clock, settings, cluster, locality
+        self.dispatcher, self.prober = dispatcher, prober
+        self.on_plan_changed, self.restart = on_plan_changed, restart
         self.store: PlanStore | None = None
-        me, memory = cluster.settings.member, None
+        member, state = cluster.settings.member, None
         if settings.data_directory:
             from decklb.maintenance.store import PlanStore
 
-            self.store = PlanStore(settings.data_directory, me)
-            memory = self.store.read()
-        self._failed = False  # the store could not be written the last time
-        self.conductor = Conductor(
+            self.store = PlanStore(settings.data_directory, member)
+            state = self.store.read()
+        self._store_failing = False  # the last write failed
+        self.orchestrator = MaintenanceOrchestrator(
             settings,
-            me,
-            random.SystemRandom().getrandbits(48) or 1,
+            member,
+            random.SystemRandom().getrandbits(INCARNATION_BITS) or 1,
             random.Random(os.urandom(16)),
             clock.now(),
-            memory,
-            self._keep,
+            state,
+            self._persist,
         )
         self.addresses: Mapping[str, Address] = {}
         self.timer: Timer | None = None
-        self._misses: dict[str, int] = {}  # of machines that the plan watches
-        self._asked: set[str] = set()
-        self._told: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()
-        self._warm: dict[str, float] = {}  # since when each machine warms, on this member's clock
+        self._probe_failures: dict[str, int] = {}  # in a row, by engine of the plan
+        self._probes_in_flight: set[str] = set()
+        self._applied: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # unavailable, warming
+        self._warming_since: dict[str, float] = {}  # by engine, on this member's clock
         self.closed = False
 
     def start(self) -> None:
-        """Listen for words, and look from now on."""
-        self.cluster.topics[TOPIC] = self._heard
-        self._arm()
-
-    # The list of engines.
+        """Take datagrams, and tick from now on."""
+        self.cluster.topics[TOPIC] = self._receive
+        self._schedule_tick()
 
-    def over(self, entries: list[Entry], addresses: Mapping[str, Address]) -> list[Entry]:
-        """The list as the plan lets it be used: what is away drains, what has come back is cold."""
+    def apply_plan(self, entries: list[Entry], addresses: Mapping[str, Address]) -> list[Entry]:
+        """The endpoint list as the plan lets it be used: unavailable engines drain, those just back start slowly."""
         self.addresses = addresses
-        self.conductor.engines = in_use(entries, self.dispatcher.settings.cores)
-        away = self.conductor.away()
-        return [
-            replace(e, phase=Phase.DRAINING)
-            if e.engine in away and e.phase is Phase.UP
-            else replace(e, ready_at=self._warm[e.engine])
-            if e.engine in self._warm
-            else e
-            for e in entries
-        ]
-
-    # What operators ask; each Deferred ends with the count of steps done, or MaintenanceError.
-
-    def ask(self, asked: Mapping[str, Any]) -> Deferred[Any]:
-        """`job`, `machines`, `reason`, `window` (ms)."""
-        job, names = str(asked.get("job", "")), asked.get("machines")
-        if not job or len(job) > 64 or not isinstance(names, list) or not names:
+        engines = in_use(entries, self.dispatcher.settings.cores)
+        self.orchestrator.update_engines(
+            {name: MachineStatus(name, zone, cores) for name, (zone, cores) in engines.items()}
+        )
+        unavailable = self.orchestrator.unavailable_machines()
+        return [self._apply_to_entry(entry, unavailable) for entry in entries]
+
+    def request_maintenance(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
+        """Take machines out.
+
+        Args:
+            request: `job`, `machines`, and perhaps `reason` and `window` (ms), as the management listener got them.
+
+        Returns:
+            Fires with the count of steps done so far, or fails with MaintenanceError.
+
+        Raises:
+            MaintenanceError: The request is malformed.
+        """
+        job_id, machines = str(request.get("job", "")), request.get("machines")
+        if not job_id or len(job_id) > MAX_JOB_NAME or not isinstance(machines, list) or not machines:
             raise MaintenanceError("a request needs a job's name of at most 64 characters, and machines")
-        window = asked.get("window") or 0
-        if not isinstance(window, int | float) or window < 0:
+        window_ms = request.get("window") or 0
+        if not isinstance(window_ms, int | float) or window_ms < 0:
             raise MaintenanceError("window is a number of ms above 0")
-        return self._agreed(
-            lambda until, done: self.conductor.ask(
-                job, [str(x) for x in names], str(asked.get("reason", ""))[:200], window, until, done
+        targets = [str(machine) for machine in machines]
+        reason = str(request.get("reason", ""))[:MAX_REASON]
+        return self._propose(
+            lambda deadline, on_result: self.orchestrator.request_maintenance(
+                job_id, targets, reason, window_ms, deadline, on_result
             )
         )
 
-    def cancel(self, asked: Mapping[str, Any]) -> Deferred[Any]:
-        """`job`."""
-        return self._agreed(lambda until, done: self.conductor.cancel(str(asked.get("job", "")), wall(), until, done))
+    def cancel(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
+        """End the job named by `job` at once; see request_maintenance for the result."""
+        job_id = str(request.get("job", ""))
+        return self._propose(lambda deadline, on_result: self.orchestrator.cancel(job_id, wall(), deadline, on_result))
 
-    def back(self, asked: Mapping[str, Any]) -> Deferred[Any]:
-        """`machine`."""
-        return self._agreed(lambda until, done: self.conductor.back(str(asked.get("machine", "")), wall(), until, done))
+    def mark_returned(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
+        """The work on the machine named by `machine` is done; see request_maintenance for the result."""
+        name = str(request.get("machine", ""))
+        return self._propose(
+            lambda deadline, on_result: self.orchestrator.mark_returned(name, wall(), deadline, on_result)
+        )
 
     def status(self) -> dict[str, Any]:
-        """See Conductor.rows."""
-        return self.conductor.rows(self.clock.now(), wall())
+        """The plan, for operators."""
+        return self.orchestrator.status(self.clock.now(), wall())
+
+    def close(self) -> None:
+        """End with the program."""
+        self.closed = True
+        self.cluster.topics.pop(TOPIC, None)
+        if self.timer is not None:
+            self.timer.cancel()
+        self.prober.close()
+        if self.store is not None:
+            self.store.close()
+            self.store = None
 
-    # Inside.
+    def _apply_to_entry(self, entry: Entry, unavailable: frozenset[str]) -> Entry:
+        if entry.engine in unavailable and entry.phase is Phase.UP:
+            return replace(entry, phase=Phase.DRAINING)
+        if entry.engine in self._warming_since:
+            return replace(entry, ready_at=self._warming_since[entry.engine])
+        return entry
 
-    def _keep(self, memory: Memory) -> bool:
-        """Whether it is on disk, where there is a folder: a member that can't keep its word gives none."""
+    def _persist(self, state: AcceptorState) -> bool:
+        """Write the state where there is a folder; a member that can't takes no part in agreements."""
         if self.store is None:
-            return not self.s.data_directory  # or it is closed
+            return not self.settings.data_directory  # or it is closed
         try:
-            self.store.write(memory)
+            self.store.write(state)
         except MaintenanceError as error:
-            if not self._failed:
+            if not self._store_failing:
                 logger.error(
                     "the plan's store can't be written, this member takes no part: {error}",
-                    event="plan-store-failed",
+                    event="maintenance-store-failed",
                     error=str(error),
                 )
-            self._failed = True
+            self._store_failing = True
             return False
-        self._failed = False
+        self._store_failing = False
         return True
 
-    def _agreed(self, propose: Callable[[float, Callable[[Plan | Exception], None]], None]) -> Deferred[Any]:
-        made: Deferred[Any] = Deferred()
+    def _propose(self, propose: Callable[[float, PlanResult], None]) -> Deferred[dict[str, int]]:
+        result: Deferred[dict[str, int]] = Deferred()
 
-        def done(plan: Plan | Exception) -> None:
+        def on_result(plan: Plan | Exception) -> None:
             if isinstance(plan, Plan):
-                made.callback({"steps": plan.steps})
+                result.callback({"steps": plan.step_count})
             else:
-                made.errback(plan)
+                result.errback(plan)
 
-        propose(self.clock.now() + WAIT, done)
-        return made
+        propose(self.clock.now() + REQUEST_TIMEOUT_MS, on_result)
+        return result
 
-    def _arm(self) -> None:
-        self.timer = self.clock.call_later(self.s.tick_ms, self._tick)
+    def _schedule_tick(self) -> None:
+        self.timer = self.clock.call_later(self.settings.tick_ms, self._tick)
 
     def _tick(self) -> None:
         self.timer = None
         now = self.clock.now()
-        membership = self.cluster.node.membership
-        self.conductor.members(now, membership.live.items, self.cluster.node.known())
+        self.orchestrator.update_members(now, self.cluster.node.membership.live.items, self.cluster.node.known())
+        probed = self.orchestrator.probed_engines()
+        self.orchestrator.tick(now, wall(), self._observe(now, probed))
+        self._probe(probed)
+        self._send_and_log()
+        self._follow_plan(now)
+        if not self.closed:  # it may have been this manager's turn to restart
+            self._schedule_tick()
+
+    def _observe(self, now: float, probed: frozenset[str]) -> LocalObservation:
+        """What this member sees by itself. Engines of the plan are judged by its own probes, the rest by locality."""
         council = self.locality.council
-        unwell = frozenset(z for z in council.common.zones if council.state(z)[0] is not State.HEALTHY)
-        busy = {name: len(x.out) for name, x in self.dispatcher.gateway.fleet.engines.items() if x.out}
-        watched = self.conductor.watched()
-        self._misses = {n: c for n, c in self._misses.items() if n in watched}
-        down = {n for n, c in self._misses.items() if c >= MISSES}
-        down |= {n for n in self.locality.sight.down() if n not in watched}
-        self.conductor.tick(now, wall(), Own(busy, frozenset(down), council.demand(now), unwell))
-        for name in watched - self._asked:
+        unhealthy = frozenset(zone for zone in council.common.zones if council.state(zone)[0] is not State.HEALTHY)
+        engines = self.dispatcher.gateway.fleet.engines
+        in_flight = {name: len(engine.out) for name, engine in engines.items() if engine.out}
+        self._probe_failures = {name: count for name, count in self._probe_failures.items() if name in probed}
+        unreachable = {name for name, count in self._probe_failures.items() if count >= UNREACHABLE_AFTER_FAILURES}
+        unreachable |= {name for name in self.locality.sight.down() if name not in probed}
+        return LocalObservation(in_flight, frozenset(unreachable), council.demand(now), unhealthy)
+
+    def _probe(self, engines: frozenset[str]) -> None:
+        for name in engines - self._probes_in_flight:
             if (address := self.addresses.get(name)) is not None:
-                self._asked.add(name)
-                self.prober.probe(name, address, self.s.tick_ms, self._probed(name))
-        self._pump()
-        self._obey(now)
-        if not self.closed:  # it may have been this manager's turn
-            self._arm()
-
-    def _obey(self, now: float) -> None:
-        """What the plan says of the list, and of this manager."""
-        plan = self.conductor.plan
-        warm = frozenset(x.name for j in plan.jobs for x in j.machines if x.stage is Stage.WARMING)
-        self._warm = {n: self._warm.get(n, now) for n in warm}
-        if (told := (self.conductor.away(), warm)) != self._told:
-            self._told = told
-            self.changed()
-        if self.conductor.leaving():
-            logger.info("this manager is to be restarted by the plan", event="plan-leaves")
-            self.leave()
-
-    def _probed(self, name: str) -> Callable[[bool], None]:
-        def done(ok: bool) -> None:
-            self._asked.discard(name)
+                self._probes_in_flight.add(name)
+                self.prober.probe(name, address, self.settings.tick_ms, self._on_probe_result(name))
+
+    def _on_probe_result(self, name: str) -> Callable[[bool], None]:
+        def on_result(answered: bool) -> None:
+            self._probes_in_flight.discard(name)
             if not self.closed:
-                self._misses[name] = 0 if ok else self._misses.get(name, 0) + 1
+                self._probe_failures[name] = 0 if answered else self._probe_failures.get(name, 0) + 1
 
-        return done
+        return on_result
 
-    def _heard(self, sender: str, data: bytes) -> None:
-        self.conductor.hear(self.clock.now(), sender, data)
-        self._pump()
+    def _follow_plan(self, now: float) -> None:
+        """What the plan says of the endpoint list, and of this manager."""
+        plan = self.orchestrator.plan
+        warming = frozenset(machine.name for machine in plan.machines_in((Stage.WARMING,)))
+        self._warming_since = {name: self._warming_since.get(name, now) for name in warming}
+        current = (self.orchestrator.unavailable_machines(), warming)
+        if current != self._applied:
+            self._applied = current
+            self.on_plan_changed()
+        if self.orchestrator.claim_restart():
+            logger.info("this manager restarts by the maintenance plan", event="maintenance-restart")
+            self.restart()
 
-    def _pump(self) -> None:
-        out, self.conductor.out = self.conductor.out, []
-        for to, data in out:
-            self.cluster.carry(TOPIC, data, to)
-        notices, self.conductor.notices = self.conductor.notices, []
-        log_notices("plan", notices)
+    def _receive(self, sender: str, data: bytes) -> None:
+        self.orchestrator.receive(self.clock.now(), sender, data)
+        self._send_and_log()
 
-    def close(self) -> None:
-        """The program ends."""
-        self.closed = True
-        self.cluster.topics.pop(TOPIC, None)
-        if self.timer is not None:
-            self.timer.cancel()
-        self.prober.close()
-        if self.store is not None:
-            self.store.close()
-            self.store = None
+    def _send_and_log(self) -> None:
+        datagrams, self.orchestrator.outgoing = self.orchestrator.outgoing, []
+        for member, datagram in datagrams:
+            self.cluster.carry(TOPIC, datagram, member)
+        notices, self.orchestrator.notices = self.orchestrator.notices, []
+        log_notices("maintenance", notices)
--- a/decklb/maintenance/store.py
+++ b/decklb/maintenance/store.py
@@ -1,7 +1,8 @@
-"""What a member has promised and accepted of the plan, kept on disk so that it outlives its process.
+"""The acceptor's state on disk (LMDB), so that it outlives the process.
 
-Written before any word that rests on it leaves, without a sync: it outlives the process, not the machine. After the
-machine's own restart, told by the kernel's boot id, it counts as forgotten, and the member reads the others first.
+Written before any message that rests on it leaves, without a sync: it outlives the process, not the machine. After the
+machine's own restart, told by the kernel's boot id, it counts as forgotten, and the member recovers from the others.
+One record under one key; used by `runtime.py` where the settings name a folder.
 """
 
 from __future__ import annotations
@@ -13,61 +14,77 @@
 
 from decklb.cluster.messages import WireError
 from decklb.handoff.store import boot_id
-from decklb.maintenance.errors import MaintenanceError
-from decklb.maintenance.messages import read_plan
-from decklb.maintenance.replicated_register import NONE, Ballot, Memory
+from decklb.maintenance.errors import PlanStoreError
+from decklb.maintenance.messages import decode_plan
+from decklb.maintenance.paxos_messages import NO_BALLOT, AcceptedValue, AcceptorState, Ballot
 
 VERSION = 1
-ROOM = 16 << 20  # bytes: one value of at most 64 KiB, and LMDB's copies
+MAP_SIZE_BYTES = 16 << 20  # one value of at most 64 KiB, and LMDB's copies
 _KEY = b"plan"
 
 
-class PlanStoreError(MaintenanceError):
-    """The folder can't be used: free room there, or name another."""
+class _Record(msgspec.Struct, array_like=True, frozen=True):
+    """The stored form; the order of fields is part of it."""
 
-
-class _Row(msgspec.Struct, array_like=True, frozen=True):
     version: int
     member: str
-    boot: str
+    boot_id: str  # of the machine's start in which it was written
     promised: Ballot
-    accepted: tuple[Ballot, bytes]
+    accepted: AcceptedValue
 
 
 class PlanStore:
-    """One member's folder."""
+    """The folder of one member."""
 
     def __init__(self, folder: str, member: str) -> None:
-        """Raises PlanStoreError."""
-        self.folder, self.member, self.boot = folder, member, boot_id()
+        """Opens the folder, and makes it where it is missing.
+
+        Raises:
+            PlanStoreError: It can't be used.
+        """
+        self.folder, self.member, self.boot_id = folder, member, boot_id()
         try:
             Path(folder).mkdir(parents=True, exist_ok=True)
-            self._env = lmdb.open(folder, map_size=ROOM, sync=False, metasync=False, mode=0o600)
+            self._environment = lmdb.open(folder, map_size=MAP_SIZE_BYTES, sync=False, metasync=False, mode=0o600)
         except (OSError, lmdb.Error) as error:
             raise PlanStoreError(f"{folder}: {error}") from error
 
-    def read(self) -> Memory | None:
-        """What this member held; None if it is another's, or older than the machine's start. Raises PlanStoreError."""
+    def read(self) -> AcceptorState | None:
+        """The state that this member wrote; None if there is none, or another's, or older than the machine's start.
+
+        Raises:
+            PlanStoreError: The record can't be read.
+        """
         try:
-            with self._env.begin() as txn:
-                raw = txn.get(_KEY)
-            row = msgspec.msgpack.decode(raw, type=_Row) if raw is not None else None
-            if row is None or not self.boot or (row.version, row.member, row.boot) != (VERSION, self.member, self.boot):
+            with self._environment.begin() as transaction:
+                data = transaction.get(_KEY)
+            record = msgspec.msgpack.decode(data, type=_Record) if data is not None else None
+            if record is None or not self._ours(record):
                 return None
-            if row.accepted[0] != NONE:
-                read_plan(row.accepted[1])
-            return row.promised, row.accepted
+            if record.accepted.ballot != NO_BALLOT:
+                decode_plan(record.accepted.value)
+            return AcceptorState(record.promised, record.accepted)
         except (lmdb.Error, msgspec.DecodeError, msgspec.ValidationError, WireError) as error:
             raise PlanStoreError(f"{self.folder}: {error}") from error
 
-    def write(self, memory: Memory) -> None:
-        """All of it or nothing. Raises PlanStoreError."""
+    def write(self, state: AcceptorState) -> None:
+        """Replace the record, whole or not at all.
+
+        Raises:
+            PlanStoreError: It can't be written.
+        """
+        record = _Record(VERSION, self.member, self.boot_id, state.promised, state.accepted)
         try:
-            with self._env.begin(write=True) as txn:
-                txn.put(_KEY, msgspec.msgpack.encode(_Row(VERSION, self.member, self.boot, *memory)))
+            with self._environment.begin(write=True) as transaction:
+                transaction.put(_KEY, msgspec.msgpack.encode(record))
         except lmdb.Error as error:
             raise PlanStoreError(f"{self.folder}: {error}") from error
 
     def close(self) -> None:
-        """Nothing is written after this."""
-        self._env.close()
+        """Close the folder; nothing is written after this."""
+        self._environment.close()
+
+    def _ours(self, record: _Record) -> bool:
+        """Whether this member wrote it since the machine's start; without a boot id nobody can say."""
+        expected = (VERSION, self.member, self.boot_id)
+        return bool(self.boot_id) and (record.version, record.member, record.boot_id) == expected
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -2,11 +2,12 @@
 
 import random
 
-from decklb.maintenance.orchestrator import Conductor, Own
-from decklb.maintenance.plan import Engine
+from decklb.maintenance.fleet_observer import LocalObservation
+from decklb.maintenance.fleet_status import MachineStatus
+from decklb.maintenance.orchestrator import MaintenanceOrchestrator
 from decklb.maintenance.settings import MaintenanceSettings
 
-ENGINES = {f"{z}{i}": Engine(f"{z}{i}", z, 8.0) for z in "ab" for i in range(2)}
+ENGINES = {f"{z}{i}": MachineStatus(f"{z}{i}", z, 8.0) for z in "ab" for i in range(2)}
 
 
 def replace_settings(**more):
@@ -16,7 +17,7 @@
 
 
 class Fleet:
-    """Conductors on a network that loses a tenth of the words, by seed."""
+    """Members on a network that loses a tenth of the datagrams, by seed."""
 
     def __init__(self, seed):
         self.rng, self.now, self.queue = random.Random(seed), 0.0, []
@@ -28,8 +29,8 @@
         self.busy, self.down, self.dead = {}, set(), set()
 
     def make(self, name):
-        c = Conductor(self.s, name, self.rng.getrandbits(40), random.Random(self.rng.random()), self.now)
-        c.engines = {n: (e.zone, e.cores) for n, e in ENGINES.items()}
+        c = MaintenanceOrchestrator(self.s, name, self.rng.getrandbits(40), random.Random(self.rng.random()), self.now)
+        c.update_engines(ENGINES)
         return c
 
     def run(self, ms, watch=lambda: None):
@@ -37,19 +38,19 @@
         while self.now < end:
             for sender, to, data in self.queue:
                 if to not in self.dead and sender not in self.dead:
-                    self.nodes[to].hear(self.now, sender, data)
+                    self.nodes[to].receive(self.now, sender, data)
             self.queue.clear()
             alive = [n for n in self.names if n not in self.dead]
             for name in alive:
                 c = self.nodes[name]
-                c.members(self.now, alive, self.names)
-                c.tick(self.now, 1000.0 + self.now, Own(self.busy, frozenset(self.down)))
+                c.update_members(self.now, alive, self.names)
+                c.tick(self.now, 1000.0 + self.now, LocalObservation(self.busy, frozenset(self.down)))
             for name in alive:
                 c = self.nodes[name]
-                for to, data in c.out:
+                for to, data in c.outgoing:
                     self.queue += [
                         (name, o, data) for o in ([to] if to else self.names) if o != name and self.rng.random() > 0.1
                     ]
-                c.out = []
+                c.outgoing = []
             watch()
             self.now += 50.0
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,12 +13,33 @@
 from decklb.lab.register import World
 from decklb.lab.upkeep import Step, budget, doubled
 from decklb.maintenance import messages as m
-from decklb.maintenance.errors import AlreadyPlanned, MaintenanceError, NobodyNamed, NoMajority, NoSuchJob, NotOut
-from decklb.maintenance.orchestrator import manager
-from decklb.maintenance.plan import Engine, Facts, Plan, Stage, advance, back, cancel, named, overdue, request
-from decklb.maintenance.replicated_register import Register, Settled
+from decklb.maintenance.errors import (
+    MachineAlreadyPlannedError,
+    MachineNotOutError,
+    MaintenanceError,
+    PlanStoreError,
+    QuorumUnavailableError,
+    UnknownJobError,
+    UnknownMachineError,
+)
+from decklb.maintenance.fleet_observer import manager_machine
+from decklb.maintenance.fleet_status import FleetStatus, MachineStatus
+from decklb.maintenance.operator_requests import add_job, cancel_job, mark_returned, resolve_machines
+from decklb.maintenance.paxos_messages import (
+    Accept,
+    AcceptedValue,
+    AcceptorState,
+    Ballot,
+    Committed,
+    Prepare,
+    Rejected,
+    StateReply,
+)
+from decklb.maintenance.plan import Plan, Stage, overdue_machines
+from decklb.maintenance.replicated_register import ReplicatedRegister
+from decklb.maintenance.scheduling import advance
 from decklb.maintenance.settings import MaintenanceSettings
-from decklb.maintenance.store import PlanStore, PlanStoreError
+from decklb.maintenance.store import PlanStore
 from tests.maintenance_fleet import ENGINES, Fleet
 
 S = MaintenanceSettings(
@@ -32,15 +53,19 @@
 )
 
 
-def facts(wall=0, load=None, told=True, unwell=(), **engines):
+def fleet_status(unix_ms=0, load=None, plan_known_to_all=True, unhealthy=(), **engines):
     changed = {n: replace(ENGINES[n], **c) for n, c in engines.items()}
-    return Facts(wall, ENGINES | changed, load or {}, frozenset(unwell), told)
+    return FleetStatus(unix_ms, ENGINES | changed, load or {}, frozenset(unhealthy), plan_known_to_all)
 
 
 def stages(plan):
     return {x.name: x.stage.name.lower() for j in plan.jobs for x in j.machines}
 
 
+def register(name, members, seed=1, **more):
+    return ReplicatedRegister(name, (), bytes, tuple, members, 100.0, random.Random(seed), 0.0, **more)
+
+
 class Registers(unittest.TestCase):
     def test_every_change_stands_once_in_one_line_whatever_the_network_and_restarts_do(self):
         """1,600 such runs were clean; with a rule taken out, these few are not."""
@@ -66,71 +91,71 @@
         self.assertGreater(done, 400)
 
     def test_a_value_whose_proposer_dies_before_it_tells_is_found_out(self):
-        nodes = {n: Register(n, (), bytes, tuple, 3, 100.0, random.Random(n), 0.0) for n in ("m0", "m1", "m2")}
+        nodes = {n: register(n, 3, seed=n) for n in ("m0", "m1", "m2")}
         for node in nodes.values():
-            node.forgetful = False
+            node.acceptor.recovering = False
         nodes["m0"].propose(lambda v: (*v, 1), lambda v: None)
         now, queue = 0.0, []
         while now < 4000.0:
             for sender, to, message in queue:
-                if not isinstance(message, Settled):  # m0 is gone by then
-                    nodes[to].hear(now, sender, message)
+                if not isinstance(message, Committed):  # m0 is gone by then
+                    nodes[to].receive(now, sender, message)
             queue = []
             for name, node in nodes.items():
                 if now <= 20.0 or name != "m0":
                     node.tick(now)
-                    queue += [(name, o, x) for to, x in node.out for o in ([to] if to else nodes) if o != name]
-                node.out.clear()
+                    queue += [(name, o, x) for to, x in node.outgoing for o in ([to] if to else nodes) if o != name]
+                node.outgoing.clear()
             now += 10.0
-        self.assertEqual([n.settled for n in nodes.values()][1:], [(1,)] * 2)
+        self.assertEqual([n.committed for n in nodes.values()][1:], [(1,)] * 2)
 
     def test_a_member_that_forgot_answers_nobody_until_it_has_read_a_majority(self):
-        r = Register("m0", (), bytes, tuple, 5, 100.0, random.Random(1), 0.0)
-        r.hear(0.0, "m1", m.Prepare((4, "m1")))
-        self.assertEqual(r.out, [("m1", m.Refused((4, "m1"), (4, "m1")))])
-        r.out.clear()
+        r = register("m0", 5)
+        r.receive(0.0, "m1", Prepare(Ballot(4, "m1")))
+        self.assertEqual(r.outgoing, [("m1", Rejected(Ballot(4, "m1"), Ballot(4, "m1")))])
+        r.outgoing.clear()
         r.tick(100.0)
-        self.assertEqual(r.out, [])  # proposals that count on its former promises may still live
+        self.assertEqual(r.outgoing, [])  # proposals that count on its former promises may still live
         r.tick(870.0)
-        self.assertEqual(r.out, [])
+        self.assertEqual(r.outgoing, [])
         r.tick(890.0)
-        ((_, read),) = r.out
+        ((_, read),) = r.outgoing
         for i, name in enumerate(("m1", "m2", "m3")):
-            self.assertTrue(r.forgetful)
-            r.hear(891.0, name, m.Held(read.nonce, (7, "m2"), (6, "m1"), b"\x01", i < 3))
-        self.assertFalse(r.forgetful)
-        self.assertEqual((r.promised, r.accepted), ((7, "m2"), ((6, "m1"), b"\x01")))
+            self.assertTrue(r.recovering)
+            r.receive(891.0, name, StateReply(read.nonce, Ballot(7, "m2"), Ballot(6, "m1"), b"\x01", i < 3))
+        self.assertFalse(r.recovering)
+        self.assertEqual((r.acceptor.promised, r.acceptor.accepted), (Ballot(7, "m2"), (Ballot(6, "m1"), b"\x01")))
 
     def test_what_no_majority_answers_is_given_up_in_time_and_said_so(self):
-        r = Register("m0", (), bytes, tuple, 3, 100.0, random.Random(1), 0.0)
-        r.forgetful, told = False, []
+        r = register("m0", 3)
+        r.acceptor.recovering, told = False, []
         r.propose(lambda v: (*v, 1), told.append, 1000.0)
         for now in range(0, 1200, 50):
             r.tick(float(now))
-        self.assertIsInstance(told[0], NoMajority)
+        self.assertIsInstance(told[0], QuorumUnavailableError)
         self.assertFalse(r.busy)
 
 
 class Plans(unittest.TestCase):
     def setUp(self):
-        self.plan = request(Plan(), "j", ["a"], "", 5000, ENGINES, S)
+        self.plan = add_job(Plan(), "j", ["a"], "", 5000, ENGINES, S.retained_jobs)
 
     def test_machines_are_named_by_id_zone_or_pattern_once_each(self):
-        self.assertEqual([e.name for e in named(["a1", "a", "b*"], ENGINES)], ["a0", "a1", "b0", "b1"])
-        with self.assertRaises(NobodyNamed):
-            named(["a0", "c"], ENGINES)
+        self.assertEqual([e.name for e in resolve_machines(["a1", "a", "b*"], ENGINES)], ["a0", "a1", "b0", "b1"])
+        with self.assertRaises(UnknownMachineError):
+            resolve_machines(["a0", "c"], ENGINES)
 
     def test_a_request_made_again_is_the_same_and_one_that_overlaps_is_refused_by_name(self):
-        self.assertIs(request(self.plan, "j", ["a"], "", 5000, ENGINES, S), self.plan)
-        with self.assertRaisesRegex(AlreadyPlanned, "a1 is in job j already"):
-            request(self.plan, "k", ["a1", "b"], "", 5000, ENGINES, S)
+        self.assertIs(add_job(self.plan, "j", ["a"], "", 5000, ENGINES, S.retained_jobs), self.plan)
+        with self.assertRaisesRegex(MachineAlreadyPlannedError, "a1 is in job j already"):
+            add_job(self.plan, "k", ["a1", "b"], "", 5000, ENGINES, S.retained_jobs)
 
     def test_one_machine_goes_through_its_stages_in_order_and_the_next_only_once_it_is_warm(self):
         plan, seen = self.plan, []
-        down = {"up": False, "went": True}
+        down = {"reachable": False, "seen_down": True}
         for wall, more in (
             (0, {}),
-            (100, {"busy": 1}),
+            (100, {"in_flight": 1}),
             (200, {}),
             (300, {}),
             (400, down),
@@ -140,80 +165,84 @@
             (1700, {}),
             (1800, {}),
         ):
-            plan = advance(plan, facts(wall, a0=more), S)
+            plan = advance(plan, fleet_status(wall, a0=more), S)
             seen.append((stages(plan)["a0"], stages(plan)["a1"]))
         self.assertEqual([x for x, _ in seen], ["draining"] * 2 + ["out"] * 4 + ["warming"] * 2 + ["done"] * 2)
         self.assertEqual({y for _, y in seen[:9]}, {"waiting"})
         self.assertEqual(seen[9][1], "draining")
-        self.assertEqual(plan.steps, 5)
+        self.assertEqual(plan.step_count, 5)
 
     def test_what_hinders_a_machine_is_told(self):
         for found, words in (
-            (facts(told=False), "not every member has the plan"),
-            (facts(unwell=["b"]), "zone b is not"),
-            (facts(load={"a": 7.0}), "zone a would have 8 cores left"),
-            (facts(load={"b": 21.0}), "the fleet would have 24"),
+            (fleet_status(plan_known_to_all=False), "not every member has the plan"),
+            (fleet_status(unhealthy=["b"]), "zone b is not"),
+            (fleet_status(load={"a": 7.0}), "zone a would have 8 cores left"),
+            (fleet_status(load={"b": 21.0}), "the fleet would have 24"),
         ):
             plan = advance(self.plan, found, S)
             self.assertEqual(set(stages(plan).values()), {"waiting"})
-            self.assertIn(words, plan.hold)
+            self.assertIn(words, plan.blocked_reason)
             self.assertIs(advance(plan, found, S), plan)  # said once
-        one = request(Plan(), "k", ["a0"], "", 5000, ENGINES, S)
-        self.assertIn("0 cores left", advance(one, facts(a1={"up": False}, load={"a": 1.0}), S).hold)
+        one = add_job(Plan(), "k", ["a0"], "", 5000, ENGINES, S.retained_jobs)
+        self.assertIn(
+            "0 cores left", advance(one, fleet_status(a1={"reachable": False}, load={"a": 1.0}), S).blocked_reason
+        )
         tight = MaintenanceSettings(member_count=3, max_unavailable_zone_fraction=0.4)
-        self.assertIn("40% may be", advance(self.plan, facts(), tight).hold)
+        self.assertIn("40% may be", advance(self.plan, fleet_status(), tight).blocked_reason)
 
     def test_budgets_hold_over_all_jobs_and_zones(self):
-        plan = request(self.plan, "k", ["b"], "", 5000, ENGINES, S)
+        plan = add_job(self.plan, "k", ["b"], "", 5000, ENGINES, S.retained_jobs)
         for _ in range(5):
-            plan = advance(plan, facts(100, a0={"busy": 1}, b0={"busy": 1}), S)
+            plan = advance(plan, fleet_status(100, a0={"in_flight": 1}, b0={"in_flight": 1}), S)
         self.assertEqual(stages(plan), {"a0": "draining", "a1": "waiting", "b0": "draining", "b1": "waiting"})
-        self.assertIn("2 of 2 machines", plan.hold)
+        self.assertIn("2 of 2 machines", plan.blocked_reason)
 
     def test_work_in_hand_is_waited_for_no_longer_than_the_drain(self):
-        plan = advance(self.plan, facts(0), S)
-        self.assertEqual(stages(advance(plan, facts(499, a0={"busy": 3}), S))["a0"], "draining")
-        self.assertEqual(stages(advance(plan, facts(499, told=False), S))["a0"], "draining")
-        self.assertEqual(stages(advance(plan, facts(500, a0={"busy": 3}), S))["a0"], "out")
+        plan = advance(self.plan, fleet_status(0), S)
+        self.assertEqual(stages(advance(plan, fleet_status(499, a0={"in_flight": 3}), S))["a0"], "draining")
+        self.assertEqual(stages(advance(plan, fleet_status(499, plan_known_to_all=False), S))["a0"], "draining")
+        self.assertEqual(stages(advance(plan, fleet_status(500, a0={"in_flight": 3}), S))["a0"], "out")
 
     def test_after_a_members_death_the_whole_drain_is_waited_for(self):
         """What its process had sent runs on at the machine, and nobody counts it any more."""
-        plan = advance(self.plan, facts(0), S)
+        plan = advance(self.plan, fleet_status(0), S)
         for wall, stage in ((499, "draining"), (500, "out")):
-            self.assertEqual(stages(advance(plan, replace(facts(wall), clear=False), S))["a0"], stage)
+            self.assertEqual(
+                stages(advance(plan, replace(fleet_status(wall), in_flight_certain=False), S))["a0"], stage
+            )
 
     def test_a_machine_that_stays_away_is_overdue_and_held_against_the_budget_until_it_is_cancelled(self):
-        plan = advance(advance(self.plan, facts(0), S), facts(10), S)
-        plan = advance(plan, facts(20, a0={"up": False}), S)
-        plan = advance(plan, facts(6000, a0={"up": False}), S)
-        self.assertEqual([x.name for x in overdue(plan, 6000)], ["a0"])
-        self.assertIn("out or warming: a0", plan.hold)
-        plan = cancel(plan, "j", 6001)
-        self.assertEqual((set(stages(plan).values()), plan.away()), ({"cancelled"}, frozenset()))
-        self.assertIs(cancel(plan, "j", 6002), plan)  # the same word again, as where its answer was lost
-        with self.assertRaises(NoSuchJob):
-            cancel(plan, "k", 6002)
+        plan = advance(advance(self.plan, fleet_status(0), S), fleet_status(10), S)
+        plan = advance(plan, fleet_status(20, a0={"reachable": False}), S)
+        plan = advance(plan, fleet_status(6000, a0={"reachable": False}), S)
+        self.assertEqual([x.name for x in overdue_machines(plan, 6000)], ["a0"])
+        self.assertIn("out or warming: a0", plan.blocked_reason)
+        plan = cancel_job(plan, "j", 6001)
+        self.assertEqual((set(stages(plan).values()), plan.unavailable_machines()), ({"cancelled"}, frozenset()))
+        self.assertIs(cancel_job(plan, "j", 6002), plan)  # the same word again, as where its answer was lost
+        with self.assertRaises(UnknownJobError):
+            cancel_job(plan, "k", 6002)
 
     def test_an_operators_word_brings_back_what_the_members_cannot_see_going(self):
-        with self.assertRaises(NotOut):
-            back(self.plan, "a0", 5)
-        plan = advance(advance(self.plan, facts(0), S), facts(10), S)
-        self.assertEqual(stages(advance(plan, facts(100), S))["a0"], "out")  # it never went down
-        plan = back(plan, "a0", 100)
+        with self.assertRaises(MachineNotOutError):
+            mark_returned(self.plan, "a0", 5)
+        plan = advance(advance(self.plan, fleet_status(0), S), fleet_status(10), S)
+        self.assertEqual(stages(advance(plan, fleet_status(100), S))["a0"], "out")  # it never went down
+        plan = mark_returned(plan, "a0", 100)
         self.assertEqual(stages(plan)["a0"], "warming")
-        self.assertIs(back(plan, "a0", 101), plan)
+        self.assertIs(mark_returned(plan, "a0", 101), plan)
 
     def test_a_manager_is_back_when_its_process_is_another(self):
-        name = manager("m1")
-        machines = {name: Engine(name, "managers", 0.0, True, 0, 50)}
-        plan = request(Plan(), "j", [name], "", 5000, machines, S)
+        name = manager_machine("m1")
+        machines = {name: MachineStatus(name, "managers", 0.0, True, 0, 50)}
+        plan = add_job(Plan(), "j", [name], "", 5000, machines, S.retained_jobs)
         for wall, boot, stage in ((100, 50, "draining"), (200, 50, "out"), (300, 50, "out"), (400, 7, "warming")):
-            plan = advance(plan, Facts(wall, {name: replace(machines[name], boot=boot)}, {}), S)
+            plan = advance(plan, FleetStatus(wall, {name: replace(machines[name], incarnation=boot)}, {}), S)
             self.assertEqual(stages(plan)[name], stage)
 
     def test_the_next_manager_waits_until_the_one_before_may_vote_on_records_again(self):
-        names = [manager("m1"), manager("m2")]
-        machines = {n: Engine(n, "managers", 0.0, True, 0, 50) for n in names}
+        names = [manager_machine("m1"), manager_machine("m2")]
+        machines = {n: MachineStatus(n, "managers", 0.0, True, 0, 50) for n in names}
         s = MaintenanceSettings(
             member_count=3,
             max_unavailable=2,
@@ -221,11 +250,13 @@
             warm_up_ms=1000.0,
             manager_voting_delay_ms=6000.0,
         )
-        plan = request(Plan(), "j", names, "", 5000, machines, s)
+        plan = add_job(Plan(), "j", names, "", 5000, machines, s.retained_jobs)
         seen = []
         for wall in (100, 200, 300, 5000, 6301, 6400):
             boot = 7 if wall >= 300 else 50
-            plan = advance(plan, Facts(wall, machines | {names[0]: replace(machines[names[0]], boot=boot)}, {}), s)
+            plan = advance(
+                plan, FleetStatus(wall, machines | {names[0]: replace(machines[names[0]], incarnation=boot)}, {}), s
+            )
             seen.append(tuple(stages(plan).values()))
         self.assertEqual(
             seen,
@@ -242,31 +273,31 @@
     def test_ended_jobs_are_forgotten_in_their_order(self):
         plan, s = Plan(), MaintenanceSettings(retained_jobs=2)
         for i in range(5):
-            plan = cancel(request(plan, f"j{i}", ["a0"], "", 5000, ENGINES, s), f"j{i}", 1)
-        self.assertEqual([j.ident for j in plan.jobs], ["j3", "j4"])
+            plan = cancel_job(add_job(plan, f"j{i}", ["a0"], "", 5000, ENGINES, s.retained_jobs), f"j{i}", 1)
+        self.assertEqual([j.job_id for j in plan.jobs], ["j3", "j4"])
 
 
 class Words(unittest.TestCase):
     def test_a_long_plan_crosses_in_parts_in_any_order(self):
-        many = {f"e{i:04}": Engine(f"e{i:04}", "z", 8.0) for i in range(500)}
-        plan = request(Plan(), "j", ["z"], "r" * 200, 5000, many, S)
-        parts = m.parts(7, m.Settled((3, "m0"), m.pack_plan(plan)))
+        many = {f"e{i:04}": MachineStatus(f"e{i:04}", "z", 8.0) for i in range(500)}
+        plan = add_job(Plan(), "j", ["z"], "r" * 200, 5000, many, S.retained_jobs)
+        parts = m.encode_fragments(7, Committed(Ballot(3, "m0"), m.encode_plan(plan)))
         self.assertGreater(len(parts), 5)
-        reader = m.Reader()
+        reassembler = m.Reassembler()
         random.Random(1).shuffle(parts)
-        found = [reader.feed("m0", p) for p in [*parts[:3], *parts]]
-        self.assertEqual([f for f in found if f is not None][0], m.Settled((3, "m0"), m.pack_plan(plan)))
-        self.assertEqual(m.read_plan(m.pack_plan(plan)), plan)
+        found = [reassembler.receive("m0", p) for p in [*parts[:3], *parts]]
+        self.assertEqual([f for f in found if f is not None][0], Committed(Ballot(3, "m0"), m.encode_plan(plan)))
+        self.assertEqual(m.decode_plan(m.encode_plan(plan)), plan)
         with self.assertRaisesRegex(ValueError, "let jobs end first"):
-            m.parts(8, m.Settled((3, "m0"), bytes(70_000)))
+            m.encode_fragments(8, Committed(Ballot(3, "m0"), bytes(70_000)))
 
     def test_what_cannot_be_read_is_refused_by_reason(self):
-        good = m.parts(1, m.Prepare((1, "m0")))[0]
+        good = m.encode_fragments(1, Prepare(Ballot(1, "m0")))[0]
         for bad in (b"", good[:-1], b"\xc1" + good, good.replace(b"\x95\x01", b"\x95\x02", 1)):
             with self.assertRaises(WireError):
-                m.Reader().feed("m0", bad)
+                m.Reassembler().receive("m0", bad)
         with self.assertRaises(WireError):
-            m.read_plan(b"\x01")
+            m.decode_plan(b"\x01")
 
 
 class Kept(unittest.TestCase):
@@ -278,11 +309,12 @@
     def opened(self, member="m0", boot=None):
         store = PlanStore(self.path, member)
         self.addCleanup(store.close)
-        store.boot = store.boot if boot is None else boot
+        store.boot_id = store.boot_id if boot is None else boot
         return store
 
     def test_what_a_member_promised_and_accepted_is_found_by_its_next_process_alone(self):
-        memory = ((4, "m1"), ((3, "m0"), m.pack_plan(request(Plan(), "j", ["a"], "", 5000, ENGINES, S))))
+        plan = add_job(Plan(), "j", ["a"], "", 5000, ENGINES, S.retained_jobs)
+        memory = AcceptorState(Ballot(4, "m1"), AcceptedValue(Ballot(3, "m0"), m.encode_plan(plan)))
         store = self.opened()
         self.assertIsNone(store.read())
         store.write(memory)
@@ -299,14 +331,13 @@
             self.opened()
 
     def test_a_member_that_cannot_keep_its_word_gives_none(self):
-        r = Register(
-            "m0", (), bytes, tuple, 3, 100.0, random.Random(1), 0.0, ((2, "m1"), ((1, "m1"), b"")), lambda memory: False
-        )
-        self.assertFalse(r.forgetful)
-        r.hear(0.0, "m1", m.Prepare((3, "m1")))
-        r.hear(0.0, "m1", m.Accept((3, "m1"), b"\x01"))
-        self.assertEqual([type(x) for _, x in r.out], [m.Refused] * 2)
-        self.assertEqual((r.promised, r.accepted[0]), ((2, "m1"), (1, "m1")))
+        state = AcceptorState(Ballot(2, "m1"), AcceptedValue(Ballot(1, "m1"), b""))
+        r = register("m0", 3, state=state, persist=lambda state: False)
+        self.assertFalse(r.recovering)
+        r.receive(0.0, "m1", Prepare(Ballot(3, "m1")))
+        r.receive(0.0, "m1", Accept(Ballot(3, "m1"), b"\x01"))
+        self.assertEqual([type(x) for _, x in r.outgoing], [Rejected] * 2)
+        self.assertEqual((r.acceptor.promised, r.acceptor.accepted.ballot), (Ballot(2, "m1"), Ballot(1, "m1")))
 
 
 class Conductors(unittest.TestCase):
@@ -315,9 +346,9 @@
         went = []
 
         def watch():
-            plan = max((fleet.nodes[n].plan for n in fleet.names if n not in fleet.dead), key=lambda p: p.steps)
+            plan = max((fleet.nodes[n].plan for n in fleet.names if n not in fleet.dead), key=lambda p: p.step_count)
             out = [x for j in plan.jobs for x in j.machines if x.stage is Stage.OUT]
-            fleet.down = {x.name for x in out if not x.gone}
+            fleet.down = {x.name for x in out if not x.seen_down}
             went.extend(x.name for x in out if x.name not in went)
             if killed and out and not fleet.dead and len(went) == 2:
                 name = fleet.nodes["m0"].driver
@@ -330,20 +361,22 @@
         for seed in range(8):
             fleet, told = Fleet(seed), []
             fleet.run(1500)
-            fleet.nodes["m1"].ask("j", ["a", "b0"], "why", 0, fleet.now + 5000, told.append)
+            fleet.nodes["m1"].request_maintenance("j", ["a", "b0"], "why", 0, fleet.now + 5000, told.append)
             went, watch = self.work(fleet, [True])
             fleet.run(20_000, watch)
             self.assertEqual(len(fleet.dead), 1)
             alive = [fleet.nodes[n] for n in fleet.names if n not in fleet.dead]
             self.assertEqual([set(stages(c.plan).values()) for c in alive], [{"done"}] * 2, seed)
-            self.assertEqual((went, alive[0].plan.steps), (["a0", "a1", "b0"], 12))
+            self.assertEqual((went, alive[0].plan.step_count), (["a0", "a1", "b0"], 12))
             self.assertIsInstance(told[0], Plan)
 
     def test_two_operators_who_ask_at_once_are_told_which_stands(self):
         fleet, told = Fleet(3), {}
         fleet.run(1500)
         for name, what in (("m0", ["a"]), ("m2", ["a1", "b"])):
-            fleet.nodes[name].ask(name, what, "", 0, fleet.now + 5000, lambda x, n=name: told.setdefault(n, x))
+            fleet.nodes[name].request_maintenance(
+                name, what, "", 0, fleet.now + 5000, lambda x, n=name: told.setdefault(n, x)
+            )
         fleet.run(3000)
         self.assertEqual(sorted(isinstance(x, MaintenanceError) for x in told.values()), [False, True])
         self.assertEqual(len(fleet.nodes["m1"].plan.jobs), 1)
@@ -352,10 +385,10 @@
         fleet = Fleet(4)
         fleet.run(1500)
         fleet.busy = {"a0": 2}
-        fleet.nodes["m0"].ask("j", ["a0"], "", 0, fleet.now + 5000, lambda x: None)
+        fleet.nodes["m0"].request_maintenance("j", ["a0"], "", 0, fleet.now + 5000, lambda x: None)
         fleet.run(1500)
         self.assertEqual(stages(fleet.nodes["m1"].plan), {"a0": "draining"})
-        self.assertEqual(fleet.nodes["m2"].away(), {"a0"})
+        self.assertEqual(fleet.nodes["m2"].unavailable_machines(), {"a0"})
         fleet.busy = {}
         fleet.run(800)
         self.assertEqual(stages(fleet.nodes["m1"].plan), {"a0": "out"})
@@ -364,7 +397,7 @@
         """Its driver had just restarted, and waited for the plan to stand out for good."""
         fleet = Fleet(6)
         fleet.run(1500)
-        fleet.nodes["m0"].ask("j", ["a0"], "", 0, fleet.now + 5000, lambda x: None)
+        fleet.nodes["m0"].request_maintenance("j", ["a0"], "", 0, fleet.now + 5000, lambda x: None)
         while {stages(c.plan).get("a0") for c in fleet.nodes.values()} != {"out"}:
             self.assertLess(fleet.now, 9000.0)
             fleet.run(50)
@@ -382,7 +415,7 @@
 
         def clear(name):
             node = fleet.nodes[name]
-            return node.facts(fleet.now, 0.0, node.plan).clear
+            return node.fleet_status(fleet.now, 0.0, node.plan).in_flight_certain
 
         self.assertTrue(clear("m0"))
         fleet.nodes["m2"] = fleet.make("m2")
@@ -396,22 +429,22 @@
         fleet = Fleet(7)
         fleet.run(1500)
         node = fleet.nodes["m0"]
-        self.assertTrue(node.facts(fleet.now, 0.0, node.plan).engines["a0"].up)
-        alone = node.facts(fleet.now + 2000.0, 0.0, node.plan).engines["a0"]
-        self.assertEqual((alone.up, alone.went), (False, False))
+        self.assertTrue(node.fleet_status(fleet.now, 0.0, node.plan).machines["a0"].reachable)
+        alone = node.fleet_status(fleet.now + 2000.0, 0.0, node.plan).machines["a0"]
+        self.assertEqual((alone.reachable, alone.seen_down), (False, False))
 
     def test_a_manager_ends_once_at_its_turn_and_not_again_after_its_restart(self):
         fleet, left = Fleet(5), []
         fleet.run(1500)
-        fleet.nodes["m0"].ask("j", [manager("m1")], "", 0, fleet.now + 5000, lambda x: None)
+        fleet.nodes["m0"].request_maintenance("j", [manager_machine("m1")], "", 0, fleet.now + 5000, lambda x: None)
 
         def watch():
-            if fleet.nodes["m1"].leaving():
+            if fleet.nodes["m1"].claim_restart():
                 left.append(fleet.now)
                 fleet.nodes["m1"] = fleet.make("m1")
 
         fleet.run(6000, watch)
-        self.assertEqual((len(left), stages(fleet.nodes["m2"].plan)), (1, {manager("m1"): "done"}))
+        self.assertEqual((len(left), stages(fleet.nodes["m2"].plan)), (1, {manager_machine("m1"): "done"}))
 
 
 class Commands(unittest.TestCase):
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -15,18 +15,23 @@
 from decklb.lab.register import World
 from decklb.maintenance import messages
 from decklb.maintenance.messages import Report
-from decklb.maintenance.plan import Job, Machine, Plan, Stage, back, cancel
-from decklb.maintenance.replicated_register import (
+from decklb.maintenance.operator_requests import cancel_job, mark_returned
+from decklb.maintenance.paxos_messages import (
+    NO_BALLOT,
     Accept,
     Accepted,
-    Held,
+    AcceptedValue,
+    AcceptorState,
+    Ballot,
+    Committed,
     Prepare,
     Promise,
-    Read,
-    Refused,
-    Register,
-    Settled,
+    Rejected,
+    StateReply,
+    StateRequest,
 )
+from decklb.maintenance.plan import Job, Machine, Plan, Stage
+from decklb.maintenance.replicated_register import ReplicatedRegister
 from decklb.maintenance.store import PlanStore
 from tests.maintenance_fleet import Fleet
 
@@ -34,7 +39,7 @@
 EXPECTED = json.loads((GOLDEN / "maintenance_messages.json").read_text())
 STORE = GOLDEN / "maintenance"
 STORE_BOOT_ID = "golden-boot"  # the store counts only within one start of the machine
-WORD = 70_001
+MESSAGE_ID = 70_001
 
 PLAN = Plan(
     (
@@ -55,34 +60,34 @@
     7,
     "1 of 1 machines are out or warming: motor-2",
 )
-BALLOTS = ((4, "m1"), (3, "m0"))
-STORED = (BALLOTS[0], (BALLOTS[1], messages.pack_plan(PLAN)))
+BALLOTS = (Ballot(4, "m1"), Ballot(3, "m0"))
+STORED = AcceptorState(BALLOTS[0], AcceptedValue(BALLOTS[1], messages.encode_plan(PLAN)))
 MESSAGES = {
     "prepare": Prepare(BALLOTS[0]),
     "promise": Promise(BALLOTS[0], BALLOTS[1], b"\x01\x02"),
-    "promise, nothing accepted": Promise(BALLOTS[0], (0, ""), b""),
+    "promise, nothing accepted": Promise(BALLOTS[0], NO_BALLOT, b""),
     "accept": Accept(BALLOTS[0], b"\x01\x02"),
     "accepted": Accepted(BALLOTS[0]),
-    "refused": Refused(BALLOTS[1], BALLOTS[0]),
-    "settled": Settled(BALLOTS[0], messages.pack_plan(PLAN)),
-    "read": Read((1 << 48) - 1),
-    "held": Held(9, BALLOTS[0], BALLOTS[1], b"\x01", True),
-    "held, nothing known": Held(9, (0, ""), (0, ""), b"", False),
+    "refused": Rejected(BALLOTS[1], BALLOTS[0]),
+    "settled": Committed(BALLOTS[0], messages.encode_plan(PLAN)),
+    "read": StateRequest((1 << 48) - 1),
+    "held": StateReply(9, BALLOTS[0], BALLOTS[1], b"\x01", True),
+    "held, nothing known": StateReply(9, NO_BALLOT, NO_BALLOT, b"", False),
     "report": Report(7, BALLOTS[0], 1 << 47, {"motor-2": 3}, ["motor-2"], ["motor-2"]),
-    "report, empty": Report(0, (0, ""), 1, {}, [], []),
-    "settled, in parts": Settled(BALLOTS[0], bytes(range(256)) * 10),
+    "report, empty": Report(0, NO_BALLOT, 1, {}, [], []),
+    "settled, in parts": Committed(BALLOTS[0], bytes(range(256)) * 10),
 }
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_each_message_has_its_golden_bytes_both_ways(name):
     message, expected = MESSAGES[name], EXPECTED["messages"][name]
-    datagrams = messages.parts(WORD, message)
+    datagrams = messages.encode_fragments(MESSAGE_ID, message)
     assert [d.hex() for d in datagrams] == expected["datagrams"]
     if "values" in expected:
         assert msgspec.json.decode(msgspec.json.encode(message)) == expected["values"]
-    reader = messages.Reader()
-    assert [reader.feed("m1", bytes.fromhex(d)) for d in expected["datagrams"]][-1] == message
+    reassembler = messages.Reassembler()
+    assert [reassembler.receive("m1", bytes.fromhex(d)) for d in expected["datagrams"]][-1] == message
 
 
 def test_every_golden_message_is_built_here():
@@ -90,8 +95,8 @@
 
 
 def test_the_plan_has_its_golden_bytes_both_ways():
-    assert messages.pack_plan(PLAN).hex() == EXPECTED["plan"]
-    assert messages.read_plan(bytes.fromhex(EXPECTED["plan"])) == PLAN
+    assert messages.encode_plan(PLAN).hex() == EXPECTED["plan"]
+    assert messages.decode_plan(bytes.fromhex(EXPECTED["plan"])) == PLAN
 
 
 @pytest.fixture
@@ -102,30 +107,30 @@
 @pytest.fixture
 def store(stored_folder):
     opened = PlanStore(str(stored_folder), "m0")
-    opened.boot = STORE_BOOT_ID
+    opened.boot_id = STORE_BOOT_ID
     yield opened
     opened.close()
 
 
 def test_a_store_of_the_golden_folder_is_read_and_written_on(store, stored_folder):
     assert store.read() == STORED
-    register = Register(
-        "m0", Plan(), messages.pack_plan, messages.read_plan, 1, 100.0, random.Random(1), 0.0, store.read(),
-        lambda memory: store.write(memory) is None,
+    register = ReplicatedRegister(
+        "m0", Plan(), messages.encode_plan, messages.decode_plan, 1, 100.0, random.Random(1), 0.0, store.read(),
+        lambda state: store.write(state) is None,
     )  # fmt: skip
     outcomes = []
-    register.propose(lambda plan: back(plan, "motor-2", 1_700_000_300_000), outcomes.append)
-    register.propose(lambda plan: cancel(plan, "restart", 1_700_000_300_001), outcomes.append)
+    register.propose(lambda plan: mark_returned(plan, "motor-2", 1_700_000_300_000), outcomes.append)
+    register.propose(lambda plan: cancel_job(plan, "restart", 1_700_000_300_001), outcomes.append)
     register.tick(0.0)
     register.tick(1.0)
-    assert [plan.steps for plan in outcomes] == [8, 9]
+    assert [plan.step_count for plan in outcomes] == [8, 9]
     store.close()
     reopened = PlanStore(str(stored_folder), "m0")
-    reopened.boot = STORE_BOOT_ID
+    reopened.boot_id = STORE_BOOT_ID
     promised, (accepted, value) = reopened.read()
     reopened.close()
     assert (promised, accepted) == ((6, "m0"), (6, "m0"))
-    assert messages.read_plan(value) == outcomes[-1]
+    assert messages.decode_plan(value) == outcomes[-1]
 
 
 class TracedWorld(World):
@@ -136,7 +141,7 @@
         super().__init__(*args, **more)
 
     def send(self, name, node):
-        for to, message in node.out:
+        for to, message in node.outgoing:
             self.digest.update(repr((self.now, name, to)).encode() + msgspec.msgpack.encode(message))
         super().send(name, node)
 
@@ -155,19 +160,19 @@
     gone = set()
 
     def watch():
-        plan = max((fleet.nodes[n].plan for n in fleet.names if n not in fleet.dead), key=lambda p: p.steps)
+        plan = max((fleet.nodes[n].plan for n in fleet.names if n not in fleet.dead), key=lambda p: p.step_count)
         out = {x.name for j in plan.jobs for x in j.machines if x.stage is Stage.OUT}
         fleet.down = out - gone if fleet.rng.random() < 0.9 else set()
         gone.update(out if fleet.rng.random() < 0.1 else ())
-        if plan.steps == 5 and not fleet.dead:
+        if plan.step_count == 5 and not fleet.dead:
             fleet.dead.add(fleet.nodes["m0"].driver)
         digest.update(repr(fleet.queue).encode())
 
     fleet.run(1500)
-    fleet.nodes["m1"].ask("j", ["a", "b0", "manager:m2"], "why", 0, fleet.now + 5000, lambda plan: None)
+    fleet.nodes["m1"].request_maintenance("j", ["a", "b0", "manager:m2"], "why", 0, fleet.now + 5000, lambda plan: None)
     fleet.run(12_000, watch)
     survivor = next(fleet.nodes[n] for n in fleet.names if n not in fleet.dead)
-    return survivor.plan.steps, digest.hexdigest()
+    return survivor.plan.step_count, digest.hexdigest()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
