--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -138,7 +138,7 @@
         return {} if self.handoff is None else self.handoff.keeper.health()
 
     def _zones(self) -> dict[str, Any]:
-        return {} if self.locality is None else self.locality.rows()
+        return {} if self.locality is None else self.locality.status()
 
     def _probed(self, engine: str, up: bool) -> None:
         """What the members hold of an engine that the list calls up."""
@@ -225,7 +225,7 @@
                 addresses,
             )
         if self.locality is not None:
-            self.locality.engines(entries, addresses)
+            self.locality.update_engines(entries, addresses)
         self._say()
 
     def _relist(self) -> None:
--- a/decklb/lab/liar.py
+++ b/decklb/lab/liar.py
@@ -12,15 +12,15 @@
     """Patch, then run the command line as it is."""
     zone = sys.argv.pop(1)
     from decklb.lab.jumpy import main as jumpy
-    from decklb.locality.consensus import View
-    from decklb.locality.health_observer import Sight
+    from decklb.locality.health_observer import ZoneHealthObserver
+    from decklb.locality.zone_state import ZoneObservation
 
-    honest = Sight.view
+    honest = ZoneHealthObserver.observation
 
-    def view(self: Sight, name: str, now: float) -> View | None:
-        return View(0.0) if name == zone else honest(self, name, now)
+    def observation(self: ZoneHealthObserver, name: str, now: float) -> ZoneObservation | None:
+        return ZoneObservation(0.0) if name == zone else honest(self, name, now)
 
-    Sight.view = view  # type: ignore[assignment, method-assign]
+    ZoneHealthObserver.observation = observation  # type: ignore[assignment, method-assign]
     jumpy()
 
 
--- a/decklb/lab/locality.py
+++ b/decklb/lab/locality.py
@@ -11,11 +11,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field, replace
 
-from decklb.locality.consensus import State, View
-from decklb.locality.coordinator import Council
-from decklb.locality.runtime import LARGE
+from decklb.locality.coordinator import ZoneCoordinator
+from decklb.locality.runtime import LARGE_FLEET
 from decklb.locality.settings import DecisionMode, LocalitySettings
-from decklb.locality.spillover import Place, shares, usable
+from decklb.locality.spillover import ZoneStatus, routing_shares, usable_capacity
+from decklb.locality.zone_state import ZoneObservation, ZoneState
 
 STEP = 250.0  # ms between ticks of a member
 CASES = ("lost", "parted", "slow", "region", "halves", "liar", "flicker")
@@ -57,20 +57,20 @@
         decision_mode=DecisionMode.COMMON if common else DecisionMode.ALONE,
     )
     home = {f"m{i}": names[i % zones] for i in range(managers)}
-    members = {m: Council(replace(s, home_zone=home[m]), m, 0.0) for m in home}
+    members = {m: ZoneCoordinator(replace(s, home_zone=home[m]), m, 0.0) for m in home}
     capacity, load = 1000.0, 600.0
     mine = load * zones / managers  # requests a second of one manager's callers
     for council in members.values():
-        council.members(home)
-        council.load = mine
+        council.update_members(home)
+        council.own_load_cores = mine
     sick = rng.choice(names)
     struck = {z for z in names if region[z] == region[sick]} if case == "region" else {sick}
     parted = set(rng.sample(sorted(m for m in home if home[m] != sick), managers // 4))
     half = set(rng.sample(sorted(home), managers // 2))
     liar = rng.choice(sorted(home))
     waiting: dict[int, list[tuple[str, str, bytes]]] = {}  # by the step at which they arrive
-    every = max(1, round(managers / LARGE))  # steps between two ticks of a member, as in the program
-    held: dict[tuple[str, str], State] = {}
+    every = max(1, round(managers / LARGE_FLEET))  # steps between two ticks of a member, as in the program
+    held: dict[tuple[str, str], ZoneState] = {}
     out_at: dict[str, float] = {}
     sent = strayed = failed = now = 0.0
     while now < END:
@@ -89,14 +89,18 @@
                 if case == "liar" and m == liar and z == sick:
                     up = 0.0
                 slowness = 6.0 if case == "slow" and broken and z == sick else 1.0
-                z_of.saw(
-                    now, z, View(up, rng.random() * 0.05, slowness * rng.uniform(0.9, 1.2), up >= 1.0 and z != home[m])
+                z_of.observe(
+                    now,
+                    z,
+                    ZoneObservation(
+                        up, rng.random() * 0.05, slowness * rng.uniform(0.9, 1.2), up >= 1.0 and z != home[m]
+                    ),
                 )
         for sender, receiver, word in waiting.pop(step, ()):
-            members[receiver].hear(now, sender, word)
+            members[receiver].receive(now, sender, word)
         for m, z_of in ticking.items():
             z_of.tick(now)
-            words, z_of.out = z_of.out, []
+            words, z_of.outgoing = z_of.outgoing, []
             for other in members if common else ():
                 split = case == "halves" and broken and (m in half) != (other in half)
                 if other != m and not split:
@@ -105,9 +109,12 @@
         # The fluid: each manager's callers' requests, where its own states send them.
         arriving = dict.fromkeys(names, 0.0)
         for m, z_of in members.items():
-            demand = z_of.demand(now)
-            places = {z: Place(region[z], capacity, demand[z], *z_of.state(z), z_of.up(z, now)) for z in names}
-            routed = shares(home[m], places, now, s)
+            demand = z_of.load_cores(now)
+            places = {
+                z: ZoneStatus(region[z], capacity, demand[z], *z_of.state(z), z_of.reachable_fraction(z, now))
+                for z in names
+            }
+            routed = routing_shares(home[m], places, now, s)
             for z, share in routed.items():
                 arriving[z] += mine * share
             sent += mine
@@ -117,8 +124,8 @@
             bears = capacity * truth[z]
             if case in ("lost", "region", "halves") and z in struck and now >= MENDED:
                 # It returns cold: what it bears grows over the ramp.
-                place = Place(region[z], capacity, load, State.RETURNING, MENDED)
-                bears = min(bears, usable(place, now, s) / s.max_utilization)
+                place = ZoneStatus(region[z], capacity, load, ZoneState.RETURNING, MENDED)
+                bears = min(bears, usable_capacity(place, now, s) / s.max_utilization)
                 if arriving[z] > 0:
                     told.flood = max(told.flood, arriving[z] / bears)
             failed += max(0.0, arriving[z] - bears)
@@ -127,11 +134,11 @@
         for m, z_of in members.items():
             for z in names:
                 state = z_of.state(z)[0]
-                if state is not held.get((m, z), State.HEALTHY):
+                if state is not held.get((m, z), ZoneState.HEALTHY):
                     held[m, z] = state
                     told.changes += 1
-                    told.wrong += truth[z] > 0 and state is State.OUT and case in ("parted", "liar")
-                if state is State.OUT and z in struck and case in ("lost", "region", "halves") and m not in out_at:
+                    told.wrong += truth[z] > 0 and state is ZoneState.OUT and case in ("parted", "liar")
+                if state is ZoneState.OUT and z in struck and case in ("lost", "region", "halves") and m not in out_at:
                     out_at[m] = now - STRUCK
         now += STEP
     told.decided = sorted(out_at.values())
--- a/decklb/lab/zonal.py
+++ b/decklb/lab/zonal.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 
 from decklb.lab.verdict import Line
-from decklb.locality.consensus import State
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.spillover import Place, usable
+from decklb.locality.spillover import ZoneStatus, usable_capacity
+from decklb.locality.zone_state import ZoneState
 
 WINDOW = 1.0  # seconds over which the load of a returning zone is taken
 
@@ -146,9 +146,10 @@
     for at, _ in runs:
         end = at + WINDOW
         load = sum(w for t, w in runs if at <= t < end) / 1000 / WINDOW
-        place = Place("", capacity, 0.0, State.RETURNING, 1000 * back)
+        place = ZoneStatus("", capacity, 0.0, ZoneState.RETURNING, 1000 * back)
         if end <= back + settings.recovery_ramp_ms / 1000:
-            worst = max(worst, 2 * load / (usable(place, 1000 * at, settings) + usable(place, 1000 * end, settings)))
+            bears = [usable_capacity(place, 1000 * moment, settings) for moment in (at, end)]
+            worst = max(worst, 2 * load / sum(bears))
     return round(worst, 3)
 
 
--- a/decklb/locality/__init__.py
+++ b/decklb/locality/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones and regions decided in common: the decisions, free of I/O. See docs/locality.md."""
+"""Failover between zones: states decided by a quorum of members, requests kept in their zone where that is safe."""
--- a/decklb/locality/consensus.py
+++ b/decklb/locality/consensus.py
@@ -1,230 +1,241 @@
-"""One member's part in deciding the states of zones in common (free of I/O).
+"""One member's part in the agreement on zones' states: votes by term, counted against a quorum.
 
 Each term of a zone is decided once: a member votes at most once in a term, and a state is decided when more than half
-of all known members voted for it in that term, so two states can't both be. A member votes for what it has seen for a
-while itself; one that saw nothing of the zone lately follows most of those that did, and one that only probes it
-follows those whom engines there answered badly or late. One member's bad link, or one that lies, moves nothing.
+of all known members voted for it in that term, so two states can't both be. A member votes for what it has observed for
+a while itself; one that observed nothing of the zone lately follows most of those that did, and one that only probes it
+follows those whose requests failed there or were slow. One member's bad link, or one that lies, moves nothing.
+
+Owns, for each zone, the decided state, this member's observation and vote, and the others' votes. Called by
+`coordinator.py`. Free of I/O. Times are ms on this member's monotonic clock.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection
+from collections.abc import Collection, Iterator
 from dataclasses import dataclass, field
-from enum import IntEnum
-
-from msgspec import Struct
+from typing import NamedTuple
 
 from decklb.locality.settings import LocalitySettings
+from decklb.locality.zone_state import (
+    NEVER,
+    DecidedState,
+    Decision,
+    Vote,
+    ZoneObservation,
+    ZoneState,
+    classify,
+)
 
 
-class State(IntEnum):
-    """Of a zone. A zone that was out returns before it is healthy."""
-
-    HEALTHY = 0
-    DEGRADED = 1
-    OUT = 2
-    RETURNING = 3
-
-
-@dataclass(frozen=True, slots=True)
-class View:
-    """What one member saw of a zone lately."""
-
-    up: float  # share of the zone's capacity that the member can reach
-    errors: float = 0.0  # share of its attempts there that the engines failed
-    slowness: float = 1.0  # latency over what is usual there
-    weak: bool = False  # only probes were sent there, and all were answered: errors of requests don't show
-
-    @property
-    def cut(self) -> bool:
-        """Whether engines that can't be reached are what speaks against the zone; that may be the way to them."""
-        return 1.0 - self.up > self.errors
-
+class CastVote(NamedTuple):
+    """This member's own vote that counts."""
 
-class Ballot(Struct, frozen=True, gc=False):
-    """A member's vote, as it is told to all. `state` None: it saw nothing that speaks for a change."""
-
-    zone: str
-    member: str
     term: int
-    state: State | None
-    seen: bool  # whether it has sent requests there lately, or found engines down
-    cut: bool = False  # whether it can't reach them
-    up: float = 1.0  # share of the zone's capacity that it reaches
+    state: ZoneState
+    cast_at: float
 
 
-class Decided(Struct, frozen=True, gc=False):
-    """A state and its term. `age` is ms since it was decided, by the sender's clock."""
+class ReceivedVote(NamedTuple):
+    """A member's newest vote."""
 
-    zone: str
-    term: int
-    state: State
-    age: float = 0.0
+    vote: Vote
+    received_at: float
 
 
 @dataclass(slots=True)
-class Zone:
-    """What a member holds of one zone."""
-
-    state: State = State.HEALTHY
-    term: int = 0
-    since: float = -float("inf")  # when it was decided, on this member's clock
-    view: View | None = None
-    viewed: float = -float("inf")
-    wanted: State | None = None
-    wanted_since: float = 0.0
-    cast: tuple[int, State] | None = None  # own vote, and when it was given
-    cast_at: float = 0.0
-    ballots: dict[str, tuple[Ballot, float]] = field(default_factory=dict)
-
-
-def seen_as(view: View, now_state: State, settings: LocalitySettings) -> State:
-    """What a view by itself says of a zone. A state is left only well past where it was entered, so that a zone at the
-    edge does not go to and fro."""
-    slack = 0.8 if now_state in (State.DEGRADED, State.OUT) else 1.0
-    bad = max(1.0 - view.up, view.errors)
-    if bad >= settings.out_threshold * slack:
-        return State.OUT
-    if bad >= settings.degraded_threshold * slack or view.slowness >= settings.degraded_latency_ratio * slack:
-        return State.DEGRADED
-    return State.HEALTHY
-
-
-class Zones:
-    """All zones, as one member holds them. `out` gathers what is to be told to all others."""
-
-    def __init__(self, settings: LocalitySettings, me: str, zones: Collection[str], now: float) -> None:
-        self.s, self.me = settings, me
-        self.zones = {name: Zone() for name in sorted(zones)}
-        self.known: frozenset[str] = frozenset((me,))
-        self.out: list[Ballot | Decided] = []
-        self.alone = False  # no quorum was heard for `keep`: this member goes by its own view
-        # A member that starts may have voted in its life before: by then those votes have lapsed everywhere.
+class ZoneRecord:
+    """What one member holds of one zone."""
+
+    state: ZoneState = ZoneState.HEALTHY
+    term: int = 0  # in which the state was decided
+    decided_at: float = NEVER
+    observation: ZoneObservation | None = None
+    observed_at: float = NEVER
+    desired_state: ZoneState | None = None  # that this member's observation speaks for
+    desired_since: float = 0.0
+    cast: CastVote | None = None
+    votes: dict[str, ReceivedVote] = field(default_factory=dict)  # by member, this one included
+
+
+class ZoneConsensus:
+    """All zones, as one member holds them.
+
+    Attributes:
+        zones: By name.
+        known: Names of all members that count.
+        outgoing: Votes and decisions for all others.
+        isolated: No quorum was heard for the isolation grace: this member is to decide alone.
+        voting_from: Time before which this member casts no vote. One that starts may have voted in an earlier process;
+            by then those votes have lapsed everywhere.
+    """
+
+    def __init__(self, settings: LocalitySettings, member: str, zones: Collection[str], now: float) -> None:
+        self.zones = {name: ZoneRecord() for name in sorted(zones)}
+        self.known: frozenset[str] = frozenset((member,))
+        self.outgoing: list[Vote | Decision] = []
+        self.isolated = False
         self.voting_from = now + settings.observation_ttl_ms + settings.vote_timeout_ms
-        self._heard: dict[str, float] = {}
-        self._quorum_at = now
-
-    def members(self, known: Collection[str]) -> None:
-        """All members that count, dead or alive: a quorum is more than half of them, and of what the settings say."""
-        self.known = frozenset(known) | {self.me}
+        self._settings, self._member = settings, member
+        self._last_heard: dict[str, float] = {}  # by other member
+        self._quorum_heard_at = now
 
     @property
     def quorum(self) -> int:
-        """How many members decide."""
-        return max(len(self.known), self.s.member_count) // 2 + 1
-
-    def saw(self, now: float, zone: str, view: View) -> None:
-        """This member's own view."""
-        z = self.zones.get(zone)
-        if z is not None:
-            z.view, z.viewed = view, now
-
-    def hear(self, now: float, word: Ballot | Decided, sender: str) -> None:
-        """A word of another member."""
-        self._heard[sender] = now
-        z = self.zones.get(word.zone)
-        if z is None:
+        """How many members decide: more than half of those known, and of those that the settings name."""
+        return max(len(self.known), self._settings.member_count) // 2 + 1
+
+    def update_members(self, known: Collection[str]) -> None:
+        """Take over all members that count, dead or alive."""
+        self.known = frozenset(known) | {self._member}
+
+    def observe(self, now: float, zone: str, observation: ZoneObservation) -> None:
+        """Take this member's own observation."""
+        record = self.zones.get(zone)
+        if record is not None:
+            record.observation, record.observed_at = observation, now
+
+    def receive(self, now: float, message: Vote | Decision, sender: str) -> None:
+        """Take another member's vote or decision. A vote counts only from its own member, if that is known."""
+        self._last_heard[sender] = now
+        record = self.zones.get(message.zone)
+        if record is None:
             return
-        if isinstance(word, Decided):
-            if word.term > z.term:
-                self._decide(now - word.age, z, word.term, word.state)
-        elif word.member == sender and sender in self.known:
-            before = z.ballots.get(sender)
-            if before is None or word.term >= before[0].term:
-                z.ballots[sender] = word, now
-
-    def state(self, zone: str) -> tuple[State, float]:
-        """What was decided for a zone, and when."""
-        z = self.zones[zone]
-        return z.state, z.since
-
-    def up(self, zone: str, now: float) -> float:
-        """The share of a zone's capacity that is up: the median of what members reach."""
-        since = now - self.s.observation_ttl_ms
-        shares = sorted([b.up for b, at in self.zones[zone].ballots.values() if at >= since])
-        return shares[len(shares) // 2] if shares else 1.0
+        if isinstance(message, Decision):
+            if message.term > record.term:
+                self._decide(record, now - message.age_ms, message.term, message.state)
+        elif message.member == sender and sender in self.known:
+            previous = record.votes.get(sender)
+            if previous is None or message.term >= previous.vote.term:
+                record.votes[sender] = ReceivedVote(message, now)
+
+    def state(self, zone: str) -> DecidedState:
+        """What is decided for a zone, and since when."""
+        record = self.zones[zone]
+        return DecidedState(record.state, record.decided_at)
+
+    def reachable_fraction(self, zone: str, now: float) -> float:
+        """The fraction of a zone's capacity that is up: the median of what members reach."""
+        since = now - self._settings.observation_ttl_ms
+        votes = self.zones[zone].votes.values()
+        fractions = sorted([received.vote.reachable_fraction for received in votes if received.received_at >= since])
+        return fractions[len(fractions) // 2] if fractions else 1.0
 
     def tick(self, now: float) -> None:
-        """What time does; to be called a few times a second."""
-        heard = [at for name, at in self._heard.items() if name in self.known]
-        reached = 1 + sum(now - at <= self.s.observation_ttl_ms for at in heard)
+        """Vote and count; to be called a few times a second."""
+        self._check_isolation(now)
+        for name, record in self.zones.items():
+            self._update_desired_state(now, record)
+            self._vote(now, name, record)
+            self._count_votes(now, name, record)
+
+    def _check_isolation(self, now: float) -> None:
+        heard = [at for name, at in self._last_heard.items() if name in self.known]
+        reached = 1 + sum(now - at <= self._settings.observation_ttl_ms for at in heard)
         if reached >= self.quorum:
-            self._quorum_at, self.alone = now, False
-        elif now - self._quorum_at > self.s.isolation_grace_ms:
-            self.alone = True
-        for name, z in self.zones.items():
-            self._want(now, z)
-            self._vote(now, name, z)
-            self._count(now, name, z)
-
-    # Inside.
-
-    def _want(self, now: float, z: Zone) -> None:
-        wanted: State | None = None
-        if z.view is not None and now - z.viewed <= self.s.observation_ttl_ms:
-            seen = seen_as(z.view, z.state, self.s)
-            if z.state is State.OUT and seen is not State.OUT:
-                wanted = State.RETURNING
-            elif z.state is State.RETURNING and seen is State.HEALTHY:
-                wanted = State.HEALTHY if now - z.since >= self.s.recovery_ramp_ms else None
-            elif seen is not z.state and not (z.state is State.RETURNING and seen is State.DEGRADED):
-                wanted = seen
-        if wanted is not z.wanted:
-            z.wanted, z.wanted_since = wanted, now
-
-    def _vote(self, now: float, name: str, z: Zone) -> None:
-        view = z.view if now - z.viewed <= self.s.observation_ttl_ms else None
-        wish = z.wanted if now - z.wanted_since >= self.s.stabilization_ms else None
-        if view is None or view.weak:
-            seers = [
-                b
-                for b, at in z.ballots.values()
-                if b.seen and now - at <= self.s.observation_ttl_ms and not (view is not None and b.cut)
-            ]
-            if seers or view is None:
-                wish = self._followed(z, seers)
-        if wish is not None and now >= max(z.since + self.s.min_state_duration_ms, self.voting_from):
-            highest = max([z.term, *(b.term for b, at in z.ballots.values() if now - at <= self.s.observation_ttl_ms)])
-            term = max(z.term + 1, highest)
-            if z.cast is not None and z.cast[0] >= term:
-                term = z.cast[0]  # one vote a term: another wish waits for the next
-                if z.cast[1] is not wish and now - z.cast_at >= self.s.vote_timeout_ms:
-                    term += 1
-            if z.cast is None or z.cast[0] < term:
-                z.cast, z.cast_at = (term, wish), now
-        cast = z.cast if z.cast is not None and z.cast[0] > z.term else None
-        ballot = Ballot(
+            self._quorum_heard_at, self.isolated = now, False
+        elif now - self._quorum_heard_at > self._settings.isolation_grace_ms:
+            self.isolated = True
+
+    def _update_desired_state(self, now: float, record: ZoneRecord) -> None:
+        """What this member's observation speaks for, and since when; None for no change."""
+        desired = self._desired_state(now, record)
+        if desired is not record.desired_state:
+            record.desired_state, record.desired_since = desired, now
+
+    def _desired_state(self, now: float, record: ZoneRecord) -> ZoneState | None:
+        observation = self._fresh_observation(now, record)
+        if observation is None:
+            return None
+        observed = classify(observation, record.state, self._settings)
+        if record.state is ZoneState.OUT and observed is not ZoneState.OUT:
+            return ZoneState.RETURNING
+        if record.state is ZoneState.RETURNING and observed is ZoneState.HEALTHY:
+            ramp_over = now - record.decided_at >= self._settings.recovery_ramp_ms
+            return ZoneState.HEALTHY if ramp_over else None
+        if record.state is ZoneState.RETURNING and observed is ZoneState.DEGRADED:
+            return None
+        return observed if observed is not record.state else None
+
+    def _vote(self, now: float, name: str, record: ZoneRecord) -> None:
+        """Cast a vote if there is something to vote for, and tell all others this member's vote and decision."""
+        observation = self._fresh_observation(now, record)
+        choice = self._choice(now, record, observation)
+        if choice is not None and now >= max(
+            record.decided_at + self._settings.min_state_duration_ms, self.voting_from
+        ):
+            self._cast(now, record, choice)
+        cast = record.cast if record.cast is not None and record.cast.term > record.term else None
+        vote = Vote(
             name,
-            self.me,
-            cast[0] if cast else z.term,
-            cast[1] if cast else None,
-            view is not None and not view.weak,
-            view is not None and view.cut,
-            view.up if view is not None else 1.0,
+            self._member,
+            cast.term if cast else record.term,
+            cast.state if cast else None,
+            observation is not None and not observation.probes_only,
+            observation is not None and observation.unreachable,
+            observation.reachable_fraction if observation is not None else 1.0,
         )
-        z.ballots[self.me] = ballot, now
-        self.out.append(ballot)
-        if z.term:
-            self.out.append(Decided(name, z.term, z.state, max(0.0, now - z.since)))
-
-    def _followed(self, z: Zone, seers: list[Ballot]) -> State | None:
-        """What most of those that saw the zone lately vote for, for a member that did not."""
-        for state in State:
-            if 2 * sum(b.state is state and b.term > z.term for b in seers) > len(seers):
-                return state
-        return None
-
-    def _count(self, now: float, name: str, z: Zone) -> None:
-        tally: dict[tuple[int, State], int] = {}
-        for member, (b, at) in z.ballots.items():
-            fresh = now - at <= self.s.observation_ttl_ms
-            if member in self.known and b.state is not None and b.term > z.term and fresh:
-                tally[b.term, b.state] = tally.get((b.term, b.state), 0) + 1
-        for (term, state), votes in sorted(tally.items()):
-            if votes >= self.quorum:
-                self._decide(now, z, term, state)
-                self.out.append(Decided(name, term, state))
-
-    def _decide(self, when: float, z: Zone, term: int, state: State) -> None:
-        z.term, z.state, z.since = term, state, when
-        z.wanted = None
+        record.votes[self._member] = ReceivedVote(vote, now)
+        self.outgoing.append(vote)
+        if record.term:
+            self.outgoing.append(Decision(name, record.term, record.state, max(0.0, now - record.decided_at)))
+
+    def _choice(self, now: float, record: ZoneRecord, observation: ZoneObservation | None) -> ZoneState | None:
+        """What to vote for: what was observed for long enough, or what members that observed more vote for."""
+        stable = now - record.desired_since >= self._settings.stabilization_ms
+        choice = record.desired_state if stable else None
+        if observation is None or observation.probes_only:
+            # A member whose probes are answered does not follow those that merely can't reach the zone.
+            observers = [
+                vote
+                for vote in self._fresh_votes(now, record)
+                if vote.observed and not (observation is not None and vote.unreachable)
+            ]
+            if observers or observation is None:
+                choice = _majority_choice(observers, record.term)
+        return choice
+
+    def _cast(self, now: float, record: ZoneRecord, choice: ZoneState) -> None:
+        """Vote once a term: another choice waits for the next one, once this one has timed out."""
+        highest = max([record.term, *(vote.term for vote in self._fresh_votes(now, record))])
+        term = max(record.term + 1, highest)
+        cast = record.cast
+        if cast is not None and cast.term >= term:
+            term = cast.term
+            if cast.state is not choice and now - cast.cast_at >= self._settings.vote_timeout_ms:
+                term += 1
+        if cast is None or cast.term < term:
+            record.cast = CastVote(term, choice, now)
+
+    def _count_votes(self, now: float, name: str, record: ZoneRecord) -> None:
+        """Decide each state that a quorum voted for in one term."""
+        tally: dict[tuple[int, ZoneState], int] = {}
+        for member, received in record.votes.items():
+            vote = received.vote
+            fresh = now - received.received_at <= self._settings.observation_ttl_ms
+            if member in self.known and vote.state is not None and vote.term > record.term and fresh:
+                tally[vote.term, vote.state] = tally.get((vote.term, vote.state), 0) + 1
+        for (term, state), count in sorted(tally.items()):
+            if count >= self.quorum:
+                self._decide(record, now, term, state)
+                self.outgoing.append(Decision(name, term, state))
+
+    def _decide(self, record: ZoneRecord, decided_at: float, term: int, state: ZoneState) -> None:
+        record.term, record.state, record.decided_at = term, state, decided_at
+        record.desired_state = None
+
+    def _fresh_observation(self, now: float, record: ZoneRecord) -> ZoneObservation | None:
+        return record.observation if now - record.observed_at <= self._settings.observation_ttl_ms else None
+
+    def _fresh_votes(self, now: float, record: ZoneRecord) -> Iterator[Vote]:
+        for received in record.votes.values():
+            if now - received.received_at <= self._settings.observation_ttl_ms:
+                yield received.vote
+
+
+def _majority_choice(votes: list[Vote], decided_term: int) -> ZoneState | None:
+    """The state that most of these members vote for in a term that is open; None for no majority."""
+    for state in ZoneState:
+        supporters = sum(vote.state is state and vote.term > decided_term for vote in votes)
+        if 2 * supporters > len(votes):
+            return state
+    return None
--- a/decklb/locality/coordinator.py
+++ b/decklb/locality/coordinator.py
@@ -1,151 +1,184 @@
-"""One member's whole part in what all decide on zones: votes and loads go out as words, those of others come in, and
-what holds is asked here (free of I/O)."""
+"""One member's view of all zones: what state holds, how much capacity is up, how much load each zone's callers make.
+
+Owns the agreement with the other members (`ZoneConsensus`), the same rules for this member alone (for when it is cut
+off or is to decide by itself), the members' loads, and the messages to and from them. Driven by `runtime.py`; asked by
+the zone selector and by maintenance. Free of I/O. Times are ms on this member's monotonic clock.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 from dataclasses import replace
-from typing import Any
+from typing import Any, NamedTuple
 
 from decklb.cluster.messages import WireError
 from decklb.cluster.node import Notice
-from decklb.locality import messages as m
-from decklb.locality.consensus import Ballot, Decided, State, View, Zones
+from decklb.locality import messages
+from decklb.locality.consensus import ZoneConsensus
 from decklb.locality.settings import DecisionMode, LocalitySettings
+from decklb.locality.zone_state import NEVER, DecidedState, Decision, Vote, ZoneObservation, ZoneState
+
+SENDS_PER_TTL = 3  # messages of a member that has nothing new, within the time for which they count
+
+
+class MemberLoad(NamedTuple):
+    """The load of a member's own callers, as it reported it."""
+
+    zone: str
+    load_cores: float
+    reported_at: float
+
 
+class ZoneCoordinator:
+    """One member.
 
-class Council:
-    """What holds of each zone: the common decision, or the own one of a member that is alone."""
+    Attributes:
+        consensus: The agreement with the other members.
+        standalone: The same rules with nobody else.
+        own_load_cores: Cores that this member's own callers ask for.
+        member_loads: Of the other members, by name.
+        outgoing: Datagrams for all others.
+        notices: For the log.
+        dropped: Count of datagrams that could not be read.
+    """
 
-    def __init__(self, settings: LocalitySettings, me: str, now: float) -> None:
-        self.s, self.me = settings, me
+    def __init__(self, settings: LocalitySettings, member: str, now: float) -> None:
         zones = settings.region_of
-        self.common = Zones(settings, me, zones, now)
-        # The same rules with nobody else: for a member that is cut off, or that is to judge by itself.
-        self.own = Zones(replace(settings, member_count=1), me, zones, now)
-        self.own.voting_from = now
-        self.load = 0.0  # cores that this member's own callers ask for
-        self.loads: dict[str, tuple[str, float, float]] = {}  # by member: its zone, their cores, when it said so
-        self.out: list[bytes] = []
+        self.consensus = ZoneConsensus(settings, member, zones, now)
+        self.standalone = ZoneConsensus(replace(settings, member_count=1), member, zones, now)
+        self.standalone.voting_from = now  # nobody else counts its votes
+        self.own_load_cores = 0.0
+        self.member_loads: dict[str, MemberLoad] = {}
+        self.outgoing: list[bytes] = []
         self.notices: list[Notice] = []
-        self.dropped = 0  # words that could not be read
-        self._alone = False
-        self._said: tuple[Any, ...] = ()
-        self._said_at = -float("inf")
-        self._held: dict[str, State] = {}
+        self.dropped = 0
+        self._settings, self._member = settings, member
+        self._isolation_logged = False
+        self._last_sent: tuple[tuple[str, int, ZoneState | None], ...] = ()
+        self._last_sent_at = NEVER
+        self._logged_states: dict[str, ZoneState] = {}
 
     @property
-    def alone(self) -> bool:
-        """Whether this member goes by its own judgement."""
-        return self.s.decision_mode == DecisionMode.ALONE or self.common.alone
-
-    def members(self, known: Collection[str]) -> None:
-        """All members that count; what those told that don't any more goes."""
-        self.common.members(known)
-        self.loads = {name: x for name, x in self.loads.items() if name in self.common.known}
-
-    def saw(self, now: float, zone: str, view: View) -> None:
-        """This member's own view."""
-        self.common.saw(now, zone, view)
-        self.own.saw(now, zone, view)
-
-    def hear(self, now: float, sender: str, data: bytes) -> None:
-        """Another member's word; one that can't be read is counted and loses nothing else."""
+    def decides_alone(self) -> bool:
+        """Whether this member goes by its own observation."""
+        return self._settings.decision_mode is DecisionMode.ALONE or self.consensus.isolated
+
+    def update_members(self, known: Collection[str]) -> None:
+        """Take over all members that count; what those said that don't any more goes."""
+        self.consensus.update_members(known)
+        self.member_loads = {name: load for name, load in self.member_loads.items() if name in self.consensus.known}
+
+    def observe(self, now: float, zone: str, observation: ZoneObservation) -> None:
+        """Take this member's own observation of a zone."""
+        self.consensus.observe(now, zone, observation)
+        self.standalone.observe(now, zone, observation)
+
+    def receive(self, now: float, sender: str, data: bytes) -> None:
+        """Handle another member's datagram; one that can't be read is counted and changes nothing."""
         try:
-            home, load, words = m.read(data, sender)
+            report = messages.decode(data, sender)
         except WireError:
             self.dropped += 1
             return
-        self.loads[sender] = home, load, now
-        for word in words:
-            self.common.hear(now, word, sender)
+        self.member_loads[sender] = MemberLoad(report.home_zone, report.load_cores, now)
+        for item in report.votes_and_decisions:
+            self.consensus.receive(now, item, sender)
 
     def tick(self, now: float) -> None:
-        """What time does; `out` and `notices` are to be emptied after it."""
-        self.own.tick(now)
-        self.own.out.clear()
-        self.common.tick(now)
-        words, self.common.out = self.common.out, []
-        if self.s.decision_mode != DecisionMode.ALONE:
-            self._say(now, words)
-        if self.common.alone != self._alone and self.s.decision_mode != DecisionMode.ALONE:
-            self._alone = self.common.alone
-            self.notices.append(
-                Notice(
-                    "zones-alone" if self._alone else "zones-together",
-                    {"member": self.me, "quorum": self.common.quorum},
-                )
-            )
-        for zone in self.common.zones:
-            state, _ = self.state(zone)
-            before = self._held.get(zone, State.HEALTHY)
-            if state is not before:
-                self._held[zone] = state
-                self.notices.append(
-                    Notice(
-                        "zone-state",
-                        {
-                            "zone": zone,
-                            "state": state.name.lower(),
-                            "before": before.name.lower(),
-                            "term": self.common.zones[zone].term,
-                            "judged": "alone" if self.alone else "common",
-                        },
-                    )
-                )
-
-    def state(self, zone: str) -> tuple[State, float]:
-        """What holds for a zone, and since when. One that no region names is never judged."""
-        if zone not in self.common.zones:
-            return State.HEALTHY, -float("inf")
-        return (self.own if self.alone else self.common).state(zone)
-
-    def up(self, zone: str, now: float) -> float:
-        """The share of a zone's capacity that is up."""
-        if zone not in self.common.zones:
+        """Vote, count and send; `outgoing` and `notices` are to be emptied after it."""
+        self.standalone.tick(now)
+        self.standalone.outgoing.clear()
+        self.consensus.tick(now)
+        items, self.consensus.outgoing = self.consensus.outgoing, []
+        if self._settings.decision_mode is not DecisionMode.ALONE:
+            self._send(now, items)
+            self._log_isolation()
+        self._log_states()
+
+    def state(self, zone: str) -> DecidedState:
+        """What holds for a zone, and since when. A zone in no region is always healthy."""
+        if zone not in self.consensus.zones:
+            return DecidedState(ZoneState.HEALTHY, NEVER)
+        return self._effective().state(zone)
+
+    def reachable_fraction(self, zone: str, now: float) -> float:
+        """The fraction of a zone's capacity that is up."""
+        if zone not in self.consensus.zones:
             return 1.0
-        return (self.own if self.alone else self.common).up(zone, now)
-
-    def demand(self, now: float) -> dict[str, float]:
-        """Cores that the callers of each zone ask for, by the word of all members."""
-        made = dict.fromkeys(self.common.zones, 0.0)
-        if self.s.home_zone in made:
-            made[self.s.home_zone] = self.load
-        for home, load, at in self.loads.values():
-            if home in made and now - at <= self.s.observation_ttl_ms:
-                made[home] += load
-        return made
-
-    def _say(self, now: float, words: list[Ballot | Decided]) -> None:
-        """At once while a vote is open or anything is new, else a few times within what counts as fresh."""
-        gist = tuple((w.zone, w.term, w.state) for w in words)
-        open_ = any(isinstance(w, Ballot) and w.state is not None for w in words)
-        if open_ or gist != self._said or now - self._said_at >= self.s.observation_ttl_ms / 3:
-            self._said, self._said_at = gist, now
-            self.out += m.pack(self.s.home_zone, self.load, words)
-
-    def rows(self, now: float) -> list[dict[str, Any]]:
-        """For operators: each zone."""
-        demand, region = self.demand(now), self.s.region_of
-        made = []
-        for zone, z in self.common.zones.items():
-            state, since = self.state(zone)
-            votes = {
-                name: b.state.name.lower()
-                for name, (b, at) in sorted(z.ballots.items())
-                if b.state is not None and b.term > z.term and now - at <= self.s.observation_ttl_ms
+        return self._effective().reachable_fraction(zone, now)
+
+    def unhealthy_zones(self) -> frozenset[str]:
+        """Zones that are degraded, out or returning."""
+        return frozenset(zone for zone in self.consensus.zones if self.state(zone).state is not ZoneState.HEALTHY)
+
+    def load_cores(self, now: float) -> dict[str, float]:
+        """Cores that the callers of each zone ask for, by all members' reports."""
+        loads = dict.fromkeys(self.consensus.zones, 0.0)
+        if self._settings.home_zone in loads:
+            loads[self._settings.home_zone] = self.own_load_cores
+        for load in self.member_loads.values():
+            if load.zone in loads and now - load.reported_at <= self._settings.observation_ttl_ms:
+                loads[load.zone] += load.load_cores
+        return loads
+
+    def status(self, now: float) -> list[dict[str, Any]]:
+        """A row for each zone, for operators. The keys are the public form."""
+        loads = self.load_cores(now)
+        return [self._status_row(zone, now, loads[zone]) for zone in self.consensus.zones]
+
+    def _effective(self) -> ZoneConsensus:
+        return self.standalone if self.decides_alone else self.consensus
+
+    def _send(self, now: float, items: list[Vote | Decision]) -> None:
+        """At once while a vote is open or anything is new, else a few times within the time for which it counts."""
+        content = tuple((item.zone, item.term, item.state) for item in items)
+        vote_open = any(isinstance(item, Vote) and item.state is not None for item in items)
+        due = now - self._last_sent_at >= self._settings.observation_ttl_ms / SENDS_PER_TTL
+        if vote_open or content != self._last_sent or due:
+            self._last_sent, self._last_sent_at = content, now
+            self.outgoing += messages.encode(self._settings.home_zone, self.own_load_cores, items)
+
+    def _log_isolation(self) -> None:
+        isolated = self.consensus.isolated
+        if isolated != self._isolation_logged:
+            self._isolation_logged = isolated
+            event = "zone-quorum-lost" if isolated else "zone-quorum-restored"
+            self.notices.append(Notice(event, {"member": self._member, "quorum": self.consensus.quorum}))
+
+    def _log_states(self) -> None:
+        for zone, record in self.consensus.zones.items():
+            state = self.state(zone).state
+            previous = self._logged_states.get(zone, ZoneState.HEALTHY)
+            if state is previous:
+                continue
+            self._logged_states[zone] = state
+            fields = {
+                "zone": zone,
+                "state": state.name.lower(),
+                "previous": previous.name.lower(),
+                "term": record.term,
+                "decided": "alone" if self.decides_alone else "common",
             }
-            made.append(
-                {
-                    "zone": zone,
-                    "region": region[zone],
-                    "state": state.name.lower(),
-                    "term": z.term,
-                    "since_ms": round(now - since) if since > -1e300 else None,
-                    "up": self.up(zone, now),
-                    "load_cores": round(demand[zone], 2),
-                    "votes": votes,
-                    "home": zone == self.s.home_zone,
-                }
-            )
-        return made
+            self.notices.append(Notice("zone-state", fields))
+
+    def _status_row(self, zone: str, now: float, load_cores: float) -> dict[str, Any]:
+        record = self.consensus.zones[zone]
+        state, since = self.state(zone)
+        votes = {
+            name: received.vote.state.name.lower()
+            for name, received in sorted(record.votes.items())
+            if received.vote.state is not None
+            and received.vote.term > record.term
+            and now - received.received_at <= self._settings.observation_ttl_ms
+        }
+        return {
+            "zone": zone,
+            "region": self._settings.region_of[zone],
+            "state": state.name.lower(),
+            "term": record.term,
+            "since_ms": round(now - since) if since > NEVER else None,
+            "up": self.reachable_fraction(zone, now),
+            "load_cores": round(load_cores, 2),
+            "votes": votes,
+            "home": zone == self._settings.home_zone,
+        }
--- a/decklb/locality/health_observer.py
+++ b/decklb/locality/health_observer.py
@@ -1,138 +1,176 @@
-"""What one member sees of each zone: engines reached or not, errors, latency; and which engines to probe (free of I/O).
+"""What one member observes of each zone: engines reachable or not, errors, latency; and which engines it probes.
 
-Requests tell most, probes the rest: a member probes an engine that nothing told of lately. In a large zone it looks at
-a few engines, drawn by its name, so that members together look at all of them and each sends little.
+Requests tell most, probes the rest: a member probes an engine that nothing told of lately. In a large zone it probes a
+few engines, chosen by a hash of its name, so that members together probe all of them and each sends little.
+
+Owns the health of each engine and the running means of each zone. Fed by `runtime.py` with the ends of attempts and
+probes; free of I/O. Times are ms on this member's monotonic clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 from zlib import crc32
 
 from decklb.interface import Entry, Outcome, Phase
-from decklb.locality.consensus import View
 from decklb.locality.settings import LocalitySettings
-
-SAMPLE = 8  # engines of a zone that one member looks at
-MEMBERS = 16  # from which on each looks more rarely, so that engines bear no more probes as the fleet grows
-ERRORS, LATENCY = 0.05, 0.05  # weight of one attempt in running means
-DRIFT = 0.002  # by which the best latency is forgotten with each answer
-FLOOR = 20.0  # ms added to both sides of a ratio, or a hiccup of a millisecond would look like a slow zone
+from decklb.locality.zone_state import NEVER, ZoneObservation
+
+PROBED_ENGINES = 8  # of a zone, by one member
+PROBING_MEMBERS = 16  # from which on each probes more rarely, so that engines bear no more as the fleet grows
+ERROR_WEIGHT = 0.05  # of one attempt in the running mean of errors
+LATENCY_WEIGHT = 0.05  # of one answer in the running mean of latency
+BEST_LATENCY_DECAY = 0.002  # fraction by which the best latency is forgotten with each answer
+RATIO_FLOOR_MS = 20.0  # added to both sides of a ratio, or a hiccup of a millisecond would look like a slow zone
+PROBE_CLASS = ""  # in place of a request class, for the latency of probes
 ANSWERED = (Outcome.GOOD, Outcome.BAD, Outcome.FULL)
-MISSED = (Outcome.NOCONN, Outcome.RST, Outcome.LATE)
+UNANSWERED = (Outcome.NOCONN, Outcome.RST, Outcome.LATE)
+
+
+class EngineCapacity(NamedTuple):
+    """An engine of the endpoint list that is up."""
+
+    zone: str
+    cores: float
 
 
 @dataclass(slots=True)
-class Seen:
-    """One engine."""
+class EngineHealth:
+    """One engine, as this member reaches it."""
 
     zone: str
     cores: float
-    misses: int = 0  # in a row
-    answered: float = -float("inf")
-    asked: float = -float("inf")  # when it was last probed
+    failures: int = 0  # in a row
+    answered_at: float = NEVER
+    probed_at: float = NEVER
 
 
 @dataclass(slots=True)
-class Field:
-    """One zone."""
-
-    errors: float = 0.0
-    slowness: float = 1.0
-    tried: float = -float("inf")  # when a request's attempt last ended there
-    looked: tuple[str, ...] = ()  # engines that this member probes
-    latency: dict[str, float] = field(default_factory=dict)  # by class
-
-
-def in_use(entries: Iterable[Entry], cores: Mapping[str, int]) -> dict[str, tuple[str, float]]:
-    """Zone and cores of each engine that the list calls up; `cores` by kind."""
-    return {e.engine: (e.zone, float(max(1, cores.get(e.kind, 1)))) for e in entries if e.phase is Phase.UP}
-
-
-class Sight:
-    """All zones, as one member sees them."""
-
-    def __init__(self, settings: LocalitySettings, me: str) -> None:
-        self.s, self.me = settings, me
-        self.engines: dict[str, Seen] = {}
-        self.zones: dict[str, Field] = {}
-        self._best: dict[str, float] = {}  # least mean latency of a class in any zone
-
-    def listed(self, engines: Mapping[str, tuple[str, float]]) -> None:
-        """The engines that the list calls up: zone and cores of each."""
-        kept = {}
-        for name, (zone, cores) in engines.items():
-            old = self.engines.get(name)
-            kept[name] = old if old is not None and (old.zone, old.cores) == (zone, cores) else Seen(zone, cores)
-        self.engines = kept
-        names: dict[str, list[str]] = {}
-        for name, e in kept.items():
-            names.setdefault(e.zone, []).append(name)
-        self.zones = {zone: self.zones.get(zone) or Field() for zone in names}
-        for zone, those in names.items():
-            those.sort(key=lambda n: (crc32(f"{self.me}/{n}".encode()), n))
-            self.zones[zone].looked = tuple(those[:SAMPLE])
-
-    def ended(self, now: float, engine: str, lane: str, outcome: Outcome, took: float) -> None:
-        """An attempt of a request."""
-        e = self.engines.get(engine)
-        if e is None or outcome not in ANSWERED + MISSED:
+class ZoneHealth:
+    """One zone. The means are exponentially weighted."""
+
+    error_rate: float = 0.0
+    latency_ratio: float = 1.0  # to the best of any zone
+    attempt_ended_at: float = NEVER
+    probed_engines: tuple[str, ...] = ()  # that this member probes
+    latency_ms: dict[str, float] = field(default_factory=dict)  # mean, by request class
+
+
+def engine_capacities(entries: Iterable[Entry], cores_by_kind: Mapping[str, int]) -> dict[str, EngineCapacity]:
+    """Zone and cores of each engine that the endpoint list calls up."""
+    return {
+        entry.engine: EngineCapacity(entry.zone, float(max(1, cores_by_kind.get(entry.kind, 1))))
+        for entry in entries
+        if entry.phase is Phase.UP
+    }
+
+
+class ZoneHealthObserver:
+    """All zones, as one member observes them.
+
+    Attributes:
+        engines: Health of each engine that the endpoint list calls up.
+        zones: Health of each zone that has such engines.
+    """
+
+    def __init__(self, settings: LocalitySettings, member: str) -> None:
+        self.engines: dict[str, EngineHealth] = {}
+        self.zones: dict[str, ZoneHealth] = {}
+        self._settings, self._member = settings, member
+        self._best_latency_ms: dict[str, float] = {}  # least mean of any zone, by request class
+
+    def update_engines(self, engines: Mapping[str, EngineCapacity]) -> None:
+        """Take over the engines that the endpoint list calls up; an engine that stays keeps its health."""
+        updated = {}
+        for name, capacity in engines.items():
+            engine = self.engines.get(name)
+            if engine is None or (engine.zone, engine.cores) != capacity:
+                engine = EngineHealth(capacity.zone, capacity.cores)
+            updated[name] = engine
+        self.engines = updated
+        names_by_zone: dict[str, list[str]] = {}
+        for name, engine in updated.items():
+            names_by_zone.setdefault(engine.zone, []).append(name)
+        self.zones = {zone: self.zones.get(zone) or ZoneHealth() for zone in names_by_zone}
+        for zone, names in names_by_zone.items():
+            names.sort(key=lambda name: (crc32(f"{self._member}/{name}".encode()), name))
+            self.zones[zone].probed_engines = tuple(names[:PROBED_ENGINES])
+
+    def attempt_ended(
+        self, now: float, engine_name: str, request_class: str, outcome: Outcome, duration_ms: float
+    ) -> None:
+        """Take the end of a request's attempt."""
+        engine = self.engines.get(engine_name)
+        if engine is None or outcome not in ANSWERED + UNANSWERED:
             return
-        zone = self.zones[e.zone]
-        zone.tried = now
+        zone = self.zones[engine.zone]
+        zone.attempt_ended_at = now
         if outcome in ANSWERED:
-            e.misses, e.answered = 0, now
-            zone.errors += ERRORS * ((outcome is Outcome.BAD) - zone.errors)
-        elif e.answered < now - took or outcome is Outcome.NOCONN:  # else it was the request, not the engine
-            e.misses += 1
+            engine.failures, engine.answered_at = 0, now
+            zone.error_rate += ERROR_WEIGHT * ((outcome is Outcome.BAD) - zone.error_rate)
+        elif engine.answered_at < now - duration_ms or outcome is Outcome.NOCONN:  # else the request's fault
+            engine.failures += 1
         if outcome is Outcome.GOOD:
-            self._timed(zone, lane, took)
+            self._add_latency(zone, request_class, duration_ms)
 
-    def probed(self, now: float, engine: str, ok: bool, took: float) -> bool:
-        """A probe's end; true if the engine has come to be down by it."""
-        e = self.engines.get(engine)
-        if e is None:
+    def probe_ended(self, now: float, engine_name: str, answered: bool, duration_ms: float) -> bool:
+        """Take the end of a probe; returns whether the engine has become unreachable by it."""
+        engine = self.engines.get(engine_name)
+        if engine is None:
             return False
-        if not ok:
-            e.misses += 1
-            return e.misses == self.s.unhealthy_threshold
-        e.misses, e.answered = 0, now
-        self._timed(self.zones[e.zone], "", took)
+        if not answered:
+            engine.failures += 1
+            return engine.failures == self._settings.unhealthy_threshold
+        engine.failures, engine.answered_at = 0, now
+        self._add_latency(self.zones[engine.zone], PROBE_CLASS, duration_ms)
         return False
 
-    def down(self) -> list[str]:
+    def unreachable_engines(self) -> list[str]:
         """Engines that this member can't reach."""
-        return [name for name, e in self.engines.items() if e.misses >= self.s.unhealthy_threshold]
+        return [name for name, engine in self.engines.items() if not self._reachable(engine)]
 
-    def due(self, now: float, members: int) -> list[str]:
-        """Engines to probe now; each counts as asked."""
-        wait, found = self.s.probe_interval_ms * max(1.0, members / MEMBERS), []
+    def take_due_probes(self, now: float, member_count: int) -> list[str]:
+        """Engines to probe now; each counts as probed by this call."""
+        interval_ms = self._settings.probe_interval_ms * max(1.0, member_count / PROBING_MEMBERS)
+        due = []
         for zone in self.zones.values():
-            for name in zone.looked:
-                e = self.engines[name]
-                last = max(e.asked, e.answered) if not e.misses else e.asked
-                if now - last >= wait:
-                    e.asked = now
-                    found.append(name)
-        return found
-
-    def view(self, zone: str, now: float) -> View | None:
-        """What this member holds of a zone; none where nothing told of it lately."""
-        f = self.zones.get(zone)
-        if f is None:
+            for name in zone.probed_engines:
+                engine = self.engines[name]
+                last = engine.probed_at if engine.failures else max(engine.probed_at, engine.answered_at)
+                if now - last >= interval_ms:
+                    engine.probed_at = now
+                    due.append(name)
+        return due
+
+    def observation(self, zone_name: str, now: float) -> ZoneObservation | None:
+        """What this member holds of a zone; None where nothing told of it lately."""
+        zone = self.zones.get(zone_name)
+        if zone is None:
             return None
-        looked = [self.engines[n] for n in f.looked]
-        if not any(e.misses or now - e.answered <= self.s.observation_ttl_ms for e in looked):
+        ttl_ms = self._settings.observation_ttl_ms
+        engines = [self.engines[name] for name in zone.probed_engines]
+        if not any(engine.failures or now - engine.answered_at <= ttl_ms for engine in engines):
             return None
-        cores = sum(e.cores for e in looked)
-        up = sum(e.cores for e in looked if e.misses < self.s.unhealthy_threshold) / cores if cores > 0 else 1.0
-        tried = now - f.tried <= self.s.observation_ttl_ms
-        return View(up, f.errors if tried else 0.0, f.slowness, not tried and up >= 1.0)
-
-    def _timed(self, zone: Field, lane: str, took: float) -> None:
-        last = zone.latency.get(lane, took)
-        zone.latency[lane] = last + LATENCY * (took - last)
-        best = min(self._best.get(lane, took) * (1 + DRIFT), zone.latency[lane])
-        self._best[lane] = best
-        zone.slowness += 2 * LATENCY * ((took + FLOOR) / (best + FLOOR) - zone.slowness)
+        total = sum(engine.cores for engine in engines)
+        reachable = sum(engine.cores for engine in engines if self._reachable(engine))
+        fraction = reachable / total if total > 0 else 1.0
+        attempted = now - zone.attempt_ended_at <= ttl_ms
+        return ZoneObservation(
+            fraction,
+            zone.error_rate if attempted else 0.0,
+            zone.latency_ratio,
+            probes_only=not attempted and fraction >= 1.0,
+        )
+
+    def _reachable(self, engine: EngineHealth) -> bool:
+        return engine.failures < self._settings.unhealthy_threshold
+
+    def _add_latency(self, zone: ZoneHealth, request_class: str, duration_ms: float) -> None:
+        mean = zone.latency_ms.get(request_class, duration_ms)
+        zone.latency_ms[request_class] = mean + LATENCY_WEIGHT * (duration_ms - mean)
+        best = self._best_latency_ms.get(request_class, duration_ms) * (1 + BEST_LATENCY_DECAY)
+        best = self._best_latency_ms[request_class] = min(best, zone.latency_ms[request_class])
+        ratio = (duration_ms + RATIO_FLOOR_MS) / (best + RATIO_FLOOR_MS)
+        zone.latency_ratio += 2 * LATENCY_WEIGHT * (ratio - zone.latency_ratio)
--- a/decklb/locality/messages.py
+++ b/decklb/locality/messages.py
@@ -1,91 +1,126 @@
-"""What members tell one another of zones: one MessagePack array, carried by the cluster's datagrams (free of I/O)."""
+"""Codec of the messages between members about zones: one MessagePack array in one cluster datagram.
+
+Owns the wire format (version, order of fields, numbers of states, bounds); no state. Called by `coordinator.py`. Free
+of I/O.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct
 
 from decklb.cluster.messages import WireError
-from decklb.locality.consensus import Ballot, Decided, State
+from decklb.locality.zone_state import Decision, Vote, ZoneState
 
 VERSION = 1
-TOPIC = "locality"
-MOST = 10  # zones in one word: with the longest names it still fits a datagram
-NONE = 255  # no state
-STATES = {int(s): s for s in State}
-VOTES: dict[int, State | None] = STATES | {NONE: None}
-
-Zone = Annotated[str, Meta(min_length=1, max_length=64)]
+TOPIC = "locality"  # of the cluster's datagrams
+MAX_ZONES = 10  # in one message: with the longest names it still fits a datagram
+MAX_AGE_MS = 1 << 40
+NO_VOTE = 255  # in place of a state
+OBSERVED_FLAG = 1
+UNREACHABLE_FLAG = 2
+STATES = {int(state): state for state in ZoneState}
+VOTED_STATES: dict[int, ZoneState | None] = STATES | {NO_VOTE: None}
+
+ZoneName = Annotated[str, Meta(min_length=1, max_length=64)]
 Term = Annotated[int, Meta(ge=0, le=1 << 53)]
 Percent = Annotated[int, Meta(ge=0, le=100)]
 
 
-class Row(Struct, array_like=True, frozen=True):
-    """One zone: the sender's vote (`NONE` for no vote) and what it reaches; what it holds decided, and for how long.
-
-    A decided term of 0 is none.
-    """
+class ZoneEntry(Struct, array_like=True, frozen=True):
+    """The sender's vote on one zone, and what it holds decided."""
 
-    zone: Zone
-    term: Term
-    state: Annotated[int, Meta(ge=0, le=255)]
-    flags: Annotated[int, Meta(ge=0, le=3)]  # 1: seen lately; 2: cut off
-    up: Percent
-    decided: Term
-    held: Annotated[int, Meta(ge=0, le=3)]
-    age: Annotated[int, Meta(ge=0, le=1 << 40)]  # ms
+    zone: ZoneName
+    vote_term: Term
+    voted_state: Annotated[int, Meta(ge=0, le=255)]  # or NO_VOTE
+    flags: Annotated[int, Meta(ge=0, le=3)]  # OBSERVED_FLAG, UNREACHABLE_FLAG
+    reachable_percent: Percent
+    decided_term: Term  # 0: nothing is decided
+    decided_state: Annotated[int, Meta(ge=0, le=3)]
+    decision_age_ms: Annotated[int, Meta(ge=0, le=MAX_AGE_MS)]
 
 
-class Word(Struct, array_like=True, frozen=True):
-    """`load` is what the sender's own callers ask of their zone, in cores."""
+class ZonesMessage(Struct, array_like=True, frozen=True):
+    """A datagram."""
 
     version: int
-    home: Annotated[str, Meta(max_length=64)]
-    load: Annotated[float, Meta(ge=0, le=1e9)]
-    rows: Annotated[list[Row], Meta(max_length=MOST)]
+    home_zone: Annotated[str, Meta(max_length=64)]  # the sender's
+    load_cores: Annotated[float, Meta(ge=0, le=1e9)]  # that the sender's own callers ask of its zone
+    entries: Annotated[list[ZoneEntry], Meta(max_length=MAX_ZONES)]
+
+
+class MemberReport(NamedTuple):
+    """What one datagram of a member says."""
+
+    home_zone: str
+    load_cores: float
+    votes_and_decisions: list[Vote | Decision]
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Word)
-
-
-def pack(home: str, load: float, words: list[Ballot | Decided]) -> list[bytes]:
-    """A member's words of one moment, as few datagrams as they fit."""
-    held = {w.zone: w for w in words if isinstance(w, Decided)}
-    rows = []
-    for b in words:
-        if isinstance(b, Ballot):
-            d = held.get(b.zone) or Decided(b.zone, 0, State.HEALTHY)
-            rows.append(
-                Row(
-                    b.zone,
-                    b.term,
-                    NONE if b.state is None else b.state,
-                    b.seen | b.cut << 1,
-                    round(100 * b.up),
-                    d.term,
-                    d.state,
-                    min(1 << 40, round(d.age)),
-                )
-            )
-    return [_encoder.encode(Word(VERSION, home, round(load, 3), rows[i : i + MOST])) for i in range(0, len(rows), MOST)]
-
-
-def read(data: bytes, sender: str) -> tuple[str, float, list[Ballot | Decided]]:
-    """Home, load and words of another member. Raises WireError."""
+_decoder = msgspec.msgpack.Decoder(ZonesMessage)
+
+
+def encode(home_zone: str, load_cores: float, votes_and_decisions: list[Vote | Decision]) -> list[bytes]:
+    """A member's votes and decisions of one moment, in as few datagrams as they fit.
+
+    A decision goes out beside its zone's vote; one without a vote does not go out.
+    """
+    decisions = {item.zone: item for item in votes_and_decisions if isinstance(item, Decision)}
+    votes = [item for item in votes_and_decisions if isinstance(item, Vote)]
+    entries = [_entry(vote, decisions.get(vote.zone)) for vote in votes]
+    return [
+        _encoder.encode(ZonesMessage(VERSION, home_zone, round(load_cores, 3), entries[start : start + MAX_ZONES]))
+        for start in range(0, len(entries), MAX_ZONES)
+    ]
+
+
+def decode(data: bytes, sender: str) -> MemberReport:
+    """What another member's datagram says.
+
+    Raises:
+        WireError: It can't be read.
+    """
     try:
-        word = _decoder.decode(data)
+        message = _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
         raise WireError("shape", str(error)) from error
-    if word.version != VERSION:
-        raise WireError("version", f"{word.version}")
-    words: list[Ballot | Decided] = []
-    for r in word.rows:
-        if r.state not in VOTES:
-            raise WireError("shape", f"state {r.state}")
-        words.append(Ballot(r.zone, sender, r.term, VOTES[r.state], r.flags & 1 > 0, r.flags & 2 > 0, r.up / 100))
-        if r.decided:
-            words.append(Decided(r.zone, r.decided, STATES[r.held], float(r.age)))
-    return word.home, word.load, words
+    if message.version != VERSION:
+        raise WireError("version", f"{message.version}")
+    found: list[Vote | Decision] = []
+    for entry in message.entries:
+        found.append(_vote(entry, sender))
+        if entry.decided_term:
+            state = STATES[entry.decided_state]
+            found.append(Decision(entry.zone, entry.decided_term, state, float(entry.decision_age_ms)))
+    return MemberReport(message.home_zone, message.load_cores, found)
+
+
+def _entry(vote: Vote, decision: Decision | None) -> ZoneEntry:
+    decided = decision or Decision(vote.zone, 0, ZoneState.HEALTHY)
+    return ZoneEntry(
+        vote.zone,
+        vote.term,
+        NO_VOTE if vote.state is None else vote.state,
+        (OBSERVED_FLAG if vote.observed else 0) | (UNREACHABLE_FLAG if vote.unreachable else 0),
+        round(100 * vote.reachable_fraction),
+        decided.term,
+        decided.state,
+        min(MAX_AGE_MS, round(decided.age_ms)),
+    )
+
+
+def _vote(entry: ZoneEntry, sender: str) -> Vote:
+    if entry.voted_state not in VOTED_STATES:
+        raise WireError("shape", f"state {entry.voted_state}")
+    return Vote(
+        entry.zone,
+        sender,
+        entry.vote_term,
+        VOTED_STATES[entry.voted_state],
+        bool(entry.flags & OBSERVED_FLAG),
+        bool(entry.flags & UNREACHABLE_FLAG),
+        entry.reachable_percent / 100,
+    )
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -1,4 +1,9 @@
-"""The locality on the cluster's datagrams, the engines' connections and a clock; logs what it notices."""
+"""The I/O of locality: datagrams of the cluster, probes of engines, the clock, the log.
+
+Owns the health observer, the zone coordinator and the zone selector, and the rates of requests by which this member's
+load is estimated. The dispatcher asks it for the zone of each request, and tells it of each attempt's end. Made by
+`daemon.assembly`.
+"""
 
 from __future__ import annotations
 
@@ -13,147 +18,158 @@
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Entry, Outcome
-from decklb.locality.coordinator import Council
-from decklb.locality.health_observer import Sight, in_use
+from decklb.locality.coordinator import ZoneCoordinator
+from decklb.locality.health_observer import ZoneHealthObserver, engine_capacities
 from decklb.locality.messages import TOPIC
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.zone_selector import Steering
+from decklb.locality.zone_selector import ZoneSelector
 from decklb.wire.prober import Address, Prober
 
-LARGE = 50  # members from which on words are told more rarely, so that each bears no more of them
-PACE = 3000.0  # ms over which the rate of requests is taken
-SURE = 10  # answers of a class after which its work is taken for known
-REPEAT = 1000.0  # ms after which the module is told again of an engine that can't be reached
+LARGE_FLEET = 50  # members from which on messages are sent more rarely, so that each bears no more of them
+RATE_TIME_CONSTANT_MS = 3000.0  # of the running mean of the rate of requests
+MIN_ANSWERS = 10  # of a class, from which on its work is known
+REPORT_INTERVAL_MS = 1000.0  # between two reports to the policy of an engine that can't be reached
+MS_PER_SECOND = 1000
 
 
 class LocalityService:
-    """One member. It stands beside the dispatcher as its `places`."""
+    """One member; the dispatcher's `places`."""
 
     def __init__(
         self, clock: Clock, settings: LocalitySettings, cluster: ClusterService, dispatcher: Dispatcher, prober: Prober
     ) -> None:
-        self.clock, self.s, self.cluster, self.dispatcher, self.prober = clock, settings, cluster, dispatcher, prober
-        me = cluster.settings.member
-        self.sight, self.council = Sight(settings, me), Council(settings, me, clock.now())
-        self.steering = Steering(settings, dispatcher.settings.classes, dispatcher.settings.cores)
+        self.clock, self.settings, self.cluster = clock, settings, cluster
+        self.dispatcher, self.prober = dispatcher, prober
+        member = cluster.settings.member
+        self.observer = ZoneHealthObserver(settings, member)
+        self.coordinator = ZoneCoordinator(settings, member, clock.now())
+        self.selector = ZoneSelector(settings, dispatcher.settings.classes, dispatcher.settings.cores)
         self.addresses: Mapping[str, Address] = {}
         self.timer: Timer | None = None
-        self._taken: Counter[str] = Counter()  # requests since the last tick, by class
-        self._rates: dict[str, float] = {}  # a second
-        self._last = clock.now()
-        self._told: dict[str, float] = {}  # engines that the module was told can't be reached, and when
-        self._strange: set[str] = set()
+        self._request_counts: Counter[str] = Counter()  # since the last tick, by class
+        self._request_rates: dict[str, float] = {}  # a second, by class
+        self._load_estimated_at = clock.now()
+        self._reported_at: dict[str, float] = {}  # engines that the policy was told can't be reached, and when
+        self._unknown_zones: set[str] = set()  # that the log was told of
         self.closed = False
 
     def start(self) -> None:
-        """Listen for words, and look from now on."""
-        self.cluster.topics[TOPIC] = self._heard
+        """Take datagrams, route requests, and tick from now on."""
+        self.cluster.topics[TOPIC] = self._receive
         self.dispatcher.places = self
-        self._arm()
+        self._schedule_tick()
 
-    def engines(self, entries: list[Entry], addresses: Mapping[str, Address]) -> None:
-        """The list of engines."""
+    def update_engines(self, entries: list[Entry], addresses: Mapping[str, Address]) -> None:
+        """Take over the endpoint list."""
         self.addresses = addresses
-        self.sight.listed(in_use(entries, self.dispatcher.settings.cores))
-        self.steering.listed(entries)
-        for zone in sorted({e.zone for e in entries} - self.steering.region.keys() - self._strange):
-            self._strange.add(zone)
+        self.observer.update_engines(engine_capacities(entries, self.dispatcher.settings.cores))
+        self.selector.update_engines(entries)
+        for zone in sorted({e.zone for e in entries} - self.selector.region_of.keys() - self._unknown_zones):
+            self._unknown_zones.add(zone)
             logger.warning(
                 "zone {zone!r} stands in no <region>: it is never judged, and a region of its own",
                 event="zone-unknown",
                 zone=zone,
             )
 
-    # As the dispatcher's places.
-
     def place(self, lane: str) -> tuple[str, Collection[str] | None]:
-        """For one request of a class: the zone to use first, and all that it may use."""
-        self._taken[lane] += 1
+        """For one request of a class: the zone to use first, and all that it may use; see `core.ports`."""
+        self._request_counts[lane] += 1
         usual, spec = self.dispatcher.gateway.usual.get(lane), self.dispatcher.settings.classes.get(lane)
         # The mean, not the least that a request takes, by which a budget would be overdrawn.
-        work = usual.hold * spec.threads if usual is not None and spec is not None else 0.0
-        return self.steering.place(self.clock.now(), lane, work, self.council)
+        work_ms = usual.hold * spec.threads if usual is not None and spec is not None else 0.0
+        return self.selector.select(self.clock.now(), lane, work_ms, self.coordinator)
 
     def ended(self, engine: str, lane: str, outcome: Outcome, took: float) -> None:
-        """How an attempt ended."""
-        self.sight.ended(self.clock.now(), engine, lane, outcome, took)
+        """How an attempt ended; see `core.ports`."""
+        self.observer.attempt_ended(self.clock.now(), engine, lane, outcome, took)
+
+    def status(self) -> dict[str, Any]:
+        """Zones, quorum and this member's requests, for operators. The keys are the public form."""
+        coordinator = self.coordinator
+        return {
+            "zones": coordinator.status(self.clock.now()),
+            "alone": coordinator.decides_alone,
+            "members": len(coordinator.consensus.known),
+            "quorum": coordinator.consensus.quorum,
+            "dropped": coordinator.dropped,
+            "unreached": self.observer.unreachable_engines(),
+            **self.selector.counts,
+        }
+
+    def close(self) -> None:
+        """End with the program; requests that still come go anywhere."""
+        self.closed = True
+        self.dispatcher.places = None
+        self.cluster.topics.pop(TOPIC, None)
+        if self.timer is not None:
+            self.timer.cancel()
+        self.prober.close()
 
-    # Inside.
+    @property
+    def _member_count(self) -> int:
+        return len(self.coordinator.consensus.known)
 
-    def _arm(self) -> None:
-        members = len(self.council.common.known)
-        self.timer = self.clock.call_later(self.s.tick_ms * max(1.0, members / LARGE), self._tick)
+    def _schedule_tick(self) -> None:
+        interval_ms = self.settings.tick_ms * max(1.0, self._member_count / LARGE_FLEET)
+        self.timer = self.clock.call_later(interval_ms, self._tick)
 
     def _tick(self) -> None:
         self.timer = None
         now = self.clock.now()
-        self.council.members(self.cluster.node.known())
-        for zone in self.council.common.zones:
-            view = self.sight.view(zone, now)
-            if view is not None:
-                self.council.saw(now, zone, view)
-        self.council.load = self._load(now)
-        self.council.tick(now)
-        out, self.council.out = self.council.out, []
-        for data in out:
-            self.cluster.carry(TOPIC, data)
-        notices, self.council.notices = self.council.notices, []
-        log_notices("zones", notices)
-        for engine in self.sight.due(now, len(self.council.common.known)):
+        self.coordinator.update_members(self.cluster.node.known())
+        for zone in self.coordinator.consensus.zones:
+            observation = self.observer.observation(zone, now)
+            if observation is not None:
+                self.coordinator.observe(now, zone, observation)
+        self.coordinator.own_load_cores = self._estimate_load_cores(now)
+        self.coordinator.tick(now)
+        self._send_and_log()
+        self._probe(now)
+        self._report_unreachable(now)
+        self._schedule_tick()
+
+    def _send_and_log(self) -> None:
+        datagrams, self.coordinator.outgoing = self.coordinator.outgoing, []
+        for datagram in datagrams:
+            self.cluster.carry(TOPIC, datagram)
+        notices, self.coordinator.notices = self.coordinator.notices, []
+        log_notices("locality", notices)
+
+    def _estimate_load_cores(self, now: float) -> float:
+        """Cores that this member's own callers ask for, by the policy's estimate of each class's work."""
+        elapsed_ms, self._load_estimated_at = max(1.0, now - self._load_estimated_at), now
+        weight, load_cores = 1 - math.exp(-elapsed_ms / RATE_TIME_CONSTANT_MS), 0.0
+        for name, usual in self.dispatcher.gateway.usual.items():
+            rate = self._request_rates.get(name, 0.0)
+            rate += weight * (MS_PER_SECOND * self._request_counts[name] / elapsed_ms - rate)
+            self._request_rates[name] = rate
+            load_cores += rate * usual.work / MS_PER_SECOND if usual.n >= MIN_ANSWERS else 0.0
+        self._request_counts.clear()
+        return load_cores
+
+    def _probe(self, now: float) -> None:
+        for engine in self.observer.take_due_probes(now, self._member_count):
             if (address := self.addresses.get(engine)) is not None:
-                self.prober.probe(engine, address, self.s.probe_timeout_ms, self._probed(engine, now))
-        self._tell(now)
-        self._arm()
-
-    def _load(self, now: float) -> float:
-        """Cores that the own callers ask for, by the module's own figures of each class's work."""
-        span, self._last = max(1.0, now - self._last), now
-        weight, load = 1 - math.exp(-span / PACE), 0.0
-        for lane, u in self.dispatcher.gateway.usual.items():
-            rate = self._rates.get(lane, 0.0)
-            rate = self._rates[lane] = rate + weight * (1000 * self._taken[lane] / span - rate)
-            load += rate * u.work / 1000 if u.n >= SURE else 0.0
-        self._taken.clear()
-        return load
-
-    def _probed(self, engine: str, asked: float) -> Callable[[bool], None]:
-        def done(ok: bool) -> None:
+                on_result = self._on_probe_result(engine, now)
+                self.prober.probe(engine, address, self.settings.probe_timeout_ms, on_result)
+
+    def _on_probe_result(self, engine: str, started_at: float) -> Callable[[bool], None]:
+        def on_result(answered: bool) -> None:
             if not self.closed:
                 now = self.clock.now()
-                self.sight.probed(now, engine, ok, now - asked)
+                self.observer.probe_ended(now, engine, answered, now - started_at)
 
-        return done
+        return on_result
 
-    def _tell(self, now: float) -> None:
-        """The module leaves out what this member can't reach; it need not find out by a request each."""
-        down = set(self.sight.down())
-        self._told = {e: at for e, at in self._told.items() if e in down}
-        for engine in down:
-            if now - self._told.get(engine, -REPEAT) >= REPEAT:
-                self._told[engine] = now
+    def _report_unreachable(self, now: float) -> None:
+        """Tell the policy which engines this member can't reach; it need not find out by a request each."""
+        unreachable = set(self.observer.unreachable_engines())
+        self._reported_at = {engine: at for engine, at in self._reported_at.items() if engine in unreachable}
+        for engine in unreachable:
+            if now - self._reported_at.get(engine, -REPORT_INTERVAL_MS) >= REPORT_INTERVAL_MS:
+                self._reported_at[engine] = now
                 self.dispatcher.probed(engine, Outcome.NOCONN)
 
-    def _heard(self, sender: str, data: bytes) -> None:
-        self.council.hear(self.clock.now(), sender, data)
-
-    def close(self) -> None:
-        """The program ends; requests that still come go anywhere."""
-        self.closed = True
-        self.dispatcher.places = None
-        self.cluster.topics.pop(TOPIC, None)
-        if self.timer is not None:
-            self.timer.cancel()
-        self.prober.close()
-
-    def rows(self) -> dict[str, Any]:
-        """For operators."""
-        now, council = self.clock.now(), self.council
-        return {
-            "zones": council.rows(now),
-            "alone": council.alone,
-            "members": len(council.common.known),
-            "quorum": council.common.quorum,
-            "dropped": council.dropped,
-            "unreached": self.sight.down(),
-            **self.steering.counts,
-        }
+    def _receive(self, sender: str, data: bytes) -> None:
+        self.coordinator.receive(self.clock.now(), sender, data)
--- a/decklb/locality/spillover.py
+++ b/decklb/locality/spillover.py
@@ -1,7 +1,11 @@
-"""Where a caller's requests go: its own zone while that is safe, the nearest ones as far as needed (free of I/O).
+"""Spillover: which share of a zone's requests goes to which zone.
 
-Zone-aware routing as it is commonly published, with a common budget for a zone that returns: all managers reckon it
-from the one moment at which its return was decided, so that together they never load it beyond the ramp.
+Zone-aware routing as it is commonly published (Envoy's zone-aware and locality-weighted balancing, with a panic
+threshold): a caller's requests stay in its own zone while that has the capacity, and spill over to the nearest ones as
+far as needed. Beyond that, a common budget for a zone that returns: all managers compute it from the one moment at
+which its return was decided, so that together they never load it beyond the ramp.
+
+Pure functions, no state. Called by `zone_selector.py` and by the laboratory.
 """
 
 from __future__ import annotations
@@ -9,90 +13,122 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from decklb.locality.consensus import State
 from decklb.locality.settings import LocalitySettings
+from decklb.locality.zone_state import ZoneState
+
+DEGRADED_FACTOR = 0.5  # of its usual capacity that a degraded zone is given
+ROUNDING = 1e-9  # of a share that does not count as spilling over
+LEAST_CAPACITY = 1e-9  # in place of none, so that shares can be taken of it
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """A zone as it stands for routing."""
+class ZoneStatus:
+    """A zone as it stands for routing. Capacity and load are in one unit: cores, or requests a second."""
 
     region: str
-    capacity: float  # requests a second that its engines up can bear
-    load: float  # requests a second of the callers in it, as all managers report them
-    state: State = State.HEALTHY
-    since: float = 0.0  # when its state was decided
-    up: float = 1.0  # share of its capacity that members reach
+    capacity: float  # of its engines that are up
+    load: float  # of the callers in it, as all managers report them
+    state: ZoneState = ZoneState.HEALTHY
+    state_since: float = 0.0  # ms
+    reachable_fraction: float = 1.0  # of its capacity, by members
 
 
-def usable(place: Place, now: float, settings: LocalitySettings) -> float:
+def usable_capacity(zone: ZoneStatus, now: float, settings: LocalitySettings) -> float:
     """What a zone may bear now, of all callers together."""
-    if place.state is State.OUT:
+    if zone.state is ZoneState.OUT:
         return 0.0
-    if place.state is State.RETURNING:
-        gone = min(1.0, max(0.0, (now - place.since) / settings.recovery_ramp_ms))
+    if zone.state is ZoneState.RETURNING:
+        elapsed = min(1.0, max(0.0, (now - zone.state_since) / settings.recovery_ramp_ms))
         least = settings.recovery_min_fraction
-        return place.capacity * settings.max_utilization * (least + (1 - least) * gone)
-    if place.state is State.DEGRADED:
-        return place.capacity * settings.max_utilization / 2
-    return place.capacity * settings.max_utilization
+        return zone.capacity * settings.max_utilization * (least + (1 - least) * elapsed)
+    if zone.state is ZoneState.DEGRADED:
+        return zone.capacity * settings.max_utilization * DEGRADED_FACTOR
+    return zone.capacity * settings.max_utilization
 
 
-def shares(
+def routing_shares(
     home: str,
-    places: Mapping[str, Place],
+    zones: Mapping[str, ZoneStatus],
     now: float,
     settings: LocalitySettings,
     allowed: Collection[str] | None = None,
 ) -> dict[str, float]:
-    """The share of its requests that a caller in `home` sends to each zone; they come to 1, or nothing is allowed.
+    """The share of its requests that a caller sends to each zone; they come to 1, or nothing is allowed.
 
-    `allowed`: zones that this request may go to at all, which always wins. Other regions are used only where no zone of
-    the own region is healthy or degraded, and while those that return can't bear it all.
+    Other regions are used only where no zone of the own region is healthy or degraded.
+
+    Args:
+        home: The caller's zone.
+        zones: All zones by name.
+        now: The time, ms.
+        settings: Thresholds and the recovery ramp.
+        allowed: Zones that the requests may go to at all, which always wins; None for any.
     """
-    open_to = {z: p for z, p in places.items() if allowed is None or z in allowed}
-    if not open_to:
+    permitted = {name: zone for name, zone in zones.items() if allowed is None or name in allowed}
+    if not permitted:
         return {}
-    room = {z: usable(p, now, settings) for z, p in open_to.items()}
-    total = sum(p.capacity for p in open_to.values())
-    if total <= 0 or sum(room.values()) < settings.panic_threshold * settings.max_utilization * total:
-        return _alike(open_to, room)
-    region = places[home].region if home in places else ""
-    near = {z for z, p in open_to.items() if p.region == region and p.state is not State.OUT}
-    whole = any(open_to[z].state is not State.RETURNING for z in near)
-    field = near if whole else {z for z, r in room.items() if r > 0}
-    # What each zone has left once its own callers are served, and what does not fit at home.
-    load = {z: open_to[z].load if room[z] > 0 else 0.0 for z in field}
-    own = places[home].load if home in places else 0.0
-    stays = min(1.0, room[home] / own) if home in field and own > 0 else float(home in field)
-    spare = {z: max(0.0, room[z] - load[z]) for z in field if z != home}
-    made = {home: stays} if home in field and stays > 0 else {}
-    away = 1.0 - stays
-    if away <= 1e-9:
-        return made
-    # Where nobody has room to spare, those that are well bear it by what they can; never those that return.
-    weights = (
-        spare
-        if sum(spare.values()) > 0
-        else {z: room[z] for z in field if open_to[z].state is not State.RETURNING} or {z: room[z] for z in field}
-    )
-    for z, w in weights.items():
-        if w > 0:
-            made[z] = made.get(z, 0.0) + away * w / sum(weights.values())
-    return made
-
-
-def _alike(places: Mapping[str, Place], room: Mapping[str, float]) -> dict[str, float]:
-    """Too little is healthy to bear what the rest would send it: all are used alike, by the capacity that is reached.
-    Only zones that return keep to their budgets: what flees from there would strike them while they are cold."""
-    load = sum(p.load for p in places.values())
-    cold = {z: min(1.0, room[z] / load) if load > 0 else 1.0 for z, p in places.items() if p.state is State.RETURNING}
-    rest = {z: p.capacity * p.up for z, p in places.items() if z not in cold}
+    usable = {name: usable_capacity(zone, now, settings) for name, zone in permitted.items()}
+    total = sum(zone.capacity for zone in permitted.values())
+    if total <= 0 or sum(usable.values()) < settings.panic_threshold * settings.max_utilization * total:
+        return _panic_shares(permitted, usable)
+    candidates = _candidates(home, zones, permitted, usable)
+    own_load = zones[home].load if home in zones else 0.0
+    stays = min(1.0, usable[home] / own_load) if home in candidates and own_load > 0 else float(home in candidates)
+    shares = {home: stays} if home in candidates and stays > 0 else {}
+    spilling = 1.0 - stays
+    if spilling <= ROUNDING:
+        return shares
+    weights = _spillover_weights(home, permitted, usable, candidates)
+    for name, weight in weights.items():
+        if weight > 0:
+            shares[name] = shares.get(name, 0.0) + spilling * weight / sum(weights.values())
+    return shares
+
+
+def _candidates(
+    home: str, zones: Mapping[str, ZoneStatus], permitted: Mapping[str, ZoneStatus], usable: Mapping[str, float]
+) -> set[str]:
+    """Zones of the own region if one of them is healthy or degraded, else all that may bear anything."""
+    region = zones[home].region if home in zones else ""
+    near = {name for name, zone in permitted.items() if zone.region == region and zone.state is not ZoneState.OUT}
+    if any(permitted[name].state is not ZoneState.RETURNING for name in near):
+        return near
+    return {name for name, capacity in usable.items() if capacity > 0}
+
+
+def _spillover_weights(
+    home: str, permitted: Mapping[str, ZoneStatus], usable: Mapping[str, float], candidates: set[str]
+) -> dict[str, float]:
+    """What does not fit at home goes by what each zone can spare once its own callers are served.
+
+    Where no zone has any to spare, those that are available bear it by what they can; never those that return.
+    """
+    loads = {name: permitted[name].load if usable[name] > 0 else 0.0 for name in candidates}
+    spare = {name: max(0.0, usable[name] - loads[name]) for name in candidates if name != home}
+    if sum(spare.values()) > 0:
+        return spare
+    available = {name: usable[name] for name in candidates if permitted[name].state is not ZoneState.RETURNING}
+    return available or {name: usable[name] for name in candidates}
+
+
+def _panic_shares(zones: Mapping[str, ZoneStatus], usable: Mapping[str, float]) -> dict[str, float]:
+    """Shares below the panic threshold: too little is healthy to bear what the rest would send it.
+
+    All zones are used alike, by the capacity that is reached. Only zones that return keep to their budgets: what flees
+    from there would strike them while they are cold.
+    """
+    load = sum(zone.load for zone in zones.values())
+    returning = {
+        name: min(1.0, usable[name] / load) if load > 0 else 1.0
+        for name, zone in zones.items()
+        if zone.state is ZoneState.RETURNING
+    }
+    rest = {name: zone.capacity * zone.reachable_fraction for name, zone in zones.items() if name not in returning}
     if sum(rest.values()) <= 0:
-        rest = {z: max(p.capacity, 1e-9) for z, p in places.items() if z not in cold}
-    given = sum(cold.values())
-    if not rest or given > 1.0:
-        return {z: share / given for z, share in cold.items()}
-    return {z: s for z, s in cold.items() if s > 0} | {
-        z: (1.0 - given) * c / sum(rest.values()) for z, c in rest.items() if c > 0
+        rest = {name: max(zone.capacity, LEAST_CAPACITY) for name, zone in zones.items() if name not in returning}
+    budget = sum(returning.values())
+    if not rest or budget > 1.0:
+        return {name: share / budget for name, share in returning.items()}
+    return {name: share for name, share in returning.items() if share > 0} | {
+        name: (1.0 - budget) * capacity / sum(rest.values()) for name, capacity in rest.items() if capacity > 0
     }
--- a/decklb/locality/zone_selector.py
+++ b/decklb/locality/zone_selector.py
@@ -1,139 +1,146 @@
-"""To which zone each request goes, one by one, so that the shares of `spillover` come out exactly (free of I/O)."""
+"""The zone of each request of this member's own callers, so that the shares of `spillover.py` come out exactly.
+
+Owns, for each request class, the shares for now and the round robin over them, and the recovery budgets of zones that
+return. Called by `runtime.py` for each request; free of I/O. Times are ms on this member's monotonic clock.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from typing import NamedTuple
 
 from decklb.interface import ClassSpec, Entry, Phase
-from decklb.locality.consensus import State
-from decklb.locality.coordinator import Council
+from decklb.locality.coordinator import ZoneCoordinator
+from decklb.locality.recovery_budget import RecoveryBudget
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.spillover import Place, shares
-
-AGAIN = 100.0  # ms for which shares are kept
-BURST = 250.0  # ms of a returning zone's budget that may come at once
+from decklb.locality.spillover import ZoneStatus, routing_shares
+from decklb.locality.weighted_round_robin import WeightedRoundRobin
+from decklb.locality.zone_state import AVAILABLE_STATES, ZoneState
 
+SHARES_TTL_MS = 100.0  # for which shares are used before they are computed anew
 
-@dataclass(slots=True)
-class Turns:
-    """Smooth weighted round robin over zones: after any number of draws each zone is within one of its share."""
 
-    weights: dict[str, float]
-    credit: dict[str, float] = field(default_factory=dict)
+class ZoneSelection(NamedTuple):
+    """Where a request may go."""
 
-    def draw(self) -> str:
-        """The zone of the next request."""
-        for zone, weight in self.weights.items():
-            self.credit[zone] = self.credit.get(zone, 0.0) + weight
-        best = max(self.weights, key=lambda z: (self.credit[z], z))
-        self.credit[best] -= 1.0
-        return best
+    preferred: str  # the zone to use first; "" for any
+    allowed: Sequence[str] | None  # all zones that it may use; None for any
 
 
-@dataclass(slots=True)
-class Budget:
-    """What this member's callers may send to a zone that returns: a token bucket in ms of work, since requests come in
-    bursts and a cold zone has nothing to spare for them."""
-
-    tokens: float = 0.0
-    filled: float = 0.0
-
-    def take(self, now: float, cores: float, work: float) -> bool:
-        """Whether one more request may go, at that many cores. One may always come to be saved for."""
-        most = max(work, cores * BURST)
-        self.tokens = min(most, self.tokens + cores * max(0.0, now - self.filled))
-        self.filled = now
-        if self.tokens < work:
-            return False
-        self.tokens -= work
-        return True
+ANY_ZONE = ZoneSelection("", None)
 
 
 @dataclass(slots=True)
-class Plan:
-    """How the requests of one class go for now."""
+class ClassRouting:
+    """How the requests of one class are spread for now."""
 
-    made: float
-    turns: Turns
-    spare: Turns  # the same without zones that return
-    returning: dict[str, float]  # cores that this member may use of each zone that returns
-    open: dict[str, tuple[str, ...]]  # by the zone drawn: all that the request may use
+    computed_at: float
+    zones: WeightedRoundRobin
+    without_returning: WeightedRoundRobin  # the same without zones that return
+    recovery_cores: dict[str, float]  # that this member may use of each zone that returns
+    allowed: dict[str, tuple[str, ...]]  # by preferred zone, all that the request may use
 
 
-class Steering:
-    """One member's own callers."""
+class ZoneSelector:
+    """One member's own callers.
 
-    def __init__(self, settings: LocalitySettings, classes: Mapping[str, ClassSpec], cores: Mapping[str, int]) -> None:
-        self.s, self.classes, self.cores = settings, classes, cores
-        self.region = dict(settings.region_of)
-        self.capacity: dict[str, dict[str, float]] = {}  # by zone and kind, cores of engines that the list calls up
-        self.plans: dict[str, Plan] = {}
-        self.budgets: dict[str, Budget] = {}
-        self.counts = {"near": 0, "away": 0}
+    Attributes:
+        region_of: The region of each zone that the settings name.
+        counts: Requests that went to the own zone (`near`) and to others (`away`).
+    """
 
-    def listed(self, entries: Sequence[Entry]) -> None:
-        """The list of engines."""
-        self.capacity = {}
-        for e in entries:
-            if e.phase is Phase.UP:
-                kinds = self.capacity.setdefault(e.zone, {})
-                kinds[e.kind] = kinds.get(e.kind, 0.0) + max(1, self.cores.get(e.kind, 1))
-        self.plans.clear()
-
-    def place(self, now: float, lane: str, work: float, council: Council) -> tuple[str, Sequence[str] | None]:
-        """For the next request of a class, of so many ms of work: the zone to use first, and all that it may use. Any,
-        where nothing of its allowed targets is on the list: the module holds it or ends it."""
-        plan = self.plans.get(lane)
-        if plan is None or now - plan.made >= AGAIN:
-            made = self._plan(now, lane, council)
-            if made is None:
-                return "", None
-            if plan is not None:  # whoever was short of its share stays so
-                for new, old in ((made.turns, plan.turns), (made.spare, plan.spare)):
-                    new.credit = {z: c for z, c in old.credit.items() if z in new.weights}
-            plan = self.plans[lane] = made
-        zone = plan.turns.draw()
-        if zone in plan.returning and plan.spare.weights:
-            budget = self.budgets.setdefault(zone, Budget(0.0, now))
-            if not budget.take(now, plan.returning[zone], work):
-                zone = plan.spare.draw()
-        self.counts["near" if zone == self.s.home_zone else "away"] += 1
-        return zone, plan.open[zone]
-
-    def places(self, now: float, council: Council, kinds: Sequence[str] | None = None) -> dict[str, Place]:
-        """All zones that have engines of these kinds."""
-        demand, made = council.demand(now), {}
-        for zone, by_kind in self.capacity.items():
-            cores = sum(c for kind, c in by_kind.items() if kinds is None or kind in kinds)
-            if cores > 0:
-                state, since = council.state(zone)
-                # What is up of a zone that is out counts in a panic alone: its state keeps requests away.
-                up = council.up(zone, now)
-                whole = cores * up if state in (State.HEALTHY, State.DEGRADED) else cores
-                made[zone] = Place(self.region.get(zone, zone), whole, demand.get(zone, 0.0), state, since, up)
-        return made
-
-    def _plan(self, now: float, lane: str, council: Council) -> Plan | None:
-        spec = self.classes.get(lane)
-        places = self.places(now, council, spec.kinds if spec else None)
-        weights = shares(self.s.home_zone, places, now, self.s, spec.zones if spec else None)
-        if not weights:
+    def __init__(
+        self, settings: LocalitySettings, classes: Mapping[str, ClassSpec], cores_by_kind: Mapping[str, int]
+    ) -> None:
+        self.region_of = dict(settings.region_of)
+        self.counts = {"near": 0, "away": 0}
+        self._settings, self._classes, self._cores_by_kind = settings, classes, cores_by_kind
+        self._capacity: dict[str, dict[str, float]] = {}  # cores of engines that are up, by zone and kind
+        self._routing: dict[str, ClassRouting] = {}  # by request class
+        self._budgets: dict[str, RecoveryBudget] = {}  # by zone that returns
+
+    def update_engines(self, entries: Sequence[Entry]) -> None:
+        """Take over the endpoint list."""
+        self._capacity = {}
+        for entry in entries:
+            if entry.phase is Phase.UP:
+                kinds = self._capacity.setdefault(entry.zone, {})
+                cores = max(1, self._cores_by_kind.get(entry.kind, 1))
+                kinds[entry.kind] = kinds.get(entry.kind, 0.0) + cores
+        self._routing.clear()
+
+    def select(self, now: float, request_class: str, work_ms: float, coordinator: ZoneCoordinator) -> ZoneSelection:
+        """The zones of the next request of a class.
+
+        Any, where none of its allowed zones is on the endpoint list: the policy holds the request or ends it.
+
+        Args:
+            now: The time.
+            request_class: The request's class.
+            work_ms: Its estimated work, for the budget of a zone that returns.
+            coordinator: The states and loads of zones.
+        """
+        routing = self._routing.get(request_class)
+        if routing is None or now - routing.computed_at >= SHARES_TTL_MS:
+            routing = self._refresh(now, request_class, coordinator)
+            if routing is None:
+                return ANY_ZONE
+        zone = routing.zones.pick()
+        if zone in routing.recovery_cores and routing.without_returning.weights:
+            budget = self._budgets.setdefault(zone, RecoveryBudget(0.0, now))
+            if not budget.try_spend(now, routing.recovery_cores[zone], work_ms):
+                zone = routing.without_returning.pick()
+        self.counts["near" if zone == self._settings.home_zone else "away"] += 1
+        return ZoneSelection(zone, routing.allowed[zone])
+
+    def _refresh(self, now: float, request_class: str, coordinator: ZoneCoordinator) -> ClassRouting | None:
+        """Compute the routing of a class anew and keep it; None where no zone is allowed."""
+        routing, previous = self._compute(now, request_class, coordinator), self._routing.get(request_class)
+        if routing is None:
+            return None
+        if previous is not None:
+            routing.zones.take_over(previous.zones)
+            routing.without_returning.take_over(previous.without_returning)
+        self._routing[request_class] = routing
+        return routing
+
+    def _compute(self, now: float, request_class: str, coordinator: ZoneCoordinator) -> ClassRouting | None:
+        spec = self._classes.get(request_class)
+        zones = self._zone_statuses(now, coordinator, spec.kinds if spec else None)
+        shares = routing_shares(self._settings.home_zone, zones, now, self._settings, spec.zones if spec else None)
+        if not shares:
             return None
-        # Where a try fails, another goes to any zone that is well or to the one drawn; never to one that returns, whose
-        # budget is spent by draws alone. Where all are used alike (panic), all are open.
-        allowed = [z for z in places if spec is None or spec.zones is None or z in spec.zones]
-        well = {z for z in allowed if places[z].state in (State.HEALTHY, State.DEGRADED)}
-        returning = {z: w * council.load for z, w in weights.items() if places[z].state is State.RETURNING}
-        self.budgets = {z: b for z, b in self.budgets.items() if z in returning}
-        rest = {z: w for z, w in weights.items() if z not in returning}
-        if returning and not rest:  # what is over goes to where requests may go at all
-            rest = dict.fromkeys(well, 1.0)
+        # A retry goes to any zone that is available or to the preferred one; never to another that returns, whose
+        # budget is spent by preferred zones alone. Where all are used alike (panic), all are open.
+        permitted = [name for name in zones if spec is None or spec.zones is None or name in spec.zones]
+        available = {name for name in permitted if zones[name].state in AVAILABLE_STATES}
+        returning = {name: share for name, share in shares.items() if zones[name].state is ZoneState.RETURNING}
+        self._budgets = {name: budget for name, budget in self._budgets.items() if name in returning}
+        rest = {name: share for name, share in shares.items() if name not in returning}
+        if returning and not rest:  # what is over the budgets goes to where requests may go at all
+            rest = dict.fromkeys(available, 1.0)
         total = sum(rest.values())
-        return Plan(
+        return ClassRouting(
             now,
-            Turns(weights),
-            Turns({z: w / total for z, w in rest.items()} if total > 0 else {}),
-            returning,
-            {z: tuple(sorted(well | {z})) for z in {*weights, *rest}},
+            WeightedRoundRobin(shares),
+            WeightedRoundRobin({name: share / total for name, share in rest.items()} if total > 0 else {}),
+            {name: share * coordinator.own_load_cores for name, share in returning.items()},
+            {name: tuple(sorted(available | {name})) for name in {*shares, *rest}},
         )
+
+    def _zone_statuses(
+        self, now: float, coordinator: ZoneCoordinator, kinds: Sequence[str] | None
+    ) -> dict[str, ZoneStatus]:
+        """All zones that have engines of these kinds; None for any kind."""
+        loads, statuses = coordinator.load_cores(now), {}
+        for zone, by_kind in self._capacity.items():
+            cores = sum(count for kind, count in by_kind.items() if kinds is None or kind in kinds)
+            if cores > 0:
+                state, since = coordinator.state(zone)
+                # What is up of a zone that is out counts in a panic alone: its state keeps requests away.
+                reachable = coordinator.reachable_fraction(zone, now)
+                capacity = cores * reachable if state in AVAILABLE_STATES else cores
+                region = self.region_of.get(zone, zone)
+                statuses[zone] = ZoneStatus(region, capacity, loads.get(zone, 0.0), state, since, reachable)
+        return statuses
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -20,8 +20,7 @@
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Entry, Phase
-from decklb.locality.consensus import State
-from decklb.locality.health_observer import in_use
+from decklb.locality.health_observer import engine_capacities
 from decklb.locality.runtime import LocalityService
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.fleet_observer import LocalObservation
@@ -108,9 +107,9 @@
     def apply_plan(self, entries: list[Entry], addresses: Mapping[str, Address]) -> list[Entry]:
         """The endpoint list as the plan lets it be used: unavailable engines drain, those just back start slowly."""
         self.addresses = addresses
-        engines = in_use(entries, self.dispatcher.settings.cores)
+        engines = engine_capacities(entries, self.dispatcher.settings.cores)
         self.orchestrator.update_engines(
-            {name: MachineStatus(name, zone, cores) for name, (zone, cores) in engines.items()}
+            {name: MachineStatus(name, capacity.zone, capacity.cores) for name, capacity in engines.items()}
         )
         unavailable = self.orchestrator.unavailable_machines()
         return [self._apply_to_entry(entry, unavailable) for entry in entries]
@@ -222,14 +221,13 @@
 
     def _observe(self, now: float, probed: frozenset[str]) -> LocalObservation:
         """What this member sees by itself. Engines of the plan are judged by its own probes, the rest by locality."""
-        council = self.locality.council
-        unhealthy = frozenset(zone for zone in council.common.zones if council.state(zone)[0] is not State.HEALTHY)
         engines = self.dispatcher.gateway.fleet.engines
         in_flight = {name: len(engine.out) for name, engine in engines.items() if engine.out}
         self._probe_failures = {name: count for name, count in self._probe_failures.items() if name in probed}
         unreachable = {name for name, count in self._probe_failures.items() if count >= UNREACHABLE_AFTER_FAILURES}
-        unreachable |= {name for name in self.locality.sight.down() if name not in probed}
-        return LocalObservation(in_flight, frozenset(unreachable), council.demand(now), unhealthy)
+        unreachable |= {name for name in self.locality.observer.unreachable_engines() if name not in probed}
+        zones = self.locality.coordinator
+        return LocalObservation(in_flight, frozenset(unreachable), zones.load_cores(now), zones.unhealthy_zones())
 
     def _probe(self, engines: frozenset[str]) -> None:
         for name in engines - self._probes_in_flight:
--- a/tests/test_locality_wire_format.py
+++ b/tests/test_locality_wire_format.py
@@ -12,7 +12,7 @@
 
 from decklb.lab.locality import CASES, play
 from decklb.locality import messages
-from decklb.locality.consensus import Ballot, Decided, State
+from decklb.locality.zone_state import Decision, Vote, ZoneState
 
 EXPECTED = json.loads((Path(__file__).parent / "golden" / "locality_messages.json").read_text())
 SENDER = "m1"
@@ -20,35 +20,37 @@
 # Home zone, load in cores, and what is said of each zone.
 MESSAGES = {
     "no zones": ("sala-callao", 0.0, []),
-    "a zone without a vote": ("a", 12.3456, [Ballot("a", SENDER, 0, None, True)]),
-    "a vote of a member that is cut off": ("a", 0.5, [Ballot("b", SENDER, 3, State.OUT, True, True, 0.12)]),
+    "a zone without a vote": ("a", 12.3456, [Vote("a", SENDER, 0, None, True)]),
+    "a vote of a member that is cut off": ("a", 0.5, [Vote("b", SENDER, 3, ZoneState.OUT, True, True, 0.12)]),
     "each state, voted for and decided": (
         "a",
         1e3,
         [
             entry
-            for term, state in enumerate(State, 1)
+            for term, state in enumerate(ZoneState, 1)
             for entry in (
-                Ballot(f"z{term}", SENDER, term + 1, state, term % 2 == 0, False, 0.25 * term),
-                Decided(f"z{term}", term, State(3 - state), 1234.6 * term),
+                Vote(f"z{term}", SENDER, term + 1, state, term % 2 == 0, False, 0.25 * term),
+                Decision(f"z{term}", term, ZoneState(3 - state), 1234.6 * term),
             )
         ],
     ),
-    "eleven zones, in two datagrams": ("a", 1.0, [Ballot(f"z{i:02}", SENDER, i, None, False) for i in range(11)]),
+    "eleven zones, in two datagrams": ("a", 1.0, [Vote(f"z{i:02}", SENDER, i, None, False) for i in range(11)]),
 }
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_each_message_is_encoded_to_its_golden_bytes(name):
-    assert [d.hex() for d in messages.pack(*MESSAGES[name])] == EXPECTED["messages"][name]
+    assert [d.hex() for d in messages.encode(*MESSAGES[name])] == EXPECTED["messages"][name]
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_each_golden_message_is_decoded_to_what_was_said(name):
     home, load, entries = MESSAGES[name]
-    found = [messages.read(bytes.fromhex(d), SENDER) for d in EXPECTED["messages"][name]]
+    found = [messages.decode(bytes.fromhex(d), SENDER) for d in EXPECTED["messages"][name]]
     assert all((a, b) == (home, round(load, 3)) for a, b, _ in found)
-    rounded = [Decided(e.zone, e.term, e.state, float(round(e.age))) if isinstance(e, Decided) else e for e in entries]
+    rounded = [
+        Decision(e.zone, e.term, e.state, float(round(e.age_ms))) if isinstance(e, Decision) else e for e in entries
+    ]
     assert [e for _, _, part in found for e in part] == rounded
 
 
