--- a/decklb/lab/regions.py
+++ b/decklb/lab/regions.py
@@ -37,8 +37,8 @@
 CASES = ("lost", "parted", "slow", "region", "halves", "clocks", "liar")
 LOCALITY = LocalitySettings(
     tick_ms=100.0,
-    probe_interval_ms=400.0,
-    probe_timeout_ms=400.0,
+    health_check_interval_ms=400.0,
+    health_check_timeout_ms=400.0,
     observation_ttl_ms=1200.0,
     stabilization_ms=400.0,
     min_state_duration_ms=2000.0,
@@ -98,8 +98,8 @@
             f'{attribute}="{duration:g}ms"'
             for attribute, duration in (
                 ("tick", s.tick_ms),
-                ("look", s.probe_interval_ms),
-                ("timeout", s.probe_timeout_ms),
+                ("look", s.health_check_interval_ms),
+                ("timeout", s.health_check_timeout_ms),
                 ("fresh", s.observation_ttl_ms),
                 ("settle", s.stabilization_ms),
                 ("hold", s.min_state_duration_ms),
--- a/decklb/lab/register.py
+++ b/decklb/lab/register.py
@@ -10,6 +10,7 @@
 from functools import partial
 
 from decklb.maintenance.paxos_messages import AcceptorState, RegisterMessage
+from decklb.maintenance.proposer import ValueCodec
 from decklb.maintenance.replicated_register import ReplicatedRegister
 
 PATIENCE = 100.0  # ms
@@ -54,9 +55,11 @@
         """A node of the register, on what its disk holds."""
         return ReplicatedRegister(
             name,
-            (),
-            lambda v: ",".join(map(str, v)).encode(),
-            lambda b: tuple(map(int, b.split(b","))) if b else (),
+            ValueCodec(
+                (),
+                lambda numbers: ",".join(map(str, numbers)).encode(),
+                lambda data: tuple(map(int, data.split(b","))) if data else (),
+            ),
             len(self.names),
             PATIENCE,
             random.Random(self.rng.random()),
--- a/decklb/locality/consensus.py
+++ b/decklb/locality/consensus.py
@@ -1,9 +1,10 @@
 """One member's part in the agreement on zones' states: votes by term, counted against a quorum.
 
 Each term of a zone is decided once: a member votes at most once in a term, and a state is decided when more than half
-of all known members voted for it in that term, so two states can't both be. A member votes for what it has observed for
-a while itself; one that observed nothing of the zone lately follows most of those that did, and one that only probes it
-follows those whose requests failed there or were slow. One member's bad link, or one that lies, moves nothing.
+of all known members voted for it in that term, so two states can't both be. A member votes for what it has observed
+for a while itself; one that observed nothing of the zone lately follows most of those that did, and one that only
+checks its health follows those whose requests failed there or were slow. One member's bad link, or one that lies,
+moves nothing.
 
 Owns, for each zone, the decided state, this member's observation and vote, and the others' votes. Called by
 `coordinator.py`. Free of I/O. Times are ms on this member's monotonic clock.
@@ -170,7 +171,7 @@
             self._member,
             cast.term if cast else record.term,
             cast.state if cast else None,
-            observation is not None and not observation.probes_only,
+            observation is not None and not observation.health_checks_only,
             observation is not None and observation.unreachable,
             observation.reachable_fraction if observation is not None else 1.0,
         )
@@ -183,8 +184,8 @@
         """What to vote for: what was observed for long enough, or what members that observed more vote for."""
         stable = now - record.desired_since >= self._settings.stabilization_ms
         choice = record.desired_state if stable else None
-        if observation is None or observation.probes_only:
-            # A member whose probes are answered does not follow those that merely can't reach the zone.
+        if observation is None or observation.health_checks_only:
+            # A member whose health checks are answered does not follow those that merely can't reach the zone.
             observers = [
                 vote
                 for vote in self._fresh_votes(now, record)
--- a/decklb/locality/health_observer.py
+++ b/decklb/locality/health_observer.py
@@ -1,10 +1,10 @@
-"""What one member observes of each zone: engines reachable or not, errors, latency; and which engines it probes.
+"""What one member observes of each zone: engines reachable or not, errors, latency; and which engines it checks.
 
-Requests tell most, probes the rest: a member probes an engine that nothing told of lately. In a large zone it probes a
-few engines, chosen by a hash of its name, so that members together probe all of them and each sends little.
+Requests tell most, health checks the rest: a member checks an engine that nothing told of lately. In a large zone it
+checks a few engines, chosen by a hash of its name, so that members together check all of them and each sends little.
 
 Owns the health of each engine and the running means of each zone. Fed by `runtime.py` with the ends of attempts and
-probes; free of I/O. Times are ms on this member's monotonic clock.
+health checks; free of I/O. Times are ms on this member's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.zone_state import NEVER, ZoneObservation
 
-PROBED_ENGINES = 8  # of a zone, by one member
-PROBING_MEMBERS = 16  # from which on each probes more rarely, so that engines bear no more as the fleet grows
+CHECKED_ENGINES = 8  # of a zone, by one member
+STRETCHING_MEMBERS = 16  # from which on each checks more rarely, so that engines bear no more as the fleet grows
 ERROR_WEIGHT = 0.05  # of one attempt in the running mean of errors
 LATENCY_WEIGHT = 0.05  # of one answer in the running mean of latency
 BEST_LATENCY_DECAY = 0.002  # fraction by which the best latency is forgotten with each answer
 RATIO_FLOOR_MS = 20.0  # added to both sides of a ratio, or a hiccup of a millisecond would look like a slow zone
-PROBE_CLASS = ""  # in place of a request class, for the latency of probes
+HEALTH_CHECK_CLASS = ""  # in place of a request class, for the latency of health checks
 ANSWERED = (Outcome.GOOD, Outcome.BAD, Outcome.FULL)
 UNANSWERED = (Outcome.NOCONN, Outcome.RST, Outcome.LATE)
 
@@ -44,7 +44,7 @@
     cores: float
     failures: int = 0  # in a row
     answered_at: float = NEVER
-    probed_at: float = NEVER
+    checked_at: float = NEVER
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     error_rate: float = 0.0
     latency_ratio: float = 1.0  # to the best of any zone
     attempt_ended_at: float = NEVER
-    probed_engines: tuple[str, ...] = ()  # that this member probes
+    checked_engines: tuple[str, ...] = ()  # whose health this member checks
     latency_ms: dict[str, float] = field(default_factory=dict)  # mean, by request class
 
 
@@ -96,7 +96,7 @@
         self.zones = {zone: self.zones.get(zone) or ZoneHealth() for zone in names_by_zone}
         for zone, names in names_by_zone.items():
             names.sort(key=lambda name: (crc32(f"{self._member}/{name}".encode()), name))
-            self.zones[zone].probed_engines = tuple(names[:PROBED_ENGINES])
+            self.zones[zone].checked_engines = tuple(names[:CHECKED_ENGINES])
 
     def attempt_ended(
         self, now: float, engine_name: str, request_class: str, outcome: Outcome, duration_ms: float
@@ -115,8 +115,8 @@
         if outcome is Outcome.GOOD:
             self._add_latency(zone, request_class, duration_ms)
 
-    def probe_ended(self, now: float, engine_name: str, answered: bool, duration_ms: float) -> bool:
-        """Take the end of a probe; returns whether the engine has become unreachable by it."""
+    def health_check_ended(self, now: float, engine_name: str, answered: bool, duration_ms: float) -> bool:
+        """Take the end of a health check; returns whether the engine has become unreachable by it."""
         engine = self.engines.get(engine_name)
         if engine is None:
             return False
@@ -124,23 +124,23 @@
             engine.failures += 1
             return engine.failures == self._settings.unhealthy_threshold
         engine.failures, engine.answered_at = 0, now
-        self._add_latency(self.zones[engine.zone], PROBE_CLASS, duration_ms)
+        self._add_latency(self.zones[engine.zone], HEALTH_CHECK_CLASS, duration_ms)
         return False
 
     def unreachable_engines(self) -> list[str]:
         """Engines that this member can't reach."""
         return [name for name, engine in self.engines.items() if not self._reachable(engine)]
 
-    def take_due_probes(self, now: float, member_count: int) -> list[str]:
-        """Engines to probe now; each counts as probed by this call."""
-        interval_ms = self._settings.probe_interval_ms * max(1.0, member_count / PROBING_MEMBERS)
+    def take_due_health_checks(self, now: float, member_count: int) -> list[str]:
+        """Engines to check now; each counts as checked by this call."""
+        interval_ms = self._settings.health_check_interval_ms * max(1.0, member_count / STRETCHING_MEMBERS)
         due = []
         for zone in self.zones.values():
-            for name in zone.probed_engines:
+            for name in zone.checked_engines:
                 engine = self.engines[name]
-                last = engine.probed_at if engine.failures else max(engine.probed_at, engine.answered_at)
+                last = engine.checked_at if engine.failures else max(engine.checked_at, engine.answered_at)
                 if now - last >= interval_ms:
-                    engine.probed_at = now
+                    engine.checked_at = now
                     due.append(name)
         return due
 
@@ -150,7 +150,7 @@
         if zone is None:
             return None
         ttl_ms = self._settings.observation_ttl_ms
-        engines = [self.engines[name] for name in zone.probed_engines]
+        engines = [self.engines[name] for name in zone.checked_engines]
         if not any(engine.failures or now - engine.answered_at <= ttl_ms for engine in engines):
             return None
         total = sum(engine.cores for engine in engines)
@@ -161,7 +161,7 @@
             fraction,
             zone.error_rate if attempted else 0.0,
             zone.latency_ratio,
-            probes_only=not attempted and fraction >= 1.0,
+            health_checks_only=not attempted and fraction >= 1.0,
         )
 
     def _reachable(self, engine: EngineHealth) -> bool:
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -1,4 +1,4 @@
-"""The I/O of locality: datagrams of the cluster, probes of engines, the clock, the log.
+"""The I/O of locality: datagrams of the cluster, health checks of engines, the clock, the log.
 
 Owns the health observer, the zone coordinator and the zone selector, and the rates of requests by which this member's
 load is estimated. The dispatcher asks it for the zone of each request, and tells it of each attempt's end. Made by
@@ -125,7 +125,7 @@
         self.coordinator.own_load_cores = self._estimate_load_cores(now)
         self.coordinator.tick(now)
         self._send_and_log()
-        self._probe(now)
+        self._check_health(now)
         self._report_unreachable(now)
         self._schedule_tick()
 
@@ -148,17 +148,17 @@
         self._request_counts.clear()
         return load_cores
 
-    def _probe(self, now: float) -> None:
-        for engine in self.observer.take_due_probes(now, self._member_count):
+    def _check_health(self, now: float) -> None:
+        for engine in self.observer.take_due_health_checks(now, self._member_count):
             if (address := self.addresses.get(engine)) is not None:
-                on_result = self._on_probe_result(engine, now)
-                self.prober.probe(engine, address, self.settings.probe_timeout_ms, on_result)
+                on_result = self._on_health_check_result(engine, now)
+                self.prober.probe(engine, address, self.settings.health_check_timeout_ms, on_result)
 
-    def _on_probe_result(self, engine: str, started_at: float) -> Callable[[bool], None]:
+    def _on_health_check_result(self, engine: str, started_at: float) -> Callable[[bool], None]:
         def on_result(answered: bool) -> None:
             if not self.closed:
                 now = self.clock.now()
-                self.observer.probe_ended(now, engine, answered, now - started_at)
+                self.observer.health_check_ended(now, engine, answered, now - started_at)
 
         return on_result
 
--- a/decklb/locality/settings.py
+++ b/decklb/locality/settings.py
@@ -27,8 +27,8 @@
     member_count: int = 1  # managers in the whole fleet at the least: a side that knows fewer decides nothing
     decision_mode: DecisionMode = DecisionMode.COMMON
     tick_ms: float = 250.0  # between two ticks of a member
-    probe_interval_ms: float = 500.0  # between two probes of an engine to which no request was sent meanwhile
-    probe_timeout_ms: float = 250.0
+    health_check_interval_ms: float = 500.0  # between two checks of an engine that sent no answer meanwhile
+    health_check_timeout_ms: float = 250.0
     unhealthy_threshold: int = 2  # failures in a row after which an engine counts as unreachable
     observation_ttl_ms: float = 3000.0  # for which a member's observation of a zone, and its vote, count
     stabilization_ms: float = 500.0  # for which a member must observe the same before it votes for it
@@ -63,13 +63,13 @@
             self.isolation_grace_ms,
             self.recovery_ramp_ms,
             self.tick_ms,
-            self.probe_interval_ms,
+            self.health_check_interval_ms,
         )
         if min(durations) <= 0:
             raise ValueError("fresh, settle, hold, retry, keep, ramp, tick and look must be above 0")
-        if not 0 < self.probe_timeout_ms <= self.probe_interval_ms:
+        if not 0 < self.health_check_timeout_ms <= self.health_check_interval_ms:
             raise ValueError("timeout must be above 0, at most look")
-        if self.observation_ttl_ms < 3 * max(self.tick_ms, self.probe_interval_ms):
+        if self.observation_ttl_ms < 3 * max(self.tick_ms, self.health_check_interval_ms):
             raise ValueError("fresh must be at least three times tick and look, or one lost word would blind a member")
 
     def _check_thresholds(self) -> None:
--- a/decklb/locality/zone_state.py
+++ b/decklb/locality/zone_state.py
@@ -43,7 +43,7 @@
     reachable_fraction: float  # of the zone's capacity, by this member
     error_rate: float = 0.0  # fraction of its attempts there that the engines failed
     latency_ratio: float = 1.0  # to the usual latency
-    probes_only: bool = False  # no request was sent there and all probes were answered: errors would not show
+    health_checks_only: bool = False  # no request was sent there, all checks were answered: errors don't show
 
     @property
     def unreachable(self) -> bool:
--- a/decklb/maintenance/fleet_observer.py
+++ b/decklb/maintenance/fleet_observer.py
@@ -148,7 +148,7 @@
     def _known_to_others(self, now: float, plan: Plan, fresh: Mapping[str, Report]) -> bool:
         """Whether every other member that is not absent has reported at least this plan."""
         return all(
-            name in fresh and fresh[name].step_count >= plan.step_count or self._absent(name, now)
+            (name in fresh and fresh[name].step_count >= plan.step_count) or self._absent(name, now)
             for name in self._known_since
         )
 
--- a/decklb/maintenance/operator_requests.py
+++ b/decklb/maintenance/operator_requests.py
@@ -108,7 +108,7 @@
 
 
 def _matches(target: str, machine: MachineStatus) -> bool:
-    return target in (machine.name, machine.zone) or "*" in target and fnmatchcase(machine.name, target)
+    return target in (machine.name, machine.zone) or ("*" in target and fnmatchcase(machine.name, target))
 
 
 def _cancelled(job: Job) -> bool:
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -34,6 +34,7 @@
 from decklb.maintenance.paxos_messages import AcceptorState, Committed
 from decklb.maintenance.plan import DISRUPTED_STAGES, MANAGERS_ZONE, UNAVAILABLE_STAGES, Plan
 from decklb.maintenance.plan_events import PlanEvents
+from decklb.maintenance.proposer import ValueCodec
 from decklb.maintenance.replicated_register import ReplicatedRegister
 from decklb.maintenance.scheduling import advance
 from decklb.maintenance.settings import MaintenanceSettings
@@ -64,7 +65,7 @@
         rng: random.Random,
         now: float,
         state: AcceptorState | None = None,
-        persist: Callable[[AcceptorState], bool] = lambda state: True,
+        persist: Callable[[AcceptorState], bool] = lambda _state: True,
     ) -> None:
         """Starts a member.
 
@@ -79,9 +80,7 @@
         """
         self.register: ReplicatedRegister[Plan] = ReplicatedRegister(
             member,
-            Plan(),
-            encode_plan,
-            decode_plan,
+            ValueCodec(Plan(), encode_plan, decode_plan),
             settings.member_count,
             settings.round_timeout_ms,
             rng,
@@ -188,8 +187,8 @@
         """Machines that no work may be sent to, also by a plan that is accepted here and may come to be committed."""
         return self.plan.unavailable_machines() | self.register.newest.unavailable_machines()
 
-    def probed_engines(self) -> frozenset[str]:
-        """Engines to be probed for the plan: those unavailable or just back."""
+    def checked_engines(self) -> frozenset[str]:
+        """Engines whose health is checked for the plan: those unavailable or just back."""
         disrupted = self.plan.machines_in(DISRUPTED_STAGES)
         return frozenset(machine.name for machine in disrupted if machine.zone != MANAGERS_ZONE)
 
--- a/decklb/maintenance/plan.py
+++ b/decklb/maintenance/plan.py
@@ -100,7 +100,7 @@
 
 def replace_machine(plan: Plan, old: Machine, new: Machine) -> Plan:
     """The plan with one machine replaced."""
-    return map_machines(plan, lambda job, machine: new if machine is old else machine)
+    return map_machines(plan, lambda _job, machine: new if machine is old else machine)
 
 
 def move_machine(plan: Plan, machine: Machine, stage: Stage, unix_ms: int, incarnation: int | None = None) -> Plan:
--- a/decklb/maintenance/proposer.py
+++ b/decklb/maintenance/proposer.py
@@ -32,6 +32,15 @@
 REJECTION_WAIT_DIVISOR = 4  # of a round's wait, that a rejected round still waits before the next
 
 
+@dataclass(frozen=True, slots=True)
+class ValueCodec(Generic[Value]):
+    """The register's value before any change, and its encoding."""
+
+    initial: Value
+    encode: Callable[[Value], bytes]
+    decode: Callable[[bytes], Value]
+
+
 @dataclass(slots=True)
 class Proposal(Generic[Value]):
     """A change that waits in the queue or is under way. Times are ms."""
@@ -55,9 +64,7 @@
         self,
         member: str,
         acceptor: Acceptor,
-        initial: Value,
-        encode: Callable[[Value], bytes],
-        decode: Callable[[bytes], Value],
+        codec: ValueCodec[Value],
         member_count: int,
         round_timeout_ms: float,
         rng: random.Random,
@@ -69,9 +76,7 @@
         Args:
             member: This member's name.
             acceptor: This member's own acceptor; it takes part in each round without a message.
-            initial: The value before any change.
-            encode: A value as bytes.
-            decode: A value from bytes.
+            codec: The value before any change, and its encoding.
             member_count: Members of the whole fleet.
             round_timeout_ms: The first round's wait for a quorum.
             rng: For jitter, which parts members that propose at once.
@@ -80,8 +85,7 @@
         """
         self._member = member
         self._acceptor = acceptor
-        self._initial = initial
-        self._encode, self._decode = encode, decode
+        self._codec = codec
         self._quorum = quorum_size(member_count)
         self._round_timeout_ms = round_timeout_ms
         self._rng = rng
@@ -161,21 +165,22 @@
     def _apply_change(self, now: float, proposal: Proposal[Value]) -> None:
         """Phase 2: the change applied to the newest value that the quorum has accepted."""
         newest = max(proposal.promises.values(), key=lambda promise: promise.accepted)
-        current = self._decode(newest.value) if newest.accepted != NO_BALLOT else self._initial
+        current = self._codec.decode(newest.value) if newest.accepted != NO_BALLOT else self._codec.initial
         try:
             proposal.value = proposal.change(current)
         except Exception as error:  # a request that can't be taken: its operator is told, and nothing is proposed
             self._queue.pop(0)
             proposal.on_result(error)
             return
-        proposal.encoded = self._encode(proposal.value)
+        proposal.encoded = self._codec.encode(proposal.value)
         accept = Accept(proposal.ballot, proposal.encoded)
         self._broadcast(accept)
         self._count_reply(now, self._member, self._acceptor.on_accept(accept), proposal)
 
     def _commit(self, proposal: Proposal[Value]) -> None:
         """A majority has accepted the value."""
-        assert proposal.encoded is not None and proposal.value is not None
+        assert proposal.encoded is not None
+        assert proposal.value is not None
         self._queue.pop(0)
         self._backoff = max(1.0, self._backoff / 2)
         self._on_commit(proposal.ballot, proposal.encoded)
--- a/decklb/maintenance/replicated_register.py
+++ b/decklb/maintenance/replicated_register.py
@@ -30,7 +30,7 @@
     StateReply,
     StateRequest,
 )
-from decklb.maintenance.proposer import MAX_ROUND_FACTOR, Proposal, Proposer
+from decklb.maintenance.proposer import MAX_ROUND_FACTOR, Proposal, Proposer, ValueCodec
 
 Value = TypeVar("Value")
 NEVER = float("inf")
@@ -52,23 +52,19 @@
     def __init__(
         self,
         member: str,
-        initial: Value,
-        encode: Callable[[Value], bytes],
-        decode: Callable[[bytes], Value],
+        codec: ValueCodec[Value],
         member_count: int,
         round_timeout_ms: float,
         rng: random.Random,
         now: float,
         state: AcceptorState | None = None,
-        persist: Callable[[AcceptorState], bool] = lambda state: True,
+        persist: Callable[[AcceptorState], bool] = lambda _state: True,
     ) -> None:
         """Starts from a persisted state, or recovers from the other members.
 
         Args:
             member: This member's name.
-            initial: The value before any change.
-            encode: A value as bytes.
-            decode: A value from bytes.
+            codec: The value before any change, and its encoding.
             member_count: Members of the whole fleet.
             round_timeout_ms: The first wait for a quorum's replies.
             rng: For jitter and the recovery's nonce.
@@ -76,9 +72,9 @@
             state: What an earlier process of this member persisted.
             persist: Writes the acceptor's state before any message rests on it; returns whether it is written.
         """
-        self.committed, self.committed_ballot = initial, NO_BALLOT
+        self.committed, self.committed_ballot = codec.initial, NO_BALLOT
         self.outgoing: list[tuple[str, RegisterMessage]] = []
-        self._decode = decode
+        self._codec = codec
         self._round_timeout_ms, self._rng = round_timeout_ms, rng
         # When to look for the fate of a value accepted here that is not known to be committed; soon after a start.
         self._uncommitted_check_at = NEVER if state is None else now + round_timeout_ms * (1 + rng.random())
@@ -91,16 +87,7 @@
             persist=persist,
         )
         self._proposer = Proposer(
-            member,
-            self.acceptor,
-            initial,
-            encode,
-            decode,
-            member_count,
-            round_timeout_ms,
-            rng,
-            self._broadcast,
-            self._learn,
+            member, self.acceptor, codec, member_count, round_timeout_ms, rng, self._broadcast, self._learn
         )
 
     @property
@@ -117,7 +104,7 @@
     def newest(self) -> Value:
         """What is accepted here: it may come to be committed, or is already and this member has not heard of it."""
         accepted = self.acceptor.accepted
-        return self._decode(accepted.value) if accepted.ballot > self.committed_ballot else self.committed
+        return self._codec.decode(accepted.value) if accepted.ballot > self.committed_ballot else self.committed
 
     def propose(
         self,
@@ -172,11 +159,11 @@
         elif now >= self._uncommitted_check_at and not self.busy:
             self._uncommitted_check_at = NEVER
             deadline = now + MAX_ROUND_FACTOR * self._round_timeout_ms
-            self.propose(lambda value: value, lambda result: None, deadline)
+            self.propose(lambda value: value, lambda _result: None, deadline)
 
     def _learn(self, ballot: Ballot, value: bytes) -> None:
         if ballot > self.committed_ballot:
-            self.committed, self.committed_ballot = self._decode(value), ballot
+            self.committed, self.committed_ballot = self._codec.decode(value), ballot
 
     def _broadcast(self, message: RegisterMessage) -> None:
         self.outgoing.append(("", message))
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -1,7 +1,7 @@
-"""The I/O of maintenance: datagrams of the cluster, probes of engines, the clock, the log, the store.
+"""The I/O of maintenance: datagrams of the cluster, health checks of engines, the clock, the log, the store.
 
-Owns the orchestrator, its timer, the probes of machines in the plan, and the store where the settings name a folder.
-Lays the plan over the endpoint list (`apply_plan`) and ends this manager when the plan says so. Made by
+Owns the orchestrator, its timer, the health checks of machines in the plan, and the store where the settings name a
+folder. Lays the plan over the endpoint list (`apply_plan`) and ends this manager when the plan says so. Made by
 `daemon.assembly`; the management listener passes operators' requests to it.
 """
 
@@ -36,7 +36,7 @@
     from decklb.maintenance.store import PlanStore
 
 REQUEST_TIMEOUT_MS = 8000.0  # after which an operator is told that no majority has answered
-UNREACHABLE_AFTER_FAILURES = 2  # probes in a row, after which a machine of the plan is down
+UNREACHABLE_AFTER_FAILURES = 2  # health checks in a row, after which a machine of the plan is down
 MAX_JOB_NAME = 64  # characters
 MAX_REASON = 200  # characters; the rest is cut
 INCARNATION_BITS = 48
@@ -93,8 +93,8 @@
         )
         self.addresses: Mapping[str, Address] = {}
         self.timer: Timer | None = None
-        self._probe_failures: dict[str, int] = {}  # in a row, by engine of the plan
-        self._probes_in_flight: set[str] = set()
+        self._health_check_failures: dict[str, int] = {}  # in a row, by engine of the plan
+        self._health_checks_in_flight: set[str] = set()
         self._applied: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # unavailable, warming
         self._warming_since: dict[str, float] = {}  # by engine, on this member's clock
         self.closed = False
@@ -211,35 +211,36 @@
         self.timer = None
         now = self.clock.now()
         self.orchestrator.update_members(now, self.cluster.node.membership.live.items, self.cluster.node.known())
-        probed = self.orchestrator.probed_engines()
-        self.orchestrator.tick(now, wall(), self._observe(now, probed))
-        self._probe(probed)
+        checked = self.orchestrator.checked_engines()
+        self.orchestrator.tick(now, wall(), self._observe(now, checked))
+        self._check_health(checked)
         self._send_and_log()
         self._follow_plan(now)
         if not self.closed:  # it may have been this manager's turn to restart
             self._schedule_tick()
 
-    def _observe(self, now: float, probed: frozenset[str]) -> LocalObservation:
-        """What this member sees by itself. Engines of the plan are judged by its own probes, the rest by locality."""
+    def _observe(self, now: float, checked: frozenset[str]) -> LocalObservation:
+        """What this member sees by itself. Engines in the plan are checked here, the others by locality."""
         engines = self.dispatcher.gateway.fleet.engines
         in_flight = {name: len(engine.out) for name, engine in engines.items() if engine.out}
-        self._probe_failures = {name: count for name, count in self._probe_failures.items() if name in probed}
-        unreachable = {name for name, count in self._probe_failures.items() if count >= UNREACHABLE_AFTER_FAILURES}
-        unreachable |= {name for name in self.locality.observer.unreachable_engines() if name not in probed}
+        failures = {name: count for name, count in self._health_check_failures.items() if name in checked}
+        self._health_check_failures = failures
+        unreachable = {name for name, count in failures.items() if count >= UNREACHABLE_AFTER_FAILURES}
+        unreachable |= {name for name in self.locality.observer.unreachable_engines() if name not in checked}
         zones = self.locality.coordinator
         return LocalObservation(in_flight, frozenset(unreachable), zones.load_cores(now), zones.unhealthy_zones())
 
-    def _probe(self, engines: frozenset[str]) -> None:
-        for name in engines - self._probes_in_flight:
+    def _check_health(self, engines: frozenset[str]) -> None:
+        for name in engines - self._health_checks_in_flight:
             if (address := self.addresses.get(name)) is not None:
-                self._probes_in_flight.add(name)
-                self.prober.probe(name, address, self.settings.tick_ms, self._on_probe_result(name))
+                self._health_checks_in_flight.add(name)
+                self.prober.probe(name, address, self.settings.tick_ms, self._on_health_check_result(name))
 
-    def _on_probe_result(self, name: str) -> Callable[[bool], None]:
+    def _on_health_check_result(self, name: str) -> Callable[[bool], None]:
         def on_result(answered: bool) -> None:
-            self._probes_in_flight.discard(name)
+            self._health_checks_in_flight.discard(name)
             if not self.closed:
-                self._probe_failures[name] = 0 if answered else self._probe_failures.get(name, 0) + 1
+                self._health_check_failures[name] = 0 if answered else self._health_check_failures.get(name, 0) + 1
 
         return on_result
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -59,7 +59,7 @@
         self.assertEqual(set(self.run_(fleet, {"m0": DEAD, "m1": WELL}, 0.0, 3000.0).values()), {ZoneState.HEALTHY})
 
     def test_one_that_only_probes_follows_those_whose_requests_fail_and_not_those_that_are_cut_off(self):
-        fleet, well = self.fleet(), {f"m{i}": ZoneObservation(1.0, probes_only=True) for i in range(2, 5)}
+        fleet, well = self.fleet(), {f"m{i}": ZoneObservation(1.0, health_checks_only=True) for i in range(2, 5)}
         failing = dict.fromkeys(("m0", "m1"), ZoneObservation(1.0, error_rate=0.9))
         self.assertEqual(set(self.run_(fleet, failing | well, 0.0, 3000.0).values()), {ZoneState.OUT})
         fleet = self.fleet()
@@ -196,12 +196,12 @@
     def test_engines_are_down_after_misses_in_a_row_and_up_after_one_answer(self):
         sight = self.sight()
         self.assertIsNone(sight.observation("a", 0.0))
-        self.assertFalse(sight.probe_ended(1.0, "a0", False, 250.0))
+        self.assertFalse(sight.health_check_ended(1.0, "a0", False, 250.0))
         sight.attempt_ended(2.0, "a1", "q", Outcome.GOOD, 1.0)
         self.assertEqual(sight.observation("a", 2.0).reachable_fraction, 1.0)
-        self.assertTrue(sight.probe_ended(3.0, "a0", False, 250.0))
+        self.assertTrue(sight.health_check_ended(3.0, "a0", False, 250.0))
         self.assertEqual((sight.observation("a", 3.0).reachable_fraction, sight.unreachable_engines()), (0.5, ["a0"]))
-        sight.probe_ended(4.0, "a0", True, 1.0)
+        sight.health_check_ended(4.0, "a0", True, 1.0)
         self.assertEqual((sight.observation("a", 4.0).reachable_fraction, sight.unreachable_engines()), (1.0, []))
 
     def test_a_late_request_is_no_miss_of_an_engine_that_answered_others_meanwhile(self):
@@ -216,26 +216,26 @@
 
     def test_only_what_nothing_told_of_lately_is_probed_and_more_rarely_in_a_large_fleet(self):
         sight = self.sight(each=20)
-        self.assertEqual(len(sight.take_due_probes(0.0, 5)), 16)  # a few of each zone
-        self.assertEqual(sight.take_due_probes(S.probe_interval_ms / 2, 5), [])
-        first = sight.zones["a"].probed_engines[0]
-        sight.attempt_ended(S.probe_interval_ms, first, "q", Outcome.GOOD, 1.0)
-        self.assertNotIn(first, sight.take_due_probes(S.probe_interval_ms, 5))
-        self.assertEqual(sight.take_due_probes(3 * S.probe_interval_ms, 64), [])
-        self.assertEqual(len(sight.take_due_probes(5 * S.probe_interval_ms, 64)), 16)
+        self.assertEqual(len(sight.take_due_health_checks(0.0, 5)), 16)  # a few of each zone
+        self.assertEqual(sight.take_due_health_checks(S.health_check_interval_ms / 2, 5), [])
+        first = sight.zones["a"].checked_engines[0]
+        sight.attempt_ended(S.health_check_interval_ms, first, "q", Outcome.GOOD, 1.0)
+        self.assertNotIn(first, sight.take_due_health_checks(S.health_check_interval_ms, 5))
+        self.assertEqual(sight.take_due_health_checks(3 * S.health_check_interval_ms, 64), [])
+        self.assertEqual(len(sight.take_due_health_checks(5 * S.health_check_interval_ms, 64)), 16)
 
     def test_probes_alone_are_weak_and_requests_tell_of_errors_and_latency(self):
         sight = self.sight()
         for i in range(100):
             for z in "ab":
-                sight.probe_ended(float(i), f"{z}0", True, 1.0)
-        self.assertTrue(sight.observation("a", 100.0).probes_only)
+                sight.health_check_ended(float(i), f"{z}0", True, 1.0)
+        self.assertTrue(sight.observation("a", 100.0).health_checks_only)
         for i in range(100):
             sight.attempt_ended(200.0 + i, "a0", "q", Outcome.BAD, 1.0)
             sight.attempt_ended(200.0 + i, "b0", "q", Outcome.GOOD, 10.0)
-            sight.probe_ended(200.0 + i, "a0", True, 200.0)
+            sight.health_check_ended(200.0 + i, "a0", True, 200.0)
         bad, well = sight.observation("a", 300.0), sight.observation("b", 300.0)
-        self.assertFalse(bad.probes_only or well.probes_only)
+        self.assertFalse(bad.health_checks_only or well.health_checks_only)
         self.assertGreater(bad.error_rate, S.out_threshold)
         self.assertGreater(bad.latency_ratio, S.degraded_latency_ratio)
         self.assertLess(max(well.error_rate, well.latency_ratio), 1.5)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -36,6 +36,7 @@
     StateReply,
 )
 from decklb.maintenance.plan import Plan, Stage, overdue_machines
+from decklb.maintenance.proposer import ValueCodec
 from decklb.maintenance.replicated_register import ReplicatedRegister
 from decklb.maintenance.scheduling import advance
 from decklb.maintenance.settings import MaintenanceSettings
@@ -63,7 +64,7 @@
 
 
 def register(name, members, seed=1, **more):
-    return ReplicatedRegister(name, (), bytes, tuple, members, 100.0, random.Random(seed), 0.0, **more)
+    return ReplicatedRegister(name, ValueCodec((), bytes, tuple), members, 100.0, random.Random(seed), 0.0, **more)
 
 
 class Registers(unittest.TestCase):
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -31,6 +31,7 @@
     StateRequest,
 )
 from decklb.maintenance.plan import Job, Machine, Plan, Stage
+from decklb.maintenance.proposer import ValueCodec
 from decklb.maintenance.replicated_register import ReplicatedRegister
 from decklb.maintenance.store import PlanStore
 from tests.maintenance_fleet import Fleet
@@ -114,10 +115,10 @@
 
 def test_a_store_of_the_golden_folder_is_read_and_written_on(store, stored_folder):
     assert store.read() == STORED
+    codec = ValueCodec(Plan(), messages.encode_plan, messages.decode_plan)
     register = ReplicatedRegister(
-        "m0", Plan(), messages.encode_plan, messages.decode_plan, 1, 100.0, random.Random(1), 0.0, store.read(),
-        lambda state: store.write(state) is None,
-    )  # fmt: skip
+        "m0", codec, 1, 100.0, random.Random(1), 0.0, store.read(), lambda state: store.write(state) is None
+    )
     outcomes = []
     register.propose(lambda plan: mark_returned(plan, "motor-2", 1_700_000_300_000), outcomes.append)
     register.propose(lambda plan: cancel_job(plan, "restart", 1_700_000_300_001), outcomes.append)
