--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -10,19 +10,24 @@
 ENGINES = {f"{z}{i}": MachineStatus(f"{z}{i}", z, 8.0) for z in "ab" for i in range(2)}
 
 
-def replace_settings(**more):
+def fleet_settings(**more):
     return MaintenanceSettings(
         max_unavailable_zone_fraction=0.5, warm_up_ms=300.0, drain_timeout_ms=2000.0, default_window_ms=9000.0, **more
     )
 
 
+def stages(plan):
+    """The stage of each machine, by name."""
+    return {machine.name: machine.stage.name.lower() for job in plan.jobs for machine in job.machines}
+
+
 class Fleet:
     """Members on a network that loses a tenth of the datagrams, by seed."""
 
     def __init__(self, seed):
         self.rng, self.now, self.queue = random.Random(seed), 0.0, []
         self.names = ["m0", "m1", "m2"]
-        self.s = replace_settings(
+        self.s = fleet_settings(
             member_count=3, absent_after_ms=3000.0, round_timeout_ms=200.0, tick_ms=100.0, report_ttl_ms=1000.0
         )
         self.nodes = {n: self.make(n) for n in self.names}
--- /dev/null
+++ b/tests/test_locality_zone_selector.py
@@ -0,0 +1,67 @@
+"""The zone of each request: round robin by shares, recovery budgets, allowed zones."""
+
+from dataclasses import replace
+
+import pytest
+
+from decklb.interface import ClassSpec, Entry, Phase
+from decklb.locality.coordinator import ZoneCoordinator
+from decklb.locality.settings import LocalitySettings
+from decklb.locality.spillover import ZoneStatus, usable_capacity
+from decklb.locality.zone_selector import ZoneSelector
+from decklb.locality.zone_state import ZoneState
+
+SETTINGS = LocalitySettings()
+
+
+def zone_status(region="r0", load=600.0, state=ZoneState.HEALTHY, since=0.0):
+    return ZoneStatus(region, 1000.0, load, state, since)
+
+
+def make_selector(**zones):
+    s = replace(SETTINGS, home_zone="a", regions=(("r0", ("a", "b")), ("r1", ("c",))))
+    coordinator = ZoneCoordinator(s, "m0", 0.0)
+    for zone, state in zones.items():
+        coordinator.consensus.zones[zone].state, coordinator.consensus.zones[zone].decided_at = state, 0.0
+    classes = {
+        "q": ClassSpec("q", 1000.0, 5000.0),
+        "only-c": ClassSpec("only-c", 1000.0, 5000.0, zones=("c",)),
+        "kind-y": ClassSpec("kind-y", 1000.0, 5000.0, kinds=("y",)),
+    }
+    made = ZoneSelector(s, classes, {"x": 10, "y": 10})
+    made.update_engines(
+        [Entry(f"{z}-{k}", z, k, 0, Phase.UP) for z, k in (("a", "x"), ("b", "x"), ("b", "y"), ("c", "x"))]
+    )
+    return made, coordinator
+
+
+def spread(selector, coordinator, lane="q", now=0.0, count=200):
+    found = [selector.select(now, lane, 100.0, coordinator) for _ in range(count)]
+    return {z: sum(f[0] == z for f in found) / count for z in {f[0] for f in found}}, dict(found)
+
+
+def test_requests_stay_in_their_zone_and_retries_may_go_to_any_available_zone():
+    assert spread(*make_selector()) == ({"a": 1.0}, {"a": ("a", "b", "c")})
+
+
+def test_what_the_own_zone_cannot_bear_spills_over_in_exact_shares():
+    selector, coordinator = make_selector()
+    coordinator.own_load_cores = 17.0  # of 10 cores, of which 8.5 may be filled
+    assert spread(selector, coordinator)[0] == {"a": 0.5, "b": 0.5}
+
+
+def test_a_returning_zone_takes_no_retries():
+    selector, coordinator = make_selector(a=ZoneState.RETURNING)
+    coordinator.own_load_cores = 4.25
+    assert spread(selector, coordinator)[1] == {"b": ("b", "c")}  # none but what its budget has saved up
+    came = [selector.select(at, "q", 100.0, coordinator)[0] for at in range(0, 2000, 20)].count("a")
+    bears = usable_capacity(zone_status(state=ZoneState.RETURNING), 1000.0, SETTINGS) / 100  # of 10 cores, at half time
+    assert 100 * came / 2000 == pytest.approx(bears, abs=0.25 * bears, rel=0)
+
+
+def test_allowed_zones_and_kinds_win():
+    selector, coordinator = make_selector()
+    assert spread(selector, coordinator, "only-c") == ({"c": 1.0}, {"c": ("c",)})
+    assert spread(selector, coordinator, "kind-y") == ({"b": 1.0}, {"b": ("b",)})
+    selector.update_engines([])
+    assert selector.select(0.0, "q", 100.0, coordinator) == ("", None)
