--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -67,7 +67,7 @@
         for zone in sorted({e.zone for e in entries} - self.selector.region_of.keys() - self._unknown_zones):
             self._unknown_zones.add(zone)
             logger.warning(
-                "zone {zone!r} stands in no <region>: it is never judged, and a region of its own",
+                "zone {zone!r} is in no <region>: its state is never decided, and it counts as a region of its own",
                 event="zone-unknown",
                 zone=zone,
             )
