--- a/decklb/maintenance/errors.py
+++ b/decklb/maintenance/errors.py
@@ -7,6 +7,10 @@
     """Base of all: an operator's request that can't be taken, or a plan that can't be kept or sent."""
 
 
+class InvalidRequestError(MaintenanceError):
+    """A request lacks what it needs, or a part of it is of the wrong kind; the text says which."""
+
+
 class UnknownMachineError(MaintenanceError):
     """The request names no machine that is known."""
 
--- a/decklb/maintenance/operator_requests.py
+++ b/decklb/maintenance/operator_requests.py
@@ -7,11 +7,14 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from fnmatch import fnmatchcase
+from typing import Any
 
 from msgspec.structs import replace
 
 from decklb.maintenance.errors import (
+    InvalidRequestError,
     MachineAlreadyPlannedError,
     MachineNotOutError,
     UnknownJobError,
@@ -20,6 +23,35 @@
 from decklb.maintenance.fleet_status import MachineStatus
 from decklb.maintenance.plan import FINISHED_STAGES, Job, Machine, Plan, Stage, map_machines, move_machine
 
+MAX_JOB_NAME = 64  # characters
+MAX_REASON = 200  # characters; the rest is cut
+
+
+@dataclass(frozen=True, slots=True)
+class MaintenanceRequest:
+    """An operator's request to take machines out."""
+
+    job_id: str
+    targets: tuple[str, ...]  # engines by id, zone or pattern, managers as `manager:NAME`
+    reason: str
+    window_ms: float  # for the work on one machine; 0 for the default
+
+    @classmethod
+    def parse(cls, fields: Mapping[str, Any]) -> MaintenanceRequest:
+        """The request of the fields `job`, `machines`, and perhaps `reason` and `window`, as operators send them.
+
+        Raises:
+            InvalidRequestError: A field is missing or of the wrong kind.
+        """
+        job_id, machines = str(fields.get("job", "")), fields.get("machines")
+        if not job_id or len(job_id) > MAX_JOB_NAME or not isinstance(machines, list) or not machines:
+            raise InvalidRequestError("a request needs a job's name of at most 64 characters, and machines")
+        window_ms = fields.get("window") or 0
+        if not isinstance(window_ms, int | float) or window_ms < 0:
+            raise InvalidRequestError("window is a number of ms above 0")
+        reason = str(fields.get("reason", ""))[:MAX_REASON]
+        return cls(job_id, tuple(str(machine) for machine in machines), reason, window_ms)
+
 
 def resolve_machines(targets: Iterable[str], known: Mapping[str, MachineStatus]) -> tuple[MachineStatus, ...]:
     """The machines that names, zones and patterns with `*` stand for, zone by zone, once each.
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -12,7 +12,7 @@
 
 import random
 from collections import Counter
-from collections.abc import Callable, Collection, Iterable, Mapping
+from collections.abc import Callable, Collection, Mapping
 from typing import Any
 from zlib import crc32
 
@@ -30,7 +30,7 @@
     encode_fragments,
     encode_plan,
 )
-from decklb.maintenance.operator_requests import add_job, cancel_job, mark_returned
+from decklb.maintenance.operator_requests import MaintenanceRequest, add_job, cancel_job, mark_returned
 from decklb.maintenance.paxos_messages import AcceptorState, Committed
 from decklb.maintenance.plan import DISRUPTED_STAGES, MANAGERS_ZONE, UNAVAILABLE_STAGES, Plan
 from decklb.maintenance.plan_events import PlanEvents
@@ -114,30 +114,21 @@
         """The member that does the steps, as this one sees it."""
         return min(self.observer.alive, key=lambda name: (crc32(f"plan/{name}".encode()), name))
 
-    def request_maintenance(
-        self,
-        job_id: str,
-        targets: Iterable[str],
-        reason: str,
-        window_ms: float,
-        deadline: float,
-        on_result: PlanResult,
-    ) -> None:
+    def request_maintenance(self, request: MaintenanceRequest, deadline: float, on_result: PlanResult) -> None:
         """Take machines out.
 
         Args:
-            job_id: The job's name.
-            targets: Engines by id, zone or pattern, managers as `manager:NAME`.
-            reason: For whoever reads the plan.
-            window_ms: For the work on one machine; 0 for the default.
+            request: The job and its machines.
             deadline: Time (ms) past which the request is given up.
             on_result: Told the plan, or a MaintenanceError.
         """
-        names, known = tuple(targets), self.observer.known_machines()
-        window = round(window_ms or self._settings.default_window_ms)
+        known = self.observer.known_machines()
+        window_ms = round(request.window_ms or self._settings.default_window_ms)
         retained = self._settings.retained_jobs
         self.register.propose(
-            lambda plan: add_job(plan, job_id, names, reason, window, known, retained), on_result, deadline
+            lambda plan: add_job(plan, request.job_id, request.targets, request.reason, window_ms, known, retained),
+            on_result,
+            deadline,
         )
 
     def cancel(self, job_id: str, unix_ms: float, deadline: float, on_result: PlanResult) -> None:
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -1,6 +1,6 @@
 """The I/O of maintenance: datagrams of the cluster, health checks of engines, the clock, the log, the store.
 
-Owns the orchestrator, its timer, the health checks of machines in the plan, and the store where the settings name a
+Owns the orchestrator, its timer, the health checks of engines in the plan, and the store where the settings name a
 folder. Lays the plan over the endpoint list (`apply_plan`) and ends this manager when the plan says so. Made by
 `daemon.assembly`; the management listener passes operators' requests to it.
 """
@@ -10,7 +10,7 @@
 import os
 import random
 from collections.abc import Callable, Mapping
-from dataclasses import replace
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from loguru import logger
@@ -19,16 +19,19 @@
 from decklb.cluster.runtime import ClusterService, log_notices, wall
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
-from decklb.interface import Entry, Phase
+from decklb.interface import Entry
 from decklb.locality.health_observer import engine_capacities
 from decklb.locality.runtime import LocalityService
+from decklb.maintenance.endpoint_overlay import EndpointOverlay
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.fleet_observer import LocalObservation
 from decklb.maintenance.fleet_status import MachineStatus
+from decklb.maintenance.health_checks import PlanHealthChecks
 from decklb.maintenance.messages import TOPIC
+from decklb.maintenance.operator_requests import MaintenanceRequest
 from decklb.maintenance.orchestrator import MaintenanceOrchestrator, PlanResult
 from decklb.maintenance.paxos_messages import AcceptorState
-from decklb.maintenance.plan import Plan, Stage
+from decklb.maintenance.plan import Plan
 from decklb.maintenance.settings import MaintenanceSettings
 from decklb.wire.prober import Address, Prober
 
@@ -36,9 +39,6 @@
     from decklb.maintenance.store import PlanStore
 
 REQUEST_TIMEOUT_MS = 8000.0  # after which an operator is told that no majority has answered
-UNREACHABLE_AFTER_FAILURES = 2  # health checks in a row, after which a machine of the plan is down
-MAX_JOB_NAME = 64  # characters
-MAX_REASON = 200  # characters; the rest is cut
 INCARNATION_BITS = 48
 
 
@@ -74,29 +74,21 @@
         self.clock, self.settings, self.cluster, self.locality = clock, settings, cluster, locality
         self.dispatcher, self.prober = dispatcher, prober
         self.on_plan_changed, self.restart = on_plan_changed, restart
-        self.store: PlanStore | None = None
-        member, state = cluster.settings.member, None
-        if settings.data_directory:
-            from decklb.maintenance.store import PlanStore
-
-            self.store = PlanStore(settings.data_directory, member)
-            state = self.store.read()
+        self.store = self._open_store()
         self._store_failing = False  # the last write failed
         self.orchestrator = MaintenanceOrchestrator(
             settings,
-            member,
+            cluster.settings.member,
             random.SystemRandom().getrandbits(INCARNATION_BITS) or 1,
             random.Random(os.urandom(16)),
             clock.now(),
-            state,
+            None if self.store is None else self.store.read(),
             self._persist,
         )
         self.addresses: Mapping[str, Address] = {}
         self.timer: Timer | None = None
-        self._health_check_failures: dict[str, int] = {}  # in a row, by engine of the plan
-        self._health_checks_in_flight: set[str] = set()
-        self._applied: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # unavailable, warming
-        self._warming_since: dict[str, float] = {}  # by engine, on this member's clock
+        self._health_checks = PlanHealthChecks()
+        self._overlay = EndpointOverlay()
         self.closed = False
 
     def start(self) -> None:
@@ -111,33 +103,23 @@
         self.orchestrator.update_engines(
             {name: MachineStatus(name, capacity.zone, capacity.cores) for name, capacity in engines.items()}
         )
-        unavailable = self.orchestrator.unavailable_machines()
-        return [self._apply_to_entry(entry, unavailable) for entry in entries]
+        return self._overlay.apply(entries, self.orchestrator.unavailable_machines())
 
     def request_maintenance(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
         """Take machines out.
 
         Args:
-            request: `job`, `machines`, and perhaps `reason` and `window` (ms), as the management listener got them.
+            request: See MaintenanceRequest.parse.
 
         Returns:
             Fires with the count of steps done so far, or fails with MaintenanceError.
 
         Raises:
-            MaintenanceError: The request is malformed.
+            InvalidRequestError: The request is malformed.
         """
-        job_id, machines = str(request.get("job", "")), request.get("machines")
-        if not job_id or len(job_id) > MAX_JOB_NAME or not isinstance(machines, list) or not machines:
-            raise MaintenanceError("a request needs a job's name of at most 64 characters, and machines")
-        window_ms = request.get("window") or 0
-        if not isinstance(window_ms, int | float) or window_ms < 0:
-            raise MaintenanceError("window is a number of ms above 0")
-        targets = [str(machine) for machine in machines]
-        reason = str(request.get("reason", ""))[:MAX_REASON]
+        parsed = MaintenanceRequest.parse(request)
         return self._propose(
-            lambda deadline, on_result: self.orchestrator.request_maintenance(
-                job_id, targets, reason, window_ms, deadline, on_result
-            )
+            lambda deadline, on_result: self.orchestrator.request_maintenance(parsed, deadline, on_result)
         )
 
     def cancel(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
@@ -167,12 +149,12 @@
             self.store.close()
             self.store = None
 
-    def _apply_to_entry(self, entry: Entry, unavailable: frozenset[str]) -> Entry:
-        if entry.engine in unavailable and entry.phase is Phase.UP:
-            return replace(entry, phase=Phase.DRAINING)
-        if entry.engine in self._warming_since:
-            return replace(entry, ready_at=self._warming_since[entry.engine])
-        return entry
+    def _open_store(self) -> PlanStore | None:
+        if not self.settings.data_directory:
+            return None
+        from decklb.maintenance.store import PlanStore
+
+        return PlanStore(self.settings.data_directory, self.cluster.settings.member)
 
     def _persist(self, state: AcceptorState) -> bool:
         """Write the state where there is a folder; a member that can't takes no part in agreements."""
@@ -223,35 +205,25 @@
         """What this member sees by itself. Engines in the plan are checked here, the others by locality."""
         engines = self.dispatcher.gateway.fleet.engines
         in_flight = {name: len(engine.out) for name, engine in engines.items() if engine.out}
-        failures = {name: count for name, count in self._health_check_failures.items() if name in checked}
-        self._health_check_failures = failures
-        unreachable = {name for name, count in failures.items() if count >= UNREACHABLE_AFTER_FAILURES}
+        self._health_checks.retain(checked)
+        unreachable = self._health_checks.unreachable()
         unreachable |= {name for name in self.locality.observer.unreachable_engines() if name not in checked}
         zones = self.locality.coordinator
         return LocalObservation(in_flight, frozenset(unreachable), zones.load_cores(now), zones.unhealthy_zones())
 
     def _check_health(self, engines: frozenset[str]) -> None:
-        for name in engines - self._health_checks_in_flight:
+        for name in self._health_checks.due(engines):
             if (address := self.addresses.get(name)) is not None:
-                self._health_checks_in_flight.add(name)
-                self.prober.probe(name, address, self.settings.tick_ms, self._on_health_check_result(name))
-
-    def _on_health_check_result(self, name: str) -> Callable[[bool], None]:
-        def on_result(answered: bool) -> None:
-            self._health_checks_in_flight.discard(name)
-            if not self.closed:
-                self._health_check_failures[name] = 0 if answered else self._health_check_failures.get(name, 0) + 1
+                self._health_checks.started(name)
+                self.prober.probe(name, address, self.settings.tick_ms, partial(self._on_health_check_result, name))
 
-        return on_result
+    def _on_health_check_result(self, name: str, answered: bool) -> None:
+        if not self.closed:
+            self._health_checks.ended(name, answered)
 
     def _follow_plan(self, now: float) -> None:
         """What the plan says of the endpoint list, and of this manager."""
-        plan = self.orchestrator.plan
-        warming = frozenset(machine.name for machine in plan.machines_in((Stage.WARMING,)))
-        self._warming_since = {name: self._warming_since.get(name, now) for name in warming}
-        current = (self.orchestrator.unavailable_machines(), warming)
-        if current != self._applied:
-            self._applied = current
+        if self._overlay.follow(now, self.orchestrator.plan, self.orchestrator.unavailable_machines()):
             self.on_plan_changed()
         if self.orchestrator.claim_restart():
             logger.info("this manager restarts by the maintenance plan", event="maintenance-restart")
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -4,6 +4,7 @@
 
 from decklb.maintenance.fleet_observer import LocalObservation
 from decklb.maintenance.fleet_status import MachineStatus
+from decklb.maintenance.operator_requests import MaintenanceRequest
 from decklb.maintenance.orchestrator import MaintenanceOrchestrator
 from decklb.maintenance.settings import MaintenanceSettings
 
@@ -21,6 +22,11 @@
     return {machine.name: machine.stage.name.lower() for job in plan.jobs for machine in job.machines}
 
 
+def request(job_id, *targets, reason=""):
+    """An operator's request with the default window."""
+    return MaintenanceRequest(job_id, targets, reason, 0)
+
+
 class Fleet:
     """Members on a network that loses a tenth of the datagrams, by seed."""
 
--- a/tests/test_locality_health_observer.py
+++ b/tests/test_locality_health_observer.py
@@ -58,7 +58,8 @@
         observer.attempt_ended(200.0 + i, "b0", "q", Outcome.GOOD, 10.0)
         observer.health_check_ended(200.0 + i, "a0", True, 200.0)
     bad, well = observer.observation("a", 300.0), observer.observation("b", 300.0)
-    assert not (bad.health_checks_only or well.health_checks_only)
+    assert not bad.health_checks_only
+    assert not well.health_checks_only
     assert bad.error_rate > SETTINGS.out_threshold
     assert bad.latency_ratio > SETTINGS.degraded_latency_ratio
     assert max(well.error_rate, well.latency_ratio) < 1.5
--- a/tests/test_maintenance_messages.py
+++ b/tests/test_maintenance_messages.py
@@ -21,7 +21,7 @@
     reassembler = messages.Reassembler()
     random.Random(1).shuffle(datagrams)
     found = [reassembler.receive("m0", datagram) for datagram in [*datagrams[:3], *datagrams]]
-    assert [f for f in found if f is not None][0] == Committed(Ballot(3, "m0"), messages.encode_plan(plan))
+    assert next(f for f in found if f is not None) == Committed(Ballot(3, "m0"), messages.encode_plan(plan))
     assert messages.decode_plan(messages.encode_plan(plan)) == plan
     with pytest.raises(PlanTooLargeError, match="let jobs end first"):
         messages.encode_fragments(8, Committed(Ballot(3, "m0"), bytes(70_000)))
--- a/tests/test_maintenance_orchestrator.py
+++ b/tests/test_maintenance_orchestrator.py
@@ -3,7 +3,7 @@
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.fleet_observer import manager_machine
 from decklb.maintenance.plan import Plan, Stage
-from tests.maintenance_fleet import Fleet, stages
+from tests.maintenance_fleet import Fleet, request, stages
 
 
 def carry_out(fleet, kill_driver):
@@ -27,7 +27,7 @@
     for seed in range(8):
         fleet, results = Fleet(seed), []
         fleet.run(1500)
-        fleet.nodes["m1"].request_maintenance("j", ["a", "b0"], "why", 0, fleet.now + 5000, results.append)
+        fleet.nodes["m1"].request_maintenance(request("j", "a", "b0", reason="why"), fleet.now + 5000, results.append)
         went, watch = carry_out(fleet, [True])
         fleet.run(20_000, watch)
         assert len(fleet.dead) == 1
@@ -40,9 +40,9 @@
 def test_of_two_overlapping_requests_at_once_one_is_rejected():
     fleet, results = Fleet(3), {}
     fleet.run(1500)
-    for name, what in (("m0", ["a"]), ("m2", ["a1", "b"])):
+    for name, targets in (("m0", ["a"]), ("m2", ["a1", "b"])):
         fleet.nodes[name].request_maintenance(
-            name, what, "", 0, fleet.now + 5000, lambda x, n=name: results.setdefault(n, x)
+            request(name, *targets), fleet.now + 5000, lambda x, n=name: results.setdefault(n, x)
         )
     fleet.run(3000)
     assert sorted(isinstance(x, MaintenanceError) for x in results.values()) == [False, True]
@@ -53,7 +53,7 @@
     fleet = Fleet(4)
     fleet.run(1500)
     fleet.busy = {"a0": 2}
-    fleet.nodes["m0"].request_maintenance("j", ["a0"], "", 0, fleet.now + 5000, lambda x: None)
+    fleet.nodes["m0"].request_maintenance(request("j", "a0"), fleet.now + 5000, lambda _plan: None)
     fleet.run(1500)
     assert stages(fleet.nodes["m1"].plan) == {"a0": "draining"}
     assert fleet.nodes["m2"].unavailable_machines() == {"a0"}
@@ -66,7 +66,7 @@
     """Its driver had just restarted, and waited for the plan to stand out for good."""
     fleet = Fleet(6)
     fleet.run(1500)
-    fleet.nodes["m0"].request_maintenance("j", ["a0"], "", 0, fleet.now + 5000, lambda x: None)
+    fleet.nodes["m0"].request_maintenance(request("j", "a0"), fleet.now + 5000, lambda _plan: None)
     while {stages(member.plan).get("a0") for member in fleet.nodes.values()} != {"out"}:
         assert fleet.now < 9000.0
         fleet.run(50)
@@ -108,7 +108,7 @@
 def test_a_manager_restarts_once_at_its_turn():
     fleet, left = Fleet(5), []
     fleet.run(1500)
-    fleet.nodes["m0"].request_maintenance("j", [manager_machine("m1")], "", 0, fleet.now + 5000, lambda x: None)
+    fleet.nodes["m0"].request_maintenance(request("j", manager_machine("m1")), fleet.now + 5000, lambda _plan: None)
 
     def watch():
         if fleet.nodes["m1"].claim_restart():
--- a/tests/test_maintenance_register.py
+++ b/tests/test_maintenance_register.py
@@ -52,7 +52,7 @@
     nodes = {n: make_replica(n, 3, seed=n) for n in ("m0", "m1", "m2")}
     for node in nodes.values():
         node.acceptor.recovering = False
-    nodes["m0"].propose(lambda v: (*v, 1), lambda v: None)
+    nodes["m0"].propose(lambda v: (*v, 1), lambda _value: None)
     now, queue = 0.0, []
     while now < 4000.0:
         for sender, to, message in queue:
@@ -98,7 +98,7 @@
 
 def test_an_acceptor_that_cannot_persist_rejects():
     state = AcceptorState(Ballot(2, "m1"), AcceptedValue(Ballot(1, "m1"), b""))
-    replica = make_replica("m0", 3, state=state, persist=lambda state: False)
+    replica = make_replica("m0", 3, state=state, persist=lambda _state: False)
     assert not replica.recovering
     replica.receive(0.0, "m1", Prepare(Ballot(3, "m1")))
     replica.receive(0.0, "m1", Accept(Ballot(3, "m1"), b"\x01"))
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -34,7 +34,7 @@
 from decklb.maintenance.proposer import ValueCodec
 from decklb.maintenance.replicated_register import ReplicatedRegister
 from decklb.maintenance.store import PlanStore
-from tests.maintenance_fleet import Fleet
+from tests.maintenance_fleet import Fleet, request
 
 GOLDEN = Path(__file__).parent / "golden"
 EXPECTED = json.loads((GOLDEN / "maintenance_messages.json").read_text())
@@ -170,7 +170,9 @@
         digest.update(repr(fleet.queue).encode())
 
     fleet.run(1500)
-    fleet.nodes["m1"].request_maintenance("j", ["a", "b0", "manager:m2"], "why", 0, fleet.now + 5000, lambda plan: None)
+    fleet.nodes["m1"].request_maintenance(
+        request("j", "a", "b0", "manager:m2", reason="why"), fleet.now + 5000, lambda _plan: None
+    )
     fleet.run(12_000, watch)
     survivor = next(fleet.nodes[n] for n in fleet.names if n not in fleet.dead)
     return survivor.plan.step_count, digest.hexdigest()
