--- a/decklb/locality/consensus.py
+++ b/decklb/locality/consensus.py
@@ -65,7 +65,7 @@
         zones: By name.
         known: Names of all members that count.
         outgoing: Votes and decisions for all others.
-        isolated: No quorum was heard for the isolation grace: this member is to decide alone.
+        isolated: No quorum was heard for the isolation grace: this member decides alone.
         voting_from: Time before which this member casts no vote. One that starts may have voted in an earlier process;
             by then those votes have lapsed everywhere.
     """
--- a/decklb/locality/coordinator.py
+++ b/decklb/locality/coordinator.py
@@ -64,7 +64,7 @@
         return self._settings.decision_mode is DecisionMode.ALONE or self.consensus.isolated
 
     def update_members(self, known: Collection[str]) -> None:
-        """Take over all members that count; what those said that don't any more goes."""
+        """Take over all members that count; loads of others are dropped."""
         self.consensus.update_members(known)
         self.member_loads = {name: load for name, load in self.member_loads.items() if name in self.consensus.known}
 
--- a/decklb/locality/health_observer.py
+++ b/decklb/locality/health_observer.py
@@ -1,6 +1,6 @@
 """What one member observes of each zone: engines reachable or not, errors, latency; and which engines it checks.
 
-Requests tell most, health checks the rest: a member checks an engine that nothing told of lately. In a large zone it
+Requests show most, health checks the rest: a member checks an engine that has not answered lately. In a large zone it
 checks a few engines, chosen by a hash of its name, so that members together check all of them and each sends little.
 
 Owns the health of each engine and the running means of each zone. Fed by `runtime.py` with the ends of attempts and
@@ -19,7 +19,7 @@
 from decklb.locality.zone_state import NEVER, ZoneObservation
 
 CHECKED_ENGINES = 8  # of a zone, by one member
-STRETCHING_MEMBERS = 16  # from which on each checks more rarely, so that engines bear no more as the fleet grows
+MEMBERS_AT_FULL_RATE = 16  # more than these check more rarely, so that engines get no more checks as the fleet grows
 ERROR_WEIGHT = 0.05  # of one attempt in the running mean of errors
 LATENCY_WEIGHT = 0.05  # of one answer in the running mean of latency
 BEST_LATENCY_DECAY = 0.002  # fraction by which the best latency is forgotten with each answer
@@ -133,7 +133,7 @@
 
     def take_due_health_checks(self, now: float, member_count: int) -> list[str]:
         """Engines to check now; each counts as checked by this call."""
-        interval_ms = self._settings.health_check_interval_ms * max(1.0, member_count / STRETCHING_MEMBERS)
+        interval_ms = self._settings.health_check_interval_ms * max(1.0, member_count / MEMBERS_AT_FULL_RATE)
         due = []
         for zone in self.zones.values():
             for name in zone.checked_engines:
@@ -145,7 +145,7 @@
         return due
 
     def observation(self, zone_name: str, now: float) -> ZoneObservation | None:
-        """What this member holds of a zone; None where nothing told of it lately."""
+        """What this member holds of a zone; None where no engine answered or failed lately."""
         zone = self.zones.get(zone_name)
         if zone is None:
             return None
--- a/decklb/locality/messages.py
+++ b/decklb/locality/messages.py
@@ -52,7 +52,7 @@
 
 
 class MemberReport(NamedTuple):
-    """What one datagram of a member says."""
+    """The content of one member's datagram."""
 
     home_zone: str
     load_cores: float
@@ -66,7 +66,7 @@
 def encode(home_zone: str, load_cores: float, votes_and_decisions: list[Vote | Decision]) -> list[bytes]:
     """A member's votes and decisions of one moment, in as few datagrams as they fit.
 
-    A decision goes out beside its zone's vote; one without a vote does not go out.
+    A decision is sent beside its zone's vote; one without a vote is not sent.
     """
     decisions = {item.zone: item for item in votes_and_decisions if isinstance(item, Decision)}
     votes = [item for item in votes_and_decisions if isinstance(item, Vote)]
@@ -78,7 +78,7 @@
 
 
 def decode(data: bytes, sender: str) -> MemberReport:
-    """What another member's datagram says.
+    """The content of another member's datagram.
 
     Raises:
         WireError: It can't be read.
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -25,10 +25,10 @@
 from decklb.locality.zone_selector import ZoneSelector
 from decklb.wire.prober import Address, Prober
 
-LARGE_FLEET = 50  # members from which on messages are sent more rarely, so that each bears no more of them
+LARGE_FLEET = 50  # members from which on messages are sent more rarely, so that each receives no more of them
 RATE_TIME_CONSTANT_MS = 3000.0  # of the running mean of the rate of requests
 MIN_ANSWERS = 10  # of a class, from which on its work is known
-REPORT_INTERVAL_MS = 1000.0  # between two reports to the policy of an engine that can't be reached
+REPORT_INTERVAL_MS = 1000.0  # between two notices to the policy of one unreachable engine
 MS_PER_SECOND = 1000
 
 
@@ -49,8 +49,8 @@
         self._request_counts: Counter[str] = Counter()  # since the last tick, by class
         self._request_rates: dict[str, float] = {}  # a second, by class
         self._load_estimated_at = clock.now()
-        self._reported_at: dict[str, float] = {}  # engines that the policy was told can't be reached, and when
-        self._unknown_zones: set[str] = set()  # that the log was told of
+        self._reported_at: dict[str, float] = {}  # when the policy was last notified of each unreachable engine
+        self._unknown_zones: set[str] = set()  # already logged
         self.closed = False
 
     def start(self) -> None:
@@ -163,7 +163,7 @@
         return on_result
 
     def _report_unreachable(self, now: float) -> None:
-        """Tell the policy which engines this member can't reach; it need not find out by a request each."""
+        """Notify the policy of engines that this member can't reach, so that no request has to find out."""
         unreachable = set(self.observer.unreachable_engines())
         self._reported_at = {engine: at for engine, at in self._reported_at.items() if engine in unreachable}
         for engine in unreachable:
--- a/decklb/locality/spillover.py
+++ b/decklb/locality/spillover.py
@@ -34,7 +34,7 @@
 
 
 def usable_capacity(zone: ZoneStatus, now: float, settings: LocalitySettings) -> float:
-    """What a zone may bear now, of all callers together."""
+    """The load that a zone may be given now, by all callers together."""
     if zone.state is ZoneState.OUT:
         return 0.0
     if zone.state is ZoneState.RETURNING:
@@ -88,7 +88,7 @@
 def _candidates(
     home: str, zones: Mapping[str, ZoneStatus], permitted: Mapping[str, ZoneStatus], usable: Mapping[str, float]
 ) -> set[str]:
-    """Zones of the own region if one of them is healthy or degraded, else all that may bear anything."""
+    """Zones of the own region if one of them is healthy or degraded, else all that may be given any load."""
     region = zones[home].region if home in zones else ""
     near = {name for name, zone in permitted.items() if zone.region == region and zone.state is not ZoneState.OUT}
     if any(permitted[name].state is not ZoneState.RETURNING for name in near):
@@ -101,7 +101,7 @@
 ) -> dict[str, float]:
     """What does not fit at home goes by what each zone can spare once its own callers are served.
 
-    Where no zone has any to spare, those that are available bear it by what they can; never those that return.
+    Where no zone has any to spare, available zones share it by their usable capacity; never those that return.
     """
     loads = {name: permitted[name].load if usable[name] > 0 else 0.0 for name in candidates}
     spare = {name: max(0.0, usable[name] - loads[name]) for name in candidates if name != home}
@@ -112,10 +112,10 @@
 
 
 def _panic_shares(zones: Mapping[str, ZoneStatus], usable: Mapping[str, float]) -> dict[str, float]:
-    """Shares below the panic threshold: too little is healthy to bear what the rest would send it.
+    """Shares below the panic threshold: too little is healthy to take the load of the rest.
 
-    All zones are used alike, by the capacity that is reached. Only zones that return keep to their budgets: what flees
-    from there would strike them while they are cold.
+    All zones are used alike, by the capacity that is reached. Only zones that return keep to their budgets: load
+    that moves there would hit them while they are cold.
     """
     load = sum(zone.load for zone in zones.values())
     returning = {
--- a/decklb/locality/zone_selector.py
+++ b/decklb/locality/zone_selector.py
@@ -118,7 +118,7 @@
         returning = {name: share for name, share in shares.items() if zones[name].state is ZoneState.RETURNING}
         self._budgets = {name: budget for name, budget in self._budgets.items() if name in returning}
         rest = {name: share for name, share in shares.items() if name not in returning}
-        if returning and not rest:  # what is over the budgets goes to where requests may go at all
+        if returning and not rest:  # requests over the budgets go to all available zones
             rest = dict.fromkeys(available, 1.0)
         total = sum(rest.values())
         return ClassRouting(
--- a/decklb/maintenance/errors.py
+++ b/decklb/maintenance/errors.py
@@ -8,7 +8,7 @@
 
 
 class InvalidRequestError(MaintenanceError):
-    """A request lacks what it needs, or a part of it is of the wrong kind; the text says which."""
+    """A request lacks what it needs, or a part of it is of the wrong kind; the text names it."""
 
 
 class UnknownMachineError(MaintenanceError):
--- a/decklb/maintenance/operator_requests.py
+++ b/decklb/maintenance/operator_requests.py
@@ -83,7 +83,7 @@
         plan: The plan before.
         job_id: The job's name.
         targets: Machines by name, zone or pattern.
-        reason: For whoever reads the plan.
+        reason: For readers of the plan.
         window_ms: For the work on one machine.
         known: All machines that may be named.
         retained_jobs: Finished jobs that the plan keeps; the oldest go.
@@ -126,7 +126,7 @@
 
 
 def mark_returned(plan: Plan, name: str, unix_ms: int) -> Plan:
-    """The plan with a machine back from its work, by an operator's word; the same plan if it warms already.
+    """The plan with a machine back from its maintenance, as an operator reports; the same plan if it warms already.
 
     Raises:
         MachineNotOutError: The machine is not out.
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -43,7 +43,8 @@
 PlanResult = Callable[[Plan | Exception], None]
 STEP_DEADLINE_FACTOR = 12  # times the round timeout: three rounds, each longer than the one before
 REPORT_EVERY_TICKS = 4  # of a member that has nothing new to report
-MESSAGE_ID_BITS = 31, 20  # random start and room to count, so that two processes of a member share no message id
+MESSAGE_ID_RANDOM_BITS = 31  # of the first message id, so that two processes of a member share none
+MESSAGE_ID_COUNT_BITS = 20  # left for counting from there
 
 
 class MaintenanceOrchestrator:
@@ -75,18 +76,11 @@
             incarnation: Random number of this run of its process.
             rng: For jitter and message ids.
             now: The time, ms.
-            state: See ReplicatedRegister.
-            persist: See ReplicatedRegister.
+            state, persist: See ReplicatedRegister.
         """
+        codec, member_count = ValueCodec(Plan(), encode_plan, decode_plan), settings.member_count
         self.register: ReplicatedRegister[Plan] = ReplicatedRegister(
-            member,
-            ValueCodec(Plan(), encode_plan, decode_plan),
-            settings.member_count,
-            settings.round_timeout_ms,
-            rng,
-            now,
-            state,
-            persist,
+            member, codec, member_count, settings.round_timeout_ms, rng, now, state, persist
         )
         self.observer = FleetObserver(settings, member, incarnation, now)
         self.outgoing: list[tuple[str, bytes]] = []
@@ -94,8 +88,7 @@
         self.counts: Counter[str] = Counter()
         self._settings, self._member, self._incarnation = settings, member, incarnation
         self._reassembler = Reassembler()
-        random_bits, count_bits = MESSAGE_ID_BITS
-        self._message_id = rng.getrandbits(random_bits) << count_bits
+        self._message_id = rng.getrandbits(MESSAGE_ID_RANDOM_BITS) << MESSAGE_ID_COUNT_BITS
         self._last_report: Report | None = None
         self._ticks = 0
         self._events = PlanEvents()
@@ -184,7 +177,7 @@
         return frozenset(machine.name for machine in disrupted if machine.zone != MANAGERS_ZONE)
 
     def claim_restart(self) -> bool:
-        """Whether this manager is to end now for a restart: true once, and only for the run that was told to."""
+        """Whether this manager is to end now for a restart: true once, and only for the planned incarnation."""
         machine = self.plan.active_machine(manager_machine(self._member))
         if machine is None or self._restart_claimed:
             return False
--- a/decklb/maintenance/paxos_messages.py
+++ b/decklb/maintenance/paxos_messages.py
@@ -89,7 +89,7 @@
 
 
 class StateReply(Struct, array_like=True, tag=8, frozen=True):
-    """An acceptor's state; of one that recovers itself (`recovered` false) it says that nothing is known there."""
+    """An acceptor's state; from one that is recovering (`recovered` false) it only counts as a reply."""
 
     nonce: int
     promised: Ballot
--- a/decklb/maintenance/plan.py
+++ b/decklb/maintenance/plan.py
@@ -41,7 +41,7 @@
     stage_since_unix_ms: int = 0  # by the clock of the member that did the step
     seen_down: bool = False  # it was seen down since it is out, so that being up again tells of its return
     step: int = 0  # number of the step that brought it to this stage
-    incarnation: int = 0  # of a manager: which run of its process was told to restart
+    incarnation: int = 0  # of a manager: which run of its process is to restart
 
 
 class Job(Struct, array_like=True, frozen=True):
@@ -63,7 +63,7 @@
 
     jobs: tuple[Job, ...] = ()
     step_count: int = 0  # steps ever done, by which one done twice or left out is found
-    blocked_reason: str = ""  # why no waiting machine goes, as of the last step
+    blocked_reason: str = ""  # why no waiting machine may be drained, as of the last step
 
     def machines_in(self, stages: Collection[Stage]) -> list[Machine]:
         """Machines in one of these stages, in the order of the plan."""
--- a/decklb/maintenance/plan_events.py
+++ b/decklb/maintenance/plan_events.py
@@ -1,6 +1,6 @@
 """Turns changes of the plan into notices for the log.
 
-Owns what the log has been told of: the plan as last seen, and the machines known to be overdue. Called by
+Owns the plan as last logged, and the machines already logged as overdue. Called by
 `orchestrator.py` at each tick. Free of I/O; `docs/operations/maintenance.md` lists the events.
 """
 
@@ -22,7 +22,7 @@
         return plan is not self._logged
 
     def notices(self, plan: Plan, unix_ms: int) -> list[Notice]:
-        """Notices of machines that are newly overdue, of each step, and of a new reason why nothing goes on."""
+        """Notices of machines newly overdue, of each step, and of a new reason that blocks all waiting machines."""
         notices = self._newly_overdue(plan, unix_ms)
         previous, self._logged = self._logged, plan
         if plan is previous:
--- a/decklb/maintenance/proposer.py
+++ b/decklb/maintenance/proposer.py
@@ -168,7 +168,7 @@
         current = self._codec.decode(newest.value) if newest.accepted != NO_BALLOT else self._codec.initial
         try:
             proposal.value = proposal.change(current)
-        except Exception as error:  # a request that can't be taken: its operator is told, and nothing is proposed
+        except Exception as error:  # the request can't be taken: that is its result, and nothing is proposed
             self._queue.pop(0)
             proposal.on_result(error)
             return
--- a/decklb/maintenance/replicated_register.py
+++ b/decklb/maintenance/replicated_register.py
@@ -1,4 +1,4 @@
-"""One value that the members agree on, changed by whoever has a change to make.
+"""A replicated register: one value that the members agree on, and that any of them may change.
 
 Rystsov: "CASPaxos: Replicated State Machines without logs" (2018). A proposer asks a majority for the newest value that
 each has accepted, under a ballot above all that they promised; applies its change to the newest; and has a majority
@@ -34,7 +34,7 @@
 
 Value = TypeVar("Value")
 NEVER = float("inf")
-UNCOMMITTED_CHECK_FACTOR = 10.0  # times the round timeout that an accepted value may wait for word of its commit
+UNCOMMITTED_CHECK_FACTOR = 10.0  # times the round timeout that an accepted value may wait to be known as committed
 RECOVERY_MARGIN = 1.1  # times the longest round, by which all rounds that began before a start are over
 NONCE_BITS = 48
 
@@ -102,7 +102,7 @@
 
     @property
     def newest(self) -> Value:
-        """What is accepted here: it may come to be committed, or is already and this member has not heard of it."""
+        """What is accepted here: it may come to be committed, or is already without this member knowing."""
         accepted = self.acceptor.accepted
         return self._codec.decode(accepted.value) if accepted.ballot > self.committed_ballot else self.committed
 
@@ -146,10 +146,9 @@
                 self._proposer.on_reply(now, sender, message)
 
     def _check_uncommitted(self, now: float) -> None:
-        """Find out what became of a value that was accepted here and of which nothing more was heard.
+        """Find out what became of a value that was accepted here and is not known to be committed.
 
-        Its proposer may have died before it told anybody, or all members at once. A change that changes nothing commits
-        whatever stands.
+        Its proposer may have died before it sent that, or all members at once. A change of nothing commits it.
         """
         if self.acceptor.accepted.ballot <= self.committed_ballot or self.recovering:
             self._uncommitted_check_at = NEVER
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -1,7 +1,7 @@
 """The I/O of maintenance: datagrams of the cluster, health checks of engines, the clock, the log, the store.
 
 Owns the orchestrator, its timer, the health checks of engines in the plan, and the store where the settings name a
-folder. Lays the plan over the endpoint list (`apply_plan`) and ends this manager when the plan says so. Made by
+folder. Lays the plan over the endpoint list (`apply_plan`) and ends this manager at its turn. Made by
 `daemon.assembly`; the management listener passes operators' requests to it.
 """
 
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from decklb.maintenance.store import PlanStore
 
-REQUEST_TIMEOUT_MS = 8000.0  # after which an operator is told that no majority has answered
+REQUEST_TIMEOUT_MS = 8000.0  # after which a request fails with QuorumUnavailableError
 INCARNATION_BITS = 48
 
 
@@ -222,7 +222,7 @@
             self._health_checks.ended(name, answered)
 
     def _follow_plan(self, now: float) -> None:
-        """What the plan says of the endpoint list, and of this manager."""
+        """Carry out the plan on the endpoint list, and on this manager."""
         if self._overlay.follow(now, self.orchestrator.plan, self.orchestrator.unavailable_machines()):
             self.on_plan_changed()
         if self.orchestrator.claim_restart():
--- a/decklb/maintenance/scheduling.py
+++ b/decklb/maintenance/scheduling.py
@@ -1,7 +1,7 @@
 """The next step of the plan: which machine moves to its next stage, by what is known of the fleet.
 
-Called by `orchestrator.py` through the replicated register, so that whoever proposes a step that another has done
-already proposes it on the plan as it then is, where it is no step any more. No state, free of I/O.
+Called by `orchestrator.py` through the replicated register, so that a member which proposes a step that another has
+done already proposes it on the plan as it then is, where it is no step any more. No state, free of I/O.
 """
 
 from __future__ import annotations
--- a/decklb/maintenance/status.py
+++ b/decklb/maintenance/status.py
@@ -23,7 +23,7 @@
     machines: Iterable[str],
     counts: Mapping[str, int],
 ) -> dict[str, Any]:
-    """Jobs with the stage of each machine, why nothing goes on, and how far the members agree."""
+    """Jobs with the stage of each machine, what blocks waiting machines, and how far the members agree."""
     overdue = {machine.name for machine in overdue_machines(plan, unix_ms)}
     return {
         "jobs": [_job_row(job, overdue, unix_ms) for job in plan.jobs],
--- a/decklb/maintenance/store.py
+++ b/decklb/maintenance/store.py
@@ -1,7 +1,7 @@
 """The acceptor's state on disk (LMDB), so that it outlives the process.
 
 Written before any message that rests on it leaves, without a sync: it outlives the process, not the machine. After the
-machine's own restart, told by the kernel's boot id, it counts as forgotten, and the member recovers from the others.
+machine's own restart, known by the kernel's boot id, it counts as forgotten, and the member recovers from the others.
 One record under one key; used by `runtime.py` where the settings name a folder.
 """
 
