--- a/decklb/locality/consensus.py
+++ b/decklb/locality/consensus.py
@@ -161,20 +161,10 @@
         """Cast a vote if there is something to vote for, and tell all others this member's vote and decision."""
         observation = self._fresh_observation(now, record)
         choice = self._choice(now, record, observation)
-        if choice is not None and now >= max(
-            record.decided_at + self._settings.min_state_duration_ms, self.voting_from
-        ):
+        votable_from = max(record.decided_at + self._settings.min_state_duration_ms, self.voting_from)
+        if choice is not None and now >= votable_from:
             self._cast(now, record, choice)
-        cast = record.cast if record.cast is not None and record.cast.term > record.term else None
-        vote = Vote(
-            name,
-            self._member,
-            cast.term if cast else record.term,
-            cast.state if cast else None,
-            observation is not None and not observation.health_checks_only,
-            observation is not None and observation.unreachable,
-            observation.reachable_fraction if observation is not None else 1.0,
-        )
+        vote = self._own_vote(name, record, observation)
         record.votes[self._member] = ReceivedVote(vote, now)
         self.outgoing.append(vote)
         if record.term:
@@ -207,6 +197,22 @@
         if cast is None or cast.term < term:
             record.cast = CastVote(term, choice, now)
 
+    def _own_vote(self, name: str, record: ZoneRecord, observation: ZoneObservation | None) -> Vote:
+        """This member's vote as it tells all others; without a state where it has cast none in an open term."""
+        cast = record.cast if record.cast is not None and record.cast.term > record.term else None
+        term, state = (cast.term, cast.state) if cast is not None else (record.term, None)
+        if observation is None:
+            return Vote(name, self._member, term, state, observed=False)
+        return Vote(
+            name,
+            self._member,
+            term,
+            state,
+            observed=not observation.health_checks_only,
+            unreachable=observation.unreachable,
+            reachable_fraction=observation.reachable_fraction,
+        )
+
     def _count_votes(self, now: float, name: str, record: ZoneRecord) -> None:
         """Decide each state that a quorum voted for in one term."""
         tally: dict[tuple[int, ZoneState], int] = {}
--- a/tests/test_maintenance_plan.py
+++ b/tests/test_maintenance_plan.py
@@ -4,6 +4,7 @@
 from msgspec.structs import replace
 
 from decklb.maintenance.errors import (
+    InvalidRequestError,
     MachineAlreadyPlannedError,
     MachineNotOutError,
     UnknownJobError,
@@ -11,7 +12,13 @@
 )
 from decklb.maintenance.fleet_observer import manager_machine
 from decklb.maintenance.fleet_status import FleetStatus, MachineStatus
-from decklb.maintenance.operator_requests import add_job, cancel_job, mark_returned, resolve_machines
+from decklb.maintenance.operator_requests import (
+    MaintenanceRequest,
+    add_job,
+    cancel_job,
+    mark_returned,
+    resolve_machines,
+)
 from decklb.maintenance.plan import Plan, overdue_machines
 from decklb.maintenance.scheduling import advance
 from decklb.maintenance.settings import MaintenanceSettings
@@ -39,6 +46,22 @@
     return add_job(Plan(), "j", ["a"], "", 5000, ENGINES, SETTINGS.retained_jobs)
 
 
+def test_a_request_is_parsed_from_its_fields_and_a_malformed_one_is_rejected():
+    parsed = MaintenanceRequest.parse({"job": "j", "machines": ["a", "b*"], "reason": "r" * 300, "window": 5})
+    assert parsed == MaintenanceRequest("j", ("a", "b*"), "r" * 200, 5)
+    assert MaintenanceRequest.parse({"job": "j", "machines": ["a"]}) == MaintenanceRequest("j", ("a",), "", 0)
+    for fields in (
+        {"machines": ["a"]},
+        {"job": "j" * 65, "machines": ["a"]},
+        {"job": "j", "machines": []},
+        {"job": "j", "machines": "a"},
+        {"job": "j", "machines": ["a"], "window": -1},
+        {"job": "j", "machines": ["a"], "window": "1h"},
+    ):
+        with pytest.raises(InvalidRequestError):
+            MaintenanceRequest.parse(fields)
+
+
 def test_targets_are_resolved_by_id_zone_or_pattern_once_each():
     assert [e.name for e in resolve_machines(["a1", "a", "b*"], ENGINES)] == ["a0", "a1", "b0", "b1"]
     with pytest.raises(UnknownMachineError):
