--- a/decklb/locality/zone_selector.py
+++ b/decklb/locality/zone_selector.py
@@ -39,7 +39,7 @@
     zones: WeightedRoundRobin
     without_returning: WeightedRoundRobin  # the same without zones that return
     recovery_cores: dict[str, float]  # that this member may use of each zone that returns
-    allowed: dict[str, tuple[str, ...]]  # by preferred zone, all that the request may use
+    selections: dict[str, ZoneSelection]  # by preferred zone
 
 
 class ZoneSelector:
@@ -92,7 +92,7 @@
             if not budget.try_spend(now, routing.recovery_cores[zone], work_ms):
                 zone = routing.without_returning.pick()
         self.counts["near" if zone == self._settings.home_zone else "away"] += 1
-        return ZoneSelection(zone, routing.allowed[zone])
+        return routing.selections[zone]
 
     def _refresh(self, now: float, request_class: str, coordinator: ZoneCoordinator) -> ClassRouting | None:
         """Compute the routing of a class anew and keep it; None where no zone is allowed."""
@@ -126,7 +126,7 @@
             WeightedRoundRobin(shares),
             WeightedRoundRobin({name: share / total for name, share in rest.items()} if total > 0 else {}),
             {name: share * coordinator.own_load_cores for name, share in returning.items()},
-            {name: tuple(sorted(available | {name})) for name in {*shares, *rest}},
+            {name: ZoneSelection(name, tuple(sorted(available | {name}))) for name in {*shares, *rest}},
         )
 
     def _zone_statuses(
