--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -28,40 +28,48 @@
 
 
 class Fleet:
-    """Members on a network that loses a tenth of the datagrams, by seed."""
+    """Three members; `busy` are attempts in flight, `down` engines that nobody reaches, `dead` members that ended."""
 
     def __init__(self, seed):
         self.rng, self.now, self.queue = random.Random(seed), 0.0, []
         self.names = ["m0", "m1", "m2"]
-        self.s = fleet_settings(
+        self.settings = fleet_settings(
             member_count=3, absent_after_ms=3000.0, round_timeout_ms=200.0, tick_ms=100.0, report_ttl_ms=1000.0
         )
-        self.nodes = {n: self.make(n) for n in self.names}
+        self.nodes = {name: self.make(name) for name in self.names}
         self.busy, self.down, self.dead = {}, set(), set()
 
     def make(self, name):
-        c = MaintenanceOrchestrator(self.s, name, self.rng.getrandbits(40), random.Random(self.rng.random()), self.now)
-        c.update_engines(ENGINES)
-        return c
+        """A new process of a member, which has forgotten what the former one knew."""
+        node = MaintenanceOrchestrator(
+            self.settings, name, self.rng.getrandbits(40), random.Random(self.rng.random()), self.now
+        )
+        node.update_engines(ENGINES)
+        return node
 
-    def run(self, ms, watch=lambda: None):
-        end = self.now + ms
+    def run(self, duration_ms, watch=lambda: None):
+        """Let time pass in steps of 50 ms; `watch` is called after each."""
+        end = self.now + duration_ms
         while self.now < end:
-            for sender, to, data in self.queue:
-                if to not in self.dead and sender not in self.dead:
-                    self.nodes[to].receive(self.now, sender, data)
+            for sender, receiver, data in self.queue:
+                if receiver not in self.dead and sender not in self.dead:
+                    self.nodes[receiver].receive(self.now, sender, data)
             self.queue.clear()
-            alive = [n for n in self.names if n not in self.dead]
+            alive = [name for name in self.names if name not in self.dead]
             for name in alive:
-                c = self.nodes[name]
-                c.update_members(self.now, alive, self.names)
-                c.tick(self.now, 1000.0 + self.now, LocalObservation(self.busy, frozenset(self.down)))
+                node = self.nodes[name]
+                node.update_members(self.now, alive, self.names)
+                node.tick(self.now, 1000.0 + self.now, LocalObservation(self.busy, frozenset(self.down)))
             for name in alive:
-                c = self.nodes[name]
-                for to, data in c.outgoing:
-                    self.queue += [
-                        (name, o, data) for o in ([to] if to else self.names) if o != name and self.rng.random() > 0.1
-                    ]
-                c.outgoing = []
+                self.send(name)
             watch()
             self.now += 50.0
+
+    def send(self, name):
+        """Queue a member's datagrams for their receivers; a tenth is lost."""
+        node = self.nodes[name]
+        for receiver, data in node.outgoing:
+            for other in [receiver] if receiver else self.names:
+                if other != name and self.rng.random() > 0.1:
+                    self.queue.append((name, other, data))
+        node.outgoing = []
