--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from decklb.core.ports import Work
+from decklb.core.ports import IncomingRequest
 from decklb.pg.engines import PgWork
 
 
@@ -29,16 +29,16 @@
     def __init__(self, rid: Callable[[], str]) -> None:
         self.rid = rid
 
-    def encode(self, work: Work) -> bytes:
+    def encode(self, work: IncomingRequest) -> bytes:
         """The same for the same statement, parameters and session settings that matter."""
         assert isinstance(work, PgWork)
         return msgspec.msgpack.encode(
             _Written(
-                work.lane,
+                work.request_class,
                 work.tenant,
                 work.statement,
-                work.tables,
-                work.key,
+                work.table_group,
+                work.ordering_key,
                 work.simple,
                 work.types,
                 work.bind,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -125,7 +125,9 @@
         self.loop.run(10.0)
         e.die()
         e.submit(self.query("b", 1.0))
-        self.assertEqual([(n, o) for n, o, _ in self.ended], [("a", Outcome.RST), ("b", Outcome.NOCONN)])
+        self.assertEqual(
+            [(n, o) for n, o, _ in self.ended], [("a", Outcome.CONNECTION_RESET), ("b", Outcome.UNREACHABLE)]
+        )
         e.start()
         e.submit(self.query("c", 100.0))
         e.die(silent=True)
@@ -147,7 +149,7 @@
         for i in range(12):
             e.submit(self.query(f"q{i}", 100.0))
         self.assertEqual(e.book.falls, 1)
-        self.assertIn(Outcome.RST, {o for _, o, _ in self.ended[1:]})
+        self.assertIn(Outcome.CONNECTION_RESET, {o for _, o, _ in self.ended[1:]})
 
 
 class Draws(unittest.TestCase):
@@ -259,7 +261,7 @@
     def _arrive(self, a):
         if self.rule == "key":
             self.taken.append(self.now)
-            r = self.open[a.req] = policies.Open(a, self.s.classes[a.lane], self.now)
+            r = self.open[a.request_id] = policies.Open(a, self.s.classes[a.request_class], self.now)
             return self._send(r)
         super()._arrive(a)
 
@@ -279,7 +281,7 @@
 
     def pick(self, r):
         if self.rule == "cold":
-            return max(self.ups, key=lambda x: x.ready_at).engine
+            return max(self.ups, key=lambda x: x.started_at_ms).engine_id
         return super().pick(r)
 
 
