--- a/decklb/handoff/guard.py
+++ b/decklb/handoff/guard.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from decklb.core.dispatcher import Attempt, Dispatcher, Request
-from decklb.core.ports import Clock, EngineClient, IncomingRequest, ResponseSink
+from decklb.core.ports import AnswerSink, Clock, EngineClient, Work
 from decklb.handoff.keeper import Keeper, Taken
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
 from decklb.interface import Outcome as End
@@ -26,10 +26,10 @@
 class Codec(Protocol):
     """How a front's requests are written down for another manager of the same front."""
 
-    def encode(self, work: IncomingRequest) -> bytes:
+    def encode(self, work: Work) -> bytes:
         """All that another manager needs to run it, without its budget; the same for the same request."""
 
-    def decode(self, body: bytes, budget: float) -> IncomingRequest:
+    def decode(self, body: bytes, budget: float) -> Work:
         """The request again, with what is left of its budget."""
 
 
@@ -39,7 +39,7 @@
 
     guard: Guard
     key: str
-    sink: ResponseSink | None  # none: nobody waits here, but the answer is kept
+    sink: AnswerSink | None  # none: nobody waits here, but the answer is kept
     request: Request | None = None
     carried: Carried | None = None  # the attempt that is out
     after: list[Callable[[], None]] = field(default_factory=list)  # once it is out no longer
@@ -53,11 +53,11 @@
         """The core's word: no promise."""
         self.guard.final(self, Outcome.FAILED, b"")
 
-    def rejected(self, retry_after_ms: float) -> None:
+    def refused(self, backoff: float) -> None:
         """The core's word: a retry is harmless, so the key is free again."""
-        self.guard.turned_away(self, retry_after_ms)
+        self.guard.turned_away(self, backoff)
 
-    def tell(self, call: Callable[[ResponseSink], None]) -> None:
+    def tell(self, call: Callable[[AnswerSink], None]) -> None:
         """To whoever waits, once."""
         sink, self.sink = self.sink, None
         if sink is not None:
@@ -81,24 +81,24 @@
     @property
     def begun(self) -> bool:
         """Whether it has been given to a transport, which the engine client tells."""
-        return self.attempt.sent
+        return self.attempt.begun
 
     @begun.setter
     def begun(self, value: bool) -> None:
-        self.attempt.sent = value
+        self.attempt.begun = value
 
     def traced(self, trace: bytes) -> None:
         """It has gone out on a connection by which it can be called off, also by whoever takes it over."""
         guard = self.owner.guard
         if self.state == "out" and trace != self.trace:
-            guard.keeper.traced(guard.clock.now(), self.owner.key, self.attempt.engine_id, trace)
+            guard.keeper.traced(guard.clock.now(), self.owner.key, self.attempt.engine, trace)
             guard.pump()
 
     def end(self, outcome: End, result: bytes = b"") -> None:
         """How it ended."""
         guard = self.owner.guard
         guard.say(self.owner, f"attempt ended {outcome.value}")
-        if outcome in (End.OVERLOADED, End.UNREACHABLE, End.NEVER_SENT):  # it provably never ran
+        if outcome in (End.FULL, End.NOCONN, End.NOP):  # it provably never ran
             guard.keeper.bounced(guard.clock.now(), self.owner.key)
             guard.pump()
         guard.ended(self)
@@ -113,7 +113,7 @@
 
     def start(self, attempt: Attempt) -> None:
         """Send it, a protected one once a quorum knows."""
-        owner = self.guard.running.get(attempt.request.request_id)
+        owner = self.guard.running.get(attempt.request.ident)
         if owner is None:
             return self.inner.start(attempt)
         carried = owner.carried = Carried(attempt, owner)
@@ -122,7 +122,7 @@
         if reserve is not None:  # so that the record can say how to call it off
             carried.trace = reserve(carried)
         self.guard.keeper.sending(
-            self.guard.clock.now(), owner.key, attempt.engine_id, lambda ok: self._go(carried, ok), carried.trace
+            self.guard.clock.now(), owner.key, attempt.engine, lambda ok: self._go(carried, ok), carried.trace
         )
         self.guard.pump()
 
@@ -135,21 +135,21 @@
         carried.state = "out"
         self.inner.start(carried)  # type: ignore[arg-type]
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Call it off; one that waits never goes out."""
         carried = attempt.handle
         if not isinstance(carried, Carried):
-            return self.inner.abandon(attempt, freed)
+            return self.inner.give_up(attempt, freed)
         self.guard.say(carried.owner, f"attempt called off, {carried.state}")
         waiting, carried.state = carried.state == "waiting", "gone"
         if waiting:
             self.guard.ended(carried)
             if carried.trace:
-                self.inner.abandon(carried, freed)  # type: ignore[arg-type]
+                self.inner.give_up(carried, freed)  # type: ignore[arg-type]
             else:
                 self.guard.clock.call_later(0, freed)
         else:
-            self.inner.abandon(carried, lambda: (self.guard.ended(carried), freed())[1])  # type: ignore[arg-type,func-returns-value]
+            self.inner.give_up(carried, lambda: (self.guard.ended(carried), freed())[1])  # type: ignore[arg-type,func-returns-value]
 
 
 class Guard:
@@ -167,26 +167,26 @@
 
     # What fronts call.
 
-    def submit(self, work: IncomingRequest, sink: ResponseSink) -> Request | Protected:
+    def submit(self, work: Work, sink: AnswerSink) -> Request | Protected:
         """Take a request; its sink gets one answer, unless it is abandoned."""
-        if not work.idempotency_key:
+        if not work.once:
             return self.dispatcher.submit(work, sink)
-        made = work.idempotency_key == MADE
+        made = work.once == MADE
         if made:
             self._made += 1
-            work.idempotency_key = f"{self.name}.{self.keeper.run:x}.{self._made}"
-        work.budget_ms = min(work.budget_ms, self.keeper.s.longest)
+            work.once = f"{self.name}.{self.keeper.run:x}.{self._made}"
+        work.budget = min(work.budget, self.keeper.s.longest)
         body, now = self.codec.encode(work), self.clock.now()
-        p = Protected(self, work.idempotency_key, sink)
+        p = Protected(self, work.once, sink)
         record = Record(
-            work.idempotency_key,
+            work.once,
             "",
             0,
             0,
             work.tenant,
-            work.request_class,
-            self.dispatcher.settings.classes[work.request_class].effect,
-            now + work.budget_ms,
+            work.lane,
+            self.dispatcher.settings.classes[work.lane].effect,
+            now + work.budget,
             fingerprint(body),
             made=made,
         )
@@ -231,9 +231,7 @@
         call_off(
             record.engine,
             record.trace,
-            lambda: self.clock.call_later(
-                self.dispatcher.settings.key_hold_down_ms, lambda: self._called_off(record, body)
-            ),
+            lambda: self.clock.call_later(self.dispatcher.settings.settle, lambda: self._called_off(record, body)),
         )
 
     def _called_off(self, record: Record, body: bytes) -> None:
@@ -249,7 +247,7 @@
     def _again(self, record: Record, body: bytes) -> None:
         now = self.clock.now()
         work = self.codec.decode(body, max(1.0, record.deadline - now))
-        work.idempotency_key = record.key
+        work.once = record.key
         self._run(Protected(self, record.key, None), work)
 
     def stop(self, key: str) -> None:
@@ -266,7 +264,7 @@
         if p.request is not None and not p.request.answered:
             self.dispatcher.abandon(p.request)
         self._forget(p)
-        p.tell(lambda sink: sink.rejected(BACK))
+        p.tell(lambda sink: sink.refused(BACK))
 
     def ended(self, carried: Carried) -> None:
         """An attempt is out no longer."""
@@ -285,7 +283,7 @@
         def told(ok: bool) -> None:
             self.say(p, f"quorum for the answer: {ok}")
             if not ok:
-                return p.tell(lambda sink: sink.rejected(BACK))
+                return p.tell(lambda sink: sink.refused(BACK))
             p.tell(lambda sink: sink.served(answer) if outcome is Outcome.SERVED else sink.failed())
 
         self.say(p, f"final: {outcome.name}")
@@ -299,7 +297,7 @@
         self._forget(p)
         self.keeper.release(self.clock.now(), p.key)
         self.pump()
-        p.tell(lambda sink: sink.rejected(backoff))
+        p.tell(lambda sink: sink.refused(backoff))
 
     def say(self, p: Protected, what: str) -> None:
         """For whoever follows one key, at the level DEBUG."""
@@ -307,12 +305,12 @@
 
     # Inside.
 
-    def _taken(self, p: Protected, work: IncomingRequest, taken: Taken, since: float) -> None:
+    def _taken(self, p: Protected, work: Work, taken: Taken, since: float) -> None:
         self.say(p, f"{taken.state} {taken.reason}")
         if taken.state == "taken" and p.unwanted:
             return self.keeper.release(self.clock.now(), p.key)
         if taken.state == "taken":
-            work.budget_ms = max(1.0, work.budget_ms - (self.clock.now() - since))
+            work.budget = max(1.0, work.budget - (self.clock.now() - since))
             return self._run(p, work)
         if taken.state == "done" and taken.outcome is Outcome.SERVED:
             return p.tell(lambda sink: sink.served(taken.answer))
@@ -320,16 +318,16 @@
             return p.tell(lambda sink: sink.failed())
         if taken.state == "reused":
             return p.tell(lambda sink: getattr(sink, "conflict", sink.failed)())
-        p.tell(lambda sink: sink.rejected(BACK))
+        p.tell(lambda sink: sink.refused(BACK))
 
-    def _run(self, p: Protected, work: IncomingRequest) -> None:
+    def _run(self, p: Protected, work: Work) -> None:
         self.by_key[p.key] = p
         p.request = self.dispatcher.submit(work, p)
-        self.running[p.request.request_id] = p
+        self.running[p.request.ident] = p
 
     def _forget(self, p: Protected) -> None:
         if p.request is not None:
-            self.running.pop(p.request.request_id, None)
+            self.running.pop(p.request.ident, None)
             p.request = None
         if p.carried is None and self.by_key.get(p.key) is p:
             del self.by_key[p.key]
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -12,7 +12,7 @@
 from decklb.cluster.runtime import ClusterService, log_notices
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
-from decklb.interface import Endpoint, Outcome
+from decklb.interface import Entry, Outcome
 from decklb.locality.council import Council
 from decklb.locality.messages import TOPIC
 from decklb.locality.settings import LocalitySettings
@@ -35,7 +35,7 @@
         self.clock, self.s, self.cluster, self.dispatcher, self.prober = clock, settings, cluster, dispatcher, prober
         me = cluster.settings.member
         self.sight, self.council = Sight(settings, me), Council(settings, me, clock.now())
-        self.steering = Steering(settings, dispatcher.settings.classes, dispatcher.settings.cores_by_kind)
+        self.steering = Steering(settings, dispatcher.settings.classes, dispatcher.settings.cores)
         self.addresses: Mapping[str, Address] = {}
         self.timer: Timer | None = None
         self._taken: Counter[str] = Counter()  # requests since the last tick, by class
@@ -48,13 +48,13 @@
     def start(self) -> None:
         """Listen for words, and look from now on."""
         self.cluster.topics[TOPIC] = self._heard
-        self.dispatcher.zone_router = self
+        self.dispatcher.places = self
         self._arm()
 
-    def engines(self, entries: list[Endpoint], addresses: Mapping[str, Address]) -> None:
+    def engines(self, entries: list[Entry], addresses: Mapping[str, Address]) -> None:
         """The list of engines."""
         self.addresses = addresses
-        self.sight.listed(in_use(entries, self.dispatcher.settings.cores_by_kind))
+        self.sight.listed(in_use(entries, self.dispatcher.settings.cores))
         self.steering.listed(entries)
         for zone in sorted({e.zone for e in entries} - self.steering.region.keys() - self._strange):
             self._strange.add(zone)
@@ -66,7 +66,7 @@
 
     # As the dispatcher's places.
 
-    def route(self, lane: str) -> tuple[str, Collection[str] | None]:
+    def place(self, lane: str) -> tuple[str, Collection[str] | None]:
         """For one request of a class: the zone to use first, and all that it may use."""
         self._taken[lane] += 1
         usual, spec = self.dispatcher.gateway.usual.get(lane), self.dispatcher.settings.classes.get(lane)
@@ -74,7 +74,7 @@
         work = usual.hold * spec.threads if usual is not None and spec is not None else 0.0
         return self.steering.place(self.clock.now(), lane, work, self.council)
 
-    def attempt_ended(self, engine: str, lane: str, outcome: Outcome, took: float) -> None:
+    def ended(self, engine: str, lane: str, outcome: Outcome, took: float) -> None:
         """How an attempt ended."""
         self.sight.ended(self.clock.now(), engine, lane, outcome, took)
 
@@ -131,7 +131,7 @@
         for engine in down:
             if now - self._told.get(engine, -REPEAT) >= REPEAT:
                 self._told[engine] = now
-                self.dispatcher.health_checked(engine, Outcome.UNREACHABLE)
+                self.dispatcher.probed(engine, Outcome.NOCONN)
 
     def _heard(self, sender: str, data: bytes) -> None:
         self.council.hear(self.clock.now(), sender, data)
@@ -139,7 +139,7 @@
     def close(self) -> None:
         """The program ends; requests that still come go anywhere."""
         self.closed = True
-        self.dispatcher.zone_router = None
+        self.dispatcher.places = None
         self.cluster.topics.pop(TOPIC, None)
         if self.timer is not None:
             self.timer.cancel()
--- a/decklb/locality/sight.py
+++ b/decklb/locality/sight.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from decklb.interface import Endpoint, Outcome, Phase
+from decklb.interface import Entry, Outcome, Phase
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.zones import View
 
@@ -19,8 +19,8 @@
 ERRORS, LATENCY = 0.05, 0.05  # weight of one attempt in running means
 DRIFT = 0.002  # by which the best latency is forgotten with each answer
 FLOOR = 20.0  # ms added to both sides of a ratio, or a hiccup of a millisecond would look like a slow zone
-ANSWERED = (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED)
-MISSED = (Outcome.UNREACHABLE, Outcome.CONNECTION_RESET, Outcome.TIMED_OUT)
+ANSWERED = (Outcome.GOOD, Outcome.BAD, Outcome.FULL)
+MISSED = (Outcome.NOCONN, Outcome.RST, Outcome.LATE)
 
 
 @dataclass(slots=True)
@@ -45,9 +45,9 @@
     latency: dict[str, float] = field(default_factory=dict)  # by class
 
 
-def in_use(entries: Iterable[Endpoint], cores: Mapping[str, int]) -> dict[str, tuple[str, float]]:
+def in_use(entries: Iterable[Entry], cores: Mapping[str, int]) -> dict[str, tuple[str, float]]:
     """Zone and cores of each engine that the list calls up; `cores` by kind."""
-    return {e.engine_id: (e.zone, float(max(1, cores.get(e.kind, 1)))) for e in entries if e.phase is Phase.UP}
+    return {e.engine: (e.zone, float(max(1, cores.get(e.kind, 1)))) for e in entries if e.phase is Phase.UP}
 
 
 class Sight:
@@ -83,10 +83,10 @@
         zone.tried = now
         if outcome in ANSWERED:
             e.misses, e.answered = 0, now
-            zone.errors += ERRORS * ((outcome is Outcome.ERROR) - zone.errors)
-        elif e.answered < now - took or outcome is Outcome.UNREACHABLE:  # else it was the request, not the engine
+            zone.errors += ERRORS * ((outcome is Outcome.BAD) - zone.errors)
+        elif e.answered < now - took or outcome is Outcome.NOCONN:  # else it was the request, not the engine
             e.misses += 1
-        if outcome is Outcome.SUCCESS:
+        if outcome is Outcome.GOOD:
             self._timed(zone, lane, took)
 
     def probed(self, now: float, engine: str, ok: bool, took: float) -> bool:
--- a/decklb/locality/steering.py
+++ b/decklb/locality/steering.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from decklb.interface import Endpoint, Phase, RequestClass
+from decklb.interface import ClassSpec, Entry, Phase
 from decklb.locality.council import Council
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.spill import Place, shares
@@ -64,9 +64,7 @@
 class Steering:
     """One member's own callers."""
 
-    def __init__(
-        self, settings: LocalitySettings, classes: Mapping[str, RequestClass], cores: Mapping[str, int]
-    ) -> None:
+    def __init__(self, settings: LocalitySettings, classes: Mapping[str, ClassSpec], cores: Mapping[str, int]) -> None:
         self.s, self.classes, self.cores = settings, classes, cores
         self.region = dict(settings.region_of)
         self.capacity: dict[str, dict[str, float]] = {}  # by zone and kind, cores of engines that the list calls up
@@ -74,7 +72,7 @@
         self.budgets: dict[str, Budget] = {}
         self.counts = {"near": 0, "away": 0}
 
-    def listed(self, entries: Sequence[Endpoint]) -> None:
+    def listed(self, entries: Sequence[Entry]) -> None:
         """The list of engines."""
         self.capacity = {}
         for e in entries:
@@ -118,13 +116,13 @@
 
     def _plan(self, now: float, lane: str, council: Council) -> Plan | None:
         spec = self.classes.get(lane)
-        places = self.places(now, council, spec.allowed_kinds if spec else None)
-        weights = shares(self.s.zone, places, now, self.s, spec.allowed_zones if spec else None)
+        places = self.places(now, council, spec.kinds if spec else None)
+        weights = shares(self.s.zone, places, now, self.s, spec.zones if spec else None)
         if not weights:
             return None
         # Where a try fails, another goes to any zone that is well or to the one drawn; never to one that returns, whose
         # budget is spent by draws alone. Where all are used alike (panic), all are open.
-        allowed = [z for z in places if spec is None or spec.allowed_zones is None or z in spec.allowed_zones]
+        allowed = [z for z in places if spec is None or spec.zones is None or z in spec.zones]
         well = {z for z in allowed if places[z].state in (State.HEALTHY, State.DEGRADED)}
         returning = {z: w * council.load for z, w in weights.items() if places[z].state is State.RETURNING}
         self.budgets = {z: b for z, b in self.budgets.items() if z in returning}
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -14,7 +14,7 @@
 from decklb.cluster.runtime import ClusterService, log_notices, wall
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
-from decklb.interface import Endpoint, Phase
+from decklb.interface import Entry, Phase
 from decklb.locality.runtime import LocalityService
 from decklb.locality.sight import in_use
 from decklb.locality.zones import State
@@ -82,16 +82,16 @@
 
     # The list of engines.
 
-    def over(self, entries: list[Endpoint], addresses: Mapping[str, Address]) -> list[Endpoint]:
+    def over(self, entries: list[Entry], addresses: Mapping[str, Address]) -> list[Entry]:
         """The list as the plan lets it be used: what is away drains, what has come back is cold."""
         self.addresses = addresses
-        self.conductor.engines = in_use(entries, self.dispatcher.settings.cores_by_kind)
+        self.conductor.engines = in_use(entries, self.dispatcher.settings.cores)
         away = self.conductor.away()
         return [
             replace(e, phase=Phase.DRAINING)
-            if e.engine_id in away and e.phase is Phase.UP
-            else replace(e, started_at_ms=self._warm[e.engine_id])
-            if e.engine_id in self._warm
+            if e.engine in away and e.phase is Phase.UP
+            else replace(e, ready_at=self._warm[e.engine])
+            if e.engine in self._warm
             else e
             for e in entries
         ]
--- a/decklb/middleware/asgi.py
+++ b/decklb/middleware/asgi.py
@@ -16,8 +16,8 @@
 from loguru import logger
 
 from decklb.core.dispatcher import EARLY, Attempt, Dispatcher
-from decklb.core.ports import IncomingRequest, RequestHandler, Timer
-from decklb.interface import Endpoint, Outcome, Settings
+from decklb.core.ports import Intake, Timer, Work
+from decklb.interface import Entry, Outcome, Settings
 
 if TYPE_CHECKING:
     from decklb.middleware.members import Members
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class AsgiWork(IncomingRequest):
+class AsgiWork(Work):
     """A request with what the application needs to answer it, and the whole response."""
 
     scope: Scope = field(default_factory=dict)
@@ -84,7 +84,7 @@
         task.add_done_callback(lambda done: self._done(attempt, done))
 
     async def _call(self, attempt: Attempt) -> list[Message]:
-        work = attempt.request.incoming
+        work = attempt.request.work
         assert isinstance(work, AsgiWork)
         response: list[Message] = []
         size, read = 0, False
@@ -104,27 +104,25 @@
                 raise TooLarge("response")
             response.append(message)
 
-        await self.app(dict(work.scope) | {"decklb.engine": attempt.engine_id}, receive, send)
+        await self.app(dict(work.scope) | {"decklb.engine": attempt.engine}, receive, send)
         return response
 
     def _done(self, attempt: Attempt, task: asyncio.Task[list[Message]]) -> None:
         if task.cancelled():
-            return attempt.end(Outcome.CONNECTION_RESET)
+            return attempt.end(Outcome.RST)
         if (error := task.exception()) is not None:
-            logger.opt(exception=error).warning("application failed for engine {}", attempt.engine_id)
-            return attempt.end(Outcome.ERROR)
-        response, work = task.result(), attempt.request.incoming
+            logger.opt(exception=error).warning("application failed for engine {}", attempt.engine)
+            return attempt.end(Outcome.BAD)
+        response, work = task.result(), attempt.request.work
         whole = len(response) > 1 and not response[-1].get("more_body", False)
         if not whole or response[0].get("status", 500) >= 500:
-            return attempt.end(Outcome.ERROR)
+            return attempt.end(Outcome.BAD)
         assert isinstance(work, AsgiWork)
         if not attempt.request.answered:
             work.response = response
-        attempt.end(
-            Outcome.SUCCESS, self.written(response) if self.written is not None and work.idempotency_key else b""
-        )
+        attempt.end(Outcome.GOOD, self.written(response) if self.written is not None and work.once else b"")
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel the call; it is out until its task has ended."""
         task = attempt.handle
         if isinstance(task, asyncio.Task) and not task.done():
@@ -150,9 +148,9 @@
         self.result = result
         self._set(200)
 
-    def rejected(self, retry_after_ms: float) -> None:
+    def refused(self, backoff: float) -> None:
         """Come back later."""
-        self._set(503, retry_after_ms)
+        self._set(503, backoff)
 
     def failed(self) -> None:
         """Over, or unknown."""
@@ -170,7 +168,7 @@
         self,
         app: App,
         settings: Settings,
-        engines: list[Endpoint],
+        engines: list[Entry],
         classify: Callable[[Scope], Ask | None],
         seed: int = 0,
         most_body: int = 1 << 20,
@@ -179,18 +177,18 @@
     ) -> None:
         """`fleet` makes this process one of several that take over one another's requests; see docs/operations."""
         self.fleet = fleet
-        self.intake: RequestHandler | None = None
+        self.intake: Intake | None = None
         self.app, self.settings, self.classify, self.seed = app, settings, classify, seed
         self.most_body, self.most_response = most_body, most_response
         self.entries = engines
         self.dispatcher: Dispatcher | None = None
         self._count = 0
 
-    def members(self, engines: list[Endpoint]) -> None:
+    def members(self, engines: list[Entry]) -> None:
         """The whole list of engines, when it changes."""
         self.entries = engines
         if self.dispatcher is not None:
-            self.dispatcher.update_endpoints(engines)
+            self.dispatcher.members(engines)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """One ASGI call."""
@@ -226,7 +224,7 @@
         loop = asyncio.get_running_loop()
         intake = self._core(loop)
         self._count += 1
-        budget = ask.budget or self.settings.classes[ask.lane].deadline_ms
+        budget = ask.budget or self.settings.classes[ask.lane].deadline
         work = AsgiWork(
             f"{self._count:016x}",
             ask.lane,
@@ -236,7 +234,7 @@
             ask.tables,
             ask.key,
             scope=scope,
-            idempotency_key=ask.once if self.fleet is not None else "",
+            once=ask.once if self.fleet is not None else "",
         )
         answer: asyncio.Future[tuple[int, float]] = loop.create_future()
         start = loop.time()
@@ -272,7 +270,7 @@
             left.cancel()
             intake.abandon(request)  # nothing if it has been answered
 
-    def _core(self, loop: asyncio.AbstractEventLoop) -> RequestHandler:
+    def _core(self, loop: asyncio.AbstractEventLoop) -> Intake:
         """Made on the first call, as only then there is a loop."""
         if self.intake is None:
             clock, fleet = LoopClock(loop), self.fleet
@@ -282,7 +280,7 @@
                 clock,
                 AppEngines(self.app, self.most_response, fleet.codec.response if fleet is not None else None),
             )
-            self.dispatcher.update_endpoints(self.entries)
+            self.dispatcher.members(self.entries)
             self.intake = fleet.attach(self.dispatcher, clock, loop) if fleet is not None else self.dispatcher
         return self.intake
 
--- a/decklb/middleware/codec.py
+++ b/decklb/middleware/codec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from decklb.core.ports import IncomingRequest
+from decklb.core.ports import Work
 from decklb.middleware.asgi import AsgiWork, Message, Scope
 
 # What of a scope means the same in another process. The rest (state, extensions, sockets) is its own process's.
@@ -38,17 +38,17 @@
         """`passing`: names of headers, in small letters, that are no part of what a request asks."""
         self.passing = passing
 
-    def encode(self, work: IncomingRequest) -> bytes:
+    def encode(self, work: Work) -> bytes:
         """The same for the same request."""
         assert isinstance(work, AsgiWork)
         s = work.scope
         headers = [(bytes(k), bytes(v)) for k, v in s.get("headers", ()) if bytes(k).lower() not in self.passing]
         return msgspec.msgpack.encode(
             _Written(
-                work.request_class,
+                work.lane,
                 work.tenant,
-                work.table_group,
-                work.ordering_key,
+                work.tables,
+                work.key,
                 {k: str(s[k]) for k in TEXTS if s.get(k) is not None},
                 {k: bytes(s[k]) for k in BYTES if s.get(k) is not None},
                 headers,
--- a/decklb/net/directory.py
+++ b/decklb/net/directory.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from decklb.core.ports import Clock, Timer
-from decklb.interface import Endpoint, Phase
+from decklb.interface import Entry, Phase
 from decklb.net import dns
 from decklb.net.polling import Polling
 from decklb.net.start_times import StartTimes
@@ -45,7 +45,7 @@
         clock: Clock,
         resolver: tuple[str, int] | None,
         draw: Callable[[int], int],
-        changed: Callable[[list[Endpoint], dict[str, tuple[str, int]]], None],
+        changed: Callable[[list[Entry], dict[str, tuple[str, int]]], None],
         grace: float = 0.0,
     ) -> None:
         self.clock, self.draw, self.changed, self.resolver = clock, draw, changed, resolver
@@ -158,7 +158,7 @@
             [(r.engine, r.started) for r in self.rows.values()], self.clock.now(), time.time() * 1000.0, self.heard
         )
         entries = [
-            Endpoint(r.engine, r.zone, r.kind, r.cell, r.phase, r.hint, started[r.engine]) for r in self.rows.values()
+            Entry(r.engine, r.zone, r.kind, r.cell, r.phase, r.hint, started[r.engine]) for r in self.rows.values()
         ]
         logger.info(
             "list {index}: {engines} engines, {draining} draining",
--- a/decklb/net/engines.py
+++ b/decklb/net/engines.py
@@ -39,7 +39,7 @@
 SWEEP, MOST_LOOKS = 100.0, 6  # ms between looks; how many find the same piece
 UNUSED, RETIRED = "idle", "retired"
 OWN_CLOSES = (UNUSED, RETIRED)  # reasons of connections that we close when nothing is open on them
-ENDS = {b"full": Outcome.OVERLOADED, b"failed": Outcome.ERROR, b"moot": Outcome.NEVER_SENT}
+ENDS = {b"full": Outcome.FULL, b"failed": Outcome.BAD, b"moot": Outcome.NOP}
 NOTES, WAITS = {"p": 1, "s": 2, "w": 3}, 3
 STUCK = 20.0  # ms that bytes may lie in our transport before no further request joins them
 
@@ -59,7 +59,7 @@
     @property
     def ident(self) -> bytes:
         """The client's own id, which goes to the engine unchanged."""
-        return self.attempt.request.incoming.client_request_id.encode()
+        return self.attempt.request.work.rid.encode()
 
     def page(self, number: int, body: bytes) -> None:
         """Take one page, once. Raises RespError for what is no rows of three columns: it is spoilt."""
@@ -123,7 +123,7 @@
             return
         if call.sent:
             self.spent.add(call.ident)
-            self.overdue = self.overdue or call.attempt.timed_out
+            self.overdue = self.overdue or call.attempt.overdue
             self._write(resp.pack(b"forget" if call.pages else b"undo", call.ident))
         self._rest()
 
@@ -133,17 +133,15 @@
         return self.unsent is not None and self.pool.client.clock.now() - self.unsent > STUCK
 
     def _do(self, call: Call) -> None:
-        work, a, now = call.attempt.request.incoming, call.attempt, self.pool.client.clock.now()
-        if (
-            now > a.start_deadline_ms
-        ):  # it waited too long for its connection: its engine drains, or it may not be repeated now
+        work, a, now = call.attempt.request.work, call.attempt, self.pool.client.clock.now()
+        if now > a.latest:  # it waited too long for its connection: its engine drains, or it may not be repeated now
             del self.calls[call.ident]
             self._rest()
-            return a.end(Outcome.NEVER_SENT)
-        fields = {"queue": work.request_class, "budget": str(max(1, int(a.deadline_ms - now)))}
-        if work.deduplication_token:
-            fields["uniq"] = work.deduplication_token
-        call.sent = a.sent = True
+            return a.end(Outcome.NOP)
+        fields = {"queue": work.lane, "budget": str(max(1, int(a.deadline - now)))}
+        if work.token:
+            fields["uniq"] = work.token
+        call.sent = a.begun = True
         self._write(resp.pack(b"do", call.ident, resp.pack_fields(fields), work.statement))
 
     def _write(self, data: bytes) -> None:
@@ -223,20 +221,20 @@
             call.page(number, body)
             self._check(call)
         elif word in ENDS:  # who has begun a result, or told of progress, can't say that it never ran
-            self._end(call, Outcome.ERROR if call.ran else ENDS[word])
+            self._end(call, Outcome.BAD if call.ran else ENDS[word])
         elif word not in (b"data", b"page"):  # of these, a second copy
             raise resp.RespError("unknown word")
 
     def _check(self, call: Call) -> None:
         whole = call.whole()
         if whole is not None:
-            self._end(call, Outcome.SUCCESS, whole)
+            self._end(call, Outcome.GOOD, whole)
 
     def _end(self, call: Call, outcome: Outcome, result: bytes = b"") -> None:
         del self.calls[call.ident]
         if call.pages:  # the engine keeps them until it is told
             self._write(resp.pack(b"forget", call.ident))
-        if outcome is not Outcome.SUCCESS:
+        if outcome is not Outcome.GOOD:
             self.spent.add(call.ident)
         self._rest()
         self.answered.answered(call.attempt, outcome, result)
@@ -247,7 +245,7 @@
             try:
                 level = float(fields.get("value", ""))
                 call.ran = call.ran or kind != WAITS and level > 0
-                call.attempt.report_progress(kind, level)
+                call.attempt.note(kind, level)
             except ValueError:
                 logger.debug("note without a number from {engine}", event="bad-note", engine=self.pool.engine)
 
@@ -280,17 +278,17 @@
         """What was out may have run. It is out until the engine has learnt of the end, like what is given up."""
         self.reason = reason
         self.transport.abortConnection()
-        self.end(Outcome.CONNECTION_RESET, OVERTAKE)
+        self.end(Outcome.RST, OVERTAKE)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """What was out may have run."""
         self.reason = self.reason or end_reason(reason)
-        self.end(Outcome.CONNECTION_RESET)
+        self.end(Outcome.RST)
         self._ended(self.reason)
 
     def refused(self, reason: Failure) -> None:
         """It never came up, so nothing was sent. What only this machine is to blame for tells nothing of the engine."""
-        self.end(Outcome.NEVER_SENT if is_local(reason.value) else Outcome.UNREACHABLE)
+        self.end(Outcome.NOP if is_local(reason.value) else Outcome.NOCONN)
         self._ended(f"no-connection ({end_reason(reason)})")
 
     def _ended(self, reason: str) -> None:
@@ -318,7 +316,7 @@
         calls, self.calls = list(self.calls.values()), {}
         for call in calls:
             if not call.sent:
-                call.attempt.end(outcome if outcome is Outcome.NEVER_SENT else Outcome.UNREACHABLE)
+                call.attempt.end(outcome if outcome is Outcome.NOP else Outcome.NOCONN)
             elif after:
                 self.pool.client.clock.call_later(after, partial(call.attempt.end, outcome))
             else:
@@ -334,9 +332,9 @@
 
     def start(self, attempt: Attempt) -> None:
         """Send on a connection that can take it, else on a new one."""
-        ident = attempt.request.incoming.client_request_id.encode()
+        ident = attempt.request.work.rid.encode()
         link = next((x for x in self.links if x.takes(ident)), None) or self._connect()
-        attempt.sent = False
+        attempt.begun = False
         attempt.handle = call = Call(attempt, link)
         link.add(call)
 
@@ -385,12 +383,12 @@
         """A pool for an engine that is new, or has moved."""
         return Pool(self, engine, address)
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """The engine is told before anybody else is."""
         if isinstance(attempt.handle, Call):
             attempt.handle.link.drop(attempt.handle)
-        over = attempt.request.answered or self.clock.now() >= attempt.request.deadline_ms
-        self.clock.call_later(0.0 if not attempt.sent else LAST if over else OVERTAKE, freed)
+        over = attempt.request.answered or self.clock.now() >= attempt.request.deadline
+        self.clock.call_later(0.0 if not attempt.begun else LAST if over else OVERTAKE, freed)
 
 
 def _count(text: str, least: int, most: int) -> int | None:
--- a/decklb/net/frames.py
+++ b/decklb/net/frames.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from decklb.core.ports import IncomingRequest
+from decklb.core.ports import Work
 from decklb.interface import Settings
 from decklb.wire.tables import table_group
 
@@ -99,7 +99,7 @@
     return fields, payload[at:]
 
 
-def read_request(payload: bytes, settings: Settings) -> IncomingRequest:
+def read_request(payload: bytes, settings: Settings) -> Work:
     """The request of a type 1 frame. Raises BadRequest."""
     fields, body = read_fields(payload)
     spec = settings.classes.get(fields.get("method", ""))
@@ -117,7 +117,7 @@
         raise BadRequest("token can't be used")
     if settings.tenants and fields.get("acct") not in settings.tenants:
         raise BadRequest("unknown acct")
-    return IncomingRequest(rid, spec.name, fields.get("acct", ""), float(budget), body, table_group(body), key, token)
+    return Work(rid, spec.name, fields.get("acct", ""), float(budget), body, table_group(body), key, token)
 
 
 def pack_answer(stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> bytes:
--- a/decklb/net/front.py
+++ b/decklb/net/front.py
@@ -39,11 +39,9 @@
         """The whole result, in one write."""
         self.client.answer(self.stream, frames.SERVED, {}, result)
 
-    def rejected(self, retry_after_ms: float) -> None:
+    def refused(self, backoff: float) -> None:
         """A retry is harmless."""
-        self.client.answer(
-            self.stream, frames.REFUSED, {"backoff": str(round(retry_after_ms))} if retry_after_ms else {}
-        )
+        self.client.answer(self.stream, frames.REFUSED, {"backoff": str(round(backoff))} if backoff else {})
 
     def failed(self) -> None:
         """No promise."""
@@ -144,24 +142,20 @@
         self.open[stream] = None
         try:
             work = frames.read_request(frame.payload, self.front.dispatcher.settings)
-            if (
-                other := self.front.ids.get(work.client_request_id)
-            ) is not None and other.incoming.statement != work.statement:
+            if (other := self.front.ids.get(work.rid)) is not None and other.work.statement != work.statement:
                 raise BadRequest("rid is open with another statement")  # engines know requests by their ids
         except BadRequest as error:
             return self.answer(stream, frames.FAILED, {"reason": str(error)})
         if len(self.open) > MOST_STREAMS or self.front.closing or self.crowded:
             return self.answer(stream, frames.REFUSED, self.front.away)
         self.taken += 1
-        self.open[stream] = self.front.ids[work.client_request_id] = self.front.dispatcher.submit(
-            work, Answer(self, stream)
-        )
+        self.open[stream] = self.front.ids[work.rid] = self.front.dispatcher.submit(work, Answer(self, stream))
 
     def _release(self, stream: int) -> Request | None:
         """The stream is free again; its request, if one was taken on it."""
         request = self.open.pop(stream, None)
-        if request is not None and self.front.ids.get(request.incoming.client_request_id) is request:
-            del self.front.ids[request.incoming.client_request_id]
+        if request is not None and self.front.ids.get(request.work.rid) is request:
+            del self.front.ids[request.work.rid]
         return request
 
     def answer(self, stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> None:
@@ -288,7 +282,7 @@
         self.dispatcher, self.ready = dispatcher, ready
         self.most_clients, self.spare_clients, self.most_held = most_clients, spare_clients, most_held
         s = dispatcher.settings
-        wait = min(AWAY, s.max_retry_after_ms) if s.retry_after else 0.0
+        wait = min(AWAY, s.max_retry_after) if s.retry_after else 0.0
         self.away = {"backoff": str(round(wait))} if wait else {}
         self.clients: set[Client] = set()
         # Connections by what they wait for, with the time since when, oldest first; each is in one of these or in
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from decklb.core.ports import IncomingRequest
+from decklb.core.ports import Work
 from decklb.pg.engines import PgWork
 
 
@@ -29,16 +29,16 @@
     def __init__(self, rid: Callable[[], str]) -> None:
         self.rid = rid
 
-    def encode(self, work: IncomingRequest) -> bytes:
+    def encode(self, work: Work) -> bytes:
         """The same for the same statement, parameters and session settings that matter."""
         assert isinstance(work, PgWork)
         return msgspec.msgpack.encode(
             _Written(
-                work.request_class,
+                work.lane,
                 work.tenant,
                 work.statement,
-                work.table_group,
-                work.ordering_key,
+                work.tables,
+                work.key,
                 work.simple,
                 work.types,
                 work.bind,
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -16,7 +16,7 @@
 from twisted.python.failure import Failure
 
 from decklb.core.dispatcher import Attempt
-from decklb.core.ports import Clock, IncomingRequest, Timer
+from decklb.core.ports import Clock, Timer, Work
 from decklb.interface import Outcome
 from decklb.pg import messages as pg
 from decklb.pg.settings import PgSettings
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class PgWork(IncomingRequest):
+class PgWork(Work):
     """A statement as a session has it. `bind` is what follows the names in Bind, as it came."""
 
     simple: bool = False
@@ -107,10 +107,10 @@
 
     def _send(self) -> None:
         assert self.attempt is not None
-        work = self.attempt.request.incoming
+        work = self.attempt.request.work
         assert isinstance(work, PgWork)
         self.ready, self.sent = False, True
-        self.attempt.sent = True
+        self.attempt.begun = True
         traced = getattr(self.attempt, "traced", None)
         if traced is not None and self.trace:  # another manager may take it over
             traced(self.trace)
@@ -170,7 +170,7 @@
         if self.size > self.pool.client.settings.most_result and self.attempt is not None:
             attempt, self.attempt = self.attempt, None
             self._abort("result-too-large")
-            attempt.end(Outcome.SUCCESS, pg.pack_error(pg.LIMIT_EXCEEDED, "the result is too large"))
+            attempt.end(Outcome.GOOD, pg.pack_error(pg.LIMIT_EXCEEDED, "the result is too large"))
 
     def _ready(self, status: bytes) -> None:
         if self.error is not None:
@@ -184,11 +184,11 @@
         if attempt is not None and not sent:  # it waited for the connection
             if self.held:
                 return
-            if self.pool.client.clock.now() <= attempt.start_deadline_ms:
+            if self.pool.client.clock.now() <= attempt.latest:
                 return self._send()
             self.attempt = None  # it waited too long: its engine drains, or it may not be repeated now
             self._rest()
-            return attempt.end(Outcome.NEVER_SENT)
+            return attempt.end(Outcome.NOP)
         self.attempt, self.freed, self.sent = None, None, False
         self._rest()
         if freed is not None:
@@ -196,9 +196,7 @@
         elif attempt is not None:
             state = (self.error or {}).get("C", "")
             own = state.startswith(OWN_FAULTS)
-            self.answered.answered(
-                attempt, Outcome.ERROR if own else Outcome.SUCCESS, b"" if own else b"".join(self.result)
-            )
+            self.answered.answered(attempt, Outcome.BAD if own else Outcome.GOOD, b"" if own else b"".join(self.result))
 
     def give_up(self, freed: Callable[[], None]) -> None:
         """Cancel what runs; free when the engine is ready again or the connection is gone."""
@@ -249,16 +247,16 @@
         """The end of whatever was out here."""
         self.reason = self.reason or end_reason(reason)
         if self.sent:
-            outcome = Outcome.CONNECTION_RESET
+            outcome = Outcome.RST
         else:  # turned away before anything was sent
             full = (self.error or {}).get("C") == pg.TOO_MANY_CONNECTIONS
-            outcome = Outcome.OVERLOADED if full else Outcome.UNREACHABLE
+            outcome = Outcome.FULL if full else Outcome.NOCONN
         self.gone(outcome)
 
     def refused(self, reason: Failure) -> None:
         """It never came up."""
         self.reason = "no-connection"
-        self.gone(Outcome.NEVER_SENT if is_local(reason.value) else Outcome.UNREACHABLE)
+        self.gone(Outcome.NOP if is_local(reason.value) else Outcome.NOCONN)
 
     def gone(self, outcome: Outcome) -> None:
         """Tell whoever waits."""
@@ -335,9 +333,9 @@
         # One that is ready comes before one that is still coming up.
         link = max(free, key=lambda x: x.ready, default=None)
         if link is None and len(self.links) >= self.client.settings.connections:
-            return attempt.end(Outcome.OVERLOADED)
+            return attempt.end(Outcome.FULL)
         link = link or self._connect()
-        attempt.sent = False
+        attempt.begun = False
         attempt.handle = link
         link.take(attempt)
 
@@ -389,7 +387,7 @@
 
     def reserve(self, attempt: Attempt) -> bytes:
         """A ready connection is kept for an attempt that is yet to be started; "" where there is none."""
-        pool = self.pools.get(attempt.engine_id)
+        pool = self.pools.get(attempt.engine)
         for link in pool.links if pool is not None else ():
             if link.ready and link.trace and link.free:
                 attempt.handle = link
@@ -413,7 +411,7 @@
         else:
             pool.cancel(struct.unpack(">II", trace), done)
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel on the engine; `freed` comes when it is no longer out."""
         link = attempt.handle
         if isinstance(link, PgLink) and link.attempt is attempt:
--- a/decklb/pg/front.py
+++ b/decklb/pg/front.py
@@ -18,7 +18,7 @@
 from twisted.python.failure import Failure
 
 from decklb.core.dispatcher import EARLY, Dispatcher
-from decklb.core.ports import RequestHandler, Timer
+from decklb.core.ports import Intake, Timer
 from decklb.interface import Effect
 from decklb.pg import messages as pg
 from decklb.pg.engines import PgWork
@@ -67,21 +67,21 @@
         """An engine's whole answer, which may be its word that the statement is wrong."""
         self.session.answered(lambda: self.done(result))
 
-    def rejected(self, retry_after_ms: float) -> None:
+    def refused(self, backoff: float) -> None:
         """It never ran, or may be run again; the hint says when."""
         if self.once:  # also past its time: it is no answer, and another may come to be given
             return self._tell(
                 PgError(
                     pg.INSUFFICIENT_RESOURCES,
                     "the statement has no answer here yet",
-                    f"Ask again under the same decklb.request in {max(1, round(retry_after_ms))} ms.",
+                    f"Ask again under the same decklb.request in {max(1, round(backoff))} ms.",
                 )
             )
         self._error(
             PgError(
                 pg.INSUFFICIENT_RESOURCES,
                 "the engines are too busy for this statement now",
-                f"Come back in {max(1, round(retry_after_ms))} ms.",
+                f"Come back in {max(1, round(backoff))} ms.",
             )
         )
 
@@ -444,7 +444,7 @@
             self.front.rid(),
             lane,
             p.tenant,
-            p.budget or classes[lane].deadline_ms,
+            p.budget or classes[lane].deadline,
             text,
             table_group(text),
             p.key or None,
@@ -453,13 +453,11 @@
 
     def _submit(self, work: PgWork, done: Callable[[bytes], None]) -> None:
         self.taken += 1
-        self.busy = sink = Sink(
-            self, self.front.dispatcher.clock.now() + work.budget_ms, done, once=bool(work.idempotency_key)
-        )
-        asked = work.idempotency_key
+        self.busy = sink = Sink(self, self.front.dispatcher.clock.now() + work.budget, done, once=bool(work.once))
+        asked = work.once
         sink.request = self.front.intake.submit(work, sink)
-        if work.idempotency_key != asked:  # the name that was made for it
-            self._write(pg.pack(b"S", pg.text("decklb.request") + pg.text(work.idempotency_key)))
+        if work.once != asked:  # the name that was made for it
+            self._write(pg.pack(b"S", pg.text("decklb.request") + pg.text(work.once)))
 
     def answered(self, tell: Callable[[], None]) -> None:
         """The one final answer has come; the next message may go."""
@@ -573,7 +571,7 @@
         self, dispatcher: Dispatcher, settings: PgSettings, draw: Callable[[int], int], most_clients: int
     ) -> None:
         self.dispatcher, self.settings, self.draw = dispatcher, settings, draw
-        self.intake: RequestHandler = dispatcher
+        self.intake: Intake = dispatcher
         self.keeps = False  # whether the intake keeps answers for clients that come back
         self.most_clients = most_clients
         self.sessions: set[Session] = set()
--- a/decklb/rules.py
+++ b/decklb/rules.py
@@ -58,22 +58,16 @@
         specs = settings.tenants or {"": api.TenantSpec("", 1.0)}
         self.tenants = {n: Tenant(t, t.share) for n, t in specs.items()}
         # Before the first answers half the aim is the guess: on the high side, so a cold engine is safe.
-        classes = settings.classes.items()
-        self.usual = {n: Usual.guess(c.latency_objective_ms / 2, c.threads) for n, c in classes}
-        span = (
-            settings.retry_budget_window_ms + 2 * settings.tick_ms
-        )  # what the ration asks of, a tick to the safe side
+        self.usual = {n: Usual.guess(c.aim / 2, c.threads) for n, c in settings.classes.items()}
+        span = settings.extra_window + 2 * settings.tick  # what the ration asks of, a tick to the safe side
         self.taken, self.extra = Window(span), Window(span)  # requests taken; attempts beyond the first
         self.heard: dict[int, tuple[float, list[float]]] = {}
-        self.part = 1.0 / settings.gateway_count
-        self.parts = [self.part] * len(self.tenants)
+        self.part, self.parts = 1.0 / settings.fronts, [1.0 / settings.fronts] * len(self.tenants)
         self.stress, self.room, self.base = 1.0, CAPPED, 1.0  # base: own part of the bound, in threads
         self.busy: dict[tuple[str, float], tuple[float, int]] = {}  # class, size: hold, threads
-        self.sighted = (
-            settings.health_checks and "rif" in settings.load_report_fields
-        )  # load is reported to those who ask
+        self.sighted = settings.probes and "rif" in settings.fields  # load is reported to those who ask
         self.asks, self.mix = ASKED, 1.5  # probes saved up; threads a query, on average
-        self.fresh = FRESH * min(c.latency_objective_ms for c in settings.classes.values())
+        self.fresh = FRESH * min(c.aim for c in settings.classes.values())
         self.seen = self.retuned = self.told = self.relist = self.loss = self.swept = self.wake = 0.0
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
@@ -81,49 +75,47 @@
         self.now, self.actions = now, []
         if not self.started:
             self.started, self.retuned, self.told, self.seen = True, now, now, now
-            if self.s.must_subscribe:
-                self.actions.append(api.WatchEndpoints())
+            if self.s.must_ask:
+                self.actions.append(api.Watch())
         for e in events:
             match e:
-                case api.RequestArrived():
+                case api.Arrival():
                     self._arrive(e)
-                case api.AttemptEnded():
+                case api.Verdict():
                     self._verdict(e)
-                case api.CompletionUncertain():
-                    self.keys.doubt(e.ordering_key, now, self._rested_at())
-                case api.EndpointsUpdated(failed=True):  # ask again a little later, so that the list recovers
+                case api.Doubted():
+                    self.keys.doubt(e.key, now, self._rested_at())
+                case api.Members(failed=True):  # ask again a little later, so that the list recovers
                     self.relist = now + DOWN_MIN * PERIOD * (1 + self.rng.random())
-                case api.EndpointsUpdated():
-                    self.fleet.update(e.endpoints, e.complete, now, self.s.cores_by_kind)
+                case api.Members():
+                    self.fleet.update(e.entries, e.complete, now, self.s.cores)
                     self._share()
                     self._reckon()
-                case api.HealthCheckResult():
+                case api.Probed():
                     self._probed(e)
-                case api.ClientGone() if e.request_id in self.requests:
-                    self._close(self.requests[e.request_id])
-                case api.ShutdownStarted():
+                case api.Left() if e.req in self.requests:
+                    self._close(self.requests[e.req])
+                case api.Closing():
                     for r in [r for r in self.requests.values() if not r.done]:
-                        out = [a.number for a in r.legs if a.outcome is None and self.s.cancellation]
-                        self.actions += [api.CancelAttempt(r.a.request_id, number) for number in out]
+                        out = [a.number for a in r.legs if a.outcome is None and self.s.cancelling]
+                        self.actions += [api.Cancel(r.a.req, number) for number in out]
                         self._answer(r)
-                case api.ResponseStarted() if e.request_id in self.requests:
-                    self.requests[e.request_id].stream = True
-                case api.PeerMessage():
+                case api.Started() if e.req in self.requests:
+                    self.requests[e.req].stream = True
+                case api.Datagram():
                     self._listen(e.sender, Word.read(e.data, len(self.s.tenants or [0]), len(self.usual)))
-                case api.AttemptProgress() if e.request_id in self.requests and e.attempt < len(
-                    self.requests[e.request_id].legs
-                ):
-                    self._note(self.requests[e.request_id], self.requests[e.request_id].legs[e.attempt], e)
-        if now - self.swept >= (SWEEP - 1) * self.s.tick_ms:
+                case api.Progress() if e.req in self.requests and e.leg < len(self.requests[e.req].legs):
+                    self._note(self.requests[e.req], self.requests[e.req].legs[e.leg], e)
+        if now - self.swept >= (SWEEP - 1) * self.s.tick:
             self.swept = now
             self._sweep()
         if any(t.queue for t in self.tenants.values()):
             self._release()
             self._shed()
-        due = now + (SWEEP * self.s.tick_ms if self.requests else PERIOD / 5)  # idle fronts seldom wake
-        if not now + self.s.tick_ms / 2 < self.wake <= due:
+        due = now + (SWEEP * self.s.tick if self.requests else PERIOD / 5)  # idle fronts seldom wake
+        if not now + self.s.tick / 2 < self.wake <= due:
             self.wake = due
-            self.actions.append(api.SetTimer(due - now, "sweep"))
+            self.actions.append(api.Sleep(due - now, "sweep"))
         return self.actions
 
     def _share(self) -> None:
@@ -131,35 +123,34 @@
         more, a query of each would be over the bound, each would hold a connection to every engine, and
         none would learn much of any."""
         s, ups = self.s, self.fleet.up()
-        least = s.gateway_count if self.sighted else s.gateway_count * FEW / max(1, len(ups))
+        least = s.fronts if self.sighted else s.fronts * FEW / max(1, len(ups))
         for x in ups:
-            x.users = min(s.gateway_count, math.ceil(max(BOUND * x.cores, least)))
-            x.place = x.place_of(s.gateway_index, s.gateway_count)
+            x.users = min(s.fronts, math.ceil(max(BOUND * x.cores, least)))
+            x.place = x.place_of(s.me, s.fronts)
 
-    def _arrive(self, a: api.RequestArrived) -> None:
-        spec = self.s.classes.get(a.request_class)
-        if a.request_id in self.requests:
+    def _arrive(self, a: api.Arrival) -> None:
+        spec = self.s.classes.get(a.lane)
+        if a.req in self.requests:
             return
         if spec is None:
-            return self.actions.append(api.Fail(a.request_id))
+            return self.actions.append(api.Fail(a.req))
         self.taken.add(self.now)
         if a.tenant not in self.tenants:
             self.tenants[a.tenant] = Tenant(api.TenantSpec(a.tenant, 0.0), 1.0 / (len(self.tenants) + 1))
-        t, u = self.tenants[a.tenant], self.usual[a.request_class]
+        t, u = self.tenants[a.tenant], self.usual[a.lane]
         self.seq += 1
-        r = self.requests[a.request_id] = Request(a, spec, u, t, self.now, self.seq)
+        r = self.requests[a.req] = Request(a, spec, u, t, self.now, self.seq)
         if self.sighted:
             r.spin, self.asks = self.rng.random(), min(ASKED, self.asks + PROBES)
         t.came += 1
         if t.spec.quota_per_s:
             pace = t.spec.quota_per_s * self.parts[list(self.tenants).index(a.tenant)]
             r.over = t.over(pace, max(1.0, pace), self.now)  # a second's worth may come at once
-        if a.estimated_work_ms > 0:
-            work = min(a.estimated_work_ms, 5 * u.cost or a.estimated_work_ms)
-            u.cost += (EWMA if u.cost else 1.0) * (work - u.cost)
+        if a.cost > 0:
+            u.cost += (EWMA if u.cost else 1.0) * (min(a.cost, 5 * u.cost or a.cost) - u.cost)
         if self._hopeless(r):  # a client's last try may leave no time at all
             self._give_up(r)
-        elif not spec.ordered_by_key or a.ordering_key is None or self.keys.join(a.ordering_key, r):
+        elif not spec.serial or a.key is None or self.keys.join(a.key, r):
             self._enqueue(r)
 
     def _enqueue(self, r: Request) -> None:
@@ -173,15 +164,15 @@
         r.tenant.pull(r)
         if not r.legs:  # taken back or turned away unsent: a flood of those must not widen the ration
             self.taken.drop(r.arrived)
-        if head := self.keys.advance(r.a.ordering_key, self._rested_at()):
+        if head := self.keys.advance(r.a.key, self._rested_at()):
             self._enqueue(head)
         if not r.out():
-            self.requests.pop(r.a.request_id, None)
+            self.requests.pop(r.a.req, None)
             r.legs.clear()  # a circle of references would wait for the garbage collector
 
     def _rested_at(self) -> float:
         """Until when a key rests whose attempt ends now: a tick to the safe side, if rests are asked."""
-        return self.now + (self.s.key_hold_down_ms + self.s.tick_ms if self.s.key_hold_down_ms else 0.0)
+        return self.now + (self.s.settle + self.s.tick if self.s.settle else 0.0)
 
     def _give_up(self, r: Request) -> None:
         """The final answer, at once: refused where a retry is harmless, else failed."""
@@ -191,44 +182,43 @@
 
     def _answer(self, r: Request) -> None:
         harmless = r.may_have_run() is None or r.spec.effect is Effect.SAFE
-        if harmless or r.spec.effect is Effect.KEYED and r.spec.deduplication_scope == "all":
-            wait = min(self.s.max_retry_after_ms, r.spec.latency_objective_ms) * self.s.retry_after
-            self.actions.append(api.Reject(r.a.request_id, wait))
+        if harmless or r.spec.effect is Effect.KEYED and r.spec.group == "all":
+            wait = min(self.s.max_retry_after, r.spec.aim) * self.s.retry_after
+            self.actions.append(api.Refuse(r.a.req, wait))
         else:
-            self.actions.append(api.Fail(r.a.request_id))
+            self.actions.append(api.Fail(r.a.req))
         self._close(r)
 
-    def _verdict(self, e: api.AttemptEnded) -> None:
-        r = self.requests.get(e.request_id)
-        if r is None or not 0 <= e.attempt < len(r.legs) or r.legs[e.attempt].outcome is not None:
+    def _verdict(self, e: api.Verdict) -> None:
+        r = self.requests.get(e.req)
+        if r is None or not 0 <= e.leg < len(r.legs) or r.legs[e.leg].outcome is not None:
             return
-        leg = r.legs[e.attempt]
-        x, leg.outcome, leg.certain = leg.engine, e.outcome, e.authoritative
+        leg = r.legs[e.leg]
+        x, leg.outcome, leg.certain = leg.engine, e.outcome, e.certain
         x.running -= 0 if leg.lost else r.spec.threads
-        x.out.pop((e.request_id, e.attempt), None)
+        x.out.pop((e.req, e.leg), None)
         if not leg.lost:
             x.unsort(leg)
-        if e.outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
-            sure = e.duration_ms > SURE * self._hold(r) and x.heard > leg.sent
-            self.loss += EWMA * ((sure and e.outcome is Outcome.TIMED_OUT) - self.loss)
-        if e.outcome is Outcome.SUCCESS:
+        if e.outcome in (Outcome.GOOD, Outcome.LATE):
+            sure = e.rtt > SURE * self._hold(r) and x.heard > leg.sent
+            self.loss += EWMA * ((sure and e.outcome is Outcome.LATE) - self.loss)
+        if e.outcome is Outcome.GOOD:
             self._learn(r, x, e)
-        elif e.outcome is Outcome.UNREACHABLE or e.outcome is Outcome.TIMED_OUT and x.trial:
-            # Gone; it comes back cold.
+        elif e.outcome is Outcome.NOCONN or e.outcome is Outcome.LATE and x.trial:  # gone; it comes back cold
             self._leave_out(x)
             x.cold_from = max(x.cold_from, self.now)
-        elif e.outcome is Outcome.ERROR:  # quick errors leave an engine idle, so it would draw more and more
+        elif e.outcome is Outcome.BAD:  # quick errors leave an engine idle, so it would draw more and more
             self._mark(x, JAM)
             if len(r.legs) == 1:  # what no engine can use comes in floods, which must not widen the ration
                 self.taken.drop(r.arrived)
             if x.trial:
                 self._leave_out(x)
-        elif e.outcome is Outcome.OVERLOADED:  # turning work away leaves it idle too
+        elif e.outcome is Outcome.FULL:  # turning work away leaves it idle too
             self._blame(x)
-        elif e.outcome is Outcome.CONNECTION_RESET and not x.out:  # a death; the network resets single ones
+        elif e.outcome is Outcome.RST and not x.out:  # a death; the network resets single ones
             x.down_until = max(x.down_until, self.now + DOWN_MIN * PERIOD)
-        if r.done or e.request_finished:
-            if not r.done and e.outcome is Outcome.SUCCESS:  # only answers are throughput, not repeats
+        if r.done or e.finished:
+            if not r.done and e.outcome is Outcome.GOOD:  # only answers are throughput, not repeats
                 r.tenant.book(self.now - r.arrived, self._aim(r))
             self._close(r)
         elif not r.stream and not r.out() and not r.queued:
@@ -244,39 +234,39 @@
             x.back_off = min(DOWN_MAX * PERIOD, max(DOWN_MIN * PERIOD, 2 * x.back_off))
             x.down_until, x.trial = self.now + x.back_off, True
 
-    def _note(self, r: Request, leg: Attempt, e: api.AttemptProgress) -> None:
+    def _note(self, r: Request, leg: Attempt, e: api.Progress) -> None:
         """A bad plan, drawn anew each time, shows as a share far behind: once, another try is quicker."""
         leg.noted = self.now
         if e.kind == 1 and 0 < e.level < 1 and not leg.number and leg.outcome is None:
             rest = (self.now - leg.sent) * (1 - e.level) / e.level
-            if rest > RUNAWAY * max(self._hold(r), r.spec.latency_objective_ms):
+            if rest > RUNAWAY * max(self._hold(r), r.spec.aim):
                 self._call_off(leg)
 
     def _call_off(self, leg: Attempt) -> None:  # its outcome sends another try elsewhere
         r = leg.request
-        if self.s.cancellation and r.spec.effect is Effect.SAFE and self._may_repeat(r):
-            self.actions.append(api.CancelAttempt(r.a.request_id, leg.number))
+        if self.s.cancelling and r.spec.effect is Effect.SAFE and self._may_repeat(r):
+            self.actions.append(api.Cancel(r.a.req, leg.number))
 
-    def _learn(self, r: Request, x: Engine, e: api.AttemptEnded) -> None:
+    def _learn(self, r: Request, x: Engine, e: api.Verdict) -> None:
         u, threads = r.usual, r.spec.threads
         x.trial, x.back_off, x.down_until, x.heard = False, 0.0, 0.0, self.now
         x.faults -= BLAME * x.faults
         # An error is the engine's own only where another could serve the request: what no engine can use
         # must leave none out.
-        for y in [a.engine for a in r.legs if a.outcome is Outcome.ERROR and a.engine is not x]:
+        for y in [a.engine for a in r.legs if a.outcome is Outcome.BAD and a.engine is not x]:
             self._blame(y)
         u.n += 1
-        alone = e.duration_ms / self._size(r)
+        alone = e.rtt / self._size(r)
         u.alone += max(EWMA, 1.0 / u.n) * (alone - u.alone)
         if u.n > TRUST / 2:
             u.best = min(u.best, u.alone) * (1 + EWMA * EWMA)
-        ratio = min(CAPPED, e.duration_ms * threads / e.work_ms if e.work_ms else alone / u.best)
+        ratio = min(CAPPED, e.rtt * threads / e.work if e.work else alone / u.best)
         self.stress += 4 * EWMA * (ratio - self.stress)
         self._mark(x, ratio)
-        u.hold += max(EWMA, 1.0 / u.n) * (e.duration_ms - u.hold)
+        u.hold += max(EWMA, 1.0 / u.n) * (e.rtt - u.hold)
         # Without bills the best time tells of work: run times grow with a jam, and aims and turns with them.
-        u.work += max(EWMA, 1.0 / u.n) * ((e.work_ms or min(e.duration_ms, u.best) * threads) - u.work)
-        u.last = e.memory_mb / (r.a.estimated_memory_mb or 1.0) ** SHRINK
+        u.work += max(EWMA, 1.0 / u.n) * ((e.work or min(e.rtt, u.best) * threads) - u.work)
+        u.last = e.memory / (r.a.need or 1.0) ** SHRINK
         u.sample(u.last, 10 * TRUST, self.rng)
 
     def _mark(self, x: Engine, slow: float) -> None:  # an answer there took this many times the usual
@@ -284,48 +274,47 @@
         x.told = True
 
     def _size(self, r: Request) -> float:  # against the usual of its class, in bounds: estimates scatter
-        return min(10.0, max(0.1, r.usual.size(r.a.estimated_work_ms))) if r.a.estimated_work_ms > 0 else 1.0
+        return min(10.0, max(0.1, r.usual.size(r.a.cost))) if r.a.cost > 0 else 1.0
 
     def _hold(self, r: Request) -> float:
-        return r.usual.hold * self._size(r) if r.a.estimated_work_ms > 0 else r.usual.hold
+        return r.usual.hold * self._size(r) if r.a.cost > 0 else r.usual.hold
 
     def _work(self, r: Request) -> float:
         return r.usual.work * self._size(r)
 
     def _aim(self, r: Request) -> float:
-        return r.spec.latency_objective_ms + r.spec.objective_stretch * self._work(r) / r.spec.threads
+        return r.spec.aim + r.spec.stretch * self._work(r) / r.spec.threads
 
     def _may_repeat(self, r: Request) -> bool:  # class, count, budget and time must allow it
         ran, s = r.may_have_run(), self.s
         if r.done or r.stream or len(r.legs) >= s.max_attempts or self._hopeless(r):
             return False
-        if sum(a.outcome is Outcome.ERROR for a in r.legs) >= ERRORS:  # the ration is for all
+        if sum(a.outcome is Outcome.BAD for a in r.legs) >= ERRORS:  # the ration is for all
             return False
         unsafe, keyed = r.spec.effect is Effect.UNSAFE, r.spec.effect is Effect.KEYED
-        if ran and (unsafe or keyed and self.now > ran.sent + r.spec.deduplication_window_ms - s.tick_ms):
+        if ran and (unsafe or keyed and self.now > ran.sent + r.spec.memory_span - s.tick):
             return False
-        if s.retry_budget_ratio is None:
+        if s.extra_ratio is None:
             return True
         # The ration of further attempts, reckoned a tick to the safe side at both ends of the window.
-        start = self.now - s.retry_budget_window_ms
-        room = s.retry_budget_floor + s.retry_budget_ratio * self.taken.since(start + 2 * s.tick_ms)
-        return self.extra.since(start - s.tick_ms) + 1 <= room
+        start = self.now - s.extra_window
+        room = s.extra_floor + s.extra_ratio * self.taken.since(start + 2 * s.tick)
+        return self.extra.since(start - s.tick) + 1 <= room
 
     def _hopeless(self, r: Request) -> bool:  # it can no longer earn anything
         spent = self.now - r.arrived
-        soon = r.a.time_left_ms - spent <= max(SWEEP * self.s.tick_ms * 1.5, self._hold(r) / 2)
-        return soon or r.spec.late_priority_weight <= 0 and spent > r.spec.latency_objective_ms
+        soon = r.a.time_left - spent <= max(SWEEP * self.s.tick * 1.5, self._hold(r) / 2)
+        return soon or r.spec.late_worth <= 0 and spent > r.spec.aim
 
     def _value(self, r: Request) -> float:  # worth a thread-ms
-        worth = r.spec.priority_weight * (self.s.over_quota_weight if r.over else 1.0)
-        if self.now - r.arrived > r.spec.latency_objective_ms:
-            worth *= r.spec.late_priority_weight
+        worth = r.spec.worth * (self.s.over_share_worth if r.over else 1.0)
+        if self.now - r.arrived > r.spec.aim:
+            worth *= r.spec.late_worth
         return worth / (self._hold(r) * r.spec.threads)
 
     def _shed(self) -> None:
         """Keep each queue as short as its turns drain within the aims: least value goes first; one stays."""
-        shortest = min(c.latency_objective_ms for c in self.s.classes.values())
-        limit = PATIENCE * shortest * self.base * self.room
+        limit = PATIENCE * min(c.aim for c in self.s.classes.values()) * self.base * self.room
         weights = sum(t.weight for t in self.tenants.values() if t.queue) or 1.0
         for t in self.tenants.values():
             # By class where there are no estimates: under a flood this is reckoned at each step.
@@ -349,7 +338,7 @@
         self.keys.rested(self.now)
         if 0 < self.relist <= self.now:
             self.relist = 0.0
-            self.actions.append(api.WatchEndpoints())
+            self.actions.append(api.Watch())
         if self.now - self.told >= PERIOD / 5:
             for t in self.tenants.values():
                 t.pace(self.now - self.told, 6 * EWMA)
@@ -359,7 +348,7 @@
                 ages = [(self.now - a.sent) / self._hold(a.request) for a in x.out.values()]
                 if ages and max(ages) > x.slow:
                     self._mark(x, max(ages))
-            if self.s.peer_messages and self.s.gateway_count > 1:
+            if self.s.peers and self.s.fronts > 1:
                 self._tell()
             weigh = [(max(1, u.n) * u.hold, self.s.classes[n].threads) for n, u in self.usual.items()]
             self.mix = sum(w * k for w, k in weigh) / sum(w for w, _ in weigh)
@@ -404,14 +393,14 @@
             else:
                 ready.remove(t)
 
-    def _probed(self, e: api.HealthCheckResult) -> None:
+    def _probed(self, e: api.Probed) -> None:
         """Load in threads a core; the mix of classes out is taken from what this front sends."""
-        if x := self.fleet.engines.get(e.engine_id):
+        if x := self.fleet.engines.get(e.engine):
             x.asked = LONG_AGO
-            if e.outcome is Outcome.UNREACHABLE:  # by those that probe it: as after an own failed connect
+            if e.outcome is Outcome.NOCONN:  # word of those that probe it: as after an own failure to connect
                 self._leave_out(x)
-            if e.outcome is Outcome.SUCCESS and "rif" in e.load_report:
-                x.load, x.read, self.seen = e.load_report["rif"] * self.mix / x.cores, self.now, self.now
+            if e.outcome is Outcome.GOOD and "rif" in e.report:
+                x.load, x.read, self.seen = e.report["rif"] * self.mix / x.cores, self.now, self.now
                 # Reports are late: with one limit for all, every front that waits would send at once.
                 x.limit = BOUND * max(CLOSE, min(OPEN, self.room)) * self.rng.uniform(EASY, 1.0)
 
@@ -442,13 +431,12 @@
     def _cold(self, x: Engine, work: float) -> bool:
         """True if this work is more than a cold engine may get: each front spends its even part, alone."""
         s, age = self.s, self.now - x.cold_from
-        if age >= s.slow_start_window_ms or s.slow_start_budget_window_ms <= 0:
+        if age >= s.cold or s.fall <= 0:
             return False
         if not x.near:  # its budget is divided among those that use it first
             return True
-        least = s.slow_start_min_fraction
-        share = least + (1 - least) * max(0.0, age) / s.slow_start_window_ms
-        budget = COLD_SAFE * s.slow_start_overload_factor * share * x.cores * s.slow_start_budget_window_ms
+        share = s.cold_share + (1 - s.cold_share) * max(0.0, age) / s.cold
+        budget = COLD_SAFE * s.overload_factor * share * x.cores * s.fall
         # Where the even part is below two queries fronts take turns, in an order each can reckon alone: half
         # the budget goes whole to a few for one span, so no window sees more than all of it. Heavy classes
         # have turns of their own: else their work fits no part, and all of it goes to engines that are warm.
@@ -458,38 +446,31 @@
         if budget < 2 * most * x.users:
             few = int(budget / (4 * most)) or 1
             budget *= 0.5 * x.users / few
-            span = int(age / s.slow_start_budget_window_ms)
-            if (x.place + x.users // 2 * heavy + few * span) % x.users >= few:
+            if (x.place + x.users // 2 * heavy + few * int(age / s.fall)) % x.users >= few:
                 return True
-        return x.sent_since(self.now - s.slow_start_budget_window_ms - s.tick_ms) + work > budget / x.users
+        return x.sent_since(self.now - s.fall - s.tick) + work > budget / x.users
 
     def _allowed(self, r: Request, x: Engine, ran: Attempt | None) -> bool:
         """Placement, and for a keyed request that may have run the group that drops its repeats."""
         c, e, home = r.spec, x.entry, ran.engine.entry if ran else x.entry
-        if (
-            r.zones is not None
-            and e.zone not in r.zones
-            or c.allowed_kinds is not None
-            and e.kind not in c.allowed_kinds
-        ):
+        if r.zones is not None and e.zone not in r.zones or c.kinds is not None and e.kind not in c.kinds:
             return False
-        if c.effect is not Effect.KEYED or c.deduplication_scope == "all":
+        if c.effect is not Effect.KEYED or c.group == "all":
             return True
-        return e.zone == home.zone and (c.deduplication_scope == "zone" or e.cell == home.cell)
+        return e.zone == home.zone and (c.group == "zone" or e.cell == home.cell)
 
     def _route(self, r: Request) -> Engine | None:
         """Two-choice in the group's hash order, moving on when both are bound, past engines that can't."""
-        # After an end in doubt.
-        resting = r.spec.ordered_by_key and self.keys.rest.get(r.a.ordering_key or "", 0.0) > self.now
+        resting = r.spec.serial and self.keys.rest.get(r.a.key or "", 0.0) > self.now  # after an end in doubt
         if resting or r.legs and not self._may_repeat(r):
             return None
         ran, pair, held, unseen = r.may_have_run(), list[Engine](), list[Engine](), list[Engine]()
-        order = self.fleet.order(r.a.table_group)
+        order = self.fleet.order(r.a.tables)
         many = 2 if self.sighted else max(2, math.ceil(CHOICE * len(order) / max(1.0, self.base)))
         if self.sighted:
             first, stale = int(r.spin * NEAR), self.now - self.fresh
             order = order[first:NEAR] + order[:first] + sorted(order[NEAR:], key=lambda x: x.read < stale)
-        locks = r.spec.waits_for_loads or r.spec.locks_tables
+        locks = r.spec.yields or r.spec.holds
         for i, x in enumerate(order):
             if self.now < x.down_until or self._bound(x) or not self._allowed(r, x, ran):
                 continue
@@ -500,14 +481,12 @@
             # Another try goes elsewhere, and readers go round an own load on their group, if they can.
             # Engines that others use first, or out of the request's zone, are for when no other is free.
             same = bool(r.legs) and r.legs[-1].engine is x
-            away = r.a.preferred_zone not in ("", x.entry.zone)
-            if same or locks and x.loads(r.a.table_group) or not x.near or away:
+            if same or locks and x.loads(r.a.tables) or not x.near or r.a.zone not in ("", x.entry.zone):
                 held.append(x)
             elif self.sighted and self.now - x.read >= self.fresh:
                 if i >= NEAR and len(unseen) > 1:
                     break
-                overdue = LONG_AGO < x.asked < self.now - SWEEP * self.s.tick_ms
-                if not overdue or self.now - self.seen > PERIOD:
+                if not LONG_AGO < x.asked < self.now - SWEEP * self.s.tick or self.now - self.seen > PERIOD:
                     unseen.append(x)  # one that answers no probe, while others do, is passed over
             else:
                 pair.append(x)
@@ -518,12 +497,12 @@
             for x in unseen[: 2 - len(pair)]:
                 if self.asks >= 1 and x.asked == LONG_AGO:
                     self.asks, x.asked = self.asks - 1, self.now
-                    self.actions.append(api.CheckHealth(x.entry.engine_id))
-            if self.now - r.asked < SWEEP * self.s.tick_ms or not pair and self.now - self.seen < PERIOD:
+                    self.actions.append(api.Probe(x.entry.engine))
+            if self.now - r.asked < SWEEP * self.s.tick or not pair and self.now - self.seen < PERIOD:
                 return None
             pair = pair or unseen[:2]  # no probe is answered any more
         if len(pair) > 2:  # a turn at a cold engine is used first
-            pair = [x for x in pair if self.now - x.cold_from < self.s.slow_start_window_ms] or pair
+            pair = [x for x in pair if self.now - x.cold_from < self.s.cold] or pair
         # Own threads tell of this front's part of an engine's load, how slow its answers were of the others'.
         return min(
             pair or held[:many],
@@ -541,27 +520,26 @@
         c, u, s = r.spec, r.usual, self.s
         if r.legs:
             self.extra.add(self.now)
-        memory, rank, wait = 0.0, 1, max(s.tick_ms, r.a.time_left_ms - (self.now - r.arrived))
-        if s.memory_grants and len(u.need) >= TRUST:
-            memory = u.need[int(QUANTILE * len(u.need))] * (r.a.estimated_memory_mb or 1.0) ** SHRINK
-            memory = min(memory, s.largest_grant_fraction * s.memory_mb_by_kind.get(x.entry.kind, memory))
-        if s.priorities:  # short work first: it gains most from a larger share; loads release their readers
+        memory, rank, wait = 0.0, 1, max(s.tick, r.a.time_left - (self.now - r.arrived))
+        if s.grants and len(u.need) >= TRUST:
+            memory = u.need[int(QUANTILE * len(u.need))] * (r.a.need or 1.0) ** SHRINK
+            memory = min(memory, s.largest_share * s.memory.get(x.entry.kind, memory))
+        if s.ranks:  # short work first: it gains most from a larger share; loads release their readers
             short = min(v.hold * s.classes[n].threads for n, v in self.usual.items())
-            quick = u.hold * c.threads < 2 * short or c.locks_tables
-            rank = 0 if self._size(r) > OUTLIER else 2 if quick else 1
+            rank = 0 if self._size(r) > OUTLIER else 2 if u.hold * c.threads < 2 * short or c.holds else 1
         if memory or rank != 1:
-            self.actions.append(api.SetResources(r.a.request_id, memory, rank))
+            self.actions.append(api.Terms(r.a.req, memory, rank))
         wait = min(wait, LOST * u.hold) if x.trial else wait
         leg = Attempt(r, len(r.legs), x, self.now, self._round(r))
         r.legs.append(leg)
-        x.out[(r.a.request_id, leg.number)] = leg
+        x.out[(r.a.req, leg.number)] = leg
         x.running += c.threads
         x.sort(leg, leg.size).add(leg)
         hold, threads = self.busy.get((c.name, leg.size), (self._hold(r), 0))
         self.busy[c.name, leg.size] = hold, threads + c.threads
         x.load += c.threads / x.cores
-        x.spend(self.now, u.work, s.slow_start_budget_window_ms + s.tick_ms)
-        self.actions.append(api.StartAttempt(r.a.request_id, x.entry.engine_id, wait))
+        x.spend(self.now, u.work, s.fall + s.tick)
+        self.actions.append(api.Send(r.a.req, x.entry.engine, wait))
 
     def _overdue(self) -> None:
         """Where notes or late ends show that attempts get lost at engines that answer others, one far past
@@ -569,14 +547,14 @@
         s = self.s
         for a in [a for x in self.fleet.up() for a in x.out.values()]:
             r, last = a.request, max(a.sent, a.noted)  # notes that cease tell that its answer has gone astray
-            age, limit = self.now - last, NOTES * s.progress_interval_ms or LOST * self._hold(r)
-            proven = s.progress_interval_ms or self.loss >= LOSSY
+            age, limit = self.now - last, NOTES * s.progress or LOST * self._hold(r)
+            proven = s.progress or self.loss >= LOSSY
             if a.lost or age < limit or a.engine.heard < last + age / 2 or not proven:
                 continue
             a.lost = True
             a.engine.unsort(a)
             a.engine.running -= r.spec.threads
-            if not s.hedging:
+            if not s.duplicates:
                 self._call_off(a)
             elif not r.queued and self._may_repeat(r):
                 self._enqueue(r)
@@ -589,9 +567,8 @@
         fresh = [r for at, r in self.heard.values() if self.now - at < PERIOD * STALE]
         own = self._rates()
         # A peer that fell silent while others speak is down; unless few are told: then silence is chance.
-        silent = len(self.heard) - len(fresh) if fresh and self.s.gateway_count <= FANOUT + 1 else 0
-        even = 1.0 / (self.s.gateway_count - silent)
-        means = [sum(k) / len(k) for k in zip(own, *fresh, strict=True)]
+        silent = len(self.heard) - len(fresh) if fresh and self.s.fronts <= FANOUT + 1 else 0
+        even, means = 1.0 / (self.s.fronts - silent), [sum(k) / len(k) for k in zip(own, *fresh, strict=True)]
         self.part = even * (sum(own) / sum(means) if sum(own) > 0 else 1.0)  # those not heard carry the mean
         self.parts = [even * (own[i] / means[i] if own[i] > 0 else 1.0) for i in range(len(own))]
         self.base = BOUND * self.part * sum(x.cores for x in self.fleet.up() if self.now >= x.down_until)
@@ -600,7 +577,7 @@
 
     def _listen(self, sender: int, word: Word | None) -> None:
         """At hundreds of fronts each sees two or three answers a second: too few to learn from alone."""
-        if word is None or sender == self.s.gateway_index or not 0 <= sender < self.s.gateway_count:
+        if word is None or sender == self.s.me or not 0 <= sender < self.s.fronts:
             return
         self.heard[sender] = (self.now, word.rates)
         self.stress += POOL * (min(word.stress, CAPPED) - self.stress)
@@ -614,6 +591,6 @@
         """Word to all peers, or to a few by chance where they are many."""
         needs = [u.news() for u in self.usual.values()]
         data = Word(self._rates(), self.stress, needs, self.fleet.news()).pack()
-        peers = [i for i in range(self.s.gateway_count) if i != self.s.gateway_index]
+        peers = [i for i in range(self.s.fronts) if i != self.s.me]
         few = [-1] if len(peers) <= FANOUT else self.rng.sample(peers, FANOUT)
-        self.actions += [api.SendPeerMessage(data, peer) for peer in few]
+        self.actions += [api.Tell(data, peer) for peer in few]
--- a/decklb/state.py
+++ b/decklb/state.py
@@ -11,10 +11,10 @@
 from hashlib import blake2b
 from math import gcd
 
-from decklb.interface import Endpoint, Outcome, Phase, RequestArrived, RequestClass, TenantSpec
+from decklb.interface import Arrival, ClassSpec, Entry, Outcome, Phase, TenantSpec
 
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
-DOUBTFUL = (Outcome.TIMED_OUT, Outcome.CONNECTION_RESET, Outcome.CANCELLED)
+NEVER_RAN = (Outcome.FULL, Outcome.NOCONN, Outcome.NOP)
+DOUBTFUL = (Outcome.LATE, Outcome.RST, Outcome.CXL)
 LONG_AGO = -1e12
 
 
@@ -44,7 +44,7 @@
 class Engine:
     """An engine as this front knows it."""
 
-    entry: Endpoint
+    entry: Entry
     cores: float
     heard: float  # last answer
     running: int = 0  # own threads out
@@ -69,7 +69,7 @@
     def rank(self, group: int) -> bytes:
         """This engine's place in a group's hash order."""
         if group not in self.ranks:
-            name = f"{group}/{self.entry.engine_id}".encode()
+            name = f"{group}/{self.entry.engine}".encode()
             self.ranks[group] = blake2b(name, digest_size=8).digest()
         return self.ranks[group]
 
@@ -103,7 +103,7 @@
 
     def sort(self, a: Attempt, size: float) -> Out:
         """Where an attempt of that size counts."""
-        lane = a.request.a.request_class
+        lane = a.request.a.lane
         if (lane, size) not in self.short:
             self.short[lane, size] = Out(a.request.usual, size, a.request.spec.threads)
         return self.short[lane, size]
@@ -113,11 +113,11 @@
         out = self.sort(a, a.size)
         out.drop(a)
         if not out.sent:
-            del self.short[a.request.a.request_class, a.size]
+            del self.short[a.request.a.lane, a.size]
 
     def loads(self, tables: int) -> bool:
         """Whether an own load on this group is out here."""
-        return any(a.request.spec.locks_tables and a.request.a.table_group == tables for a in self.out.values())
+        return any(a.request.spec.holds and a.request.a.tables == tables for a in self.out.values())
 
 
 @dataclass(slots=True, eq=False)
@@ -180,8 +180,8 @@
 class Request:
     """An accepted request until its last attempt has ended."""
 
-    a: RequestArrived
-    spec: RequestClass
+    a: Arrival
+    spec: ClassSpec
     usual: Usual
     tenant: Tenant
     arrived: float
@@ -196,7 +196,7 @@
     zones: Collection[str] | None = None  # all that its class, and what was settled on its way here, let it use
 
     def __post_init__(self) -> None:
-        mine, its = self.a.allowed_zones, self.spec.allowed_zones
+        mine, its = self.a.zones, self.spec.zones
         self.zones = its if mine is None else mine if its is None else [z for z in its if z in mine]
 
     def out(self) -> bool:
@@ -303,15 +303,15 @@
         """Engines that the list calls up."""
         return self.ups
 
-    def update(self, entries: list[Endpoint], complete: bool, now: float, cores: dict[str, int]) -> None:
+    def update(self, entries: list[Entry], complete: bool, now: float, cores: dict[str, int]) -> None:
         """Take news of the list; whatever a complete list lacks is removed."""
         for e in entries:
-            x = self.engines.get(e.engine_id)
+            x = self.engines.get(e.engine)
             if x is None:
-                x = self.engines[e.engine_id] = Engine(e, float(max(1, cores.get(e.kind, 1))), now)
+                x = self.engines[e.engine] = Engine(e, float(max(1, cores.get(e.kind, 1))), now)
             x.entry = e
-            x.cold_from = max(x.cold_from, e.started_at_ms or LONG_AGO)
-        listed = {e.engine_id for e in entries}
+            x.cold_from = max(x.cold_from, e.ready_at or LONG_AGO)
+        listed = {e.engine for e in entries}
         for name, x in list(self.engines.items()):
             if complete and name not in listed:
                 x.entry = replace(x.entry, phase=Phase.REMOVED)
@@ -332,7 +332,7 @@
     def order(self, group: int) -> list[Engine]:
         """Engines that are up in the group's hash order, the same at every front."""
         if group not in self.orders:
-            self.orders[group] = sorted(self.ups, key=lambda x: (not x.near, x.rank(group), x.entry.engine_id))
+            self.orders[group] = sorted(self.ups, key=lambda x: (not x.near, x.rank(group), x.entry.engine))
         return self.orders[group]
 
 
--- a/decklb/wire/answered.py
+++ b/decklb/wire/answered.py
@@ -31,7 +31,7 @@
 
     def answered(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
         """Pass on how an attempt ended by its engine's answer: a result at once, anything else after HOLD ms."""
-        if outcome is Outcome.SUCCESS:
+        if outcome is Outcome.GOOD:
             return self._tell(attempt, outcome, result)
         self._held[attempt] = outcome
         call_after_reading(self._clock, HOLD, partial(self._release, attempt))
@@ -44,8 +44,8 @@
         held, self._held = self._held, {}
         told, self._told = self._told, deque()
         since = self._clock.now() - REMEMBERED
-        calls: list[Callable[[], None]] = [partial(attempt.end, Outcome.CONNECTION_RESET) for attempt in held]
-        calls += [attempt.mark_uncertain for when, attempt in told if when >= since]
+        calls: list[Callable[[], None]] = [partial(attempt.end, Outcome.RST) for attempt in held]
+        calls += [attempt.doubt for when, attempt in told if when >= since]
         for call in calls:
             if after:
                 self._clock.call_later(after, call)
--- a/decklb/wire/pools.py
+++ b/decklb/wire/pools.py
@@ -45,9 +45,9 @@
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt; its end is told by a callback."""
-        pool = self.pools.get(attempt.engine_id)
+        pool = self.pools.get(attempt.engine)
         if pool is None:  # gone since the decision
-            attempt.end(Outcome.UNREACHABLE)
+            attempt.end(Outcome.NOCONN)
         else:
             pool.start(attempt)
 
--- a/decklb/wirehost.py
+++ b/decklb/wirehost.py
@@ -15,31 +15,10 @@
 
 Json = dict[str, Any]
 
-# The words that the simulator's protocol uses for the ends of attempts and health checks.
-OUTCOME_BY_WORD = {
-    "GOOD": api.Outcome.SUCCESS,
-    "BAD": api.Outcome.ERROR,
-    "FULL": api.Outcome.OVERLOADED,
-    "LATE": api.Outcome.TIMED_OUT,
-    "NOCONN": api.Outcome.UNREACHABLE,
-    "RST": api.Outcome.CONNECTION_RESET,
-    "CXL": api.Outcome.CANCELLED,
-    "NOP": api.Outcome.NEVER_SENT,
-}
-WORD_BY_OUTCOME = {outcome: word for word, outcome in OUTCOME_BY_WORD.items()}
-
-
-def outcome_from(word: str) -> api.Outcome:
-    """Translate the word for an end. Raises ValueError for a word that the protocol does not have."""
-    try:
-        return OUTCOME_BY_WORD[word]
-    except KeyError:
-        raise ValueError(f"{word!r} is not a verdict") from None
-
 
-def entry_from(row: Json) -> api.Endpoint:
+def entry_from(row: Json) -> api.Entry:
     """Translate one line of a list."""
-    return api.Endpoint(
+    return api.Entry(
         row["engine"],
         row.get("region_part", ""),
         row.get("family_type", ""),
@@ -50,11 +29,11 @@
     )
 
 
-def event_from(m: Json, lists: dict[int, list[api.Endpoint]]) -> api.Event | None:
+def event_from(m: Json, lists: dict[int, list[api.Entry]]) -> api.Event | None:
     """Translate one event; None for a kind this adapter does not know."""
     kind = m["msg"]
     if kind == "request":
-        return api.RequestArrived(
+        return api.Arrival(
             m["req"],
             m["lane"],
             str(m.get("owner") or ""),
@@ -67,36 +46,34 @@
         )
     if kind == "verdict":
         used = int(m.get("used_up") or 0)
-        return api.AttemptEnded(
+        return api.Verdict(
             m["req"],
             m.get("leg", 0),
             m["engine"],
-            outcome_from(m["verdict"]),
+            api.Outcome(m["verdict"]),
             m.get("rtt", 0.0),
             bool(m.get("finished")),
             float(used // 4096),
             float(used % 4096 * 4),
             m.get("pressure") or {},
-            authoritative=True,
+            certain=True,
         )
     if kind == "interim":
-        return api.AttemptProgress(m["req"], m.get("leg", 0), m.get("kind", 0), m.get("level", 0.0))
+        return api.Progress(m["req"], m.get("leg", 0), m.get("kind", 0), m.get("level", 0.0))
     if kind == "members":
         failed = m["mode"] == "X"
-        return api.EndpointsUpdated([] if failed else lists.get(m.get("table", 0), []), m["mode"] in "FC", failed)
+        return api.Members([] if failed else lists.get(m.get("table", 0), []), m["mode"] in "FC", failed)
     if kind == "echo":
-        return api.HealthCheckResult(
-            m["engine"], outcome_from(m["verdict"]), m.get("rtt", 0.0), m.get("pressure") or {}
-        )
+        return api.Probed(m["engine"], api.Outcome(m["verdict"]), m.get("rtt", 0.0), m.get("pressure") or {})
     if kind == "left":
-        return api.ClientGone(m["req"])
+        return api.Left(m["req"])
     if kind == "timer":
-        return api.TimerFired(m.get("label", ""))
+        return api.Tick(m.get("label", ""))
     if kind == "headers":
-        return api.ResponseStarted(m["req"], m.get("leg", 0))
+        return api.Started(m["req"], m.get("leg", 0))
     if kind == "datagram":
         try:
-            return api.PeerMessage(m.get("sender", 0), base64.b64decode(m.get("data", ""), validate=True))
+            return api.Datagram(m.get("sender", 0), base64.b64decode(m.get("data", ""), validate=True))
         except (binascii.Error, ValueError):
             return None
     return None
@@ -104,21 +81,21 @@
 
 def action_to(who: int, a: api.Action) -> Json:
     """Translate one action."""
-    if isinstance(a, api.StartAttempt):
-        return {"msg": "attempt", "who": who, "req": a.request_id, "engine": a.engine_id, "max_wait": a.timeout_ms}
-    if isinstance(a, api.SetResources):
-        return {"msg": "set_terms", "who": who, "req": a.request_id, "memory_grant": a.memory_mb, "lane": a.priority}
-    if isinstance(a, api.CancelAttempt):
-        return {"msg": "retract", "who": who, "req": a.request_id, "leg": a.attempt}
-    if isinstance(a, api.CheckHealth):
-        return {"msg": "probe", "who": who, "engine": a.engine_id}
-    if isinstance(a, api.Reject):
-        return {"msg": "bounce", "who": who, "req": a.request_id, "wait": a.retry_after_ms}
+    if isinstance(a, api.Send):
+        return {"msg": "attempt", "who": who, "req": a.req, "engine": a.engine, "max_wait": a.max_wait}
+    if isinstance(a, api.Terms):
+        return {"msg": "set_terms", "who": who, "req": a.req, "memory_grant": a.memory, "lane": a.rank}
+    if isinstance(a, api.Cancel):
+        return {"msg": "retract", "who": who, "req": a.req, "leg": a.leg}
+    if isinstance(a, api.Probe):
+        return {"msg": "probe", "who": who, "engine": a.engine}
+    if isinstance(a, api.Refuse):
+        return {"msg": "bounce", "who": who, "req": a.req, "wait": a.wait}
     if isinstance(a, api.Fail):
-        return {"msg": "respond_error", "who": who, "req": a.request_id}
-    if isinstance(a, api.SetTimer):
-        return {"msg": "sleep", "who": who, "from_now": a.delay_ms, "label": a.label}
-    if isinstance(a, api.WatchEndpoints):
+        return {"msg": "respond_error", "who": who, "req": a.req}
+    if isinstance(a, api.Sleep):
+        return {"msg": "sleep", "who": who, "from_now": a.delay, "label": a.label}
+    if isinstance(a, api.Watch):
         return {"msg": "tail", "who": who, "want": True}
     data = base64.b64encode(a.data).decode()
     return {"msg": "broadcast_to", "who": who, "target": a.peer, "data": data}
@@ -129,7 +106,7 @@
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.lists: dict[int, list[api.Endpoint]] = {}
+        self.lists: dict[int, list[api.Entry]] = {}
 
     def batch(self, now: float, messages: Iterable[Json]) -> list[Json]:
         """Handle one batch and return the reply's messages."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 
 from decklb import interface as api
 from decklb.core.dispatcher import Attempt, Dispatcher, Request
-from decklb.core.ports import IncomingRequest
+from decklb.core.ports import Work
 from decklb.core.timers import HELD
 from decklb.daemon.service import Service
 from decklb.interface import Effect, Outcome
@@ -49,14 +49,14 @@
         _, sink = self.ask(budget=1000.0)
         self.run_until_started(1)
         self.clock.go(900 - 3 - self.clock.now())
-        self.stand_still(lambda: self.engines.started[0].end(Outcome.SUCCESS, b"x"))
+        self.stand_still(lambda: self.engines.started[0].end(Outcome.GOOD, b"x"))
         self.assertEqual((sink.answers, self.engines.given), ([("served", b"x")], []))
 
     def test_an_engine_that_began_to_drain_meanwhile_gets_nothing(self):
         self.ask()
-        self.stand_still(lambda: self.d.update_endpoints([api.Endpoint("e3", "z", "k", 0, api.Phase.UP)]))
+        self.stand_still(lambda: self.d.members([api.Entry("e3", "z", "k", 0, api.Phase.UP)]))
         self.run_until_started(1)
-        self.assertEqual(self.engines.started[0].engine_id, "e3")
+        self.assertEqual(self.engines.started[0].engine, "e3")
 
 
 class Leaving(Rig):
@@ -70,7 +70,7 @@
             self.run_until_started(1)
             if not rests:
                 self.d.abandon(waits)
-            self.engines.started[0].end(Outcome.CONNECTION_RESET)
+            self.engines.started[0].end(Outcome.RST)
             self.clock.go(20)
             if rests:
                 self.d.abandon(waits)
@@ -78,11 +78,11 @@
             self.assertEqual(len(self.engines.started), 1)
 
     def test_nothing_begins_for_who_left_while_no_engine_was_free(self):
-        self.d.update_endpoints([])
+        self.d.members([])
         r, _ = self.ask()
         self.clock.go(50)
         self.d.abandon(r)
-        self.d.update_endpoints([api.Endpoint("e3", "z", "k", 0, api.Phase.UP)])
+        self.d.members([api.Entry("e3", "z", "k", 0, api.Phase.UP)])
         self.clock.go(1000)
         self.assertEqual(self.engines.started, [])
 
@@ -91,18 +91,18 @@
     """Whatever the module says."""
 
     def classes(self, effect, **more):
-        spec = replace(self.d.settings.classes["load"], effect=effect, ordered_by_key=False, **more)
+        spec = replace(self.d.settings.classes["load"], effect=effect, serial=False, **more)
         self.d.settings.classes["load"] = spec
 
     def again(self, r, engine="e2"):
-        self.d._act(api.StartAttempt(r.request_id, engine))
+        self.d._act(api.Send(r.ident, engine))
         return len(self.engines.started)
 
     def test_where_settings_allow_copies_a_lost_attempt_is_called_off_not_copied_in_vain(self):
         """Of 15 days of such a deployment 225 copies were held back, each an attempt less (61e05677)."""
-        settings = replace(self.d.settings, hedging=True, progress_interval_ms=100.0)
+        settings = replace(self.d.settings, duplicates=True, progress=100.0)
         self.d = Dispatcher(settings, 1, self.clock, self.engines)
-        self.d.update_endpoints([api.Endpoint("e0", "z", "k", 0, api.Phase.UP)])
+        self.d.members([api.Entry("e0", "z", "k", 0, api.Phase.UP)])
         self.ask()
         self.run_until_started(1)
         for n in range(2, 40):  # the engine answers others, and tells nothing of the first
@@ -110,17 +110,12 @@
             self.run_until_started(n)
             if self.engines.given:
                 break
-            self.engines.started[-1].end(Outcome.SUCCESS)
+            self.engines.started[-1].end(Outcome.GOOD)
             self.clock.go(50)
         self.assertEqual(self.engines.given, [self.engines.started[0]])
 
     def test_an_unsafe_request_goes_again_only_where_it_surely_never_ran(self):
-        for outcome, count in (
-            (Outcome.UNREACHABLE, 2),
-            (Outcome.OVERLOADED, 2),
-            (Outcome.CONNECTION_RESET, 1),
-            (Outcome.ERROR, 1),
-        ):
+        for outcome, count in ((Outcome.NOCONN, 2), (Outcome.FULL, 2), (Outcome.RST, 1), (Outcome.BAD, 1)):
             self.setUp()
             self.classes(Effect.UNSAFE)
             self.d.gateway.step = lambda now, events: []
@@ -130,40 +125,40 @@
             self.assertEqual(self.again(r), count, outcome)
 
     def test_an_unsafe_request_that_waited_for_a_connection_to_its_end_is_refused_not_failed(self):
-        for begun, answer in ((False, "rejected"), (True, "failed")):
+        for begun, answer in ((False, "refused"), (True, "failed")):
             self.setUp()
             self.classes(Effect.UNSAFE)
             _, sink = self.ask("load", budget=2000.0)
             self.run_until_started(1)
-            self.engines.started[0].sent = begun
+            self.engines.started[0].begun = begun
             self.clock.go(2050)
             self.assertEqual([a for a, _ in sink.answers], [answer])
 
     def test_a_keyed_request_goes_again_within_its_window_only(self):
         for wait, count in ((250, 2), (350, 1)):
             self.setUp()
-            self.classes(Effect.KEYED, deduplication_window_ms=300.0)
+            self.classes(Effect.KEYED, memory_span=300.0)
             self.d.gateway.step = lambda now, events: []
             r, _ = self.ask("load")
             self.again(r, "e1")
-            self.engines.started[0].end(Outcome.CONNECTION_RESET)
+            self.engines.started[0].end(Outcome.RST)
             self.clock.go(wait)
             self.assertEqual(self.again(r), count)
 
     def test_what_waits_for_its_connection_may_begin_until_its_window_or_its_engines_grace_is_over(self):
-        self.d.settings.drain_grace_ms = 1000.0
-        self.classes(Effect.KEYED, deduplication_window_ms=300.0)
+        self.d.settings.drain_grace = 1000.0
+        self.classes(Effect.KEYED, memory_span=300.0)
         self.d.gateway.step = lambda now, events: []
         r, _ = self.ask("load")
         self.again(r, "e1")
         first, now = self.engines.started[0], self.clock.now()
-        self.d.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.DRAINING)])
+        self.d.members([api.Entry("e1", "z", "k", 0, api.Phase.DRAINING)])
         self.clock.go(100)
-        self.d.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.DRAINING)])
-        self.assertEqual(first.start_deadline_ms, now + 1000.0)
-        first.end(Outcome.CONNECTION_RESET)
+        self.d.members([api.Entry("e1", "z", "k", 0, api.Phase.DRAINING)])
+        self.assertEqual(first.latest, now + 1000.0)
+        first.end(Outcome.RST)
         self.again(r)
-        self.assertEqual(self.engines.started[1].start_deadline_ms, first.started_at_ms + 300.0)
+        self.assertEqual(self.engines.started[1].latest, first.started + 300.0)
 
 
 class Gate(StringTransport):
@@ -196,17 +191,15 @@
     def attempt_ended(self, a, outcome, result):
         self.ends.append((a, outcome))
 
-    def attempt_uncertain(self, a):
+    def attempt_doubted(self, a):
         self.doubted.append(a)
 
-    def attempt_progressed(self, a, kind, level):
+    def attempt_noted(self, a, kind, level):
         pass
 
     def start(self):
         self.count += 1
-        r = Request(
-            f"r{self.count}", IncomingRequest(f"{self.count:016x}", "read", "cusco", 5000.0, b"x"), Sink(), 5000.0
-        )
+        r = Request(f"r{self.count}", Work(f"{self.count:016x}", "read", "cusco", 5000.0, b"x"), Sink(), 5000.0)
         a = Attempt(self, r, "e1", self.clock.now(), 5000.0)
         r.attempts.append(a)
         self.engines.start(a)
@@ -222,27 +215,27 @@
         return link._wrappedProtocol, transport
 
     def gone(self, a):
-        a.abandoned = True
-        self.engines.abandon(a, lambda: None)
+        a.given_up = True
+        self.engines.give_up(a, lambda: None)
 
     def test_nothing_is_sent_for_who_left_while_the_connection_came_up(self):
         a, b, c = self.start(), self.start(), self.start()
         self.gone(a)
         _, transport = self.up(same_pass=lambda: self.gone(b))
-        self.assertEqual([p[:2] for p in transport.flush()], [[b"do", c.request.incoming.client_request_id.encode()]])
+        self.assertEqual([p[:2] for p in transport.flush()], [[b"do", c.request.work.rid.encode()]])
 
     def test_what_waited_too_long_for_its_connection_never_begins(self):
         a, b = self.start(), self.start()
-        a.start_deadline_ms = 100.0
+        a.latest = 100.0
         self.clock.go(150)
         _, transport = self.up()
-        self.assertEqual([p[1] for p in transport.flush()], [b.request.incoming.client_request_id.encode()])
-        self.assertEqual(self.ends, [(a, Outcome.NEVER_SENT)])
+        self.assertEqual([p[1] for p in transport.flush()], [b.request.work.rid.encode()])
+        self.assertEqual(self.ends, [(a, Outcome.NOP)])
 
     def test_what_waits_for_an_engine_that_goes_ends_at_once_and_is_not_sent_to_who_has_its_address_next(self):
         a = self.start()
         self.engines.addresses({"e2": ("127.0.0.1", 1)})
-        self.assertEqual(self.ends, [(a, Outcome.UNREACHABLE)])
+        self.assertEqual(self.ends, [(a, Outcome.NOCONN)])
         self.assertTrue(self.reactor.connectors[0].stoppedConnecting)
 
     def test_behind_bytes_that_an_engine_does_not_take_nothing_begins_until_it_does(self):
@@ -251,10 +244,8 @@
         self.clock.go(STUCK + 1)
         left, stays = self.start(), self.start()
         self.gone(left)
-        self.assertEqual([p[1] for p in transport.flush()], [first.request.incoming.client_request_id.encode()])
-        self.assertEqual(
-            [p[:2] for p in transport.flush()], [[b"do", stays.request.incoming.client_request_id.encode()]]
-        )
+        self.assertEqual([p[1] for p in transport.flush()], [first.request.work.rid.encode()])
+        self.assertEqual([p[:2] for p in transport.flush()], [[b"do", stays.request.work.rid.encode()]])
 
     def test_a_reset_proves_that_what_was_not_yet_given_to_the_transport_never_ran(self):
         sent = self.start()
@@ -262,7 +253,7 @@
         self.clock.go(STUCK + 1)
         waits = self.start()
         link.connectionLost(Failure(ConnectionLost()))
-        self.assertEqual(self.ends, [(sent, Outcome.CONNECTION_RESET), (waits, Outcome.UNREACHABLE)])
+        self.assertEqual(self.ends, [(sent, Outcome.RST), (waits, Outcome.NOCONN)])
 
     def test_what_we_break_off_ourselves_is_out_until_its_engine_knows(self):
         """Another attempt of it elsewhere could overtake our reset."""
@@ -272,7 +263,7 @@
         self.clock.go(OVERTAKE - 2)
         self.assertEqual(self.ends, [])
         self.clock.go(3)
-        self.assertEqual(self.ends, [(sent, Outcome.CONNECTION_RESET)])
+        self.assertEqual(self.ends, [(sent, Outcome.RST)])
 
     def test_a_reset_before_in_and_after_a_request(self):
         a = self.start()
@@ -282,19 +273,17 @@
         self.up()[0].connectionLost(Failure(ConnectionLost()))
         c = self.start()
         link, _ = self.up()
-        link.dataReceived(resp.pack(c.request.incoming.client_request_id.encode(), b"data", b"-", b"a\tb\tc\n"))
+        link.dataReceived(resp.pack(c.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
         link.connectionLost(Failure(ConnectionLost()))
-        self.assertEqual(self.ends, [(a, Outcome.UNREACHABLE), (b, Outcome.CONNECTION_RESET), (c, Outcome.SUCCESS)])
+        self.assertEqual(self.ends, [(a, Outcome.NOCONN), (b, Outcome.RST), (c, Outcome.GOOD)])
         self.assertEqual(self.doubted, [c])
 
     def answer(self, a, link, word=b"data", body=b"a\tb\tc\n"):
-        link.dataReceived(
-            resp.pack(a.request.incoming.client_request_id.encode(), word, b"-", body if word == b"data" else b"")
-        )
+        link.dataReceived(resp.pack(a.request.work.rid.encode(), word, b"-", body if word == b"data" else b""))
 
     def test_an_answer_that_may_lead_to_another_attempt_counts_as_a_reset_if_one_comes_right_behind_it(self):
         """Whether in the same pass of reading or, after a standstill, with the timer that lets the answer go."""
-        for word, outcome in ((b"failed", Outcome.ERROR), (b"full", Outcome.OVERLOADED), (b"moot", Outcome.NEVER_SENT)):
+        for word, outcome in ((b"failed", Outcome.BAD), (b"full", Outcome.FULL), (b"moot", Outcome.NOP)):
             for crossing in ("reset", "nothing", "standstill"):
                 self.setUp()
                 a = self.start()
@@ -307,11 +296,9 @@
                 elif crossing == "reset":
                     lost()
                 self.clock.go(HOLD - 1)
-                self.assertEqual(
-                    self.ends, [] if crossing == "nothing" else [(a, Outcome.CONNECTION_RESET)], (word, crossing)
-                )
+                self.assertEqual(self.ends, [] if crossing == "nothing" else [(a, Outcome.RST)], (word, crossing))
                 self.clock.go(2)
-                self.assertEqual(self.ends, [(a, outcome if crossing == "nothing" else Outcome.CONNECTION_RESET)])
+                self.assertEqual(self.ends, [(a, outcome if crossing == "nothing" else Outcome.RST)])
 
     def test_our_own_orderly_close_puts_no_answer_in_doubt(self):
         a = self.start()
@@ -320,7 +307,7 @@
         self.engines.addresses({})  # its engine has gone: unused connections close at once
         self.clock.go(1)
         link.connectionLost(Failure(ConnectionDone()))
-        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.SUCCESS)], []))
+        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD)], []))
 
     def test_what_we_break_off_ourselves_puts_the_answers_before_it_in_doubt(self):
         a, b = self.start(), self.start()
@@ -329,13 +316,13 @@
         self.answer(b, link, b"failed")
         link.dataReceived(b"rubbish\r\n")
         self.clock.go(OVERTAKE + 1)
-        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.SUCCESS), (b, Outcome.CONNECTION_RESET)], [a]))
+        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD), (b, Outcome.RST)], [a]))
 
     def test_an_answer_after_its_request_was_given_up_is_nobodys_and_its_id_is_not_used_there_again(self):
         a = self.start()
         link, _ = self.up()
         self.gone(a)
-        ident = a.request.incoming.client_request_id.encode()
+        ident = a.request.work.rid.encode()
         link.dataReceived(resp.pack(ident, b"data", b"-", b"a\tb\tc\n") * 2)
         self.assertEqual((self.ends, link.takes(ident), link.takes(b"0" * 16)), ([], False, True))
 
@@ -344,7 +331,7 @@
         link, _ = self.up()
         self.clock.go(STUCK + 1)
         waits = self.start()
-        link.dataReceived(resp.pack(waits.request.incoming.client_request_id.encode(), b"data", b"-", b"a\tb\tc\n"))
+        link.dataReceived(resp.pack(waits.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
         self.assertEqual(self.ends, [])
 
     def test_an_engine_that_has_shown_that_a_request_ran_cannot_take_it_back(self):
@@ -353,16 +340,16 @@
             *[resp.pack(b"ID", b"news", b"detail=" + note, b"") for note in (b"p,value=0.2", b"s,value=40")],
         )
         waits = resp.pack(b"ID", b"news", b"detail=w,value=1", b"")
-        for before, word, outcome in [(x, b"full", Outcome.ERROR) for x in ran] + [
-            (ran[0], b"moot", Outcome.ERROR),
-            (waits, b"full", Outcome.OVERLOADED),
-            (b"", b"moot", Outcome.NEVER_SENT),
+        for before, word, outcome in [(x, b"full", Outcome.BAD) for x in ran] + [
+            (ran[0], b"moot", Outcome.BAD),
+            (waits, b"full", Outcome.FULL),
+            (b"", b"moot", Outcome.NOP),
         ]:
             self.setUp()
             a = self.start()
             link, _ = self.up()
             both = before + resp.pack(b"ID", word, b"-", b"")
-            link.dataReceived(both.replace(b"$2\r\nID", b"$16\r\n" + a.request.incoming.client_request_id.encode()))
+            link.dataReceived(both.replace(b"$2\r\nID", b"$16\r\n" + a.request.work.rid.encode()))
             self.clock.go(HOLD + 1)
             self.assertEqual(self.ends, [(a, outcome)], (before, word))
 
@@ -413,7 +400,7 @@
     def start(self, attempt):
         self.taken.append(attempt)
 
-    def abandon(self, attempt, freed):
+    def give_up(self, attempt, freed):
         freed()
 
     def connect(self):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -125,9 +125,7 @@
         self.loop.run(10.0)
         e.die()
         e.submit(self.query("b", 1.0))
-        self.assertEqual(
-            [(n, o) for n, o, _ in self.ended], [("a", Outcome.CONNECTION_RESET), ("b", Outcome.UNREACHABLE)]
-        )
+        self.assertEqual([(n, o) for n, o, _ in self.ended], [("a", Outcome.RST), ("b", Outcome.NOCONN)])
         e.start()
         e.submit(self.query("c", 100.0))
         e.die(silent=True)
@@ -149,7 +147,7 @@
         for i in range(12):
             e.submit(self.query(f"q{i}", 100.0))
         self.assertEqual(e.book.falls, 1)
-        self.assertIn(Outcome.CONNECTION_RESET, {o for _, o, _ in self.ended[1:]})
+        self.assertIn(Outcome.RST, {o for _, o, _ in self.ended[1:]})
 
 
 class Draws(unittest.TestCase):
@@ -261,7 +259,7 @@
     def _arrive(self, a):
         if self.rule == "key":
             self.taken.append(self.now)
-            r = self.open[a.request_id] = policies.Open(a, self.s.classes[a.request_class], self.now)
+            r = self.open[a.req] = policies.Open(a, self.s.classes[a.lane], self.now)
             return self._send(r)
         super()._arrive(a)
 
@@ -281,7 +279,7 @@
 
     def pick(self, r):
         if self.rule == "cold":
-            return max(self.ups, key=lambda x: x.started_at_ms).engine_id
+            return max(self.ups, key=lambda x: x.ready_at).engine
         return super().pick(r)
 
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from decklb.interface import Endpoint, Outcome, Phase, RequestClass
+from decklb.interface import ClassSpec, Entry, Outcome, Phase
 from decklb.lab.locality import play
 from decklb.locality import messages
 from decklb.locality.council import Council
@@ -193,7 +193,7 @@
         sight = self.sight()
         self.assertIsNone(sight.view("a", 0.0))
         self.assertFalse(sight.probed(1.0, "a0", False, 250.0))
-        sight.ended(2.0, "a1", "q", Outcome.SUCCESS, 1.0)
+        sight.ended(2.0, "a1", "q", Outcome.GOOD, 1.0)
         self.assertEqual(sight.view("a", 2.0).up, 1.0)
         self.assertTrue(sight.probed(3.0, "a0", False, 250.0))
         self.assertEqual((sight.view("a", 3.0).up, sight.down()), (0.5, ["a0"]))
@@ -202,12 +202,12 @@
 
     def test_a_late_request_is_no_miss_of_an_engine_that_answered_others_meanwhile(self):
         sight = self.sight()
-        sight.ended(1000.0, "a0", "q", Outcome.SUCCESS, 5.0)
+        sight.ended(1000.0, "a0", "q", Outcome.GOOD, 5.0)
         for _ in range(3):
-            sight.ended(1500.0, "a0", "q", Outcome.TIMED_OUT, 900.0)
+            sight.ended(1500.0, "a0", "q", Outcome.LATE, 900.0)
         self.assertEqual(sight.down(), [])
         for now in (3000.0, 3500.0):
-            sight.ended(now, "a0", "q", Outcome.TIMED_OUT, 900.0)
+            sight.ended(now, "a0", "q", Outcome.LATE, 900.0)
         self.assertEqual(sight.down(), ["a0"])
 
     def test_only_what_nothing_told_of_lately_is_probed_and_more_rarely_in_a_large_fleet(self):
@@ -215,7 +215,7 @@
         self.assertEqual(len(sight.due(0.0, 5)), 16)  # a few of each zone
         self.assertEqual(sight.due(S.look / 2, 5), [])
         first = sight.zones["a"].looked[0]
-        sight.ended(S.look, first, "q", Outcome.SUCCESS, 1.0)
+        sight.ended(S.look, first, "q", Outcome.GOOD, 1.0)
         self.assertNotIn(first, sight.due(S.look, 5))
         self.assertEqual(sight.due(3 * S.look, 64), [])
         self.assertEqual(len(sight.due(5 * S.look, 64)), 16)
@@ -227,8 +227,8 @@
                 sight.probed(float(i), f"{z}0", True, 1.0)
         self.assertTrue(sight.view("a", 100.0).weak)
         for i in range(100):
-            sight.ended(200.0 + i, "a0", "q", Outcome.ERROR, 1.0)
-            sight.ended(200.0 + i, "b0", "q", Outcome.SUCCESS, 10.0)
+            sight.ended(200.0 + i, "a0", "q", Outcome.BAD, 1.0)
+            sight.ended(200.0 + i, "b0", "q", Outcome.GOOD, 10.0)
             sight.probed(200.0 + i, "a0", True, 200.0)
         bad, well = sight.view("a", 300.0), sight.view("b", 300.0)
         self.assertFalse(bad.weak or well.weak)
@@ -244,14 +244,12 @@
         for zone, state in zones.items():
             council.common.zones[zone].state, council.common.zones[zone].since = state, 0.0
         classes = {
-            "q": RequestClass("q", 1000.0, 5000.0),
-            "only-c": RequestClass("only-c", 1000.0, 5000.0, allowed_zones=("c",)),
-            "kind-y": RequestClass("kind-y", 1000.0, 5000.0, allowed_kinds=("y",)),
+            "q": ClassSpec("q", 1000.0, 5000.0),
+            "only-c": ClassSpec("only-c", 1000.0, 5000.0, zones=("c",)),
+            "kind-y": ClassSpec("kind-y", 1000.0, 5000.0, kinds=("y",)),
         }
         made = Steering(s, classes, {"x": 10, "y": 10})
-        made.listed(
-            [Endpoint(f"{z}-{k}", z, k, 0, Phase.UP) for z, k in (("a", "x"), ("b", "x"), ("b", "y"), ("c", "x"))]
-        )
+        made.listed([Entry(f"{z}-{k}", z, k, 0, Phase.UP) for z, k in (("a", "x"), ("b", "x"), ("b", "y"), ("c", "x"))])
         return made, council
 
     def drawn(self, steering, council, lane="q", now=0.0, count=200):
