--- a/decklb/cli/injection.py
+++ b/decklb/cli/injection.py
@@ -11,8 +11,8 @@
 from decklb import log
 
 if TYPE_CHECKING:
-    from decklb.lab.injection.cuts import Round
-    from decklb.lab.injection.matrix import Played
+    from decklb.lab.fault_runs.connection_cut_run import Round
+    from decklb.lab.fault_runs.system_call_run import Played
 
 
 @click.command()
@@ -47,9 +47,9 @@
 
     import ujson
 
-    from decklb.lab.injection.cases import all_cases, some_cases
-    from decklb.lab.injection.interposer import InterposerError
-    from decklb.lab.injection.matrix import PlayError, play_cases
+    from decklb.lab.fault_runs.system_call_run import PlayError, play_cases
+    from decklb.lab.faults.interposer import InterposerError
+    from decklb.lab.faults.system_call_cases import all_cases, some_cases
 
     log.set_up("ERROR", "text")
     cases = all_cases() if part >= 1 else some_cases(seed, part)
@@ -86,8 +86,8 @@
     """Strike engines' connections at drawn bytes of their answers, and check order and repeats as engines see them."""
     import asyncio
 
-    from decklb.lab.injection.cuts import play_cuts
-    from decklb.lab.injection.matrix import PlayError
+    from decklb.lab.fault_runs.connection_cut_run import play_cuts
+    from decklb.lab.fault_runs.system_call_run import PlayError
 
     log.set_up("ERROR", "text")
 
@@ -113,8 +113,8 @@
     """Start many managers as processes and one cold engine, and count what all of them together send it."""
     import asyncio
 
-    from decklb.lab.injection.matrix import PlayError
-    from decklb.lab.injection.ramp import play
+    from decklb.lab.fault_runs.slow_start_run import play
+    from decklb.lab.fault_runs.system_call_run import PlayError
 
     log.set_up("ERROR", "text")
     try:
--- a/decklb/cli/lab.py
+++ b/decklb/cli/lab.py
@@ -44,7 +44,7 @@
     """Shared duties: how evenly, how soon taken over, how soon settled after a partition."""
     import ujson
 
-    from decklb.lab.duties import Experiment, run
+    from decklb.lab.experiments.shared_duties import Experiment, run
 
     try:
         found = run(Experiment(instances, engines, periods, loss, kill, partition, seed, join=join))
@@ -68,7 +68,7 @@
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from decklb.config import ConfigError
-    from decklb.lab import experiment
+    from decklb.lab.experiments import experiment
 
     try:
         x = experiment.load(path)
@@ -96,7 +96,7 @@
 @click.argument("folder")
 def report(folder: str) -> None:
     """Tables and plots of what has run: one HTML page."""
-    from decklb.lab import report as page
+    from decklb.lab.experiments import report as page
 
     try:
         click.echo(page.make(folder))
@@ -118,9 +118,9 @@
 )
 def compare(a: str, b: str, policy_a: str | None, policy_b: str | None, what: tuple[str, ...]) -> None:
     """Paired differences B - A, with 95% intervals by bootstrap; a star where 0 lies outside."""
-    from decklb.lab import statistics
-    from decklb.lab.experiment import table
-    from decklb.lab.streams import Streams
+    from decklb.lab.emulation.random_streams import Streams
+    from decklb.lab.experiments import statistics
+    from decklb.lab.experiments.experiment import table
 
     try:
         left = [s for s in table(a, "summaries") if policy_a in (None, s["policy"])]
@@ -148,8 +148,8 @@
     import cProfile
     import pstats
 
-    from decklb.lab.emulator import Run
-    from decklb.lab.shipped import world
+    from decklb.lab.emulation.emulator import Run
+    from decklb.lab.experiments.bundled import world
 
     log.set_up("ERROR", "text")
     run = Run(world(managers, engines, rate or 25.0 * engines, 1000.0 * seconds), 1)
@@ -173,7 +173,7 @@
 @click.option("--seed", default=1, show_default=True)
 def theory(arrivals: int, seed: int) -> None:
     """The engine's model against queueing theory: M/M/1-PS, M/M/c, Erlang's loss."""
-    from decklb.lab import theory as known
+    from decklb.lab.experiments import queueing_theory as known
 
     for line in known.table(arrivals, seed):
         click.echo(line)
@@ -194,8 +194,8 @@
     """Stand-in engines on loopback that follow the emulator's model in real time, until interrupted."""
     from twisted.internet import reactor as real
 
-    from decklb.lab import live
-    from decklb.lab.engine import EngineSpec
+    from decklb.lab.emulation.engine_model import EngineSpec
+    from decklb.lab.standins import engine_server as live
 
     log.set_up("INFO", "text")
     reactor: Any = real
@@ -243,9 +243,9 @@
 
     import ujson
 
-    from decklb.lab import outage
-    from decklb.lab.faults import Fault, Kind
-    from decklb.lab.verdict import Verdict, total
+    from decklb.lab.checks.execution_verdict import Verdict, total
+    from decklb.lab.fault_runs import handoff_run as outage
+    from decklb.lab.faults.fault_schedule import Fault, Kind
 
     log.set_up("ERROR", "text")
     setup = outage.Setup(
@@ -302,7 +302,7 @@
     """What protecting a statement costs: time to its answer with a key and without, between real processes."""
     import asyncio
 
-    from decklb.lab import outage
+    from decklb.lab.fault_runs import handoff_run as outage
 
     log.set_up("ERROR", "text")
     found = asyncio.run(outage.cost(outage.Setup(managers), requests, at_once, seed))
@@ -318,7 +318,7 @@
 @click.option("--seed", default=1, show_default=True)
 def stores(writes: int, keys: int, size: int, seed: int) -> None:
     """Embedded stores for the handoff's records: what one write costs, with syncs and without."""
-    from decklb.lab.stores import measure
+    from decklb.lab.experiments.store_benchmark import measure
 
     for row in measure(writes, keys, size, seed):
         click.echo("  ".join(f"{name} {value}" for name, value in row.items()))
@@ -333,7 +333,7 @@
 @click.option("--plot", "picture", default="", help="File for a plot of the load on the zone that is struck (PNG).")
 def zones(managers: int, count: int, seeds: int, cases: tuple[str, ...], workers: int, picture: str) -> None:
     """Zones judged in common against each manager judging alone, over paired seeds, on a simulated network."""
-    from decklb.lab.locality import CASES, campaign, plot, table
+    from decklb.lab.experiments.zone_agreement import CASES, campaign, plot, table
 
     if strange := set(cases) - set(CASES):
         raise click.ClickException(f"no case {min(strange)!r}; one of {', '.join(CASES)}")
@@ -360,8 +360,8 @@
 
     import ujson
 
-    from decklb.lab import regions as lab
-    from decklb.lab.zonal import Judged, table
+    from decklb.lab.checks.zone_verdict import Judged, table
+    from decklb.lab.fault_runs import zone_run as lab
 
     log.set_up("ERROR", "text")
     if strange := set(cases) - set(lab.CASES):
@@ -405,7 +405,7 @@
     """Machines taken out by the fleet's plan, as processes, and faults between them; loopback only."""
     import asyncio
 
-    from decklb.lab import upkeep as lab
+    from decklb.lab.fault_runs import maintenance_run as lab
 
     log.set_up("ERROR", "text")
     if strange := set(cases) - set(lab.CASES):
@@ -436,8 +436,8 @@
     from twisted.internet import reactor as real
 
     from decklb.config import ConfigError
-    from decklb.lab import experiment
-    from decklb.lab.load import Load, target
+    from decklb.lab.experiments import experiment
+    from decklb.lab.experiments.load_generator import Load, target
 
     try:
         x, address = experiment.load(path), target(where)
--- a/decklb/cli/trial.py
+++ b/decklb/cli/trial.py
@@ -19,9 +19,9 @@
     """Start stand-in engines, the program on both fronts and some load, and tell what happened."""
     from twisted.internet import reactor as real
 
-    from decklb.lab import trial
-    from decklb.lab.emulator import Run
-    from decklb.lab.shipped import world
+    from decklb.lab.emulation.emulator import Run
+    from decklb.lab.experiments import local_trial as trial
+    from decklb.lab.experiments.bundled import world
 
     log.set_up("ERROR", "text")
     reactor: Any = real
--- a/decklb/lab/zonal.py
+++ b/decklb/lab/checks/zone_verdict.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from decklb.lab.verdict import Line
+from decklb.lab.checks.execution_verdict import Line
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.spill import Place, usable
 from decklb.locality.zones import State
--- a/decklb/lab/emulator.py
+++ b/decklb/lab/emulation/emulator.py
@@ -15,16 +15,16 @@
 from decklb.core.dispatcher import Attempt, Dispatcher, Request
 from decklb.core.ports import Work
 from decklb.interface import Effect, Entry, Outcome, Phase, Settings
-from decklb.lab.checkers import Checker
-from decklb.lab.engine import Engine, EngineSpec, Query
-from decklb.lab.events import Loop
-from decklb.lab.policies import POLICIES, Oracle
-from decklb.lab.records import Records
-from decklb.lab.streams import Streams
-from decklb.lab.workload import Arrivals, Workload, draw
+from decklb.lab.checks.request_invariants import Checker
+from decklb.lab.emulation.engine_model import Engine, EngineSpec, Query
+from decklb.lab.emulation.policies import POLICIES, Oracle
+from decklb.lab.emulation.random_streams import Streams
+from decklb.lab.emulation.run_records import Records
+from decklb.lab.emulation.simulated_loop import Loop
+from decklb.lab.emulation.workload import Arrivals, Workload, draw
 
 if TYPE_CHECKING:
-    from decklb.lab.probing import Probing
+    from decklb.lab.emulation.shared_health_checks import Probing
 
 WIND_DOWN = 2000.0  # ms after the last deadline in which all must be over
 AGAIN = 50.0  # ms after which a client asks again whose manager has gone
@@ -348,7 +348,7 @@
         self.managers = [Manager(self, i) for i in range(world.managers)]
         self.probing: Probing | None = None
         if world.probing:
-            from decklb.lab.probing import Probing
+            from decklb.lab.emulation.shared_health_checks import Probing
 
             self.probing = Probing(self, world.probing)
         self._next = 0
--- a/decklb/lab/engine.py
+++ b/decklb/lab/emulation/engine_model.py
@@ -21,7 +21,7 @@
 from math import ulp
 
 from decklb.interface import Outcome
-from decklb.lab.events import Call, Loop
+from decklb.lab.emulation.simulated_loop import Call, Loop
 
 STEPS = 15  # in which a cold engine's speed grows
 
--- a/decklb/lab/records.py
+++ b/decklb/lab/emulation/run_records.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from decklb.core.dispatcher import Attempt
-    from decklb.lab.emulator import Client, Run
+    from decklb.lab.emulation.emulator import Client, Run
 
 LOOK = 1000.0  # ms between looks at the engines
 LONGEST = 3_600_000_000  # µs
--- a/decklb/lab/probing.py
+++ b/decklb/lab/emulation/shared_health_checks.py
@@ -11,11 +11,11 @@
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.interface import Outcome, Phase
-from decklb.lab import network
-from decklb.lab.network import EPOCH, Faults, Host
+from decklb.lab.emulation import simulated_network as network
+from decklb.lab.emulation.simulated_network import EPOCH, Faults, Host
 
 if TYPE_CHECKING:
-    from decklb.lab.emulator import Manager, Run
+    from decklb.lab.emulation.emulator import Manager, Run
 
 SEEDS = 3
 
--- a/decklb/lab/cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -12,7 +12,7 @@
 from decklb.cluster.ownership import Ranking
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
-from decklb.lab.network import EPOCH, Address, Faults, Host, World
+from decklb.lab.emulation.simulated_network import EPOCH, Address, Faults, Host, World
 
 
 class SharedRanking(Ranking):
--- a/decklb/lab/handoff.py
+++ b/decklb/lab/emulation/simulated_handoff.py
@@ -22,7 +22,7 @@
 from decklb.handoff.records import Outcome, Record, fingerprint
 from decklb.handoff.settings import HandoffSettings
 from decklb.interface import Effect
-from decklb.lab.verdict import Line, Story, Verdict, judge
+from decklb.lab.checks.execution_verdict import Line, Story, Verdict, judge
 
 TICK, LOOK = 25.0, 100.0  # ms between ticks of a keeper, and between looks of a member at who is alive
 LATE = (300.0, 900.0)  # ms by which a member sees late that another has gone
--- a/decklb/lab/network.py
+++ b/decklb/lab/emulation/simulated_network.py
@@ -11,7 +11,7 @@
 
 from decklb.cluster.duties import Start
 from decklb.cluster.node import Node
-from decklb.lab.events import Loop
+from decklb.lab.emulation.simulated_loop import Loop
 
 Address = tuple[str, int]
 EPOCH = 1_700_000_000_000.0  # Unix ms of the world's zero
--- a/decklb/lab/workload.py
+++ b/decklb/lab/emulation/workload.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from decklb.lab.streams import Streams
+from decklb.lab.emulation.random_streams import Streams
 
 TRACE = ("time_ms", "class", "tenant", "work_ms", "tables", "key")
 SMALLEST = 0.05  # of the mean: the least work of a query
--- /dev/null
+++ b/decklb/lab/experiments/__init__.py
@@ -0,0 +1,1 @@
+"""Seeded experiments, their workloads, load on a running program, statistics and reports."""
--- a/decklb/lab/shipped.py
+++ b/decklb/lab/experiments/bundled.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from decklb.lab.emulator import World
-from decklb.lab.workload import Class, Tenant, Workload
+from decklb.lab.emulation.emulator import World
+from decklb.lab.emulation.workload import Class, Tenant, Workload
 
 CLASSES = (
     Class("consulta", 0.8, 100.0, 1000.0, 5000.0, yields=True),
--- a/decklb/lab/experiment.py
+++ b/decklb/lab/experiments/experiment.py
@@ -22,9 +22,9 @@
 from decklb.config.errors import SettingsError
 from decklb.config.units import duration, share
 from decklb.config.xml import read
-from decklb.lab.emulator import Fault, Run, World
-from decklb.lab.engine import EngineSpec
-from decklb.lab.workload import Class, Swell, Tenant, Workload
+from decklb.lab.emulation.emulator import Fault, Run, World
+from decklb.lab.emulation.engine_model import EngineSpec
+from decklb.lab.emulation.workload import Class, Swell, Tenant, Workload
 
 TABLES: dict[str, tuple[str, ...]] = {
     "requests": (
--- a/decklb/lab/load.py
+++ b/decklb/lab/experiments/load_generator.py
@@ -16,11 +16,11 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from decklb.lab.engine import Query
-from decklb.lab.live import moment, statement
-from decklb.lab.records import LONGEST
-from decklb.lab.streams import Streams
-from decklb.lab.workload import Arrivals, Workload, draw
+from decklb.lab.emulation.engine_model import Query
+from decklb.lab.emulation.random_streams import Streams
+from decklb.lab.emulation.run_records import LONGEST
+from decklb.lab.emulation.workload import Arrivals, Workload, draw
+from decklb.lab.standins.engine_server import moment, statement
 from decklb.net import frames
 from decklb.pg import messages as pg
 
--- a/decklb/lab/trial.py
+++ b/decklb/lab/experiments/local_trial.py
@@ -15,9 +15,9 @@
 
 import ujson
 
-from decklb.lab.emulator import World
-from decklb.lab.live import listen
-from decklb.lab.load import Load
+from decklb.lab.emulation.emulator import World
+from decklb.lab.experiments.load_generator import Load
+from decklb.lab.standins.engine_server import listen
 
 FRONTS = ("frames", "pg")
 PATIENCE = 20.0  # s for a program to start, and to end
--- a/decklb/lab/theory.py
+++ b/decklb/lab/experiments/queueing_theory.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 
 from decklb.interface import Outcome
-from decklb.lab.engine import Engine, EngineSpec, Query
-from decklb.lab.events import Loop
-from decklb.lab.streams import Streams
+from decklb.lab.emulation.engine_model import Engine, EngineSpec, Query
+from decklb.lab.emulation.random_streams import Streams
+from decklb.lab.emulation.simulated_loop import Loop
 
 WORK = 100.0  # ms, mean
 
--- a/decklb/lab/report.py
+++ b/decklb/lab/experiments/report.py
@@ -13,9 +13,9 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt  # noqa: E402
 
-from decklb.lab.experiment import table  # noqa: E402
-from decklb.lab.statistics import spread  # noqa: E402
-from decklb.lab.streams import Streams  # noqa: E402
+from decklb.lab.emulation.random_streams import Streams  # noqa: E402
+from decklb.lab.experiments.experiment import table  # noqa: E402
+from decklb.lab.experiments.statistics import spread  # noqa: E402
 
 SHOWN = ("worth", "in_time", "refused", "failed", "attempts_a_request", "fairness", "least_class", "load", "broken")
 Rows = list[dict[str, Any]]
--- a/decklb/lab/duties.py
+++ b/decklb/lab/experiments/shared_duties.py
@@ -9,8 +9,8 @@
 
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.suspicion import MOST_DOUBT, shortest
-from decklb.lab.cluster import Cluster
-from decklb.lab.network import Faults
+from decklb.lab.emulation.simulated_cluster import Cluster
+from decklb.lab.emulation.simulated_network import Faults
 
 
 @dataclass(frozen=True, slots=True)
--- a/decklb/lab/injection/cuts.py
+++ b/decklb/lab/fault_runs/connection_cut_run.py
@@ -16,9 +16,9 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from decklb.lab.injection.matrix import SETTINGS, Player
-from decklb.lab.injection.peers import Engine, Run
-from decklb.lab.injection.proxy import Action, Proxy, Strike
+from decklb.lab.fault_runs.system_call_run import SETTINGS, Player
+from decklb.lab.faults.connection_proxy import Action, Proxy, Strike
+from decklb.lab.standins.recording_peers import Engine, Run
 
 SETTLE = 0.3  # seconds that a key rests
 RULES = {"settle_after_doubt": 1000 * SETTLE}
--- a/decklb/lab/outage.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -24,11 +24,11 @@
 
 from decklb.cluster import keyfile
 from decklb.daemon.control import ControlError, ask
-from decklb.lab import ports
-from decklb.lab.apart import TRIES, apart
-from decklb.lab.faults import Fault, Kind, Link, schedule
-from decklb.lab.rig import HELD_UP, Address, Rig
-from decklb.lab.verdict import Line, Story, Verdict, judge
+from decklb.lab.checks.execution_verdict import Line, Story, Verdict, judge
+from decklb.lab.fault_runs.isolation import TRIES, apart
+from decklb.lab.faults import free_ports as ports
+from decklb.lab.faults.fault_schedule import Fault, Kind, Link, schedule
+from decklb.lab.faults.network_proxy import HELD_UP, Address, Rig
 from decklb.pg import messages as pg
 
 READ, LOAD = "read", "load"  # may be repeated; at most once
@@ -108,7 +108,7 @@
             "-m",
             *words,
             env=env,
-            cwd=Path(__file__).parents[2],
+            cwd=Path(__file__).parents[3],
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
@@ -184,7 +184,10 @@
             engine.lines.clear()
             engine.stamps.clear()
             await engine.start(
-                "decklb.lab.witness", engine.name, str(log), ujson.dumps(where or ports.free(self.setup.managers))
+                "decklb.lab.standins.observer_engine",
+                engine.name,
+                str(log),
+                ujson.dumps(where or ports.free(self.setup.managers)),
             )
             try:
                 found: list[int] = ujson.loads((await engine.says(r"^(\[.*\])"))[1])
@@ -196,7 +199,7 @@
 
     def program(self, name: str) -> tuple[str, ...]:
         """What runs as a manager."""
-        return ("decklb.lab.jumpy",)
+        return ("decklb.lab.faults.clock_jump",)
 
     def settings(self, name: str) -> str:
         """A manager's XML."""
--- a/decklb/lab/apart.py
+++ b/decklb/lab/fault_runs/isolation.py
@@ -3,8 +3,9 @@
 The rig carries every datagram and connection of its fleet, and the callers live beside it: six fleets in one process
 take its whole core, and then the rig itself is the slow peer that nobody asked for.
 
-`python -m decklb.lab.apart MODULE:FUNCTION JSON` runs an async generator of the laboratory and prints what it yields, a
-line of JSON each; it ends with its work, at SIGTERM, or when nobody reads it any more, and takes its processes along.
+`python -m decklb.lab.fault_runs.isolation MODULE:FUNCTION JSON` runs an async generator of the laboratory and prints
+what it yields, a line of JSON each; it ends with its work, at SIGTERM, or when nobody reads it any more, and takes its
+processes along.
 """
 
 from __future__ import annotations
@@ -29,10 +30,10 @@
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "decklb.lab.apart",
+        "decklb.lab.fault_runs.isolation",
         function,
         msgspec.json.encode(words).decode(),
-        cwd=Path(__file__).parents[2],
+        cwd=Path(__file__).parents[3],
         stdout=asyncio.subprocess.PIPE,
         limit=LINE,
     )
--- a/decklb/lab/injection/ramp.py
+++ b/decklb/lab/fault_runs/slow_start_run.py
@@ -17,8 +17,8 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from decklb.lab.injection.matrix import SETTINGS, Player
-from decklb.lab.injection.peers import Directory, Engine, RespPeer
+from decklb.lab.fault_runs.system_call_run import SETTINGS, Player
+from decklb.lab.standins.recording_peers import Directory, Engine, RespPeer
 
 CORES = 8
 COLD, SHARE, FACTOR, FALL = 15_000.0, 0.31, 3.0, 1500.0  # as the first deployment's settings name them
--- a/decklb/lab/injection/matrix.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
-from decklb.lab.injection.cases import SPANS, USUAL, Case
-from decklb.lab.injection.interposer import Interposer
-from decklb.lab.injection.peers import Directory, Engine, PgPeer, RespPeer
+from decklb.lab.faults.interposer import Interposer
+from decklb.lab.faults.system_call_cases import SPANS, USUAL, Case
+from decklb.lab.standins.recording_peers import Directory, Engine, PgPeer, RespPeer
 from decklb.net import frames
 from decklb.pg import messages as pg
 
--- a/decklb/lab/regions.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -19,11 +19,11 @@
 import ujson
 
 from decklb.daemon.control import ask
-from decklb.lab.apart import side_by_side
-from decklb.lab.faults import Link
-from decklb.lab.outage import Fleet, Process, Setup
-from decklb.lab.rig import HELD_UP
-from decklb.lab.zonal import Change, Judged, Sent, judge
+from decklb.lab.checks.zone_verdict import Change, Judged, Sent, judge
+from decklb.lab.fault_runs.handoff_run import Fleet, Process, Setup
+from decklb.lab.fault_runs.isolation import side_by_side
+from decklb.lab.faults.fault_schedule import Link
+from decklb.lab.faults.network_proxy import HELD_UP
 from decklb.locality.settings import LocalitySettings
 from decklb.pg import messages as pg
 
@@ -85,7 +85,7 @@
 
     def program(self, name: str) -> tuple[str, ...]:
         """The module that runs as a manager."""
-        return ("decklb.lab.liar", "z0") if name == self.lie else ("decklb.lab.jumpy",)
+        return ("decklb.lab.standins.byzantine_member", "z0") if name == self.lie else ("decklb.lab.faults.clock_jump",)
 
     def more(self, name: str) -> str:
         """Elements of a manager's settings beside those of all."""
--- a/decklb/lab/jumpy.py
+++ b/decklb/lab/faults/clock_jump.py
@@ -1,4 +1,4 @@
-"""The program with a wall clock that jumps: `python -m decklb.lab.jumpy serve ...`, for the fault runs.
+"""The program with a wall clock that jumps: `python -m decklb.lab.faults.clock_jump serve ...`, for the fault runs.
 
 SIGUSR1 sets this process's wall clock an hour ahead, SIGUSR2 a minute behind, SIGWINCH back to the machine's. Setting
 the machine's own would need rights, and would strike every process at once. The monotonic clock never jumps.
--- a/decklb/lab/rig.py
+++ b/decklb/lab/faults/network_proxy.py
@@ -19,7 +19,7 @@
 from functools import partial
 from typing import Any
 
-from decklb.lab.faults import CLEAN, Link
+from decklb.lab.faults.fault_schedule import CLEAN, Link
 
 Address = tuple[str, int]
 LOOK = 0.01  # seconds between looks at a cut link
--- a/decklb/lab/liar.py
+++ b/decklb/lab/standins/byzantine_member.py
@@ -1,6 +1,8 @@
-"""The program with a member that lies: `python -m decklb.lab.liar ZONE serve ...` always reports that zone dead.
+"""The program with a member that lies: it always reports one zone dead.
 
-For the fault runs of the locality; everything else is as in `jumpy`.
+`python -m decklb.lab.standins.byzantine_member ZONE serve ...`
+
+For the fault runs of the locality; everything else is as in `faults.clock_jump`.
 """
 
 from __future__ import annotations
@@ -11,7 +13,7 @@
 def main() -> None:
     """Patch, then run the command line as it is."""
     zone = sys.argv.pop(1)
-    from decklb.lab.jumpy import main as jumpy
+    from decklb.lab.faults.clock_jump import main as jumpy
     from decklb.locality.sight import Sight
     from decklb.locality.zones import View
 
--- a/decklb/lab/live.py
+++ b/decklb/lab/standins/engine_server.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 from decklb.interface import Outcome
-from decklb.lab.engine import Engine, EngineSpec, Query
+from decklb.lab.emulation.engine_model import Engine, EngineSpec, Query
 from decklb.net import resp
 from decklb.pg import messages as pg
 from decklb.wire.clock import ReactorClock
--- a/decklb/lab/witness.py
+++ b/decklb/lab/standins/observer_engine.py
@@ -1,10 +1,10 @@
 """Stand-in PostgreSQL engines in a process of their own, which write down each run of a statement: the fault runs'
 witnesses.
 
-`python -m decklb.lab.witness NAME LOG PORTS` listens on one port for each manager, so that a run can be laid at the
-manager that sent it, prints them, and serves until it is killed. PORTS are JSON; one that returns is given the same
-ones. A statement says what it costs in a comment: `select 1 -- run=KEY work=MS`. As on real engines, a run goes on when
-its connection ends, and ends early when it is cancelled.
+`python -m decklb.lab.standins.observer_engine NAME LOG PORTS` listens on one port for each manager, so that a run can
+be laid at the manager that sent it, prints them, and serves until it is killed. PORTS are JSON; one that
+returns is given the same ones. A statement says what it costs in a comment: `select 1 -- run=KEY work=MS`. As on real
+engines, a run goes on when its connection ends, and ends early when it is cancelled.
 """
 
 from __future__ import annotations
--- a/tests/test_cluster_lab.py
+++ b/tests/test_cluster_lab.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from decklb.cluster.settings import DutySettings, MembershipSettings
-from decklb.lab.cluster import Cluster
-from decklb.lab.duties import Experiment, run
-from decklb.lab.network import Faults
+from decklb.lab.emulation.simulated_cluster import Cluster
+from decklb.lab.emulation.simulated_network import Faults
+from decklb.lab.experiments.shared_duties import Experiment, run
 from tests.standins import ROOT
 
 SECOND = 1000.0
--- a/tests/test_duties_program.py
+++ b/tests/test_duties_program.py
@@ -14,7 +14,7 @@
 
 from decklb.cluster import keyfile
 from decklb.daemon.control import ask
-from decklb.lab import ports
+from decklb.lab.faults import free_ports as ports
 from tests.standins import ROOT, Loop, PgEngine, PingEngine, Program, known, wait_for
 
 PERIOD = 1.0  # seconds
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -2,7 +2,7 @@
 
 import random
 
-from decklb.lab.faults import CLEAN, Kind, Link, schedule
+from decklb.lab.faults.fault_schedule import CLEAN, Kind, Link, schedule
 
 
 def test_a_clean_link_passes_each_datagram_once_at_once():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from decklb.lab.emulator import Fault, Run
-from decklb.lab.shipped import world
+from decklb.lab.emulation.emulator import Fault, Run
+from decklb.lab.experiments.bundled import world
 
 RELEASE = (Fault(1500.0, "drain", 1000.0, count=8), Fault(2500.0, "drain", 1000.0, count=8))
 
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -12,7 +12,7 @@
 from decklb.handoff.table import Table
 from decklb.handoff.takeover import Step, decide, turn
 from decklb.interface import Effect
-from decklb.lab.handoff import play
+from decklb.lab.emulation.simulated_handoff import play
 
 SETTINGS = HandoffSettings(capacity=4, lease=1000.0, drift=0.0, linger=100.0, slack=0.0)
 VOTERS = ("s1", "s2", "s3")
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -11,8 +11,8 @@
 import psycopg
 
 from decklb.daemon.control import ask
-from decklb.lab.faults import Fault, Kind, Link
-from decklb.lab.outage import COME_BACK, Fleet, Setup, campaign
+from decklb.lab.fault_runs.handoff_run import COME_BACK, Fleet, Setup, campaign
+from decklb.lab.faults.fault_schedule import Fault, Kind, Link
 from tests.standins import wait_for
 
 SETUP = Setup()
--- a/tests/test_handoff_store.py
+++ b/tests/test_handoff_store.py
@@ -11,8 +11,8 @@
 from decklb.handoff.settings import HandoffSettings
 from decklb.handoff.store import Kept, Store, StoreError
 from decklb.handoff.table import Table
-from decklb.lab.outage import Fleet, Setup
-from decklb.lab.verdict import judge
+from decklb.lab.checks.execution_verdict import judge
+from decklb.lab.fault_runs.handoff_run import Fleet, Setup
 from tests.test_handoff import record
 from tests.test_handoff_program import Session, final
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,15 +17,17 @@
 from decklb.config import SettingsError
 from decklb.core.dispatcher import Dispatcher
 from decklb.interface import Outcome
-from decklb.lab import experiment, policies, statistics, theory
-from decklb.lab.checkers import RULES
-from decklb.lab.emulator import Fault, Run
-from decklb.lab.engine import Engine, EngineSpec, Query
-from decklb.lab.events import Loop
-from decklb.lab.policies import Random
-from decklb.lab.shipped import world
-from decklb.lab.streams import Streams
-from decklb.lab.workload import Swell, Tenant, TraceError, Workload, draw
+from decklb.lab.checks.request_invariants import RULES
+from decklb.lab.emulation import policies
+from decklb.lab.emulation.emulator import Fault, Run
+from decklb.lab.emulation.engine_model import Engine, EngineSpec, Query
+from decklb.lab.emulation.policies import Random
+from decklb.lab.emulation.random_streams import Streams
+from decklb.lab.emulation.simulated_loop import Loop
+from decklb.lab.emulation.workload import Swell, Tenant, TraceError, Workload, draw
+from decklb.lab.experiments import experiment, statistics
+from decklb.lab.experiments import queueing_theory as theory
+from decklb.lab.experiments.bundled import world
 from tests.standins import ROOT
 
 
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -9,9 +9,10 @@
 import pytest
 from twisted.internet.task import Clock
 
-from decklb.lab import live, load
-from decklb.lab.engine import Engine, EngineSpec, Query
-from decklb.lab.events import Loop
+from decklb.lab.emulation.engine_model import Engine, EngineSpec, Query
+from decklb.lab.emulation.simulated_loop import Loop
+from decklb.lab.experiments import load_generator as load
+from decklb.lab.standins import engine_server as live
 from decklb.net import resp
 from decklb.pg import messages as pg
 from tests.standins import ROOT
@@ -130,7 +131,7 @@
 
 def test_latency_counts_from_when_a_request_was_due(monkeypatch):
     """A measurer that was held up for a second must not leave that second out."""
-    from decklb.lab.shipped import world
+    from decklb.lab.experiments.bundled import world
 
     clock = Clock()
     monkeypatch.setattr(load, "moment", lambda: clock.seconds() * 1000.0)
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from decklb.interface import ClassSpec, Entry, Outcome, Phase
-from decklb.lab.locality import play
+from decklb.lab.experiments.zone_agreement import play
 from decklb.locality import messages
 from decklb.locality.council import Council
 from decklb.locality.settings import LocalitySettings
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,8 +10,8 @@
 
 from decklb.cli.maint import maint
 from decklb.cluster.messages import WireError
-from decklb.lab.register import World
-from decklb.lab.upkeep import Step, budget, doubled
+from decklb.lab.emulation.simulated_quorum_register import World
+from decklb.lab.fault_runs.maintenance_run import Step, budget, doubled
 from decklb.maintenance import messages as m
 from decklb.maintenance.conductor import Conductor, Own, manager
 from decklb.maintenance.errors import AlreadyPlanned, MaintenanceError, NobodyNamed, NoMajority, NoSuchJob, NotOut
--- a/tests/test_middleware_fleet.py
+++ b/tests/test_middleware_fleet.py
@@ -15,7 +15,7 @@
 import httpx
 
 from decklb.cluster import keyfile
-from decklb.lab import ports
+from decklb.lab.faults import free_ports as ports
 from tests.standins import DEADLINE, ROOT, wait_for
 
 NAMES = ["w0", "w1", "w2"]
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -3,9 +3,9 @@
 import asyncio
 import unittest
 
-from decklb.lab.regions import campaign, zone_of
-from decklb.lab.verdict import Line
-from decklb.lab.zonal import Change, Sent, judge
+from decklb.lab.checks.execution_verdict import Line
+from decklb.lab.checks.zone_verdict import Change, Sent, judge
+from decklb.lab.fault_runs.zone_run import campaign, zone_of
 from decklb.locality.settings import LocalitySettings
 
 HOME = {"m0": "z0", "m1": "z1"}
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -9,9 +9,9 @@
 
 from decklb.cluster import keyfile
 from decklb.daemon.control import ask
-from decklb.lab import ports
-from decklb.lab.faults import Link
-from decklb.lab.rig import Rig
+from decklb.lab.faults import free_ports as ports
+from decklb.lab.faults.fault_schedule import Link
+from decklb.lab.faults.network_proxy import Rig
 from tests.standins import Loop, Program, known, wait_for
 
 NAMES = ["m0", "m1", "m2"]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,8 +3,8 @@
 import gc
 import tracemalloc
 
-from decklb.lab.emulator import Run
-from decklb.lab.shipped import world
+from decklb.lab.emulation.emulator import Run
+from decklb.lab.experiments.bundled import world
 
 SPAN = 120_000.0  # ms
 PROGRAM = ["*/decklb/core/*", "*/decklb/rules.py", "*/decklb/state.py", "*/decklb/interface.py"]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from decklb.lab.injection import cases
-from decklb.lab.injection.interposer import CALLS, Interposer, InterposerError
-from decklb.lab.injection.matrix import Player, play_cases, running
+from decklb.lab.fault_runs.system_call_run import Player, play_cases, running
+from decklb.lab.faults import system_call_cases as cases
+from decklb.lab.faults.interposer import CALLS, Interposer, InterposerError
 
 SEED, PART = 31, 0.1
 
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -16,7 +16,7 @@
 from test_pg import POSTGRES, Raw
 from test_program import Client, RespEngine, request
 
-from decklb.lab.injection.cuts import play_cuts
+from decklb.lab.fault_runs.connection_cut_run import play_cuts
 from decklb.net import frames, resp
 from decklb.pg import messages as pg
 from tests.standins import SETTINGS, Loop, PgEngine, Program, known, wait_for
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from decklb.lab.upkeep import campaign
+from decklb.lab.fault_runs.maintenance_run import campaign
 
 
 class Plans(unittest.TestCase):
