--- /dev/null
+++ b/tests/test_cluster_wire_format.py
@@ -0,0 +1,247 @@
+"""The cluster's bytes and decisions, compared with those recorded in `tests/golden/cluster.json`.
+
+The record was made before the package was renamed. It is written anew, after a change of the protocol that is meant, by
+`python -m tests.test_cluster_wire_format`.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import os
+from pathlib import Path
+
+import pytest
+
+from decklb.cluster import keyfile
+from decklb.cluster import messages as m
+from decklb.cluster.duties import phase
+from decklb.cluster.news import News, times
+from decklb.cluster.ownership import Ranking
+from decklb.cluster.sealing import Sealer, key_id
+from decklb.cluster.settings import DutySettings, MembershipSettings
+from decklb.cluster.suspicion import Suspicion
+from decklb.lab.cluster import Cluster
+from decklb.lab.network import Faults
+from tests.standins import ROOT
+
+RECORD = ROOT / "tests" / "golden" / "cluster.json"
+KEYS = [bytes(range(32)), bytes(range(32, 64))]
+SALT = bytes(range(100, 108))
+WALL = 1_700_000_000_123
+
+MESSAGES = [
+    m.Ping(n=7, target="b"),
+    m.Ack(n=1 << 40),
+    m.Nack(n=0),
+    m.Ask(n=300, target="b", host="10.0.0.2", port=7946),
+    m.Alive(name="a", host="10.0.0.1", port=7946, life=WALL, boot=WALL << 10, ready=True, weight=2.5),
+    m.Suspect(name="b", life=5, by="a"),
+    m.Dead(name="b", life=6, by="b"),
+    m.Digest(sums=bytes(range(256))),
+    m.Same(),
+    m.Want(buckets=bytes([0, 9, 63])),
+    m.Row(
+        name="c", host="h.example", port=1, life=70_000, boot=9, ready=False, weight=1.0, state=int(m.LEFT), age=12_345
+    ),
+    m.Result(kind="probe", subject="engine-1", term=77, owner="a", at=WALL, state=int(m.DOWN)),
+    m.Disclaim(kind="probe", subject="engine-2", by="c", at=WALL, rest=300_000),
+    m.Cargo(topic="handoff", data=b"\x00\xff"),
+]
+
+
+def datagram() -> bytes:
+    return m.envelope("member-1", 99, 3, WALL, 12, [m.pack(x) for x in MESSAGES])
+
+
+def message_bytes() -> list[str]:
+    return [m.pack(x).hex() for x in MESSAGES]
+
+
+def sealed() -> list[str]:
+    sealer = Sealer("decklb", KEYS, SALT)
+    return [sealer.seal(datagram()).hex(), sealer.seal(b"second").hex()]
+
+
+def key_file(folder: Path) -> dict[str, object]:
+    path = str(folder / "keys.json")
+    ring = [keyfile.Key(k, f"2026-01-0{i}T00:00:00+00:00") for i, k in enumerate(KEYS, 1)]
+    keyfile.write(path, ring)
+    assert os.stat(path).st_mode & 0o777 == 0o600
+    assert keyfile.read(path) == ring
+    fresh = keyfile.Key(bytes(32), "later")
+    return {
+        "text": Path(path).read_text(),
+        "names": [k.ident for k in ring],
+        "rotated": {step: [k.ident for k in keyfile.rotate(ring, step, fresh)] for step in ("add", "promote", "drop")},
+    }
+
+
+def broadcast_rounds() -> list[list[str]]:
+    """What a queue hands out, round by round, as pieces of different sizes are told and replaced."""
+    queue = News()
+    rounds = []
+    for i in range(12):
+        queue.add(f"member-{i % 7}", bytes([i]) * (1 + 37 * i % 90))
+        rounds.append([piece.hex() for piece in queue.take(150, 3)])
+    while len(queue):
+        rounds.append([piece.hex() for piece in queue.take(150, 3)])
+    return rounds
+
+
+def suspicion_ends() -> list[list[float]]:
+    found = []
+    for members in (2, 3, 9, 300):
+        suspicion = Suspicion.begin(MembershipSettings(), 1000.0, members, "a")
+        ends = [suspicion.ends()]
+        for by in "abcde":
+            suspicion.confirm(by)
+            ends.append(suspicion.ends())
+        found.append(ends)
+    return found
+
+
+def owners() -> dict[str, list[str]]:
+    ranking = Ranking("probe")
+    for name, weight in (("m0", 1.0), ("m1", 2.0), ("m2", 0.5), ("m3", 1.0)):
+        ranking.add(name, weight)
+    ranking.set_duties(f"engine-{i}" for i in range(12))
+    return {name: sorted(ranking.mine(name, {"m0", "m1", "m2"}, {"engine-3": {"m1"}})) for name in ("m0", "m1", "m2")}
+
+
+def simulated(seed: int) -> dict[str, object]:
+    """A cluster under faults of each kind: how many datagrams it sent and a digest of all, with who ran what when."""
+    membership = MembershipSettings(exchange=2000.0, lately=40_000.0)
+    duty = DutySettings(period=4000.0, timeout=500.0, doubt=8000.0, rest=20_000.0, refresh=5000.0)
+    faults = Faults(loss=0.1, duplicate=0.05)
+    cluster = Cluster.make(seed, 6, 20, membership, duty, faults, shared=False, warm=False, drift=1e-4, skew=20.0)
+    world = cluster.world
+    digest = hashlib.sha256()
+    sent = 0
+    transmit = world._transmit
+
+    def tap(source, target, data):
+        nonlocal sent
+        sent += 1
+        digest.update(f"{world.now!r} {source} {target} ".encode() + data)
+        transmit(source, target, data)
+
+    world._transmit = tap
+    world.run(8000.0)
+    cluster.down = {"motor-3"}
+    cluster.unreachable = {("m1", "motor-5")}
+    world.kill(cluster.host("m4"))
+    world.run(20_000.0)
+    cluster.part({"m0", "m1"})
+    world.run(35_000.0)
+    cluster.heal()
+    cluster.down = set()
+    cluster.start(4, wall_back=30_000.0 * (seed % 2))
+    world.run(45_000.0)
+    world.pause(cluster.host("m2"), 6000.0)
+    twin = cluster.start(9, name="m1", address=("10.9.9.9", 7946))
+    world.run(65_000.0)
+    leaving = cluster.host("m5")
+    leaving.node.leave(leaving.now())
+    world.pump(leaving)
+    world.kill(leaving)
+    cluster.part({"m3"}, one_way=True)
+    world.run(75_000.0)
+    cluster.heal()
+    world.run(130_000.0)
+    assert twin.node.membership.yielding
+    for run in cluster.runs:
+        digest.update(f"{run.at!r} {run.host} {run.subject} {run.term}".encode())
+    for event in [*cluster.deaths, *cluster.probed]:
+        digest.update(repr(event).encode())
+    for host in cluster.hosts:
+        digest.update(json.dumps([host.node.members(host.now()), host.node.duty_rows(host.now())]).encode())
+        digest.update(json.dumps(host.node.health()).encode())
+    return {"datagrams": sent, "runs": len(cluster.runs), "deaths": len(cluster.deaths), "digest": digest.hexdigest()}
+
+
+def recordings(folder: Path) -> dict[str, object]:
+    return {
+        "messages": message_bytes(),
+        "envelope": datagram().hex(),
+        "payload_bytes": [m.room("a"), m.room("x" * 64)],
+        "sealed": sealed(),
+        "key_names": [key_id(k).hex() for k in KEYS],
+        "key_file": key_file(folder),
+        "transmissions": [times(6, members) for members in (1, 2, 10, 100, 1000)],
+        "broadcasts": broadcast_rounds(),
+        "suspicion_ends_ms": suspicion_ends(),
+        "phases": [phase("probe", f"engine-{i}") for i in range(4)],
+        "owners": owners(),
+        "simulated": {str(seed): simulated(seed) for seed in (1, 2, 3)},
+    }
+
+
+def recorded() -> dict[str, object]:
+    return json.loads(RECORD.read_text())
+
+
+@pytest.mark.parametrize("i", range(len(MESSAGES)), ids=[type(x).__name__ for x in MESSAGES])
+def test_each_message_has_its_recorded_bytes(i):
+    assert m.pack(MESSAGES[i]).hex() == recorded()["messages"][i]
+
+
+def test_all_kinds_of_message_are_recorded():
+    assert {type(x) for x in MESSAGES} == set(m.Message.__args__)
+    assert [bytes.fromhex(x)[1] for x in recorded()["messages"]] == list(range(1, len(MESSAGES) + 1))
+
+
+def test_an_envelope_of_all_messages_has_its_bytes_and_is_read_back():
+    assert datagram().hex() == recorded()["envelope"]
+    found = m.read(bytes.fromhex(recorded()["envelope"]))
+    assert (found.version, found.sender, found.boot, found.seq, found.wall, found.clock) == (
+        1,
+        "member-1",
+        99,
+        3,
+        WALL,
+        12,
+    )
+    assert found.body == MESSAGES
+    assert [m.room("a"), m.room("x" * 64)] == recorded()["payload_bytes"]
+
+
+def test_a_sealed_datagram_has_its_bytes_and_opens():
+    assert sealed() == recorded()["sealed"]
+    opener = Sealer("decklb", [KEYS[1], KEYS[0]], bytes(8))
+    assert opener.open(bytes.fromhex(recorded()["sealed"][0])) == datagram()
+    assert [key_id(k).hex() for k in KEYS] == recorded()["key_names"]
+
+
+def test_the_key_file_has_its_text_and_is_read_back(tmp_path):
+    assert key_file(tmp_path) == recorded()["key_file"]
+    path = tmp_path / "old.json"
+    path.write_text(recorded()["key_file"]["text"])
+    path.chmod(0o600)
+    assert [k.secret for k in keyfile.read(str(path))] == KEYS
+
+
+def test_broadcasts_go_out_in_the_recorded_order():
+    assert broadcast_rounds() == recorded()["broadcasts"]
+    assert [times(6, members) for members in (1, 2, 10, 100, 1000)] == recorded()["transmissions"]
+
+
+def test_suspicions_end_at_the_recorded_times():
+    assert suspicion_ends() == recorded()["suspicion_ends_ms"]
+
+
+def test_duties_have_the_recorded_phases_and_owners():
+    assert [phase("probe", f"engine-{i}") for i in range(4)] == recorded()["phases"]
+    assert owners() == recorded()["owners"]
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_a_simulated_cluster_sends_the_recorded_datagrams(seed):
+    assert simulated(seed) == recorded()["simulated"][str(seed)]
+
+
+if __name__ == "__main__":
+    import tempfile
+
+    with tempfile.TemporaryDirectory() as name:
+        RECORD.write_text(json.dumps(recordings(Path(name)), indent=1) + "\n")
