--- a/decklb/cli/keys.py
+++ b/decklb/cli/keys.py
@@ -54,7 +54,7 @@
 
 
 def _do(call: Callable[[], T]) -> T:
-    from decklb.cluster.keyfile import KeyFileError
+    from decklb.cluster.errors import KeyFileError
 
     try:
         return call()
--- a/decklb/cluster/duties.py
+++ b/decklb/cluster/duties.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from decklb.cluster.messages import DOWN, UP, Disclaim, Result
+from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus
 from decklb.cluster.ownership import Lamport, Passed, Ranking
 from decklb.cluster.settings import DutySettings
 from decklb.cluster.timers import Timer, Timers
@@ -82,7 +82,7 @@
         timers: Timers,
         wall: Callable[[float], float],
         start: Callable[[Start], None],
-        tell: Callable[[Result | Disclaim], None],
+        tell: Callable[[DutyResult | DutyDecline], None],
     ) -> None:
         self.s, self.me, self.ranking, self.verdicts, self.lamport = settings, me, ranking, verdicts, lamport
         self.timers, self.wall, self.start, self.tell = timers, wall, start, tell
@@ -221,7 +221,7 @@
     def _good(self, now: float, duty: Duty) -> None:
         duty.failures = 0
         if self.verdicts.down(duty.subject):
-            self._say(now, duty, UP)
+            self._say(now, duty, HealthStatus.UP)
 
     def _bad(self, now: float, duty: Duty) -> None:
         self.counters.failed += 1
@@ -235,19 +235,19 @@
             times = self._rests[duty.subject] = self._rests.get(duty.subject, 0) + 1
             rest = self.s.rest * min(MOST_REST, 2.0 ** (times - 1))
             self.counters.handed_on += 1
-            self.tell(Disclaim(self.s.kind, duty.subject, self.me, int(self.wall(now)), int(rest)))
+            self.tell(DutyDecline(self.s.kind, duty.subject, self.me, int(self.wall(now)), int(rest)))
         elif not self.verdicts.down(duty.subject) or now - duty.told >= self.s.refresh:
-            self._say(now, duty, DOWN)
+            self._say(now, duty, HealthStatus.DOWN)
 
-    def _say(self, now: float, duty: Duty, state: int) -> None:
+    def _say(self, now: float, duty: Duty, status: HealthStatus) -> None:
         duty.told = now
         if self.verdicts.term(duty.subject) >= duty.term:  # another had it with a higher term: ours must outdo it
             duty.term = self.lamport.term()
-        self.tell(Result(self.s.kind, duty.subject, duty.term, self.me, int(self.wall(now)), state))
+        self.tell(DutyResult(self.s.kind, duty.subject, duty.term, self.me, int(self.wall(now)), status))
 
     # What others say.
 
-    def heard(self, now: float, r: Result) -> bool:
+    def heard(self, now: float, r: DutyResult) -> bool:
         """A result; true if it is newer than what is held, and worth passing on."""
         self.lamport.hear(r.term)
         if r.subject not in self.ranking or not self.verdicts.take(now, r):
@@ -257,11 +257,11 @@
             duty.term = self.lamport.term()
         return True
 
-    def disclaimed(self, now: float, d: Disclaim) -> bool:
+    def disclaimed(self, now: float, d: DutyDecline) -> bool:
         """Someone can't do a duty; true if that is news."""
         # Its rest runs from when it said so, as far as the clocks agree.
-        late = min(max(0.0, self.wall(now) - d.at), d.rest)
-        if d.subject not in self.ranking or not self.passed.add(d.subject, d.by, now + d.rest - late):
+        late = min(max(0.0, self.wall(now) - d.declined_at_ms), d.hold_ms)
+        if d.subject not in self.ranking or not self.passed.add(d.subject, d.declined_by, now + d.hold_ms - late):
             return False
         self.review(now, self.able, self.slow)
         return True
@@ -269,7 +269,7 @@
     def _retell(self, now: float) -> None:
         """Own words still in force, again: all must hold the same to find the same owner."""
         for subject, left in self.passed.by(self.me, now):
-            self.tell(Disclaim(self.s.kind, subject, self.me, int(self.wall(now)), max(1, int(left))))
+            self.tell(DutyDecline(self.s.kind, subject, self.me, int(self.wall(now)), max(1, int(left))))
 
     def _again(self, now: float) -> None:
         self._retell(now)
@@ -296,7 +296,7 @@
             if duty is not None and own and duty.ok is not None:
                 up, age = duty.ok, now - duty.ended
             elif held is not None and held.state:
-                up, age = held.state != DOWN, now - held.heard
+                up, age = held.state != HealthStatus.DOWN, now - held.heard
             rows.append(
                 {
                     "kind": self.s.kind,
--- a/decklb/cluster/keyfile.py
+++ b/decklb/cluster/keyfile.py
@@ -11,16 +11,13 @@
 
 import msgspec
 
+from decklb.cluster.errors import KeyFileError
 from decklb.cluster.sealing import KEY_BYTES, key_id
 
 MOST_KEYS = 8
 MODE = 0o600
 
 
-class KeyFileError(Exception):
-    """The key file can't be used; the message names it and says what to do."""
-
-
 class _Key(msgspec.Struct, frozen=True):
     key: str  # base64
     made: str
--- a/decklb/cluster/membership.py
+++ b/decklb/cluster/membership.py
@@ -17,23 +17,20 @@
 import xxhash
 
 from decklb.cluster.messages import (
-    ALIVE,
-    DEAD,
-    LEFT,
-    SUSPECT,
     Ack,
     Alive,
-    Ask,
+    BucketRequest,
     Dead,
     Digest,
+    InSync,
+    MemberRecord,
+    MemberState,
     Message,
     Nack,
     Ping,
-    Row,
-    Same,
+    PingRequest,
     Suspect,
-    Want,
-    pack,
+    encode_message,
 )
 from decklb.cluster.news import News, times
 from decklb.cluster.settings import MembershipSettings
@@ -61,7 +58,7 @@
     boot: int
     ready: bool
     weight: float
-    state: int
+    state: MemberState
     changed: float  # when its state did
     sum: int = 0  # of its row, in its bucket
     suspicion: Suspicion | None = None
@@ -71,9 +68,9 @@
         """As news."""
         return Alive(self.name, *self.address, self.life, self.boot, self.ready, self.weight)
 
-    def row(self, now: float) -> Row:
+    def record(self, now: float) -> MemberRecord:
         """As one row of an exchange."""
-        return Row(
+        return MemberRecord(
             self.name,
             *self.address,
             self.life,
@@ -155,7 +152,9 @@
 class Events:
     """What the rest of the program is told; each is called with the time."""
 
-    changed: Callable[[float, Member, int], None]  # the member now, and its state before (-1 for unknown)
+    changed: Callable[
+        [float, Member, MemberState | None], None
+    ]  # the member now, and its state before, if it was known
     conflict: Callable[[float, Address, bool], None] = lambda now, address, yielding: None
     ready: Callable[[float], None] = lambda now: None
 
@@ -189,7 +188,7 @@
     ) -> None:
         """`boot` tells runs of a process apart, the lower being the older; `life` is above that of earlier runs."""
         self.s, self.rng, self.timers, self.post, self.events = settings, rng, timers, post, events
-        self.me = Member(name, address, life, boot, False, settings.weight, ALIVE, now)
+        self.me = Member(name, address, life, boot, False, settings.weight, MemberState.ALIVE, now)
         self.members: dict[str, Member] = {name: self.me}
         self.live, self.gone = Picks(), Picks()  # others: alive or suspect, and dead
         self.sums = [0] * BUCKETS
@@ -223,7 +222,7 @@
         for name in [*self.live.items, *self.gone.items]:
             m = self.members[name]
             addresses.add(m.address)
-            count += m.state != DEAD or now - m.changed < self.s.lately
+            count += m.state != MemberState.DEAD or now - m.changed < self.s.lately
         return count + sum(a not in addresses for a in self.seeds)
 
     def minority(self, now: float) -> bool:
@@ -249,7 +248,7 @@
             return
         self.left = True
         self.me.ready = False
-        piece = [pack(Dead(self.me.name, self.me.life, self.me.name))]
+        piece = [encode_message(Dead(self.me.name, self.me.life, self.me.name))]
         # Said to more than one round would reach, since nobody is here to repeat it.
         for name in self.live.some(self.rng, times(self.s.retransmit, len(self.live) + 1)):
             self.post(self.members[name].address, piece, True)
@@ -306,9 +305,9 @@
         self._n += 1
         self.counters.probes += 1
         self._probe = probe = Probe(self._n, target.name)
-        messages = [pack(Ping(probe.n, target.name))]
-        if target.state == SUSPECT:  # Lifeguard's buddy system: it hears of the suspicion first from us
-            messages.append(pack(Suspect(target.name, target.life, self.me.name)))
+        messages = [encode_message(Ping(probe.n, target.name))]
+        if target.state == MemberState.SUSPECT:  # Lifeguard's buddy system: it hears of the suspicion first from us
+            messages.append(encode_message(Suspect(target.name, target.life, self.me.name)))
         self.post(target.address, messages, True)
         self.timers.at(now + self.s.timeout * self.awareness.factor, lambda t: self._ask_others(t, probe))
 
@@ -331,9 +330,11 @@
         others = [n for n in self.live.some(self.rng, self.s.indirect + 1) if n != probe.target][: self.s.indirect]
         probe.asked = len(others)
         for name in others:
-            self.post(self.members[name].address, [pack(Ask(probe.n, target.name, *target.address))], True)
+            self.post(
+                self.members[name].address, [encode_message(PingRequest(probe.n, target.name, *target.address))], True
+            )
         # The direct way once more: one lost datagram should not need others.
-        self.post(target.address, [pack(Ping(probe.n, target.name))], False)
+        self.post(target.address, [encode_message(Ping(probe.n, target.name))], False)
 
     def _judge(self, now: float) -> None:
         """The end of a probe's interval."""
@@ -351,18 +352,18 @@
             return
         # The first failure is kept to ourselves and tried again: told at once, losses would make every member hear of
         # suspicions and refutations that grow with the members, and bytes with them.
-        if target.state == ALIVE and self._failed != target.name:
+        if target.state == MemberState.ALIVE and self._failed != target.name:
             self._failed = target.name
             self._ring.append(target.name)
         else:
             self._failed = ""
             self._suspect(now, target, target.life, self.me.name)
 
-    def _on_ask(self, now: float, sender: Address, m: Ask) -> None:
+    def _on_ask(self, now: float, sender: Address, m: PingRequest) -> None:
         self._n += 1
         mine = self._n
-        self._asks[mine] = (sender, m.n, now + self.s.interval)
-        self.post((m.host, m.port), [pack(Ping(mine, m.target))], False)
+        self._asks[mine] = (sender, m.sequence, now + self.s.interval)
+        self.post((m.host, m.port), [encode_message(Ping(mine, m.target))], False)
         self.timers.at(now + self.s.timeout, lambda t: self._no_answer(mine))
         for n in [n for n, (_, _, until) in self._asks.items() if until < now]:
             del self._asks[n]
@@ -370,13 +371,13 @@
     def _no_answer(self, mine: int) -> None:
         asked = self._asks.get(mine)
         if asked is not None:  # kept: a late answer is still passed on
-            self.post(asked[0], [pack(Nack(asked[1]))], False)
+            self.post(asked[0], [encode_message(Nack(asked[1]))], False)
 
     def _on_ack(self, n: int) -> None:
         if self._probe is not None and self._probe.n == n:
             self._probe.acked = True
         elif (asked := self._asks.pop(n, None)) is not None:
-            self.post(asked[0], [pack(Ack(asked[1]))], False)
+            self.post(asked[0], [encode_message(Ack(asked[1]))], False)
 
     # What is heard.
 
@@ -395,13 +396,13 @@
             match m:
                 case Ping():
                     if m.target == self.me.name:
-                        back.append(pack(Ack(m.n)))
+                        back.append(encode_message(Ack(m.sequence)))
                 case Ack():
-                    self._on_ack(m.n)
+                    self._on_ack(m.sequence)
                 case Nack():
-                    if self._probe is not None and self._probe.n == m.n:
+                    if self._probe is not None and self._probe.n == m.sequence:
                         self._probe.nacks += 1
-                case Ask():
+                case PingRequest():
                     self._on_ask(now, address, m)
                 case Alive():
                     self._alive(now, m)
@@ -411,11 +412,11 @@
                     self._dead(now, m)
                 case Digest():
                     self._on_digest(now, address, m)
-                case Same():
+                case InSync():
                     self._heard_all(now)
-                case Want():
+                case BucketRequest():
                     self._send_rows(now, address, set(m.buckets))
-                case Row():
+                case MemberRecord():
                     rows.append(m)
         if rows:
             self._on_rows(now, rows, address)
@@ -424,62 +425,65 @@
 
     def _nudge(self, now: float, sender: str, known: Member | None, boot: int) -> list[bytes]:
         """What to ask of a sender that is not as we hold it to be; rarely, since its answer may say no more."""
-        if known is not None and known.boot == boot and known.state not in (DEAD, SUSPECT):
+        if known is not None and known.boot == boot and known.state not in (MemberState.DEAD, MemberState.SUSPECT):
             return []
         if not self._nudged.allows(sender, now):
             return []
         if known is None:
-            return [pack(Want(bytes([_bucket(sender)])))]
+            return [encode_message(BucketRequest(bytes([_bucket(sender)])))]
         if known.boot != boot:  # another run, perhaps with a clock behind that of the one we know: it must outdo it
-            return [pack(Want(bytes([_bucket(sender)]))), pack(Dead(sender, known.life, self.me.name))]
+            return [
+                encode_message(BucketRequest(bytes([_bucket(sender)]))),
+                encode_message(Dead(sender, known.life, self.me.name)),
+            ]
         # It lives; let it say so with a higher life.
-        word = Dead if known.state == DEAD else Suspect
-        return [pack(word(sender, known.life, self.me.name))]
+        word = Dead if known.state == MemberState.DEAD else Suspect
+        return [encode_message(word(sender, known.life, self.me.name))]
 
     def _alive(self, now: float, m: Alive, spread: bool = True) -> None:
         if m.name == self.me.name:
-            if m.boot != self.me.boot:
+            if m.run_id != self.me.boot:
                 self._rival_word(now, m)
-            elif m.life > self.me.life:  # our own word of before; can't be, unless a state was restored
-                self._renew(m.life)
+            elif m.incarnation > self.me.life:  # our own word of before; can't be, unless a state was restored
+                self._renew(m.incarnation)
             return
         known = self.members.get(m.name)
-        if known is not None and m.life <= known.life:
+        if known is not None and m.incarnation <= known.life:
             return
-        before = -1 if known is None else known.state
+        before = None if known is None else known.state
         if known is None:
             known = self.members[m.name] = Member(
-                m.name, (m.host, m.port), m.life, m.boot, m.ready, m.weight, ALIVE, now
+                m.name, (m.host, m.port), m.incarnation, m.run_id, m.ready, m.weight, MemberState.ALIVE, now
             )
             self._ring.insert(self.rng.randint(0, len(self._ring)), m.name)
-        known.address, known.life, known.boot = (m.host, m.port), m.life, m.boot
+        known.address, known.life, known.boot = (m.host, m.port), m.incarnation, m.run_id
         known.ready, known.weight = m.ready, m.weight
-        self._state(now, known, ALIVE)
-        if spread or before >= 0:  # whom we hear of first in an exchange, others know already
+        self._state(now, known, MemberState.ALIVE)
+        if spread or before is not None:  # whom we hear of first in an exchange, others know already
             self._tell_alive(known)
         self.events.changed(now, known, before)
 
     def _on_suspect(self, now: float, m: Suspect) -> None:
         if m.name == self.me.name:
-            if m.life >= self.me.life:
-                self._refute(m.life)
+            if m.incarnation >= self.me.life:
+                self._refute(m.incarnation)
             return
         known = self.members.get(m.name)
-        if known is not None and m.life >= known.life:
-            self._suspect(now, known, m.life, m.by)
+        if known is not None and m.incarnation >= known.life:
+            self._suspect(now, known, m.incarnation, m.reported_by)
 
     def _suspect(self, now: float, known: Member, life: int, by: str) -> None:
-        if known.state not in (ALIVE, SUSPECT):
+        if known.state not in (MemberState.ALIVE, MemberState.SUSPECT):
             return
-        if known.state == SUSPECT and known.suspicion is not None:
+        if known.state == MemberState.SUSPECT and known.suspicion is not None:
             if not known.suspicion.confirm(by):
                 return
         else:
             known.life = life
-            self._state(now, known, SUSPECT)
+            self._state(now, known, MemberState.SUSPECT)
             known.suspicion = Suspicion.begin(self.s, now, len(self.live) + 1, by)
-            self.events.changed(now, known, ALIVE)
-        self.news.add(known.name, pack(Suspect(known.name, known.life, by)))
+            self.events.changed(now, known, MemberState.ALIVE)
+        self.news.add(known.name, encode_message(Suspect(known.name, known.life, by)))
         self._gossip_on()
         self._watch_suspect(now, known)
 
@@ -491,7 +495,7 @@
 
     def _expired(self, now: float, known: Member) -> None:
         known.timer = None
-        if known.suspicion is None or known.state != SUSPECT:
+        if known.suspicion is None or known.state != MemberState.SUSPECT:
             return
         if now < known.suspicion.ends():  # it was put off meanwhile
             return self._watch_suspect(now, known)
@@ -499,15 +503,15 @@
 
     def _dead(self, now: float, m: Dead) -> None:
         if m.name == self.me.name:
-            if m.life >= self.me.life:
-                self._refute(m.life)
+            if m.incarnation >= self.me.life:
+                self._refute(m.incarnation)
             return
         known = self.members.get(m.name)
-        if known is None or m.life < known.life or known.state in (DEAD, LEFT):
+        if known is None or m.incarnation < known.life or known.state in (MemberState.DEAD, MemberState.LEFT):
             return
-        before, known.life = known.state, m.life
-        self._state(now, known, LEFT if m.by == m.name else DEAD)
-        self.news.add(known.name, pack(m))
+        before, known.life = known.state, m.incarnation
+        self._state(now, known, MemberState.LEFT if m.reported_by == m.name else MemberState.DEAD)
+        self.news.add(known.name, encode_message(m))
         self._gossip_on()
         self.events.changed(now, known, before)
 
@@ -516,28 +520,28 @@
         self.awareness.bad()
         self._renew(life)
 
-    def _state(self, now: float, m: Member, state: int) -> None:
+    def _state(self, now: float, m: Member, state: MemberState) -> None:
         if m.state != state:
             m.changed = now
         m.state = state
-        if state != SUSPECT:
+        if state != MemberState.SUSPECT:
             m.suspicion = None
             if m.timer is not None:
                 m.timer.cancel()
                 m.timer = None
-        (self.live.add if state in (ALIVE, SUSPECT) else self.live.discard)(m.name)
-        (self.gone.add if state == DEAD else self.gone.discard)(m.name)
+        (self.live.add if state in (MemberState.ALIVE, MemberState.SUSPECT) else self.live.discard)(m.name)
+        (self.gone.add if state == MemberState.DEAD else self.gone.discard)(m.name)
         self._sum(m)
 
     # Two that go by our name.
 
     def _rival_word(self, now: float, m: Alive) -> None:
         """Someone passes on word of another run of ours: an earlier life, or one that lives beside us."""
-        if m.life < self.me.life or self.yielding:
+        if m.incarnation < self.me.life or self.yielding:
             return
         # An earlier life says nothing new, so that one refutation outdoes it for good.
-        self._refute(m.life)
-        self._rival(now, m.boot, (m.host, m.port))
+        self._refute(m.incarnation)
+        self._rival(now, m.run_id, (m.host, m.port))
 
     def _rival(self, now: float, boot: int, address: Address) -> None:
         self._rivals[boot] = seen = self._rivals.get(boot, 0) + 1
@@ -550,7 +554,7 @@
         if self.yielding:
             self.me.ready = False
             self.timers.at(now + YIELD, self._try_again)
-            self.events.changed(now, self.me, ALIVE)
+            self.events.changed(now, self.me, MemberState.ALIVE)
         self.events.conflict(now, address, self.yielding)
 
     def _try_again(self, now: float) -> None:
@@ -564,7 +568,7 @@
     def _tell_alive(self, m: Member) -> None:
         if m is self.me and self.yielding:
             return
-        self.news.add(m.name, pack(m.alive()))
+        self.news.add(m.name, encode_message(m.alive()))
         self._gossip_on()
 
     def tell(self, subject: Hashable, piece: bytes) -> None:
@@ -597,13 +601,13 @@
 
     def _sum(self, m: Member) -> None:
         bucket = _bucket(m.name)
-        state = 0 if m.state in (ALIVE, SUSPECT) else m.state
+        state = 0 if m.state in (MemberState.ALIVE, MemberState.SUSPECT) else m.state
         fresh = xxhash.xxh32_intdigest(f"{m.name}/{m.life}/{m.boot}/{state}".encode())
         self.sums[bucket] ^= m.sum ^ fresh
         m.sum = fresh
 
     def _digest(self) -> bytes:
-        return pack(Digest(b"".join(x.to_bytes(4, "big") for x in self.sums)))
+        return encode_message(Digest(b"".join(x.to_bytes(4, "big") for x in self.sums)))
 
     def _exchange(self, now: float) -> None:
         self.timers.at(now + self.s.exchange * (0.75 + self.rng.random() / 2), self._exchange)
@@ -624,47 +628,53 @@
         return [a for a in self.seeds if a not in alive]
 
     def _on_digest(self, now: float, address: Address, m: Digest) -> None:
-        theirs = [int.from_bytes(m.sums[i : i + 4], "big") for i in range(0, 4 * BUCKETS, 4)]
+        theirs = [int.from_bytes(m.checksums[i : i + 4], "big") for i in range(0, 4 * BUCKETS, 4)]
         differ = bytes(i for i in range(BUCKETS) if theirs[i] != self.sums[i])
         if not differ:
-            return self.post(address, [pack(Same())], True)
-        self.post(address, [pack(Want(differ))], True)
+            return self.post(address, [encode_message(InSync())], True)
+        self.post(address, [encode_message(BucketRequest(differ))], True)
         self._send_rows(now, address, set(differ))
 
     def _send_rows(self, now: float, address: Address, buckets: set[int]) -> None:
-        rows = [pack(m.row(now)) for m in self.members.values() if _bucket(m.name) in buckets]
+        rows = [encode_message(m.record(now)) for m in self.members.values() if _bucket(m.name) in buckets]
         self.post(address, rows, False)
 
-    def _on_rows(self, now: float, rows: list[Row], address: Address) -> None:
+    def _on_rows(self, now: float, rows: list[MemberRecord], address: Address) -> None:
         doubts = []
         for r in rows:
             known = self.members.get(r.name)
-            if r.state in (ALIVE, SUSPECT):
-                self._alive(now, Alive(r.name, r.host, r.port, r.life, r.boot, r.ready, r.weight), spread=False)
+            if r.state in (MemberState.ALIVE, MemberState.SUSPECT):
+                announced = Alive(r.name, r.host, r.port, r.incarnation, r.run_id, r.ready, r.weight)
+                self._alive(now, announced, spread=False)
             elif r.name == self.me.name:
-                if r.life >= self.me.life:  # also of an earlier run, where our clock is behind its
-                    self._refute(r.life)
+                if r.incarnation >= self.me.life:  # also of an earlier run, where our clock is behind its
+                    self._refute(r.incarnation)
             elif known is None:
-                if r.state == DEAD and r.age < self.s.lately:
+                if r.state == MemberState.DEAD and r.state_age_ms < self.s.lately:
+                    died = now - r.state_age_ms
                     m = self.members[r.name] = Member(
-                        r.name, (r.host, r.port), r.life, r.boot, r.ready, r.weight, DEAD, now - r.age
+                        r.name, (r.host, r.port), r.incarnation, r.run_id, r.ready, r.weight, MemberState.DEAD, died
                     )
-                    self._state(now - r.age, m, DEAD)
-            elif r.state == LEFT and r.life >= known.life:
-                self._dead(now, Dead(r.name, r.life, r.name))
-            elif known.name in self.live and r.life >= known.life:
+                    self._state(died, m, MemberState.DEAD)
+            elif r.state == MemberState.LEFT and r.incarnation >= known.life:
+                self._dead(now, Dead(r.name, r.incarnation, r.name))
+            elif known.name in self.live and r.incarnation >= known.life:
                 # Another side's word that it is dead proves nothing here: it is asked to refute, and probed as ever.
                 doubts.append(known)
         for known in self.rng.sample(doubts, min(MOST_DOUBTS, len(doubts))):
             if self._doubted.allows(known.name, now):
-                self.post(known.address, [pack(Suspect(known.name, known.life, self.me.name))], False)
+                self.post(known.address, [encode_message(Suspect(known.name, known.life, self.me.name))], False)
         if not self.synced:  # ask once more whether that was all
             self.post(address, [self._digest()], True)
 
     def _forget(self, now: float) -> None:
         """Those that left, or have been dead for long."""
         self.timers.at(now + min(self.s.lately, 60_000.0), self._forget)
-        for m in [m for m in self.members.values() if m.state in (DEAD, LEFT) and now - m.changed > self.s.lately]:
+        for m in [
+            m
+            for m in self.members.values()
+            if m.state in (MemberState.DEAD, MemberState.LEFT) and now - m.changed > self.s.lately
+        ]:
             self.sums[_bucket(m.name)] ^= m.sum
             self.gone.discard(m.name)
             del self.members[m.name]
--- a/decklb/cluster/messages.py
+++ b/decklb/cluster/messages.py
@@ -1,19 +1,38 @@
-"""What members say to one another: MessagePack arrays by msgspec, versioned, bounded.
+"""Wire format between members: messages, the envelope around them, and their MessagePack codec.
 
-A datagram is one envelope round any number of messages. Unknown versions and kinds are refused whole.
+A datagram is one envelope with any number of messages, sealed by `sealing`. Messages and the envelope are MessagePack
+arrays: a class's tag number and the order of its fields are the wire form and never change within a version. Decoding
+checks every bound given here; an unknown version or tag rejects the whole datagram. The module keeps no state. `node`
+encodes and decodes envelopes; `membership` and `duties` make and read the messages.
 """
 
 from __future__ import annotations
 
+from enum import IntEnum
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta, Raw, Struct
 
-VERSION = 1
-MOST = 1400  # bytes of a sealed datagram: it crosses usual links whole
-MOST_BODY = 400  # messages in one
-MOST_CARGO = 1100  # bytes of a subsystem's word: it fits with the longest name of a sender
+from decklb.cluster.errors import WireError
+
+PROTOCOL_VERSION = 1
+
+# Bytes of a sealed datagram: with UDP and IP headers it stays below the usual MTU of 1500, so that it isn't fragmented.
+MAX_DATAGRAM_BYTES = 1400
+
+# Messages in one envelope; bounds the work that one datagram can cause.
+MAX_MESSAGES = 400
+
+# Bytes of a subsystem's payload: it fits into a datagram together with the longest name of a sender.
+MAX_USER_PAYLOAD_BYTES = 1100
+
+# What sealing adds: version (1), key id (4), nonce (12), authentication tag (16).
+SEAL_OVERHEAD_BYTES = 1 + 4 + 12 + 16
+
+# Largest encoding of an envelope without its sender's name and its messages: array header, version, name header, four
+# integers of nine bytes, header of the list of messages.
+ENVELOPE_OVERHEAD_BYTES = 1 + 1 + 2 + 4 * 9 + 3
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Host = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -22,187 +41,225 @@
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Weight = Annotated[float, Meta(gt=0, le=1000)]
 
-ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3  # states of a member
-UP, DOWN = 1, 2  # states of a subject
 
+class MemberState(IntEnum):
+    """State of a member; the values are the wire's."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3
 
-class WireError(Exception):
-    """A datagram that can't be read; `reason` is a short code for the counters."""
 
-    def __init__(self, reason: str, text: str = "") -> None:
-        super().__init__(f"{reason}: {text}" if text else reason)
-        self.reason = reason
+class HealthStatus(IntEnum):
+    """Outcome of a health check; the values are the wire's."""
+
+    UP = 1
+    DOWN = 2
 
 
 class Ping(Struct, array_like=True, tag=1, frozen=True):
-    """Are you there, `target`? An address may come to belong to another member."""
+    """Probe of `target`. It is named because its address may have passed to another member."""
 
-    n: Count
+    sequence: Count
     target: Name
 
 
 class Ack(Struct, array_like=True, tag=2, frozen=True):
-    """I am, or who you asked for is."""
+    """The answer to a ping, or to a ping request whose target answered."""
 
-    n: Count
+    sequence: Count
 
 
 class Nack(Struct, array_like=True, tag=3, frozen=True):
-    """I am here, but who you asked for said nothing."""
+    """The answer to a ping request whose target has not answered (Lifeguard)."""
 
-    n: Count
+    sequence: Count
 
 
-class Ask(Struct, array_like=True, tag=4, frozen=True):
-    """Ping `target` for me."""
+class PingRequest(Struct, array_like=True, tag=4, frozen=True):
+    """Asks the receiver to ping `target` for the sender (SWIM's ping-req)."""
 
-    n: Count
+    sequence: Count
     target: Name
     host: Host
     port: Port
 
 
 class Alive(Struct, array_like=True, tag=5, frozen=True):
-    """A member's word on itself. `life` is its incarnation, `boot` the one run of its process."""
+    """A member's announcement of itself. `run_id` identifies one run of its process; the lower of two is the older."""
 
     name: Name
     host: Host
     port: Port
-    life: Count
-    boot: Count
+    incarnation: Count
+    run_id: Count
     ready: bool
     weight: Weight
 
 
 class Suspect(Struct, array_like=True, tag=6, frozen=True):
-    """It did not answer `by`."""
+    """The member did not answer a probe of `reported_by`."""
 
     name: Name
-    life: Count
-    by: Name
+    incarnation: Count
+    reported_by: Name
 
 
 class Dead(Struct, array_like=True, tag=7, frozen=True):
-    """It was suspected too long; by itself, it has left."""
+    """The member did not refute a suspicion in time. Reported by the member itself: it has left."""
 
     name: Name
-    life: Count
-    by: Name
+    incarnation: Count
+    reported_by: Name
 
 
 class Digest(Struct, array_like=True, tag=8, frozen=True):
-    """Sums of what the sender knows of members, four bytes a bucket."""
+    """Checksums of the sender's member table: 64 buckets, four bytes each, big endian."""
 
-    sums: Annotated[bytes, Meta(min_length=256, max_length=256)]
+    checksums: Annotated[bytes, Meta(min_length=256, max_length=256)]
 
 
-class Same(Struct, array_like=True, tag=9, frozen=True):
-    """The answer to sums that are like ours."""
+class InSync(Struct, array_like=True, tag=9, frozen=True):
+    """The answer to a digest that equals the receiver's own."""
 
 
-class Want(Struct, array_like=True, tag=10, frozen=True):
-    """Send these buckets."""
+class BucketRequest(Struct, array_like=True, tag=10, frozen=True):
+    """Asks for the member records of these buckets, one byte each."""
 
     buckets: Annotated[bytes, Meta(max_length=64)]
 
 
-class Row(Struct, array_like=True, tag=11, frozen=True):
-    """What the sender knows of a member; `age` is ms since its state changed."""
+class MemberRecord(Struct, array_like=True, tag=11, frozen=True):
+    """One row of the sender's member table. `state_age_ms` is the time since the member's state changed."""
 
     name: Name
     host: Host
     port: Port
-    life: Count
-    boot: Count
+    incarnation: Count
+    run_id: Count
     ready: bool
     weight: Weight
-    state: Annotated[int, Meta(ge=0, le=3)]
-    age: Count
+    state: MemberState
+    state_age_ms: Count
 
 
-class Result(Struct, array_like=True, tag=12, frozen=True):
-    """What the owner of a duty found; `at` is its wall clock in ms."""
+class DutyResult(Struct, array_like=True, tag=12, frozen=True):
+    """What the owner of a duty found; `found_at_ms` is its wall clock (Unix ms)."""
 
     kind: Name
     subject: Subject
     term: Count
     owner: Name
-    at: Count
-    state: Annotated[int, Meta(ge=UP, le=DOWN)]
+    found_at_ms: Count
+    status: HealthStatus
 
 
-class Disclaim(Struct, array_like=True, tag=13, frozen=True):
-    """`by` can't do this duty; others had better, for `rest` ms."""
+class DutyDecline(Struct, array_like=True, tag=13, frozen=True):
+    """`declined_by` can't do this duty; others own it for `hold_ms` from `declined_at_ms` (Unix ms) on."""
 
     kind: Name
     subject: Subject
-    by: Name
-    at: Count
-    rest: Count
+    declined_by: Name
+    declined_at_ms: Count
+    hold_ms: Count
 
 
-class Cargo(Struct, array_like=True, tag=14, frozen=True):
-    """What a subsystem tells its like at another member; the cluster carries it unread, and may lose it."""
+class UserMessage(Struct, array_like=True, tag=14, frozen=True):
+    """A subsystem's payload for its counterpart at another member; carried unread, without a guarantee of delivery."""
 
     topic: Name
-    data: Annotated[bytes, Meta(max_length=MOST_CARGO)]
-
-
-Message = Ping | Ack | Nack | Ask | Alive | Suspect | Dead | Digest | Same | Want | Row | Result | Disclaim | Cargo
+    payload: Annotated[bytes, Meta(max_length=MAX_USER_PAYLOAD_BYTES)]
+
+
+Message = (
+    Ping
+    | Ack
+    | Nack
+    | PingRequest
+    | Alive
+    | Suspect
+    | Dead
+    | Digest
+    | InSync
+    | BucketRequest
+    | MemberRecord
+    | DutyResult
+    | DutyDecline
+    | UserMessage
+)
 
 
 class Envelope(Struct, array_like=True, frozen=True):
-    """`seq` counts the sender's datagrams, `wall` is its clock in Unix ms, `clock` its Lamport time."""
+    """One datagram, opened.
+
+    Attributes:
+        version: `PROTOCOL_VERSION`.
+        sender: name of the sending member.
+        run_id: the run of the sender's process.
+        sequence: count of the sender's datagrams in this run, from 1.
+        wall_clock_ms: the sender's Unix time.
+        lamport_time: the sender's logical clock.
+        messages: in the order in which they are to be handled.
+    """
 
     version: int
     sender: Name
-    boot: Count
-    seq: Count
-    wall: Count
-    clock: Count
-    body: list[Message]
+    run_id: Count
+    sequence: Count
+    wall_clock_ms: Count
+    lamport_time: Count
+    messages: list[Message]
+
 
+class _EncodedEnvelope(Struct, array_like=True, frozen=True):
+    """An `Envelope` whose messages are encoded already: a broadcast is encoded once and sent often."""
 
-class _Out(Struct, array_like=True, frozen=True):
     version: int
     sender: str
-    boot: int
-    seq: int
-    wall: int
-    clock: int
-    body: list[Raw]
+    run_id: int
+    sequence: int
+    wall_clock_ms: int
+    lamport_time: int
+    messages: list[Raw]
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
 
-def pack(message: Message) -> bytes:
-    """One message; news is packed once and sent often."""
+def encode_message(message: Message) -> bytes:
+    """One message, to be put into envelopes."""
     return _encoder.encode(message)
 
 
-def envelope(sender: str, boot: int, seq: int, wall: int, clock: int, body: list[bytes]) -> bytes:
-    """A whole datagram, not yet sealed."""
-    return _encoder.encode(_Out(VERSION, sender, boot, seq, wall, clock, [Raw(x) for x in body]))
+def encode_envelope(
+    sender: str, run_id: int, sequence: int, wall_clock_ms: int, lamport_time: int, messages: list[bytes]
+) -> bytes:
+    """A whole datagram of encoded messages, not yet sealed."""
+    raw = [Raw(message) for message in messages]
+    return _encoder.encode(
+        _EncodedEnvelope(PROTOCOL_VERSION, sender, run_id, sequence, wall_clock_ms, lamport_time, raw)
+    )
 
 
-def room(sender: str) -> int:
-    """Bytes that messages may take in an envelope of this sender, seal included."""
-    return MOST - SEAL - (1 + 1 + 2 + len(sender.encode()) + 4 * 9 + 3)
+def message_capacity(sender: str) -> int:
+    """Bytes that encoded messages may take in one datagram of this sender."""
+    return MAX_DATAGRAM_BYTES - SEAL_OVERHEAD_BYTES - ENVELOPE_OVERHEAD_BYTES - len(sender.encode())
 
 
-def read(data: bytes) -> Envelope:
-    """Raises WireError."""
+def decode_envelope(data: bytes) -> Envelope:
+    """Decode an unsealed datagram.
+
+    Raises:
+        WireError: with the reason `shape` (not this format, or out of bounds) or `version`.
+    """
     try:
-        found = _decoder.decode(data)
+        envelope = _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
         raise WireError("shape", str(error)) from error
-    if found.version != VERSION:
-        raise WireError("version", f"{found.version}")
-    if len(found.body) > MOST_BODY:
+    if envelope.version != PROTOCOL_VERSION:
+        raise WireError("version", f"{envelope.version}")
+    if len(envelope.messages) > MAX_MESSAGES:
         raise WireError("shape", "too many messages")
-    return found
-
-
-SEAL = 1 + 4 + 12 + 16  # version, key, nonce, tag
+    return envelope
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -14,15 +14,21 @@
 
 from decklb.cluster import messages as m
 from decklb.cluster.duties import Duties, Start
+from decklb.cluster.errors import WireError
 from decklb.cluster.membership import LATE, Address, Events, Member, Membership
-from decklb.cluster.messages import ALIVE, DEAD, DOWN, LEFT, SUSPECT, Cargo, Disclaim, Result, WireError
+from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus, MemberState, UserMessage
 from decklb.cluster.ownership import Lamport, Ranking
 from decklb.cluster.sealing import Replays, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.timers import Timer, Timers
 from decklb.cluster.verdicts import AGAIN, Verdicts
 
-STATES = {ALIVE: "alive", SUSPECT: "suspect", DEAD: "dead", LEFT: "left"}
+STATES = {
+    MemberState.ALIVE: "alive",
+    MemberState.SUSPECT: "suspect",
+    MemberState.DEAD: "dead",
+    MemberState.LEFT: "left",
+}
 
 
 @dataclass(slots=True)
@@ -125,8 +131,8 @@
         """A datagram. What can't be opened or read is counted and dropped, and never answered."""
         self._wall = wall - now
         try:
-            envelope = m.read(self.sealer.open(data))
-            if envelope.sender == self.membership.me.name and envelope.boot == self.membership.me.boot:
+            envelope = m.decode_envelope(self.sealer.open(data))
+            if envelope.sender == self.membership.me.name and envelope.run_id == self.membership.me.boot:
                 raise WireError("own")
             self._window.check(envelope, wall)
         except WireError as error:
@@ -134,33 +140,33 @@
             return
         self.received += 1
         self.membership.now = now
-        self.lamport.hear(envelope.clock)
-        self.membership.handle(now, envelope.sender, envelope.boot, address, envelope.body)
-        for message in envelope.body:
-            if isinstance(message, Result) and (book := self.books.get(message.kind)) is not None:
+        self.lamport.hear(envelope.lamport_time)
+        self.membership.handle(now, envelope.sender, envelope.run_id, address, envelope.messages)
+        for message in envelope.messages:
+            if isinstance(message, DutyResult) and (book := self.books.get(message.kind)) is not None:
                 if book.heard(now, message):
                     self._spread(message)
             elif (
-                isinstance(message, Disclaim)
+                isinstance(message, DutyDecline)
                 and (book := self.books.get(message.kind)) is not None
                 and book.disclaimed(now, message)
             ):
                 self._spread(message)
-            elif isinstance(message, Cargo):
-                self.cargo.append((message.topic, envelope.sender, message.data))
+            elif isinstance(message, UserMessage):
+                self.cargo.append((message.topic, envelope.sender, message.payload))
 
     def carry(self, now: float, topic: str, data: bytes, to: str = "") -> None:
         """Tell a member, or all others that are not known to be gone. Each goes in a datagram of its own: a member of
         an older version refuses it whole, and must lose nothing else by that."""
         self.membership.now = now
         if not self.membership.yielding:
-            packed = m.pack(Cargo(topic, data))
+            packed = m.encode_message(UserMessage(topic, data))
             for name in self.membership.live.items if not to else [to] if to in self.membership.members else []:
                 self._send(self.membership.members[name].address, [packed])
 
     def known(self) -> list[str]:
         """All members that have not left, dead ones for a while too."""
-        return [x.name for x in self.membership.members.values() if x.state != LEFT]
+        return [x.name for x in self.membership.members.values() if x.state != MemberState.LEFT]
 
     def ended(self, now: float, kind: str, subject: str, ok: bool) -> None:
         """A duty that `starts` asked for has been run."""
@@ -190,17 +196,17 @@
     def _post(self, address: Address, messages: list[bytes], news: bool) -> None:
         if self.membership.yielding:  # whoever has the name speaks for it
             return
-        room = m.room(self.membership.me.name)
+        room = m.message_capacity(self.membership.me.name)
         body: list[bytes] = []
         left = room
         for message in messages:
-            if len(message) > left or len(body) >= m.MOST_BODY:
+            if len(message) > left or len(body) >= m.MAX_MESSAGES:
                 self._send(address, body)
                 body, left = [], room
             body.append(message)
             left -= len(message)
         if news:
-            body += self.membership.take(left)[: m.MOST_BODY - len(body)]
+            body += self.membership.take(left)[: m.MAX_MESSAGES - len(body)]
         if body:
             self._send(address, body)
 
@@ -208,7 +214,7 @@
         me = self.membership.me
         self._seq += 1
         data = self.sealer.seal(
-            m.envelope(
+            m.encode_envelope(
                 me.name, me.boot, self._seq, max(0, int(self.wall(self.membership.now))), self.lamport.value, body
             )
         )
@@ -216,10 +222,10 @@
         self.sent_bytes += len(data)
         self.out.append((address, data))
 
-    def _tell(self, message: Result | Disclaim) -> None:
+    def _tell(self, message: DutyResult | DutyDecline) -> None:
         """News of our own duties, which holds here as it does elsewhere."""
         now, book = self.membership.now, self.books[message.kind]
-        if isinstance(message, Result):
+        if isinstance(message, DutyResult):
             if book.heard(now, message):
                 self._spread(message)
                 self.notices.append(
@@ -229,7 +235,7 @@
                             "kind": message.kind,
                             "subject": message.subject,
                             "term": message.term,
-                            "up": message.state != DOWN,
+                            "up": message.status != HealthStatus.DOWN,
                         },
                     )
                 )
@@ -237,16 +243,16 @@
             if book.disclaimed(now, message):
                 self.notices.append(
                     Notice(
-                        "duty-handed-on", {"kind": message.kind, "subject": message.subject, "rest_ms": message.rest}
+                        "duty-handed-on", {"kind": message.kind, "subject": message.subject, "rest_ms": message.hold_ms}
                     )
                 )
             self._spread(message)
 
-    def _spread(self, message: Result | Disclaim) -> None:
-        subject = (message.kind, message.subject, "" if isinstance(message, Result) else message.by)
-        self.membership.tell(subject, m.pack(message))
+    def _spread(self, message: DutyResult | DutyDecline) -> None:
+        subject = (message.kind, message.subject, "" if isinstance(message, DutyResult) else message.declined_by)
+        self.membership.tell(subject, m.encode_message(message))
 
-    def _changed(self, now: float, member: Member, before: int) -> None:
+    def _changed(self, now: float, member: Member, before: MemberState | None) -> None:
         for book in self.books.values():
             book.ranking.add(member.name, member.weight)
         if before != member.state:
@@ -256,7 +262,7 @@
                     {
                         "member": member.name,
                         "state": STATES[member.state],
-                        "before": STATES.get(before, "unknown"),
+                        "before": "unknown" if before is None else STATES[before],
                         "life": member.life,
                     },
                 )
--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -12,6 +12,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from decklb.cluster import keyfile
+from decklb.cluster.errors import KeyFileError
 from decklb.cluster.node import Node, Notice
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.cluster.settings import ClusterSettings
@@ -86,7 +87,7 @@
         """Read the key file anew. One that can't be used changes nothing and is logged."""
         try:
             self.node.rekey(self._sealer())
-        except keyfile.KeyFileError as error:
+        except KeyFileError as error:
             return logger.error(
                 "keys kept, the new ones can't be used: {error}", event="keys-refused", error=str(error)
             )
--- a/decklb/cluster/sealing.py
+++ b/decklb/cluster/sealing.py
@@ -12,12 +12,14 @@
 from cryptography.exceptions import InvalidTag
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-from decklb.cluster.messages import MOST, SEAL, VERSION, Envelope, WireError
+from decklb.cluster.errors import WireError
+from decklb.cluster.messages import MAX_DATAGRAM_BYTES, SEAL_OVERHEAD_BYTES, Envelope
 
 KEY_BYTES, ID_BYTES, SALT_BYTES = 32, 4, 8
 WINDOW = 1024  # datagrams by which one may come late
 MOST_SENDERS = 4096  # of whom windows are kept
 _COUNTS = 1 << 32
+SEAL_VERSION = 1
 
 
 def key_id(key: bytes) -> bytes:
@@ -28,7 +30,7 @@
 class Sealer:
     """The first key seals, all open."""
 
-    def __init__(self, cluster: str, keys: list[bytes], salt: bytes, most: int = MOST) -> None:
+    def __init__(self, cluster: str, keys: list[bytes], salt: bytes, most: int = MAX_DATAGRAM_BYTES) -> None:
         """`most`: bytes of what is sealed, seal included; datagrams' by default."""
         if not keys or any(len(k) != KEY_BYTES for k in keys):
             raise ValueError(f"a ring has at least one key, each of {KEY_BYTES} bytes")
@@ -45,7 +47,7 @@
             raise OverflowError("nonces are used up")
         nonce = self._salt + self._count.to_bytes(4, "big")
         self._count += 1
-        head = bytes([VERSION]) + self._first
+        head = bytes([SEAL_VERSION]) + self._first
         return head + nonce + self._ciphers[self._first].encrypt(nonce, plain, head + self._bound)
 
     @property
@@ -55,9 +57,9 @@
 
     def open(self, data: bytes) -> bytes:
         """What was sealed. Raises WireError with the reason `size`, `version`, `key` or `seal`."""
-        if not SEAL < len(data) <= self._most:
+        if not SEAL_OVERHEAD_BYTES < len(data) <= self._most:
             raise WireError("size", f"{len(data)} bytes")
-        if data[0] != VERSION:
+        if data[0] != SEAL_VERSION:
             raise WireError("version", f"{data[0]}")
         head, nonce = data[: 1 + ID_BYTES], data[1 + ID_BYTES : 1 + ID_BYTES + 12]
         cipher = self._ciphers.get(head[1:])
@@ -81,14 +83,14 @@
 
         The clock guards where a window can't: after our own restart nothing has been seen.
         """
-        if abs(envelope.wall - wall) > self.skew:
-            raise WireError("skew", f"{envelope.wall - wall:+.0f} ms")
-        who = (envelope.sender, envelope.boot)
+        if abs(envelope.wall_clock_ms - wall) > self.skew:
+            raise WireError("skew", f"{envelope.wall_clock_ms - wall:+.0f} ms")
+        who = (envelope.sender, envelope.run_id)
         highest, bits = self._seen.get(who, (-1, 0))
-        ahead = envelope.seq - highest
+        ahead = envelope.sequence - highest
         if ahead > 0:
             bits = (bits << min(ahead, WINDOW) | 1) & ((1 << WINDOW) - 1) if highest >= 0 else 1
-            highest = envelope.seq
+            highest = envelope.sequence
         elif -ahead >= WINDOW or bits >> -ahead & 1:
             raise WireError("replay")
         else:
--- a/decklb/cluster/verdicts.py
+++ b/decklb/cluster/verdicts.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from decklb.cluster.messages import DOWN, UP, Result
+from decklb.cluster.messages import DutyResult, HealthStatus
 from decklb.cluster.settings import DutySettings
 
 AGAIN = 1000.0  # ms between repeats of what still holds, so that the decision module does not forget it
@@ -39,15 +39,15 @@
         held = self.held.get(subject)
         return held.term if held else 0
 
-    def take(self, now: float, r: Result) -> bool:
+    def take(self, now: float, r: DutyResult) -> bool:
         """True if it is newer than what is held; terms only rise."""
         held = self.held.get(r.subject)
-        if held is not None and (r.term, r.at, r.owner) <= (held.term, held.at, held.owner):
-            self.dropped += (r.term, r.at, r.owner) != (held.term, held.at, held.owner)
+        if held is not None and (r.term, r.found_at_ms, r.owner) <= (held.term, held.at, held.owner):
+            self.dropped += (r.term, r.found_at_ms, r.owner) != (held.term, held.at, held.owner)
             return False
-        since = held.since if held is not None and held.state == r.state else now
-        self.held[r.subject] = Verdict(r.term, r.at, r.owner, r.state, now, since)
-        (self._down.add if r.state == DOWN else self._down.discard)(r.subject)
+        since = held.since if held is not None and held.state == r.status else now
+        self.held[r.subject] = Verdict(r.term, r.found_at_ms, r.owner, r.status, now, since)
+        (self._down.add if r.status == HealthStatus.DOWN else self._down.discard)(r.subject)
         return True
 
     def down(self, subject: str) -> bool:
@@ -89,4 +89,4 @@
 
     def _said_up(self, subject: str) -> bool:
         held = self.held.get(subject)
-        return held is not None and held.state == UP
+        return held is not None and held.state == HealthStatus.UP
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -67,7 +67,7 @@
     """
     if config.cluster is None:
         return None
-    from decklb.cluster.keyfile import KeyFileError
+    from decklb.cluster.errors import KeyFileError
     from decklb.cluster.runtime import ClusterService
 
     # Kept from one probe to the next, also where periods are stretched.
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 from decklb.cluster import keyfile
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import KeyFileError, WireError
 from decklb.cluster.runtime import ClusterService
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.core.ports import Clock, Timer
@@ -210,7 +210,7 @@
         """Read the keys anew; the cluster has logged what was wrong with them."""
         try:
             self.sealer = self._sealer()
-        except keyfile.KeyFileError:
+        except KeyFileError:
             return
 
     def _tick(self) -> None:
--- a/decklb/lab/cluster.py
+++ b/decklb/lab/cluster.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from decklb.cluster.duties import Duties, Start, phase
-from decklb.cluster.messages import ALIVE, DEAD, Row
+from decklb.cluster.messages import MemberRecord, MemberState
 from decklb.cluster.node import Node
 from decklb.cluster.ownership import Ranking
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
@@ -120,7 +120,7 @@
 
     def _introduce(self) -> None:
         rows = [
-            Row(v.me.name, *v.me.address, v.me.life, v.me.boot, True, v.me.weight, ALIVE, 0)
+            MemberRecord(v.me.name, *v.me.address, v.me.life, v.me.boot, True, v.me.weight, MemberState.ALIVE, 0)
             for v in (h.node.membership for h in self.hosts)
         ]
         for host in self.hosts:
@@ -198,7 +198,7 @@
             (h.name, m.name)
             for h in self.live()
             for m in h.node.membership.members.values()
-            if m.state == DEAD and m.name in up
+            if m.state == MemberState.DEAD and m.name in up
         ]
 
     def terms(self) -> dict[tuple[str, str], int]:
--- a/decklb/locality/council.py
+++ b/decklb/locality/council.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.cluster.node import Notice
 from decklb.locality import messages as m
 from decklb.locality.settings import ALONE, LocalitySettings
--- a/decklb/locality/messages.py
+++ b/decklb/locality/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.locality.zones import Ballot, Decided, State
 
 VERSION = 1
--- a/decklb/maintenance/conductor.py
+++ b/decklb/maintenance/conductor.py
@@ -15,7 +15,7 @@
 from typing import Any
 from zlib import crc32
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.cluster.node import Notice
 from decklb.maintenance import messages as m
 from decklb.maintenance.plan import (
--- a/decklb/maintenance/messages.py
+++ b/decklb/maintenance/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.maintenance.plan import Plan
 from decklb.maintenance.register import (
     Accept,
--- a/decklb/maintenance/store.py
+++ b/decklb/maintenance/store.py
@@ -11,7 +11,7 @@
 import lmdb
 import msgspec
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.handoff.store import boot_id
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.messages import read_plan
--- a/tests/test_cluster_parts.py
+++ b/tests/test_cluster_parts.py
@@ -19,7 +19,8 @@
 from decklb.cluster import keyfile
 from decklb.cluster import messages as m
 from decklb.cluster.duties import Duties
-from decklb.cluster.messages import DOWN, UP, Disclaim, Result, WireError
+from decklb.cluster.errors import WireError
+from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus
 from decklb.cluster.news import News
 from decklb.cluster.node import Node
 from decklb.cluster.ownership import Lamport, Passed, Ranking
@@ -34,7 +35,7 @@
 
 
 def envelope(body=(), sender="b", boot=7, seq=1, wall=WALL, clock=0):
-    return m.envelope(sender, boot, seq, wall, clock, [m.pack(x) for x in body])
+    return m.encode_envelope(sender, boot, seq, wall, clock, [m.encode_message(x) for x in body])
 
 
 def node(**duty):
@@ -70,7 +71,7 @@
 
         def seen(seq, at=WALL, boot=7):
             try:
-                replays.check(m.read(envelope(seq=seq, wall=at, boot=boot)), wall)
+                replays.check(m.decode_envelope(envelope(seq=seq, wall=at, boot=boot)), wall)
                 return ""
             except WireError as error:
                 return error.reason
@@ -130,8 +131,8 @@
             m.Alive("b", "127.0.0.1", 9, 5, 7, True, 1.0),
             m.Suspect("a", 3, "b"),
             m.Digest(bytes(256)),
-            m.Result("probe", "e", 3, "b", WALL, DOWN),
-            m.Row("c", "h", 2, 1, 1, True, 1.0, 2, 5),
+            m.DutyResult("probe", "e", 3, "b", WALL, HealthStatus.DOWN),
+            m.MemberRecord("c", "h", 2, 1, 1, True, 1.0, 2, 5),
         ]
     )
     for i in range(3000):
@@ -230,45 +231,45 @@
         self.listed = {f"e{i}" for i in range(10)}
 
     def say(self, now, subject, state, term=1, at=1, owner="a"):
-        return self.v.take(now, Result("probe", subject, term, owner, at, state))
+        return self.v.take(now, DutyResult("probe", subject, term, owner, at, state))
 
     def test_older_terms_are_dropped(self):
-        self.assertTrue(self.say(0, "e1", UP, term=5))
-        self.assertFalse(self.say(1, "e1", DOWN, term=4, at=99))
-        self.assertFalse(self.say(1, "e1", DOWN, term=5, at=0))
-        self.assertTrue(self.say(1, "e1", DOWN, term=5, at=2))
-        self.assertFalse(self.say(1, "e1", DOWN, term=5, at=2))  # the same again is no older result
+        self.assertTrue(self.say(0, "e1", HealthStatus.UP, term=5))
+        self.assertFalse(self.say(1, "e1", HealthStatus.DOWN, term=4, at=99))
+        self.assertFalse(self.say(1, "e1", HealthStatus.DOWN, term=5, at=0))
+        self.assertTrue(self.say(1, "e1", HealthStatus.DOWN, term=5, at=2))
+        self.assertFalse(self.say(1, "e1", HealthStatus.DOWN, term=5, at=2))  # the same again is no older result
         self.assertEqual((self.v.term("e1"), self.v.dropped), (5, 2))
 
     def test_told_again_then_lifted_then_aged_out(self):
-        self.say(0, "e1", DOWN)
+        self.say(0, "e1", HealthStatus.DOWN)
         self.assertEqual(self.v.effects(0, self.listed), [("e1", False)])
         self.assertEqual(self.v.effects(500, self.listed), [])
         self.assertEqual(self.v.effects(1000, self.listed), [("e1", False)])
-        self.say(1500, "e1", UP, at=2)
+        self.say(1500, "e1", HealthStatus.UP, at=2)
         self.assertEqual(self.v.effects(1500, self.listed), [("e1", True)])
-        self.say(2000, "e1", DOWN, at=3)
+        self.say(2000, "e1", HealthStatus.DOWN, at=3)
         self.v.effects(2000, self.listed)
         self.assertEqual(self.v.effects(5001, self.listed), [])  # no word for three refreshes: unknown, not up
         self.assertFalse(self.v.down("e1"))
 
     def test_never_lets_in_what_the_list_keeps_out(self):
-        self.say(0, "e1", DOWN)
+        self.say(0, "e1", HealthStatus.DOWN)
         self.v.effects(0, self.listed)
-        self.say(1, "e1", UP, at=2)
+        self.say(1, "e1", HealthStatus.UP, at=2)
         self.assertEqual(self.v.effects(1, self.listed - {"e1"}), [])
 
     def test_all_down_at_once_is_doubted(self):
-        self.say(0, "e0", DOWN)
+        self.say(0, "e0", HealthStatus.DOWN)
         self.assertEqual(self.v.effects(0, self.listed), [("e0", False)])
         for t in range(1000, 9000, 500):  # known to be down long before
-            self.say(t, "e0", DOWN, at=t)
+            self.say(t, "e0", HealthStatus.DOWN, at=t)
             self.v.effects(t, self.listed)
         for i in range(1, 10):
-            self.say(9000, f"e{i}", DOWN)
+            self.say(9000, f"e{i}", HealthStatus.DOWN)
         self.assertEqual(self.v.effects(9000, self.listed), [("e0", False)])
         for i in range(10):
-            self.say(11_900, f"e{i}", DOWN, at=9001)
+            self.say(11_900, f"e{i}", HealthStatus.DOWN, at=9001)
         self.assertEqual(self.v.effects(13_900, self.listed), [("e0", False)])
         self.assertEqual(len(self.v.effects(14_000, self.listed)), 9)  # it has stood for so long: believed
 
@@ -302,7 +303,7 @@
 
     def tell(self, message):
         self.told.append(message)
-        if isinstance(message, Result):
+        if isinstance(message, DutyResult):
             self.d.heard(self.now, message)
         else:
             self.d.disclaimed(self.now, message)
@@ -375,40 +376,42 @@
         self.go(1950.0, ok=False)
         self.assertEqual(self.told, [])
         self.go(3100.0, ok=False)
-        self.assertEqual({(type(x), x.subject) for x in self.told}, {(Disclaim, s) for s in mine})
+        self.assertEqual({(type(x), x.subject) for x in self.told}, {(DutyDecline, s) for s in mine})
         self.assertFalse(any(x.owned for x in d.duties.values()))
         self.go(70_000.0, ok=False)  # its rest is over: it tries again, and rests longer
         # What is said again meanwhile has less of its rest left.
-        rests = {x.rest for x in self.told if isinstance(x, Disclaim)}
+        rests = {x.hold_ms for x in self.told if isinstance(x, DutyDecline)}
         self.assertTrue({60_000, 120_000} <= rests and max(rests) == 120_000, rests)
 
     def test_second_opinion_then_a_verdict(self):
         d = self.make(me="b", members=("a", "b"), hand_on=3, subjects=[f"e{i}" for i in range(8)])
         theirs = sorted(set(d.ranking.duties()) - {s for s, x in d.duties.items() if x.owned})[0]
-        d.disclaimed(0.0, Disclaim("probe", theirs, "a", 10**9, 60_000))
+        d.disclaimed(0.0, DutyDecline("probe", theirs, "a", 10**9, 60_000))
         self.assertTrue(d.duties[theirs].owned)
         self.go(400.0, ok=False)  # promptly, not in its turn
-        self.assertEqual([(x.subject, x.state) for x in self.told], [(theirs, DOWN)])
+        self.assertEqual([(x.subject, x.status) for x in self.told], [(theirs, HealthStatus.DOWN)])
         self.go(2000.0, ok=True)
-        self.assertEqual([x.state for x in self.told if x.subject == theirs][-1], UP)
+        self.assertEqual([x.status for x in self.told if x.subject == theirs][-1], HealthStatus.UP)
 
     def test_alone_it_believes_itself(self):
         self.make(hand_on=2, refresh=2500.0)
         self.go(1900.0, ok=False)
-        self.assertEqual([x.state for x in self.told if isinstance(x, Result)], [DOWN])
+        self.assertEqual([x.status for x in self.told if isinstance(x, DutyResult)], [HealthStatus.DOWN])
         self.go(9000.0, ok=False)
         self.assertEqual(len(self.told), 3)  # repeated at each refresh, not each period
         self.go(11_000.0, ok=True)
-        self.assertEqual([x.state for x in self.told], [DOWN, DOWN, DOWN, UP])
+        self.assertEqual(
+            [x.status for x in self.told], [HealthStatus.DOWN, HealthStatus.DOWN, HealthStatus.DOWN, HealthStatus.UP]
+        )
 
     def test_terms_rise_over_what_others_found(self):
         d = self.make()
         first = d.duties["e1"].term
-        d.heard(0.0, Result("probe", "e1", 50, "z", 5, DOWN))
+        d.heard(0.0, DutyResult("probe", "e1", 50, "z", 5, HealthStatus.DOWN))
         self.assertGreater(d.duties["e1"].term, max(first, 50))
-        self.assertFalse(d.heard(0.0, Result("probe", "e1", 49, "y", 9, DOWN)))
+        self.assertFalse(d.heard(0.0, DutyResult("probe", "e1", 49, "y", 9, HealthStatus.DOWN)))
         self.go(2000.0)
-        self.assertEqual([(x.state, x.term > 50) for x in self.told], [(UP, True)])
+        self.assertEqual([(x.status, x.term > 50) for x in self.told], [(HealthStatus.UP, True)])
 
     def test_one_that_died_is_taken_over_promptly_one_that_moved_is_not(self):
         d = self.make(members=("a", "b"), subjects=[f"e{i}" for i in range(40)])
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -31,31 +31,39 @@
 WALL = 1_700_000_000_123
 
 MESSAGES = [
-    m.Ping(n=7, target="b"),
-    m.Ack(n=1 << 40),
-    m.Nack(n=0),
-    m.Ask(n=300, target="b", host="10.0.0.2", port=7946),
-    m.Alive(name="a", host="10.0.0.1", port=7946, life=WALL, boot=WALL << 10, ready=True, weight=2.5),
-    m.Suspect(name="b", life=5, by="a"),
-    m.Dead(name="b", life=6, by="b"),
-    m.Digest(sums=bytes(range(256))),
-    m.Same(),
-    m.Want(buckets=bytes([0, 9, 63])),
-    m.Row(
-        name="c", host="h.example", port=1, life=70_000, boot=9, ready=False, weight=1.0, state=int(m.LEFT), age=12_345
+    m.Ping(sequence=7, target="b"),
+    m.Ack(sequence=1 << 40),
+    m.Nack(sequence=0),
+    m.PingRequest(sequence=300, target="b", host="10.0.0.2", port=7946),
+    m.Alive(name="a", host="10.0.0.1", port=7946, incarnation=WALL, run_id=WALL << 10, ready=True, weight=2.5),
+    m.Suspect(name="b", incarnation=5, reported_by="a"),
+    m.Dead(name="b", incarnation=6, reported_by="b"),
+    m.Digest(checksums=bytes(range(256))),
+    m.InSync(),
+    m.BucketRequest(buckets=bytes([0, 9, 63])),
+    m.MemberRecord(
+        name="c",
+        host="h.example",
+        port=1,
+        incarnation=70_000,
+        run_id=9,
+        ready=False,
+        weight=1.0,
+        state=m.MemberState.LEFT,
+        state_age_ms=12_345,
     ),
-    m.Result(kind="probe", subject="engine-1", term=77, owner="a", at=WALL, state=int(m.DOWN)),
-    m.Disclaim(kind="probe", subject="engine-2", by="c", at=WALL, rest=300_000),
-    m.Cargo(topic="handoff", data=b"\x00\xff"),
+    m.DutyResult(kind="probe", subject="engine-1", term=77, owner="a", found_at_ms=WALL, status=m.HealthStatus.DOWN),
+    m.DutyDecline(kind="probe", subject="engine-2", declined_by="c", declined_at_ms=WALL, hold_ms=300_000),
+    m.UserMessage(topic="handoff", payload=b"\x00\xff"),
 ]
 
 
 def datagram() -> bytes:
-    return m.envelope("member-1", 99, 3, WALL, 12, [m.pack(x) for x in MESSAGES])
+    return m.encode_envelope("member-1", 99, 3, WALL, 12, [m.encode_message(x) for x in MESSAGES])
 
 
 def message_bytes() -> list[str]:
-    return [m.pack(x).hex() for x in MESSAGES]
+    return [m.encode_message(x).hex() for x in MESSAGES]
 
 
 def sealed() -> list[str]:
@@ -164,7 +172,7 @@
     return {
         "messages": message_bytes(),
         "envelope": datagram().hex(),
-        "payload_bytes": [m.room("a"), m.room("x" * 64)],
+        "payload_bytes": [m.message_capacity("a"), m.message_capacity("x" * 64)],
         "sealed": sealed(),
         "key_names": [key_id(k).hex() for k in KEYS],
         "key_file": key_file(folder),
@@ -183,7 +191,7 @@
 
 @pytest.mark.parametrize("i", range(len(MESSAGES)), ids=[type(x).__name__ for x in MESSAGES])
 def test_each_message_has_its_recorded_bytes(i):
-    assert m.pack(MESSAGES[i]).hex() == recorded()["messages"][i]
+    assert m.encode_message(MESSAGES[i]).hex() == recorded()["messages"][i]
 
 
 def test_all_kinds_of_message_are_recorded():
@@ -193,8 +201,8 @@
 
 def test_an_envelope_of_all_messages_has_its_bytes_and_is_read_back():
     assert datagram().hex() == recorded()["envelope"]
-    found = m.read(bytes.fromhex(recorded()["envelope"]))
-    assert (found.version, found.sender, found.boot, found.seq, found.wall, found.clock) == (
+    found = m.decode_envelope(bytes.fromhex(recorded()["envelope"]))
+    assert (found.version, found.sender, found.run_id, found.sequence, found.wall_clock_ms, found.lamport_time) == (
         1,
         "member-1",
         99,
@@ -202,8 +210,8 @@
         WALL,
         12,
     )
-    assert found.body == MESSAGES
-    assert [m.room("a"), m.room("x" * 64)] == recorded()["payload_bytes"]
+    assert found.messages == MESSAGES
+    assert [m.message_capacity("a"), m.message_capacity("x" * 64)] == recorded()["payload_bytes"]
 
 
 def test_a_sealed_datagram_has_its_bytes_and_opens():
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from decklb.cli.maint import maint
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.lab.register import World
 from decklb.lab.upkeep import Step, budget, doubled
 from decklb.maintenance import messages as m
