--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -66,13 +66,13 @@
     if (k := c.cluster) is not None:
         m = k.membership
         click.echo(
-            f"cluster {m.cluster}: member {k.member} on {k.bind[0]}:{k.bind[1]}, {len(k.seeds)} seeds, "
-            f"keys in {k.keys}, a probe of a member each {m.interval:g}ms"
+            f"cluster {m.cluster_name}: member {k.member} on {k.bind_address[0]}:{k.bind_address[1]}, "
+            f"{len(k.seeds)} seeds, keys in {k.key_file}, a probe of a member each {m.probe_interval_ms:g}ms"
         )
-        if (d := k.probing) is not None:
+        if (d := k.health_checks) is not None:
             click.echo(
-                f"probing: each engine each {d.period:g}ms, {d.timeout:g}ms for an answer, {d.most} at a time, "
-                f"handed on after {d.hand_on} failures"
+                f"probing: each engine each {d.period_ms:g}ms, {d.timeout_ms:g}ms for an answer, "
+                f"{d.max_concurrent} at a time, handed on after {d.failures_to_decline} failures"
             )
     if (h := c.handoff) is not None:
         click.echo(
--- a/decklb/cluster/duties.py
+++ b/decklb/cluster/duties.py
@@ -105,7 +105,7 @@
         self.cold = cold
         if not self._retelling:
             self._retelling = True
-            self.timers.at(now + self.s.refresh, self._again)
+            self.timers.at(now + self.s.repeat_interval_ms, self._again)
         self.ranking.set_duties(cold.keys())
         self.verdicts.keep(cold.keys())
         self._rests = {s: n for s, n in self._rests.items() if s in cold}
@@ -163,8 +163,8 @@
         """Milliseconds between two runs: stretched for what is cold, and on a side that sees few members."""
         factor = self.s.minority_factor if self.slow else 1.0
         if self.wall(now) < self.cold.get(subject, 0.0):
-            factor *= self.s.cold_factor
-        return self.s.period * factor
+            factor *= self.s.warming_up_factor
+        return self.s.period_ms * factor
 
     def _plan(self, now: float, duty: Duty, prompt: bool = False) -> None:
         period = self.period(now, duty.subject)
@@ -188,7 +188,7 @@
             return
         if duty.running:  # it takes longer than its period; a second run would only add to it
             self.counters.overruns += 1
-        elif self.running >= self.s.most:
+        elif self.running >= self.s.max_concurrent:
             self._waiting.append(duty)
         else:
             self._start(now, duty)
@@ -213,7 +213,7 @@
             self._good(now, duty)
         else:
             self._bad(now, duty)
-        while self._waiting and self.running < self.s.most:
+        while self._waiting and self.running < self.s.max_concurrent:
             duty = self._waiting.popleft()
             if duty.owned and not duty.running:
                 self._start(now, duty)
@@ -227,16 +227,16 @@
         self.counters.failed += 1
         duty.failures += 1
         # Who got it because another could not do it is only asked for a second opinion.
-        if duty.failures < (1 if duty.handed else self.s.hand_on):
+        if duty.failures < (1 if duty.handed else self.s.failures_to_decline):
             return
         passed = self.passed.of(duty.subject, now)
         others = self.able - passed - {self.me}
-        if self.me not in passed and len(passed) < self.s.hands and others:
+        if self.me not in passed and len(passed) < self.s.max_declines and others:
             times = self._rests[duty.subject] = self._rests.get(duty.subject, 0) + 1
-            rest = self.s.rest * min(MOST_REST, 2.0 ** (times - 1))
+            rest = self.s.decline_hold_ms * min(MOST_REST, 2.0 ** (times - 1))
             self.counters.handed_on += 1
             self.tell(DutyDecline(self.s.kind, duty.subject, self.me, int(self.wall(now)), int(rest)))
-        elif not self.verdicts.down(duty.subject) or now - duty.told >= self.s.refresh:
+        elif not self.verdicts.down(duty.subject) or now - duty.told >= self.s.repeat_interval_ms:
             self._say(now, duty, HealthStatus.DOWN)
 
     def _say(self, now: float, duty: Duty, status: HealthStatus) -> None:
@@ -273,7 +273,7 @@
 
     def _again(self, now: float) -> None:
         self._retell(now)
-        self.timers.at(now + self.s.refresh, self._again)
+        self.timers.at(now + self.s.repeat_interval_ms, self._again)
 
     def _watch_rests(self, now: float) -> None:
         if self._rest_timer is not None:
--- a/decklb/cluster/membership.py
+++ b/decklb/cluster/membership.py
@@ -202,7 +202,7 @@
         self._n = 0
         self._rivals: dict[int, int] = {}
         self._gossiping = False
-        self._doubted, self._nudged = Rarely(settings.interval), Rarely(settings.interval)
+        self._doubted, self._nudged = Rarely(settings.probe_interval_ms), Rarely(settings.probe_interval_ms)
         self.now = now  # when this instance last ran; set by whoever drives it
         self._sum(self.me)
 
@@ -222,7 +222,7 @@
         for name in [*self.live.items, *self.gone.items]:
             m = self.members[name]
             addresses.add(m.address)
-            count += m.state != MemberState.DEAD or now - m.changed < self.s.lately
+            count += m.state != MemberState.DEAD or now - m.changed < self.s.dead_retention_ms
         return count + sum(a not in addresses for a in self.seeds)
 
     def minority(self, now: float) -> bool:
@@ -236,11 +236,11 @@
         self.seeds = [a for a in seeds if a != self.me.address]
         self._tell_alive(self.me)
         self._greet()
-        self.timers.at(now + self.s.interval * (0.5 + self.rng.random()), self._next_probe)
-        self.timers.at(now + self.s.exchange * (0.5 + self.rng.random()), self._exchange)
-        self.timers.at(now + self.s.settle, self._settled)
-        self.timers.at(now + min(self.s.lately, 60_000.0), self._forget)
-        self.timers.at(now + self.s.gossip * 2, self._again)
+        self.timers.at(now + self.s.probe_interval_ms * (0.5 + self.rng.random()), self._next_probe)
+        self.timers.at(now + self.s.push_pull_interval_ms * (0.5 + self.rng.random()), self._exchange)
+        self.timers.at(now + self.s.settle_time_ms, self._settled)
+        self.timers.at(now + min(self.s.dead_retention_ms, 60_000.0), self._forget)
+        self.timers.at(now + self.s.gossip_interval_ms * 2, self._again)
 
     def leave(self, now: float) -> None:
         """Say good-bye; nothing is owned from now on."""
@@ -250,7 +250,7 @@
         self.me.ready = False
         piece = [encode_message(Dead(self.me.name, self.me.life, self.me.name))]
         # Said to more than one round would reach, since nobody is here to repeat it.
-        for name in self.live.some(self.rng, times(self.s.retransmit, len(self.live) + 1)):
+        for name in self.live.some(self.rng, times(self.s.retransmit_base, len(self.live) + 1)):
             self.post(self.members[name].address, piece, True)
 
     def held_up(self, now: float, late: float) -> None:
@@ -270,7 +270,7 @@
         # The first greeting may get lost, or find nobody up yet.
         if not (self.synced or self.me.ready or self.left):
             self._greet()
-            self.timers.at(now + self.s.gossip * 4, self._again)
+            self.timers.at(now + self.s.gossip_interval_ms * 4, self._again)
 
     def _settled(self, now: float) -> None:
         if not self.yielding:
@@ -298,7 +298,7 @@
 
     def _next_probe(self, now: float) -> None:
         self._judge(now)
-        self.timers.at(now + self.s.interval * self.awareness.factor, self._next_probe)
+        self.timers.at(now + self.s.probe_interval_ms * self.awareness.factor, self._next_probe)
         target = self._next_target()
         if target is None or self.left:
             return
@@ -309,7 +309,7 @@
         if target.state == MemberState.SUSPECT:  # Lifeguard's buddy system: it hears of the suspicion first from us
             messages.append(encode_message(Suspect(target.name, target.life, self.me.name)))
         self.post(target.address, messages, True)
-        self.timers.at(now + self.s.timeout * self.awareness.factor, lambda t: self._ask_others(t, probe))
+        self.timers.at(now + self.s.probe_timeout_ms * self.awareness.factor, lambda t: self._ask_others(t, probe))
 
     def _next_target(self) -> Member | None:
         """Round robin in an order shuffled anew each time, so that each is probed within two rounds."""
@@ -327,7 +327,8 @@
         target = self.members.get(probe.target)
         if probe.acked or probe is not self._probe or target is None or self.left:
             return
-        others = [n for n in self.live.some(self.rng, self.s.indirect + 1) if n != probe.target][: self.s.indirect]
+        drawn = self.live.some(self.rng, self.s.indirect_probes + 1)
+        others = [n for n in drawn if n != probe.target][: self.s.indirect_probes]
         probe.asked = len(others)
         for name in others:
             self.post(
@@ -362,9 +363,9 @@
     def _on_ask(self, now: float, sender: Address, m: PingRequest) -> None:
         self._n += 1
         mine = self._n
-        self._asks[mine] = (sender, m.sequence, now + self.s.interval)
+        self._asks[mine] = (sender, m.sequence, now + self.s.probe_interval_ms)
         self.post((m.host, m.port), [encode_message(Ping(mine, m.target))], False)
-        self.timers.at(now + self.s.timeout, lambda t: self._no_answer(mine))
+        self.timers.at(now + self.s.probe_timeout_ms, lambda t: self._no_answer(mine))
         for n in [n for n, (_, _, until) in self._asks.items() if until < now]:
             del self._asks[n]
 
@@ -561,7 +562,7 @@
         self.yielding = False
         self._renew(self.me.life)
         self._greet()
-        self.timers.at(now + self.s.settle, self._settled)
+        self.timers.at(now + self.s.settle_time_ms, self._settled)
 
     # News.
 
@@ -580,22 +581,22 @@
         if not self._gossiping:
             self._gossiping = True
             # Rounds of different members are spread.
-            self.timers.at(self.now + self.s.gossip * self.rng.random(), self._gossip)
+            self.timers.at(self.now + self.s.gossip_interval_ms * self.rng.random(), self._gossip)
 
     def _gossip(self, now: float) -> None:
         self._gossiping = bool(self.news) and not self.left
         if not self._gossiping:
             return
-        for name in self.live.some(self.rng, self.s.fanout):
+        for name in self.live.some(self.rng, self.s.gossip_fanout):
             if self.news:
                 self.post(self.members[name].address, [], True)
-        self.timers.at(now + self.s.gossip, self._gossip)
+        self.timers.at(now + self.s.gossip_interval_ms, self._gossip)
 
     def take(self, room: int) -> list[bytes]:
         """News for a datagram with so many bytes left. Without others it is kept for whoever comes."""
         if not self.live and not self.seeds:
             return []
-        return self.news.take(room, times(self.s.retransmit, len(self.live) + 1))
+        return self.news.take(room, times(self.s.retransmit_base, len(self.live) + 1))
 
     # Exchanges in pairs.
 
@@ -610,7 +611,7 @@
         return encode_message(Digest(b"".join(x.to_bytes(4, "big") for x in self.sums)))
 
     def _exchange(self, now: float) -> None:
-        self.timers.at(now + self.s.exchange * (0.75 + self.rng.random() / 2), self._exchange)
+        self.timers.at(now + self.s.push_pull_interval_ms * (0.75 + self.rng.random() / 2), self._exchange)
         if self.left:
             return
         # Also with those held dead, or parted sides would never meet again.
@@ -650,7 +651,7 @@
                 if r.incarnation >= self.me.life:  # also of an earlier run, where our clock is behind its
                     self._refute(r.incarnation)
             elif known is None:
-                if r.state == MemberState.DEAD and r.state_age_ms < self.s.lately:
+                if r.state == MemberState.DEAD and r.state_age_ms < self.s.dead_retention_ms:
                     died = now - r.state_age_ms
                     m = self.members[r.name] = Member(
                         r.name, (r.host, r.port), r.incarnation, r.run_id, r.ready, r.weight, MemberState.DEAD, died
@@ -669,11 +670,11 @@
 
     def _forget(self, now: float) -> None:
         """Those that left, or have been dead for long."""
-        self.timers.at(now + min(self.s.lately, 60_000.0), self._forget)
+        self.timers.at(now + min(self.s.dead_retention_ms, 60_000.0), self._forget)
         for m in [
             m
             for m in self.members.values()
-            if m.state in (MemberState.DEAD, MemberState.LEFT) and now - m.changed > self.s.lately
+            if m.state in (MemberState.DEAD, MemberState.LEFT) and now - m.changed > self.s.dead_retention_ms
         ]:
             self.sums[_bucket(m.name)] ^= m.sum
             self.gone.discard(m.name)
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -66,7 +66,7 @@
         self.sent_bytes = self.sent = self.received = 0
         self._wall = wall - now
         self._seq = 0
-        self._window = Replays(membership.skew)
+        self._window = Replays(membership.max_clock_skew_ms)
         self.timers, self.lamport = Timers(), Lamport()
         # The older run has the lower number, and no two have the same.
         boot = (int(wall) << 10 | rng.getrandbits(10)) & ((1 << 53) - 1)
@@ -120,7 +120,7 @@
         """What is due by now."""
         self._wall = wall - now
         late = now - self.timers.next()
-        if late > LATE * self.s.interval:
+        if late > LATE * self.s.probe_interval_ms:
             # Stopped, swapped out or starved: nothing that was missed meanwhile speaks against others.
             self.membership.held_up(now, late)
             self.notices.append(Notice("held-up", {"late_ms": round(late)}))
@@ -285,7 +285,7 @@
     def _review_soon(self, now: float) -> None:
         # Changes come in bursts; one look at all of them moves each duty at most once.
         if self._review is None:
-            self._review = self.timers.at(now + 2 * self.s.gossip, self._review_now)
+            self._review = self.timers.at(now + 2 * self.s.gossip_interval_ms, self._review_now)
 
     def _review_now(self, now: float) -> None:
         self._review = None
--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -52,9 +52,9 @@
         self.topics: dict[str, Callable[[str, bytes], None]] = {}  # who takes the words of a subsystem, and its sender
         self.node = Node(
             settings.membership,
-            [settings.probing] if settings.probing else [],
+            [settings.health_checks] if settings.health_checks else [],
             settings.member,
-            settings.told,
+            settings.advertised_address,
             self._sealer(),
             random.Random(os.urandom(16)),
             clock.now(),
@@ -62,12 +62,12 @@
         )
 
     def _sealer(self) -> Sealer:
-        keys = keyfile.read(self.settings.keys)
-        return Sealer(self.settings.membership.cluster, [k.secret for k in keys], os.urandom(SALT_BYTES))
+        keys = keyfile.read(self.settings.key_file)
+        return Sealer(self.settings.membership.cluster_name, [k.secret for k in keys], os.urandom(SALT_BYTES))
 
     def start(self) -> None:
         """Open the socket. Raises what Twisted raises when the address can't be had."""
-        host, port = self.settings.bind
+        host, port = self.settings.bind_address
         self.reactor.listenUDP(port, self, interface=host, maxPacketSize=2048)
 
     def startProtocol(self) -> None:
@@ -76,8 +76,8 @@
             "cluster member {member} on {address}, told as {told}, {seeds} seeds",
             event="cluster-listening",
             member=self.settings.member,
-            address="{}:{}".format(*self.settings.bind),
-            told="{}:{}".format(*self.settings.told),
+            address="{}:{}".format(*self.settings.bind_address),
+            told="{}:{}".format(*self.settings.advertised_address),
             seeds=len(self.settings.seeds),
         )
         self.node.start(self.clock.now(), self.settings.seeds)
@@ -96,8 +96,8 @@
     def engines(self, cold: Mapping[str, float], listed: set[str], addresses: Mapping[str, Address]) -> None:
         """The list of engines: until when (Unix ms) each is cold, which are up, and where they are."""
         self.addresses = addresses
-        if self.settings.probing is not None:
-            self.node.subjects(self.clock.now(), self.settings.probing.kind, cold, listed)
+        if self.settings.health_checks is not None:
+            self.node.subjects(self.clock.now(), self.settings.health_checks.kind, cold, listed)
         self._pump()
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
@@ -157,10 +157,10 @@
 
     def _probe(self, kind: str, engine: str) -> None:
         address = self.addresses.get(engine)
-        duty = self.settings.probing
+        duty = self.settings.health_checks
         if address is None or duty is None:
             return self._ended(kind, engine, False)
-        self.prober.probe(engine, address, duty.timeout, lambda ok: self._ended(kind, engine, ok))
+        self.prober.probe(engine, address, duty.timeout_ms, lambda ok: self._ended(kind, engine, ok))
 
     def _ended(self, kind: str, engine: str, ok: bool) -> None:
         if not self.closed:
--- a/decklb/cluster/suspicion.py
+++ b/decklb/cluster/suspicion.py
@@ -19,7 +19,7 @@
 
 def shortest(s: MembershipSettings, members: int) -> float:
     """Milliseconds that any suspect gets."""
-    return s.suspicion * max(1.0, math.log10(max(1, members))) * s.interval
+    return s.suspicion_multiplier * max(1.0, math.log10(max(1, members))) * s.probe_interval_ms
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
         """A new one; with two members nobody can agree, and the shortest time holds from the start."""
         least = shortest(s, members)
         agree = min(AGREE, max(0, members - 2))
-        return cls(now, least, least * s.suspicion_most if agree else least, agree, {by})
+        return cls(now, least, least * s.suspicion_max_multiplier if agree else least, agree, {by})
 
     def confirm(self, by: str) -> bool:
         """Another one's word; true if it counts, and is worth passing on."""
--- a/decklb/cluster/verdicts.py
+++ b/decklb/cluster/verdicts.py
@@ -67,16 +67,16 @@
         calls draining or gone. A verdict that nearly all are down, come about at once, has no effect until `doubt` has
         passed: more often than the engines it is the way to them that has failed.
         """
-        for subject in [s for s in self._down if now - self.held[s].heard > self.s.age]:
+        for subject in [s for s in self._down if now - self.held[s].heard > self.s.result_ttl_ms]:
             self.held[subject].state = 0
             self._down.discard(subject)
         down = {s for s in self._down if s in listed}
-        if not down or len(down) < self.s.doubt_share * len(listed):
+        if not down or len(down) < self.s.mass_failure_ratio * len(listed):
             self.surge = None
         elif self.surge is None:
             self.surge = now
-        if self.surge is not None and now < self.surge + self.s.doubt:
-            down = {s for s in down if self.held[s].since < self.surge - self.s.doubt}
+        if self.surge is not None and now < self.surge + self.s.mass_failure_hold_ms:
+            down = {s for s in down if self.held[s].since < self.surge - self.s.mass_failure_hold_ms}
         out = [(s, True) for s in self._told if s not in down]
         for s, _ in out:
             del self._told[s]
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -71,8 +71,8 @@
     from decklb.cluster.runtime import ClusterService
 
     # Kept from one probe to the next, also where periods are stretched.
-    duty = config.cluster.probing
-    idle = 2.0 * duty.period * duty.minority_factor * duty.cold_factor if duty is not None else 0.0
+    duty = config.cluster.health_checks
+    idle = 2.0 * duty.period_ms * duty.minority_factor * duty.warming_up_factor if duty is not None else 0.0
     try:
         return ClusterService(reactor, clock, config.cluster, prober(reactor, clock, config, idle), probed)
     except KeyFileError as error:
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -182,10 +182,10 @@
         self.pumping = self.closed = False
 
     def _sealer(self) -> Sealer:
-        keys = keyfile.read(self.cluster.settings.keys)
+        keys = keyfile.read(self.cluster.settings.key_file)
         # Another name than the datagrams': what is sealed for one is no use for the other.
         return Sealer(
-            f"{self.cluster.settings.membership.cluster}/handoff",
+            f"{self.cluster.settings.membership.cluster_name}/handoff",
             [k.secret for k in keys],
             os.urandom(SALT_BYTES),
             m.MOST_FRAME,
@@ -193,7 +193,7 @@
 
     def start(self) -> None:
         """Open the socket. Raises what Twisted raises when the address can't be had."""
-        host, port = self.cluster.settings.bind
+        host, port = self.cluster.settings.bind_address
         self.port = self.reactor.listenTCP(port, Door(self), interface=host)
         logger.info(
             "handoff on {host}:{port}, {copies} voters a key, {members} members, {kept} keys kept on disk",
@@ -244,7 +244,7 @@
         factory: Any = ClientFactory.forProtocol(make)
         factory.noisy = False
         dialled: Any = TCP4ClientEndpoint(
-            self.reactor, *address, timeout=CONNECT / 1000, bindAddress=(self.cluster.settings.bind[0], 0)
+            self.reactor, *address, timeout=CONNECT / 1000, bindAddress=(self.cluster.settings.bind_address[0], 0)
         ).connect(factory)
         dialled.addErrback(
             lambda why: logger.debug(
--- a/decklb/lab/cluster.py
+++ b/decklb/lab/cluster.py
@@ -104,7 +104,7 @@
     def start(self, i: int, name: str = "", address: Address | None = None, wall_back: float = 0.0) -> Host:
         """Start instance i, or start it again; `wall_back` sets its wall clock back by so many ms."""
         rng = random.Random(f"{self.world.rng.random()}/{i}")
-        sealer = Sealer(self.membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
+        sealer = Sealer(self.membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         rankings = {self.duty.kind: self.ranking} if self.ranking is not None else None
         host = Host(
             self.world,
@@ -161,7 +161,7 @@
     def _run(self, host: Host, start: Start) -> tuple[float, bool]:
         self.runs.append(Run(self.world.now, host.name, start.subject, start.term))
         if start.subject in self.down or (host.name, start.subject) in self.unreachable:
-            return self.duty.timeout, False
+            return self.duty.timeout_ms, False
         return self.took, True
 
     def _notice(self, host: Host, event: str, fields: dict[str, object]) -> None:
@@ -211,12 +211,12 @@
 
     def phase(self, subject: str) -> float:
         """Of its period, in ms, at which a duty is due on the world's clock."""
-        return (phase(self.duty.kind, subject) * self.duty.period - EPOCH) % self.duty.period
+        return (phase(self.duty.kind, subject) * self.duty.period_ms - EPOCH) % self.duty.period_ms
 
     def counts(self, start: float, end: float) -> dict[str, list[int]]:
         """Runs of each duty in each whole period between two moments, periods being cut half a period from its
         due moment, so that clocks that differ a little don't count a run in its neighbour."""
-        period = self.duty.period
+        period = self.duty.period_ms
         found: dict[str, list[int]] = {}
         first: dict[str, float] = {}
         for subject in self.engines:
--- a/decklb/lab/duties.py
+++ b/decklb/lab/duties.py
@@ -43,7 +43,7 @@
     if x.periods < 8:
         raise ValueError("periods: at least 8, for four phases of two")
     began = time.monotonic()
-    membership, duty = MembershipSettings(), DutySettings(period=x.period)
+    membership, duty = MembershipSettings(), DutySettings(period_ms=x.period)
     c = Cluster.make(
         x.seed,
         x.instances,
@@ -56,7 +56,7 @@
         skew=x.skew,
     )
     world, period, quarter = c.world, x.period, x.periods // 4
-    warm = 2 * period if not x.join else 2 * period + 2 * membership.settle
+    warm = 2 * period if not x.join else 2 * period + 2 * membership.settle_time_ms
     world.run(warm)
     out: dict[str, Any] = {
         "instances": x.instances,
@@ -93,7 +93,7 @@
 
 
 def _killed(c: Cluster, kill: int, span: float, out: dict[str, Any]) -> None:
-    world, period = c.world, c.duty.period
+    world, period = c.world, c.duty.period_ms
     rng, start = world.rng, world.now
     owners = {s: names[0] for s, names in c.owners().items() if names}
     victims = {h.name for h in rng.sample(c.live(), kill)}
@@ -119,7 +119,7 @@
 
 
 def _parted(c: Cluster, share: float, span: float, after: float, out: dict[str, Any]) -> None:
-    world, period = c.world, c.duty.period
+    world, period = c.world, c.duty.period_ms
     live = c.live()
     side = {h.name for h in live[: round(share * len(live))]}
     out["doubled_after_heal_periods"] = 0.0
@@ -148,7 +148,7 @@
     out["doubled_after_heal_periods"] = round(_doubled(c, healed), 2)
     # What was suspected while it could not be heard may still be declared dead just after, and rightly.
     s = c.membership
-    heard = healed + shortest(s, len(live)) * s.suspicion_most + (MOST_DOUBT + 1) * s.interval
+    heard = healed + shortest(s, len(live)) * s.suspicion_max_multiplier + (MOST_DOUBT + 1) * s.probe_interval_ms
     out["false_deaths"] += sum(at > heard for at, _, _ in c.deaths)
 
 
@@ -160,7 +160,7 @@
         if r.at < healed:
             continue
         at, host = latest.get(r.subject, (-1e12, ""))
-        if host != r.host and r.at - at < c.duty.period / 2:
+        if host != r.host and r.at - at < c.duty.period_ms / 2:
             last = r.at
         latest[r.subject] = (r.at, r.host)
-    return (last - healed) / c.duty.period if last else 0.0
+    return (last - healed) / c.duty.period_ms if last else 0.0
--- a/decklb/lab/probing.py
+++ b/decklb/lab/probing.py
@@ -32,7 +32,9 @@
             run.loop,
         )
         self.membership = MembershipSettings()
-        self.duty = DutySettings(period=period, timeout=min(1000.0, period / 4), hand_on=2, refresh=2 * period)
+        self.duty = DutySettings(
+            period_ms=period, timeout_ms=min(1000.0, period / 4), failures_to_decline=2, repeat_interval_ms=2 * period
+        )
         self.hosts: dict[int, Host] = {}
         self.probes = 0
         self.world.run_duty, self.world.on_probed = self._run, self._probed
@@ -45,7 +47,7 @@
         """A manager's node, from nothing."""
         number = manager.number
         rng = random.Random(self.run.streams.number(f"node {number} life {manager.life}"))
-        sealer = Sealer(self.membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
+        sealer = Sealer(self.membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         host = Host(
             self.world,
             f"m{number}",
@@ -71,7 +73,7 @@
         engine = self.run.engines[start.subject]
         way = 2 * self.run.world.delay
         if engine.silent:
-            return self.duty.timeout, False
+            return self.duty.timeout_ms, False
         return way, engine.up
 
     def _probed(self, host: Host, subject: str, up: bool) -> None:
--- a/tests/test_cluster_lab.py
+++ b/tests/test_cluster_lab.py
@@ -20,8 +20,10 @@
 SECOND = 1000.0
 # With these, a death is known everywhere within 1.5 s of suspicion, 1.5 s of probing and news: call it six.
 KNOWN = 6 * SECOND
-MEMBERSHIP = MembershipSettings(exchange=2000.0)
-DUTY = DutySettings(period=4000.0, timeout=500.0, doubt=8000.0, rest=60_000.0, refresh=5000.0)
+MEMBERSHIP = MembershipSettings(push_pull_interval_ms=2000.0)
+DUTY = DutySettings(
+    period_ms=4000.0, timeout_ms=500.0, mass_failure_hold_ms=8000.0, decline_hold_ms=60_000.0, repeat_interval_ms=5000.0
+)
 
 
 def cluster(instances=5, engines=30, seed=1, faults=None, warm=True, **clocks):
@@ -31,15 +33,15 @@
 class Members(unittest.TestCase):
     def test_join_from_nothing_under_loss(self):
         c = cluster(8, warm=False, faults=Faults(loss=0.2, duplicate=0.1))
-        c.world.run(MEMBERSHIP.settle + KNOWN)
+        c.world.run(MEMBERSHIP.settle_time_ms + KNOWN)
         self.assertTrue(c.views_agree())
         self.assertEqual(c.one_owner(), [])
 
     def test_alone_owns_all_after_settling_not_before(self):
         c = cluster(1, warm=False)
-        c.world.run(MEMBERSHIP.settle - 1)
+        c.world.run(MEMBERSHIP.settle_time_ms - 1)
         self.assertEqual(len(c.one_owner()), 30)
-        c.world.run(MEMBERSHIP.settle + SECOND)
+        c.world.run(MEMBERSHIP.settle_time_ms + SECOND)
         self.assertEqual(c.one_owner(), [])
 
     def test_death_is_known_and_nobody_else_dies(self):
@@ -85,7 +87,7 @@
         c.world.run(2 * SECOND + KNOWN)
         c.world.cut = lambda source, target: c.address(0) in (source, target)
         fresh = c.start(0)
-        c.world.run(c.world.now + MEMBERSHIP.settle - 100.0)
+        c.world.run(c.world.now + MEMBERSHIP.settle_time_ms - 100.0)
         self.assertFalse(any(d.owned for d in c.book(fresh).duties.values()))
         c.heal()
         c.world.run(c.world.now + KNOWN)
@@ -143,7 +145,7 @@
         self.assertEqual({h.name for h in c.hosts if c.book(h).slow}, side)
         before = c.terms()
         c.heal()
-        c.world.run(c.world.now + 2 * DUTY.period)
+        c.world.run(c.world.now + 2 * DUTY.period_ms)
         self.assertEqual((c.one_owner(), c.wrongly_dead()), ([], []))
         after = c.terms()
         self.assertTrue(all(after[k] >= v for k, v in before.items()))
@@ -155,9 +157,9 @@
         c.part({"m0", "m1"})
         c.world.run(4 * SECOND + KNOWN)
         c.down = {"motor-1"}  # both sides find it down, each with a term of its own
-        c.world.run(c.world.now + 14 * DUTY.period)
+        c.world.run(c.world.now + 14 * DUTY.period_ms)
         c.heal()
-        c.world.run(c.world.now + 4 * DUTY.period)
+        c.world.run(c.world.now + 4 * DUTY.period_ms)
         held = {(v.term, v.owner, v.state) for v in (c.book(h).verdicts.held["motor-1"] for h in c.hosts)}
         self.assertEqual(len(held), 1, held)
 
@@ -166,38 +168,38 @@
         c.world.run(2 * SECOND)
         owner = c.owners()["motor-7"][0]
         c.unreachable = {(owner, "motor-7")}
-        c.world.run(8 * DUTY.period)
+        c.world.run(8 * DUTY.period_ms)
         new = c.owners()["motor-7"]
         self.assertEqual(len(new), 1)
         self.assertNotEqual(new, [owner])
         self.assertFalse(any(c.book(h).verdicts.down("motor-7") for h in c.hosts))
         self.assertEqual(c.probed, [])
-        c.world.run(12 * DUTY.period)
+        c.world.run(12 * DUTY.period_ms)
         self.assertEqual(c.owners()["motor-7"], new)
 
     def test_a_dead_engine_needs_two_witnesses_and_all_hear(self):
         c = cluster(4, seed=2)
         c.world.run(2 * SECOND)
         c.down = {"motor-7"}
-        c.world.run(8 * DUTY.period)
+        c.world.run(8 * DUTY.period_ms)
         witnesses = {r.host for r in c.runs if r.subject == "motor-7" and r.at > 2 * SECOND}
-        self.assertEqual(len(witnesses), DUTY.hands + 1)
+        self.assertEqual(len(witnesses), DUTY.max_declines + 1)
         self.assertEqual({(h, s, up) for _, h, s, up in c.probed}, {(h.name, "motor-7", False) for h in c.hosts})
         c.down = set()
-        c.world.run(11 * DUTY.period)
+        c.world.run(11 * DUTY.period_ms)
         self.assertEqual([up for _, h, s, up in c.probed if h == "m0"][-1], True)
 
     def test_all_dead_at_once_has_no_effect_for_the_stated_time(self):
         c = cluster(3, engines=10)
         c.world.run(2 * SECOND)
         c.down = set(c.engines)
-        c.world.run(2 * SECOND + 10 * DUTY.period)
+        c.world.run(2 * SECOND + 10 * DUTY.period_ms)
         some = c.book(c.host("m0"))
         self.assertIsNotNone(some.verdicts.surge)
-        until = some.verdicts.surge + DUTY.doubt
+        until = some.verdicts.surge + DUTY.mass_failure_hold_ms
         early = [s for at, h, s, _ in c.probed if h == "m0" and some.verdicts.surge <= at < until]
         few = {s for at, h, s, _ in c.probed if h == "m0" and at < some.verdicts.surge}
-        self.assertLess(len(few), DUTY.doubt_share * 10)
+        self.assertLess(len(few), DUTY.mass_failure_ratio * 10)
         self.assertLessEqual(set(early), few)
         self.assertEqual({s for at, h, s, _ in c.probed if h == "m0" and at >= until}, set(c.engines))
 
--- a/tests/test_cluster_parts.py
+++ b/tests/test_cluster_parts.py
@@ -124,7 +124,7 @@
 
 
 def test_decoder_on_noise():
-    rng, n = random.Random(4), node(period=1000.0)
+    rng, n = random.Random(4), node(period_ms=1000.0)
     sealer = Sealer("decklb", [KEY], SALT)
     whole = envelope(
         [
@@ -159,7 +159,7 @@
 
 class Suspicions(unittest.TestCase):
     def test_shrinks_with_agreement(self):
-        s = MembershipSettings(interval=1000.0, suspicion=4.0, suspicion_most=6.0)
+        s = MembershipSettings(probe_interval_ms=1000.0, suspicion_multiplier=4.0, suspicion_max_multiplier=6.0)
         x = Suspicion.begin(s, 0.0, 100, "a")
         ends = [x.ends()]
         for by in ("a", "b", "c", "d", "e"):
@@ -227,7 +227,7 @@
 
 class Held(unittest.TestCase):
     def setUp(self):
-        self.v = Verdicts(DutySettings(refresh=1000.0, doubt=5000.0, doubt_share=0.6))
+        self.v = Verdicts(DutySettings(repeat_interval_ms=1000.0, mass_failure_hold_ms=5000.0, mass_failure_ratio=0.6))
         self.listed = {f"e{i}" for i in range(10)}
 
     def say(self, now, subject, state, term=1, at=1, owner="a"):
@@ -280,7 +280,7 @@
         self.shift = 0.0  # of the wall clock
 
     def make(self, me="a", members=("a",), subjects=("e1",), **settings_):
-        ranking, s = Ranking(), DutySettings(**({"period": 1000.0, "timeout": 100.0} | settings_))
+        ranking, s = Ranking(), DutySettings(**({"period_ms": 1000.0, "timeout_ms": 100.0} | settings_))
         for name in members:
             ranking.add(name, 1.0)
         self.lamport = Lamport()
@@ -336,7 +336,7 @@
         self.assertGreater(max(first) - min(first), 500.0)  # spread over the period
 
     def test_cold_is_probed_less_and_few_members_slow_down(self):
-        d = self.make(cold_factor=2.0, minority_factor=3.0)
+        d = self.make(warming_up_factor=2.0, minority_factor=3.0)
         d.subjects(0.0, {"e1": 1e9 + 4000.0})
         self.assertEqual([d.period(t, "e1") for t in (0.0, 3999.0, 4000.0)], [2000.0, 2000.0, 1000.0])
         d.review(0.0, {"a"}, True)
@@ -363,14 +363,16 @@
         self.assertGreater(len(self.started), 1)
 
     def test_at_most_so_many_at_a_time(self):
-        d = self.make(subjects=[f"e{i}" for i in range(30)], most=4)
+        d = self.make(subjects=[f"e{i}" for i in range(30)], max_concurrent=4)
         self.go(1500.0, took=None)
         self.assertEqual((len(self.started), d.running), (4, 4))
         d.ended(1500.0, self.started[0][1].subject, True)
         self.assertEqual(len(self.started), 5)
 
     def test_hands_on_then_believes(self):
-        d = self.make(members=("a", "b"), subjects=[f"e{i}" for i in range(8)], hand_on=3, rest=60_000.0)
+        d = self.make(
+            members=("a", "b"), subjects=[f"e{i}" for i in range(8)], failures_to_decline=3, decline_hold_ms=60_000.0
+        )
         mine = {s for s, x in d.duties.items() if x.owned}
         self.assertTrue(0 < len(mine) < 8)
         self.go(1950.0, ok=False)
@@ -384,7 +386,7 @@
         self.assertTrue({60_000, 120_000} <= rests and max(rests) == 120_000, rests)
 
     def test_second_opinion_then_a_verdict(self):
-        d = self.make(me="b", members=("a", "b"), hand_on=3, subjects=[f"e{i}" for i in range(8)])
+        d = self.make(me="b", members=("a", "b"), failures_to_decline=3, subjects=[f"e{i}" for i in range(8)])
         theirs = sorted(set(d.ranking.duties()) - {s for s, x in d.duties.items() if x.owned})[0]
         d.disclaimed(0.0, DutyDecline("probe", theirs, "a", 10**9, 60_000))
         self.assertTrue(d.duties[theirs].owned)
@@ -394,7 +396,7 @@
         self.assertEqual([x.status for x in self.told if x.subject == theirs][-1], HealthStatus.UP)
 
     def test_alone_it_believes_itself(self):
-        self.make(hand_on=2, refresh=2500.0)
+        self.make(failures_to_decline=2, repeat_interval_ms=2500.0)
         self.go(1900.0, ok=False)
         self.assertEqual([x.status for x in self.told if isinstance(x, DutyResult)], [HealthStatus.DOWN])
         self.go(9000.0, ok=False)
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -119,8 +119,14 @@
 
 def simulated(seed: int) -> dict[str, object]:
     """A cluster under faults of each kind: how many datagrams it sent and a digest of all, with who ran what when."""
-    membership = MembershipSettings(exchange=2000.0, lately=40_000.0)
-    duty = DutySettings(period=4000.0, timeout=500.0, doubt=8000.0, rest=20_000.0, refresh=5000.0)
+    membership = MembershipSettings(push_pull_interval_ms=2000.0, dead_retention_ms=40_000.0)
+    duty = DutySettings(
+        period_ms=4000.0,
+        timeout_ms=500.0,
+        mass_failure_hold_ms=8000.0,
+        decline_hold_ms=20_000.0,
+        repeat_interval_ms=5000.0,
+    )
     faults = Faults(loss=0.1, duplicate=0.05)
     cluster = Cluster.make(seed, 6, 20, membership, duty, faults, shared=False, warm=False, drift=1e-4, skew=20.0)
     world = cluster.world
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -155,7 +155,7 @@
 
     def test_cluster_example(self):
         c = config.load(None, str(ROOT / "deploy/cluster.xml"))
-        assert c.cluster is not None and c.cluster.probing is not None and len(c.cluster.seeds) == 3
+        assert c.cluster is not None and c.cluster.health_checks is not None and len(c.cluster.seeds) == 3
 
     def test_example_alone(self):
         c = config.load(None, str(ROOT / "deploy/postgres.xml"))
@@ -173,10 +173,13 @@
             )
             c = config.load(write(folder, json.dumps(raw), "c.json"), write(folder, xml))
             assert (c.name, c.memory, c.index) == ("n", 64.0, 1)
-            assert c.cluster is not None and c.cluster.probing is not None
-            assert c.cluster.keys == str(Path(folder).resolve() / "sub/k.json")
+            assert c.cluster is not None and c.cluster.health_checks is not None
+            assert c.cluster.key_file == str(Path(folder).resolve() / "sub/k.json")
             assert (c.cluster.member, c.cluster.seeds) == ("n", (("127.0.0.1", 8),))
-            assert (c.cluster.membership.interval, c.cluster.probing.doubt_share) == (1000.0, 0.75)
+            assert (c.cluster.membership.probe_interval_ms, c.cluster.health_checks.mass_failure_ratio) == (
+                1000.0,
+                0.75,
+            )
             assert c.control == str(Path(folder).resolve() / "c.sock")
 
     def test_units(self):
