--- a/decklb/cluster/duties.py
+++ b/decklb/cluster/duties.py
@@ -15,7 +15,7 @@
 import xxhash
 
 from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus
-from decklb.cluster.ownership import Lamport, Passed, Ranking
+from decklb.cluster.rendezvous import Lamport, Passed, Ranking
 from decklb.cluster.settings import DutySettings
 from decklb.cluster.timers import Timer, Timers
 from decklb.cluster.verdicts import Verdicts
--- a/decklb/cluster/membership.py
+++ b/decklb/cluster/membership.py
@@ -16,6 +16,7 @@
 
 import xxhash
 
+from decklb.cluster.broadcast_queue import News, times
 from decklb.cluster.messages import (
     Ack,
     Alive,
@@ -32,7 +33,6 @@
     Suspect,
     encode_message,
 )
-from decklb.cluster.news import News, times
 from decklb.cluster.settings import MembershipSettings
 from decklb.cluster.suspicion import Awareness, Suspicion
 from decklb.cluster.timers import Timer, Timers
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -17,7 +17,7 @@
 from decklb.cluster.errors import WireError
 from decklb.cluster.membership import LATE, Address, Events, Member, Membership
 from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus, MemberState, UserMessage
-from decklb.cluster.ownership import Lamport, Ranking
+from decklb.cluster.rendezvous import Lamport, Ranking
 from decklb.cluster.sealing import Replays, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.timers import Timer, Timers
--- a/decklb/lab/cluster.py
+++ b/decklb/lab/cluster.py
@@ -9,7 +9,7 @@
 from decklb.cluster.duties import Duties, Start, phase
 from decklb.cluster.messages import MemberRecord, MemberState
 from decklb.cluster.node import Node
-from decklb.cluster.ownership import Ranking
+from decklb.cluster.rendezvous import Ranking
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.lab.network import EPOCH, Address, Faults, Host, World
--- a/tests/test_cluster_parts.py
+++ b/tests/test_cluster_parts.py
@@ -18,12 +18,12 @@
 from decklb.cli import main
 from decklb.cluster import keyfile
 from decklb.cluster import messages as m
+from decklb.cluster.broadcast_queue import News
 from decklb.cluster.duties import Duties
 from decklb.cluster.errors import WireError
 from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus
-from decklb.cluster.news import News
 from decklb.cluster.node import Node
-from decklb.cluster.ownership import Lamport, Passed, Ranking
+from decklb.cluster.rendezvous import Lamport, Passed, Ranking
 from decklb.cluster.sealing import WINDOW, Replays, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.suspicion import Suspicion
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -15,9 +15,9 @@
 
 from decklb.cluster import keyfile
 from decklb.cluster import messages as m
+from decklb.cluster.broadcast_queue import News, times
 from decklb.cluster.duties import phase
-from decklb.cluster.news import News, times
-from decklb.cluster.ownership import Ranking
+from decklb.cluster.rendezvous import Ranking
 from decklb.cluster.sealing import Sealer, key_id
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.suspicion import Suspicion
