--- a/decklb/cluster/duties.py
+++ b/decklb/cluster/duties.py
@@ -17,7 +17,7 @@
 from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus
 from decklb.cluster.rendezvous import Lamport, Passed, Ranking
 from decklb.cluster.settings import DutySettings
-from decklb.cluster.timers import Timer, Timers
+from decklb.cluster.timers import Timer, TimerQueue
 from decklb.cluster.verdicts import Verdicts
 
 PROMPT = 0.25  # of a period over which duties of one that died are spread
@@ -79,7 +79,7 @@
         ranking: Ranking,
         verdicts: Verdicts,
         lamport: Lamport,
-        timers: Timers,
+        timers: TimerQueue,
         wall: Callable[[float], float],
         start: Callable[[Start], None],
         tell: Callable[[DutyResult | DutyDecline], None],
@@ -105,7 +105,7 @@
         self.cold = cold
         if not self._retelling:
             self._retelling = True
-            self.timers.at(now + self.s.repeat_interval_ms, self._again)
+            self.timers.call_at(now + self.s.repeat_interval_ms, self._again)
         self.ranking.set_duties(cold.keys())
         self.verdicts.keep(cold.keys())
         self._rests = {s: n for s, n in self._rests.items() if s in cold}
@@ -178,7 +178,7 @@
             due += period if not prompt else duty.last + CLOSEST * period - due
         if duty.timer is not None:
             duty.timer.cancel()
-        duty.timer = self.timers.at(due, lambda t: self._due(t, duty))
+        duty.timer = self.timers.call_at(due, lambda t: self._due(t, duty))
 
     # Running.
 
@@ -273,14 +273,14 @@
 
     def _again(self, now: float) -> None:
         self._retell(now)
-        self.timers.at(now + self.s.repeat_interval_ms, self._again)
+        self.timers.call_at(now + self.s.repeat_interval_ms, self._again)
 
     def _watch_rests(self, now: float) -> None:
         if self._rest_timer is not None:
             self._rest_timer.cancel()
             self._rest_timer = None
         if (when := self.passed.next()) < math.inf:
-            self._rest_timer = self.timers.at(max(now, when) + 1.0, lambda t: self.review(t, self.able, self.slow))
+            self._rest_timer = self.timers.call_at(max(now, when) + 1.0, lambda t: self.review(t, self.able, self.slow))
 
     # For operators.
 
--- /dev/null
+++ b/decklb/cluster/member_table.py
@@ -0,0 +1,130 @@
+"""The member table: all known members, which of them are live or dead, and checksums for comparing tables.
+
+Owned by `membership`. `member_states` changes states, `anti_entropy` compares checksums; the failure detector and
+gossip draw members from it. Members that left, or have been dead for long, are pruned.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+from functools import lru_cache
+
+import xxhash
+
+from decklb.cluster.member import Address, LocalMember, Member
+from decklb.cluster.messages import Digest, MemberState
+from decklb.cluster.random_set import RandomSet
+
+# Buckets of the digest: it carries four bytes for each, and a difference in one costs the records of n/64 members.
+BUCKETS = 64
+
+CHECKSUM_BYTES = 4
+
+
+@lru_cache(maxsize=1 << 16)  # needed for every member at each exchange
+def bucket_of(name: str) -> int:
+    """The digest's bucket that a member counts in."""
+    return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
+
+
+class MemberTable:
+    """All members that this instance knows, itself among them.
+
+    Attributes:
+        local: this instance's own row.
+        members: all rows by name.
+        live: names of the others that are alive or suspected.
+        dead: names of the others that are dead; those that left are in neither set.
+        checksums: one a bucket, the XOR of its members' checksums.
+        seeds: configured addresses of other members, whether they have ever answered or not.
+    """
+
+    def __init__(self, local: LocalMember) -> None:
+        self.local = local
+        self.members: dict[str, Member] = {local.name: local}
+        self.live = RandomSet()
+        self.dead = RandomSet()
+        self.checksums = [0] * BUCKETS
+        self.seeds: list[Address] = []
+        self.update_checksum(local)
+
+    @property
+    def live_count(self) -> int:
+        """Live members, this instance among them."""
+        return len(self.live) + 1
+
+    def get(self, name: str) -> Member | None:
+        """A member by name."""
+        return self.members.get(name)
+
+    def add(self, member: Member) -> None:
+        """A member not known before; `set_state` is to follow."""
+        self.members[member.name] = member
+
+    def set_state(self, now: float, member: Member, state: MemberState) -> None:
+        """Record a state, and end the suspicion where it is another than SUSPECT."""
+        if member.state != state:
+            member.state_since = now
+        member.state = state
+        if state != MemberState.SUSPECT:
+            member.suspicion = None
+            if member.suspicion_timer is not None:
+                member.suspicion_timer.cancel()
+                member.suspicion_timer = None
+        (self.live.add if member.is_live else self.live.discard)(member.name)
+        (self.dead.add if state == MemberState.DEAD else self.dead.discard)(member.name)
+        self.update_checksum(member)
+
+    def update_checksum(self, member: Member) -> None:
+        """To be called after any change of a member's incarnation, run or state."""
+        # Suspicion is left out: it ends soon, and members need not agree on it.
+        state = int(MemberState.ALIVE if member.is_live else member.state)
+        row = f"{member.name}/{member.incarnation}/{member.run_id}/{state}"
+        checksum = xxhash.xxh32_intdigest(row.encode())
+        self.checksums[bucket_of(member.name)] ^= member.checksum ^ checksum
+        member.checksum = checksum
+
+    def digest(self) -> Digest:
+        """The checksums as a message."""
+        return Digest(b"".join(checksum.to_bytes(CHECKSUM_BYTES, "big") for checksum in self.checksums))
+
+    def differing_buckets(self, digest: Digest) -> bytes:
+        """Buckets in which another member's table differs from this one."""
+        data = digest.checksums
+        theirs = [
+            int.from_bytes(data[i : i + CHECKSUM_BYTES], "big")
+            for i in range(0, BUCKETS * CHECKSUM_BYTES, CHECKSUM_BYTES)
+        ]
+        return bytes(i for i in range(BUCKETS) if theirs[i] != self.checksums[i])
+
+    def in_buckets(self, buckets: Collection[int]) -> list[Member]:
+        """The members of some buckets."""
+        return [member for member in self.members.values() if bucket_of(member.name) in buckets]
+
+    def count_known(self, now: float, retention_ms: float) -> int:
+        """Members known within the retention, this instance among them; seeds that never answered count, since they may
+        be alive on the other side of a partition."""
+        addresses = {self.local.address}
+        count = 1
+        for name in [*self.live.items, *self.dead.items]:
+            member = self.members[name]
+            addresses.add(member.address)
+            count += member.state != MemberState.DEAD or now - member.state_since < retention_ms
+        return count + sum(address not in addresses for address in self.seeds)
+
+    def missing_seeds(self) -> list[Address]:
+        """Seeds at whose address no live member is known."""
+        live = {self.members[name].address for name in self.live.items}
+        return [address for address in self.seeds if address not in live]
+
+    def prune(self, now: float, retention_ms: float) -> None:
+        """Forget members that have been dead, or gone, for longer than `retention_ms`."""
+        gone = (MemberState.DEAD, MemberState.LEFT)
+        for member in [
+            member
+            for member in self.members.values()
+            if member.state in gone and now - member.state_since > retention_ms
+        ]:
+            self.checksums[bucket_of(member.name)] ^= member.checksum
+            self.dead.discard(member.name)
+            del self.members[member.name]
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -8,21 +8,26 @@
 
 import random
 from collections import Counter
-from collections.abc import Collection, Mapping
+from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass, field
 from typing import Any
 
 from decklb.cluster import messages as m
 from decklb.cluster.duties import Duties, Start
 from decklb.cluster.errors import WireError
-from decklb.cluster.membership import LATE, Address, Events, Member, Membership
-from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus, MemberState, UserMessage
+from decklb.cluster.events import MembershipEvents
+from decklb.cluster.member import Address, LocalMember, Member
+from decklb.cluster.membership import Membership
+from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus, MemberState, Message, UserMessage
 from decklb.cluster.rendezvous import Lamport, Ranking
 from decklb.cluster.sealing import Replays, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
-from decklb.cluster.timers import Timer, Timers
+from decklb.cluster.timers import Timer, TimerQueue
 from decklb.cluster.verdicts import AGAIN, Verdicts
 
+# Probe intervals by which a timer may be late before this process takes itself for stalled.
+STALL_INTERVALS = 2.0
+
 STATES = {
     MemberState.ALIVE: "alive",
     MemberState.SUSPECT: "suspect",
@@ -67,21 +72,12 @@
         self._wall = wall - now
         self._seq = 0
         self._window = Replays(membership.max_clock_skew_ms)
-        self.timers, self.lamport = Timers(), Lamport()
+        self.timers, self.lamport = TimerQueue(now), Lamport()
         # The older run has the lower number, and no two have the same.
         boot = (int(wall) << 10 | rng.getrandbits(10)) & ((1 << 53) - 1)
-        self.membership = Membership(
-            membership,
-            name,
-            address,
-            boot,
-            int(wall),
-            rng,
-            self.timers,
-            self._post,
-            Events(self._changed, self._conflict, self._ready),
-            now,
-        )
+        local = LocalMember(name, address, int(wall), boot, False, membership.weight, MemberState.ALIVE, now)
+        events = MembershipEvents(self._changed, self._conflict, self._ready)
+        self.membership = Membership(membership, local, rng, self.timers, self._post, events)
         self.listed: dict[str, Collection[str]] = {}  # by kind: subjects of which verdicts count
         self._review: Timer | None = None
         self.books: dict[str, Duties] = {}  # by kind
@@ -100,7 +96,7 @@
                 self._tell,
             )
         if self.books:
-            self.timers.at(now + AGAIN * rng.random(), self._effects)
+            self.timers.call_at(now + AGAIN * rng.random(), self._effects)
 
     def wall(self, now: float) -> float:
         """Unix time in ms at a moment of the monotonic clock."""
@@ -114,32 +110,32 @@
 
     def due(self) -> float:
         """When `tick` is to be called next."""
-        return self.timers.next()
+        return self.timers.next_due()
 
     def tick(self, now: float, wall: float) -> None:
         """What is due by now."""
         self._wall = wall - now
-        late = now - self.timers.next()
-        if late > LATE * self.s.probe_interval_ms:
+        late = now - self.timers.next_due()
+        if late > STALL_INTERVALS * self.s.probe_interval_ms:
             # Stopped, swapped out or starved: nothing that was missed meanwhile speaks against others.
-            self.membership.held_up(now, late)
+            self.membership.on_stall(late)
             self.notices.append(Notice("held-up", {"late_ms": round(late)}))
-        self.membership.now = now
-        self.timers.run(now)
+        self.timers.now = now
+        self.timers.run_due(now)
 
     def receive(self, now: float, wall: float, data: bytes, address: Address) -> None:
         """A datagram. What can't be opened or read is counted and dropped, and never answered."""
         self._wall = wall - now
         try:
             envelope = m.decode_envelope(self.sealer.open(data))
-            if envelope.sender == self.membership.me.name and envelope.run_id == self.membership.me.boot:
+            if envelope.sender == self.membership.local.name and envelope.run_id == self.membership.local.run_id:
                 raise WireError("own")
             self._window.check(envelope, wall)
         except WireError as error:
             self.dropped[error.reason] += 1
             return
         self.received += 1
-        self.membership.now = now
+        self.timers.now = now
         self.lamport.hear(envelope.lamport_time)
         self.membership.handle(now, envelope.sender, envelope.run_id, address, envelope.messages)
         for message in envelope.messages:
@@ -158,10 +154,10 @@
     def carry(self, now: float, topic: str, data: bytes, to: str = "") -> None:
         """Tell a member, or all others that are not known to be gone. Each goes in a datagram of its own: a member of
         an older version refuses it whole, and must lose nothing else by that."""
-        self.membership.now = now
-        if not self.membership.yielding:
+        self.timers.now = now
+        if not self.membership.local.is_yielding:
             packed = m.encode_message(UserMessage(topic, data))
-            for name in self.membership.live.items if not to else [to] if to in self.membership.members else []:
+            for name in self.membership.live_names() if not to else [to] if to in self.membership.members else []:
                 self._send(self.membership.members[name].address, [packed])
 
     def known(self) -> list[str]:
@@ -170,14 +166,14 @@
 
     def ended(self, now: float, kind: str, subject: str, ok: bool) -> None:
         """A duty that `starts` asked for has been run."""
-        self.membership.now = now
+        self.timers.now = now
         self.books[kind].ended(now, subject, ok)
 
     def subjects(self, now: float, kind: str, cold: Mapping[str, float], listed: Collection[str]) -> None:
         """All subjects of a kind, until when (wall clock) each is cold, and those of which verdicts count: of engines
         those that the list calls up."""
         self.listed[kind] = frozenset(listed)
-        self.membership.now = now
+        self.timers.now = now
         self.books[kind].subjects(now, cold)
 
     def rekey(self, sealer: Sealer) -> None:
@@ -186,36 +182,36 @@
 
     def leave(self, now: float) -> None:
         """Own nothing from now on, and say so."""
-        self.membership.now = now
+        self.timers.now = now
         self.membership.leave(now)
         for book in self.books.values():
             book.review(now, (), False)
 
     # Inside.
 
-    def _post(self, address: Address, messages: list[bytes], news: bool) -> None:
-        if self.membership.yielding:  # whoever has the name speaks for it
+    def _post(self, address: Address, messages: Sequence[Message], *, piggyback: bool) -> None:
+        if self.membership.local.is_yielding:  # whoever has the name speaks for it
             return
-        room = m.message_capacity(self.membership.me.name)
+        room = m.message_capacity(self.membership.local.name)
         body: list[bytes] = []
         left = room
-        for message in messages:
+        for message in map(m.encode_message, messages):
             if len(message) > left or len(body) >= m.MAX_MESSAGES:
                 self._send(address, body)
                 body, left = [], room
             body.append(message)
             left -= len(message)
-        if news:
-            body += self.membership.take(left)[: m.MAX_MESSAGES - len(body)]
+        if piggyback:
+            body += self.membership.gossip.take(left)[: m.MAX_MESSAGES - len(body)]
         if body:
             self._send(address, body)
 
     def _send(self, address: Address, body: list[bytes]) -> None:
-        me = self.membership.me
+        local = self.membership.local
         self._seq += 1
         data = self.sealer.seal(
             m.encode_envelope(
-                me.name, me.boot, self._seq, max(0, int(self.wall(self.membership.now))), self.lamport.value, body
+                local.name, local.run_id, self._seq, max(0, int(self.wall(self.timers.now))), self.lamport.value, body
             )
         )
         self.sent += 1
@@ -224,7 +220,7 @@
 
     def _tell(self, message: DutyResult | DutyDecline) -> None:
         """News of our own duties, which holds here as it does elsewhere."""
-        now, book = self.membership.now, self.books[message.kind]
+        now, book = self.timers.now, self.books[message.kind]
         if isinstance(message, DutyResult):
             if book.heard(now, message):
                 self._spread(message)
@@ -250,7 +246,7 @@
 
     def _spread(self, message: DutyResult | DutyDecline) -> None:
         subject = (message.kind, message.subject, "" if isinstance(message, DutyResult) else message.declined_by)
-        self.membership.tell(subject, m.encode_message(message))
+        self.membership.gossip.broadcast(subject, message)
 
     def _changed(self, now: float, member: Member, before: MemberState | None) -> None:
         for book in self.books.values():
@@ -263,33 +259,37 @@
                         "member": member.name,
                         "state": STATES[member.state],
                         "before": "unknown" if before is None else STATES[before],
-                        "life": member.life,
+                        "life": member.incarnation,
                     },
                 )
             )
-        self._review_soon(now)
+        self.schedule_review(now)
 
     def _ready(self, now: float) -> None:
-        self.notices.append(Notice("settled", {"members": len(self.membership.live) + 1}))
-        self._review_soon(now)
+        self.notices.append(Notice("settled", {"members": self.membership.table.live_count}))
+        self.schedule_review(now)
 
     def _conflict(self, now: float, address: Address, yielding: bool) -> None:
         self.notices.append(
             Notice(
                 "name-conflict",
-                {"member": self.membership.me.name, "yields": yielding, "other": f"{address[0]}:{address[1]}"},
+                {"member": self.membership.local.name, "yields": yielding, "other": f"{address[0]}:{address[1]}"},
             )
         )
-        self._review_soon(now)
+        self.schedule_review(now)
 
-    def _review_soon(self, now: float) -> None:
-        # Changes come in bursts; one look at all of them moves each duty at most once.
+    def schedule_review(self, now: float) -> None:
+        """Look at the owners again, soon: changes come in bursts, and one look at all moves each duty at most once."""
         if self._review is None:
-            self._review = self.timers.at(now + 2 * self.s.gossip_interval_ms, self._review_now)
+            self._review = self.timers.call_at(now + 2 * self.s.gossip_interval_ms, self._review_now)
 
     def _review_now(self, now: float) -> None:
         self._review = None
-        able, minority, known = self.membership.able(), self.membership.minority(now), self.membership.members
+        able, minority, known = (
+            self.membership.eligible_owners(),
+            self.membership.in_minority(now),
+            self.membership.members,
+        )
         for book in self.books.values():
             book.review(now, able, minority)
             for name in [n for n in book.ranking.weights if n not in known]:
@@ -303,7 +303,7 @@
             ]
             if (surge is None) != (book.verdicts.surge is None):
                 self.notices.append(Notice("all-down-doubted" if surge is None else "all-down-over", {"kind": kind}))
-        self.timers.at(now + AGAIN / 4, self._effects)
+        self.timers.call_at(now + AGAIN / 4, self._effects)
 
     # For operators.
 
@@ -315,11 +315,11 @@
                 "name": x.name,
                 "address": f"{x.address[0]}:{x.address[1]}",
                 "state": STATES[x.state],
-                "life": x.life,
+                "life": x.incarnation,
                 "settled": x.ready,
                 "weight": x.weight,
-                "since_ms": max(0, round(now - x.changed)),
-                "self": x is view.me,
+                "since_ms": max(0, round(now - x.state_since)),
+                "self": x is view.local,
             }
             for x in sorted(view.members.values(), key=lambda x: x.name)
         ]
@@ -335,19 +335,19 @@
         """Counters."""
         view = self.membership
         made: dict[str, Any] = {
-            "doubt": view.awareness.doubt,
+            "doubt": view.health.score,
             "probes": view.counters.probes,
             "failed_probes": view.counters.failed_probes,
-            "refuted": view.counters.refuted,
-            "held_up": view.counters.held_up,
-            "conflicts": view.counters.conflicts,
+            "refuted": view.counters.refutations,
+            "held_up": view.counters.stalls,
+            "conflicts": view.counters.name_conflicts,
             "sent": self.sent,
             "sent_bytes": self.sent_bytes,
             "received": self.received,
             "dropped": dict(self.dropped),
-            "news": len(view.news),
-            "minority": view.minority(view.now),
-            "yielding": view.yielding,
+            "news": len(view.gossip.queue),
+            "minority": view.in_minority(self.timers.now),
+            "yielding": view.local.is_yielding,
         }
         made["duties"] = {kind: book.health() for kind, book in self.books.items()}
         return made
--- a/decklb/cluster/suspicion.py
+++ b/decklb/cluster/suspicion.py
@@ -1,7 +1,8 @@
-"""How long a suspect may take to refute, and how far this instance trusts itself.
+"""How long a suspected member has to refute before it is declared dead.
 
-Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: SWIM-ing with Situational Awareness", 2017): a suspicion starts long
-and shrinks as others suspect independently; an instance whose own probes and refutations go wrong slows its judgement.
+SWIM section 4.2, with Lifeguard's dynamic timeout (Dadgar, Phillips, Currey, 2017, section 3.2): a suspicion starts
+with a long timeout, which shrinks as other members report the same suspicion independently. Each suspected `Member` has
+one `Suspicion`; `member_states` creates it and sets the timer for its deadline.
 """
 
 from __future__ import annotations
@@ -11,65 +12,55 @@
 
 from decklb.cluster.settings import MembershipSettings
 
-# Of oneself. The paper has 8; then a side of a few members, which can't reach most it probes, takes a minute and more
-# to see that it is parted.
-MOST_DOUBT = 4
-AGREE = 3  # others that suspect, after which the shortest time holds
+# Independent confirmations after which the shortest timeout holds (Lifeguard's K).
+MAX_EXPECTED_CONFIRMATIONS = 3
 
 
-def shortest(s: MembershipSettings, members: int) -> float:
-    """Milliseconds that any suspect gets."""
-    return s.suspicion_multiplier * max(1.0, math.log10(max(1, members))) * s.probe_interval_ms
+def min_suspicion_timeout_ms(settings: MembershipSettings, members: int) -> float:
+    """The shortest timeout of any suspicion in a cluster of so many members."""
+    return settings.suspicion_multiplier * max(1.0, math.log10(max(1, members))) * settings.probe_interval_ms
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """One member under suspicion. `agree` is how many others can be expected to say so."""
-
-    start: float
-    least: float
-    most: float
-    agree: int
-    by: set[str] = field(default_factory=set)
+    """One member under suspicion.
+
+    Attributes:
+        started_at: local monotonic time, ms.
+        min_timeout_ms: the timeout once all expected confirmations have come.
+        max_timeout_ms: the timeout without any.
+        expected_confirmations: other members that can be expected to report the suspicion as well.
+        reporters: names of the members that have reported it.
+    """
+
+    started_at: float
+    min_timeout_ms: float
+    max_timeout_ms: float
+    expected_confirmations: int
+    reporters: set[str] = field(default_factory=set)
 
     @classmethod
-    def begin(cls, s: MembershipSettings, now: float, members: int, by: str) -> Suspicion:
-        """A new one; with two members nobody can agree, and the shortest time holds from the start."""
-        least = shortest(s, members)
-        agree = min(AGREE, max(0, members - 2))
-        return cls(now, least, least * s.suspicion_max_multiplier if agree else least, agree, {by})
-
-    def confirm(self, by: str) -> bool:
-        """Another one's word; true if it counts, and is worth passing on."""
-        if by in self.by or len(self.by) > self.agree:
+    def start(cls, settings: MembershipSettings, now: float, members: int, reporter: str) -> Suspicion:
+        """A new suspicion. With two members nobody can confirm it, and the shortest timeout holds from the start."""
+        min_timeout_ms = min_suspicion_timeout_ms(settings, members)
+        expected = min(MAX_EXPECTED_CONFIRMATIONS, max(0, members - 2))
+        max_timeout_ms = min_timeout_ms * settings.suspicion_max_multiplier if expected else min_timeout_ms
+        return cls(now, min_timeout_ms, max_timeout_ms, expected, {reporter})
+
+    def confirm(self, reporter: str) -> bool:
+        """Another member's report; true if it counts, and is worth passing on."""
+        if reporter in self.reporters or len(self.reporters) > self.expected_confirmations:
             return False
-        self.by.add(by)
+        self.reporters.add(reporter)
         return True
 
-    def ends(self) -> float:
-        """When the suspect is dead unless it refutes."""
-        others = len(self.by) - 1
-        if not self.agree or others <= 0:
-            return self.start + self.most
-        share = math.log(min(others, self.agree) + 1) / math.log(self.agree + 1)
-        return self.start + max(self.least, self.most - (self.most - self.least) * share)
-
-
-class Awareness:
-    """Doubt of oneself, from 0 for none: probes are slower and wait longer by one more than this."""
-
-    def __init__(self) -> None:
-        self.doubt = 0
-
-    def good(self) -> None:
-        """A probe of ours was answered."""
-        self.doubt = max(0, self.doubt - 1)
-
-    def bad(self, by: int = 1) -> None:
-        """We were held up, had to refute, or those we asked did not answer either."""
-        self.doubt = min(MOST_DOUBT, self.doubt + by)
-
-    @property
-    def factor(self) -> int:
-        """By which to stretch time-outs."""
-        return self.doubt + 1
+    def deadline(self) -> float:
+        """When the member is declared dead unless it refutes; local monotonic time, ms."""
+        confirmations = len(self.reporters) - 1
+        if not self.expected_confirmations or confirmations <= 0:
+            return self.started_at + self.max_timeout_ms
+        share = math.log(min(confirmations, self.expected_confirmations) + 1) / math.log(
+            self.expected_confirmations + 1
+        )
+        shrunk_ms = self.max_timeout_ms - (self.max_timeout_ms - self.min_timeout_ms) * share
+        return self.started_at + max(self.min_timeout_ms, shrunk_ms)
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -151,18 +151,18 @@
         self, reactor: Any, clock: Clock, settings: HandoffSettings, cluster: ClusterService, guard: Guard
     ) -> None:
         self.reactor, self.clock, self.settings, self.cluster, self.guard = reactor, clock, settings, cluster, guard
-        me, now = cluster.node.membership.me, clock.now()
+        me, now = cluster.node.membership.local, clock.now()
         self.store: Store | None = None
-        memory, born, kept = me.boot, now, list[Any]()
+        memory, born, kept = me.run_id, now, list[Any]()
         if settings.data:
             from decklb.handoff.store import Store, boot_id
 
             self.store = Store(settings.data, settings.room)
-            memory, born, kept = self.store.open(me.name, me.boot, now, boot_id())
+            memory, born, kept = self.store.open(me.name, me.run_id, now, boot_id())
         self.keeper = Keeper(
             settings,
             me.name,
-            me.boot,
+            me.run_id,
             memory,
             now - born,
             random.Random(os.urandom(16)),
@@ -216,7 +216,7 @@
     def _tick(self) -> None:
         self.timer = self.clock.call_later(TICK, self._tick)
         now, view = self.clock.now(), self.cluster.node.membership
-        live = {n: view.members[n].boot for n in view.live.items}
+        live = {n: view.members[n].run_id for n in view.live_names()}
         self.keeper.members(now, live | {self.keeper.me: self.keeper.run}, view.members.keys())
         if self.sealer.spent:
             self.reload()
--- a/decklb/lab/cluster.py
+++ b/decklb/lab/cluster.py
@@ -120,18 +120,20 @@
 
     def _introduce(self) -> None:
         rows = [
-            MemberRecord(v.me.name, *v.me.address, v.me.life, v.me.boot, True, v.me.weight, MemberState.ALIVE, 0)
-            for v in (h.node.membership for h in self.hosts)
+            MemberRecord(
+                v.name, *v.address, v.incarnation, v.run_id, True, v.weight, state=MemberState.ALIVE, state_age_ms=0
+            )
+            for v in (h.node.membership.local for h in self.hosts)
         ]
         for host in self.hosts:
             view = host.node.membership
-            view.me.ready = view.synced = True
-            view._sum(view.me)
-            view.news.drop(view.me.name)
-            view._on_rows(host.now(), rows, host.address)
+            view.local.ready = view.local.is_synced = True
+            view.table.update_checksum(view.local)
+            view.gossip.queue.drop(view.local.name)
+            view.anti_entropy.on_records(host.now(), host.address, rows)
             for row in rows:
-                view.news.drop(row.name)
-            host.node._review_soon(host.now())
+                view.gossip.queue.drop(row.name)
+            host.node.schedule_review(host.now())
             self.world.pump(host)
 
     def host(self, name: str) -> Host:
@@ -189,7 +191,7 @@
     def views_agree(self) -> bool:
         """Whether all that are up hold exactly each other alive."""
         names = {h.name for h in self.live()}
-        return all({n for n in [*h.node.membership.live.items, h.name]} == names for h in self.live())
+        return all({n for n in [*h.node.membership.live_names(), h.name]} == names for h in self.live())
 
     def wrongly_dead(self) -> list[tuple[str, str]]:
         """(who, whom): live members held dead by live members."""
--- a/decklb/lab/duties.py
+++ b/decklb/lab/duties.py
@@ -7,8 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from decklb.cluster.local_health import MAX_HEALTH_SCORE
 from decklb.cluster.settings import DutySettings, MembershipSettings
-from decklb.cluster.suspicion import MOST_DOUBT, shortest
+from decklb.cluster.suspicion import min_suspicion_timeout_ms
 from decklb.lab.cluster import Cluster
 from decklb.lab.network import Faults
 
@@ -148,7 +149,11 @@
     out["doubled_after_heal_periods"] = round(_doubled(c, healed), 2)
     # What was suspected while it could not be heard may still be declared dead just after, and rightly.
     s = c.membership
-    heard = healed + shortest(s, len(live)) * s.suspicion_max_multiplier + (MOST_DOUBT + 1) * s.probe_interval_ms
+    heard = (
+        healed
+        + min_suspicion_timeout_ms(s, len(live)) * s.suspicion_max_multiplier
+        + (MAX_HEALTH_SCORE + 1) * s.probe_interval_ms
+    )
     out["false_deaths"] += sum(at > heard for at, _, _ in c.deaths)
 
 
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -163,7 +163,7 @@
         self.timer = None
         now = self.clock.now()
         membership = self.cluster.node.membership
-        self.conductor.members(now, membership.live.items, self.cluster.node.known())
+        self.conductor.members(now, membership.live_names(), self.cluster.node.known())
         council = self.locality.council
         unwell = frozenset(z for z in council.common.zones if council.state(z)[0] is not State.HEALTHY)
         busy = {name: len(x.out) for name, x in self.dispatcher.gateway.fleet.engines.items() if x.out}
--- a/tests/test_cluster_lab.py
+++ b/tests/test_cluster_lab.py
@@ -63,7 +63,7 @@
         c.world.run(3 * SECOND)
         self.assertTrue(c.views_agree())
         self.assertEqual((c.one_owner(), c.deaths), ([], []))
-        self.assertFalse(any(h.node.membership.minority(h.now()) for h in c.live()))
+        self.assertFalse(any(h.node.membership.in_minority(h.now()) for h in c.live()))
 
     def test_return_is_not_mistaken_for_the_dead(self):
         for gap in (0.0, 800.0, KNOWN):  # before anybody suspects, while suspected, after its death is known
@@ -78,7 +78,7 @@
                     c.world.run(c.world.now + 3 * KNOWN)
                     self.assertTrue(c.views_agree())
                     self.assertEqual((c.one_owner(), c.owners()), ([], before))
-                    self.assertEqual(fresh.node.membership.counters.conflicts, 0)
+                    self.assertEqual(fresh.node.membership.counters.name_conflicts, 0)
 
     def test_a_returning_instance_takes_nothing_until_it_heard_the_members(self):
         c = cluster()
@@ -99,10 +99,10 @@
         second = c.start(7, name="m1", address=("10.9.9.9", 7946))
         c.world.run(c.world.now + 5 * KNOWN)
         first = next(h for h in c.hosts if h.name == "m1" and h is not second)
-        self.assertTrue(second.node.membership.yielding)
-        self.assertFalse(first.node.membership.yielding)
+        self.assertTrue(second.node.membership.local.is_yielding)
+        self.assertFalse(first.node.membership.local.is_yielding)
         self.assertFalse(any(d.owned for d in c.book(second).duties.values()))
-        self.assertGreaterEqual(second.node.membership.counters.conflicts, 1)
+        self.assertGreaterEqual(second.node.membership.counters.name_conflicts, 1)
         c.world.kill(second)
         c.hosts.remove(second)
         c.world.run(c.world.now + 2 * KNOWN)
@@ -115,7 +115,7 @@
         c.world.pause(c.host("m1"), 30 * SECOND)
         c.world.run(33 * SECOND + 600.0)
         paused = c.host("m1").node.membership
-        self.assertGreaterEqual(paused.counters.held_up, 1)
+        self.assertGreaterEqual(paused.counters.stalls, 1)
         c.world.run(33 * SECOND + KNOWN)
         self.assertTrue(c.views_agree())
         self.assertEqual({name for _, _, name in c.deaths}, {"m1"})  # it accused nobody
--- a/tests/test_cluster_parts.py
+++ b/tests/test_cluster_parts.py
@@ -18,7 +18,7 @@
 from decklb.cli import main
 from decklb.cluster import keyfile
 from decklb.cluster import messages as m
-from decklb.cluster.broadcast_queue import News
+from decklb.cluster.broadcast_queue import BroadcastQueue
 from decklb.cluster.duties import Duties
 from decklb.cluster.errors import WireError
 from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus
@@ -27,7 +27,7 @@
 from decklb.cluster.sealing import WINDOW, Replays, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.suspicion import Suspicion
-from decklb.cluster.timers import Timers
+from decklb.cluster.timers import TimerQueue
 from decklb.cluster.verdicts import Verdicts
 
 KEY, OTHER, SALT = bytes(32), bytes([1]) * 32, bytes(8)
@@ -146,7 +146,7 @@
 
 class NewsQueue(unittest.TestCase):
     def test_least_told_first_and_bounded(self):
-        news = News()
+        news = BroadcastQueue()
         for i in range(4):
             news.add(i, bytes([i]) * 100)
         self.assertEqual(news.take(250, 2), [bytes([0]) * 100, bytes([1]) * 100])
@@ -160,15 +160,15 @@
 class Suspicions(unittest.TestCase):
     def test_shrinks_with_agreement(self):
         s = MembershipSettings(probe_interval_ms=1000.0, suspicion_multiplier=4.0, suspicion_max_multiplier=6.0)
-        x = Suspicion.begin(s, 0.0, 100, "a")
-        ends = [x.ends()]
+        x = Suspicion.start(s, 0.0, 100, "a")
+        ends = [x.deadline()]
         for by in ("a", "b", "c", "d", "e"):
             x.confirm(by)
-            ends.append(x.ends())
+            ends.append(x.deadline())
         self.assertEqual((ends[0], ends[-1]), (48_000.0, 8000.0))
         self.assertEqual(ends, sorted(ends, reverse=True))
         self.assertEqual(ends[0], ends[1])  # the same one says it again
-        self.assertEqual(Suspicion.begin(s, 0.0, 2, "a").ends(), 4000.0)
+        self.assertEqual(Suspicion.start(s, 0.0, 2, "a").deadline(), 4000.0)
 
 
 class Ownership(unittest.TestCase):
@@ -276,7 +276,7 @@
 
 class Scheduling(unittest.TestCase):
     def setUp(self):
-        self.timers, self.started, self.told = Timers(), [], []
+        self.timers, self.started, self.told = TimerQueue(), [], []
         self.shift = 0.0  # of the wall clock
 
     def make(self, me="a", members=("a",), subjects=("e1",), **settings_):
@@ -310,20 +310,20 @@
 
     def go(self, until, ok=True, took=10.0):
         """Let time pass; each run ends after `took` ms, None for never."""
-        while (due := min(self.timers.next(), until)) < until or self.timers.next() <= until:
+        while (due := min(self.timers.next_due(), until)) < until or self.timers.next_due() <= until:
             self.now = max(self.now, due)
             before = len(self.started)
-            self.timers.run(self.now)
+            self.timers.run_due(self.now)
             for _, start in self.started[before:]:
                 if took is not None:
-                    self.timers.at(self.now + took, lambda t, s=start.subject: self.end(t, s, ok))
+                    self.timers.call_at(self.now + took, lambda t, s=start.subject: self.end(t, s, ok))
         self.now = until
 
     def end(self, now, subject, ok):
         before = len(self.started)
         self.d.ended(now, subject, ok)
         for _, start in self.started[before:]:
-            self.timers.at(now + 10.0, lambda t, s=start.subject: self.end(t, s, ok))
+            self.timers.call_at(now + 10.0, lambda t, s=start.subject: self.end(t, s, ok))
 
     def test_once_a_period_at_its_phase(self):
         self.make(subjects=[f"e{i}" for i in range(20)])
@@ -419,7 +419,7 @@
         d = self.make(members=("a", "b"), subjects=[f"e{i}" for i in range(40)])
         before = set(d.duties)
         d.review(0.0, {"a"}, False)
-        due = [x.timer.when for s, x in d.duties.items() if s not in before]
+        due = [x.timer.due_ms for s, x in d.duties.items() if s not in before]
         self.assertLessEqual(max(due), 250.0)
         self.go(300.0)
         d.review(300.0, {"a", "b"}, False)
@@ -436,15 +436,15 @@
 
 class TimerHeap(unittest.TestCase):
     def test_cancelled_and_nested(self):
-        timers, seen = Timers(), []
-        timers.at(5.0, lambda t: seen.append("b"))
-        timers.at(3.0, lambda t: (seen.append("a"), timers.at(t, lambda t: seen.append("c"))))
-        timers.at(1.0, lambda t: seen.append("never")).cancel()
-        self.assertEqual(timers.next(), 3.0)
-        timers.run(6.0)
-        self.assertEqual((seen, timers.next()), (["a", "b"], 6.0))
-        timers.run(6.0)
-        self.assertEqual((seen, timers.next()), (["a", "b", "c"], math.inf))
+        timers, seen = TimerQueue(), []
+        timers.call_at(5.0, lambda t: seen.append("b"))
+        timers.call_at(3.0, lambda t: (seen.append("a"), timers.call_at(t, lambda t: seen.append("c"))))
+        timers.call_at(1.0, lambda t: seen.append("never")).cancel()
+        self.assertEqual(timers.next_due(), 3.0)
+        timers.run_due(6.0)
+        self.assertEqual((seen, timers.next_due()), (["a", "b"], 6.0))
+        timers.run_due(6.0)
+        self.assertEqual((seen, timers.next_due()), (["a", "b", "c"], math.inf))
 
 
 class KeyFile(unittest.TestCase):
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -15,7 +15,7 @@
 
 from decklb.cluster import keyfile
 from decklb.cluster import messages as m
-from decklb.cluster.broadcast_queue import News, times
+from decklb.cluster.broadcast_queue import BroadcastQueue, transmit_limit
 from decklb.cluster.duties import phase
 from decklb.cluster.rendezvous import Ranking
 from decklb.cluster.sealing import Sealer, key_id
@@ -87,7 +87,7 @@
 
 def broadcast_rounds() -> list[list[str]]:
     """What a queue hands out, round by round, as pieces of different sizes are told and replaced."""
-    queue = News()
+    queue = BroadcastQueue()
     rounds = []
     for i in range(12):
         queue.add(f"member-{i % 7}", bytes([i]) * (1 + 37 * i % 90))
@@ -100,11 +100,11 @@
 def suspicion_ends() -> list[list[float]]:
     found = []
     for members in (2, 3, 9, 300):
-        suspicion = Suspicion.begin(MembershipSettings(), 1000.0, members, "a")
-        ends = [suspicion.ends()]
+        suspicion = Suspicion.start(MembershipSettings(), 1000.0, members, "a")
+        ends = [suspicion.deadline()]
         for by in "abcde":
             suspicion.confirm(by)
-            ends.append(suspicion.ends())
+            ends.append(suspicion.deadline())
         found.append(ends)
     return found
 
@@ -163,7 +163,7 @@
     world.run(75_000.0)
     cluster.heal()
     world.run(130_000.0)
-    assert twin.node.membership.yielding
+    assert twin.node.membership.local.is_yielding
     for run in cluster.runs:
         digest.update(f"{run.at!r} {run.host} {run.subject} {run.term}".encode())
     for event in [*cluster.deaths, *cluster.probed]:
@@ -182,7 +182,7 @@
         "sealed": sealed(),
         "key_names": [key_id(k).hex() for k in KEYS],
         "key_file": key_file(folder),
-        "transmissions": [times(6, members) for members in (1, 2, 10, 100, 1000)],
+        "transmissions": [transmit_limit(6, members) for members in (1, 2, 10, 100, 1000)],
         "broadcasts": broadcast_rounds(),
         "suspicion_ends_ms": suspicion_ends(),
         "phases": [phase("probe", f"engine-{i}") for i in range(4)],
@@ -237,7 +237,7 @@
 
 def test_broadcasts_go_out_in_the_recorded_order():
     assert broadcast_rounds() == recorded()["broadcasts"]
-    assert [times(6, members) for members in (1, 2, 10, 100, 1000)] == recorded()["transmissions"]
+    assert [transmit_limit(6, members) for members in (1, 2, 10, 100, 1000)] == recorded()["transmissions"]
 
 
 def test_suspicions_end_at_the_recorded_times():
