--- a/decklb/cli/keys.py
+++ b/decklb/cli/keys.py
@@ -21,9 +21,9 @@
     """Make a key file with one key; never over one that is there."""
     from decklb.cluster import keyfile
 
-    key = keyfile.make()
-    _do(lambda: keyfile.write(path, [key], fresh=True))
-    click.echo(f"{path}: key {key.ident}")
+    key = keyfile.generate()
+    _do(lambda: keyfile.write(path, [key], must_be_new=True))
+    click.echo(f"{path}: key {key.name}")
 
 
 @keys.command(name="list")
@@ -33,7 +33,7 @@
     from decklb.cluster import keyfile
 
     for i, key in enumerate(_do(lambda: keyfile.read(path))):
-        click.echo(f"{key.ident}  {key.made}  {'seals and opens' if i == 0 else 'opens'}")
+        click.echo(f"{key.name}  {key.created}  {'seals and opens' if i == 0 else 'opens'}")
 
 
 @keys.command()
@@ -48,9 +48,10 @@
     """One step of replacing the key."""
     from decklb.cluster import keyfile
 
-    ring = _do(lambda: keyfile.rotate(keyfile.read(path), step, keyfile.make()))
+    rotation = keyfile.RotationStep(step)
+    ring = _do(lambda: keyfile.rotate(keyfile.read(path), rotation, keyfile.generate()))
     _do(lambda: keyfile.write(path, ring))
-    click.echo(f"{path}: {len(ring)} keys, {ring[0].ident} seals; bring it to all members and send each SIGHUP")
+    click.echo(f"{path}: {len(ring)} keys, {ring[0].name} seals; bring it to all members and send each SIGHUP")
 
 
 def _do(call: Callable[[], T]) -> T:
--- a/decklb/cluster/keyfile.py
+++ b/decklb/cluster/keyfile.py
@@ -1,4 +1,7 @@
-"""The key file: JSON, readable by its owner alone. The first key seals, all open."""
+"""The key file: a ring of keys as JSON, readable by its owner alone. The first key seals, all open.
+
+Read by `runtime` at the start and at each reload; written by `decklb keys`. It is replaced whole or not at all.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 import stat
 from dataclasses import dataclass
 from datetime import UTC, datetime
+from enum import StrEnum
 from pathlib import Path
 
 import msgspec
@@ -14,93 +18,124 @@
 from decklb.cluster.errors import KeyFileError
 from decklb.cluster.sealing import KEY_BYTES, key_id
 
-MOST_KEYS = 8
-MODE = 0o600
+FILE_VERSION = 1
+
+# Keys in a ring: during a rotation two are needed; more only pile up.
+MAX_KEYS = 8
+
+FILE_MODE = 0o600
+OTHERS_MODE_BITS = 0o077
+
+
+class RotationStep(StrEnum):
+    """One step of replacing the key; each is to be brought to all members before the next."""
+
+    ADD = "add"  # a new key opens, as the second of the ring
+    PROMOTE = "promote"  # the second key seals from now on
+    DROP = "drop"  # all but the first go
+
 
+class _KeyRecord(msgspec.Struct, frozen=True):
+    """One key as the file has it."""
 
-class _Key(msgspec.Struct, frozen=True):
     key: str  # base64
-    made: str
+    created: str = msgspec.field(name="made")
 
 
-class _File(msgspec.Struct, frozen=True):
+class _KeyRing(msgspec.Struct, frozen=True):
+    """The file's content."""
+
     version: int
-    keys: list[_Key]
+    keys: list[_KeyRecord]
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One key of a ring."""
+    """One key of a ring.
+
+    Attributes:
+        secret: `KEY_BYTES` random bytes.
+        created: when, as ISO 8601 text.
+    """
 
     secret: bytes
-    made: str
+    created: str
 
     @property
-    def ident(self) -> str:
-        """What may be shown."""
+    def name(self) -> str:
+        """Its id in hex, which may be shown."""
         return key_id(self.secret).hex()
 
 
 def read(path: str) -> list[Key]:
-    """The ring. Raises KeyFileError."""
+    """Read a ring. Raises KeyFileError if it is missing, readable by others, or not a key file."""
+    data = _read_private(path)
     try:
-        mode = stat.S_IMODE(os.stat(path).st_mode)
-        if mode & 0o077:
-            raise KeyFileError(f"{path}: mode {mode:04o} lets others read keys; chmod 0600 would be right")
-        data = Path(path).read_bytes()
-    except OSError as error:
-        raise KeyFileError(f"{path}: {error.strerror}; `decklb keys new` makes one") from error
-    try:
-        found = msgspec.json.decode(data, type=_File)
-        keys = [Key(base64.b64decode(k.key, validate=True), k.made) for k in found.keys]
+        ring = msgspec.json.decode(data, type=_KeyRing)
+        keys = [Key(base64.b64decode(record.key, validate=True), record.created) for record in ring.keys]
     except (msgspec.DecodeError, ValueError) as error:
         raise KeyFileError(f"{path}: is no key file: {error}") from error
-    if found.version != 1:
-        raise KeyFileError(f"{path}: version {found.version}; this program reads version 1")
-    if not 1 <= len(keys) <= MOST_KEYS or any(len(k.secret) != KEY_BYTES for k in keys):
-        raise KeyFileError(f"{path}: 1 to {MOST_KEYS} keys of {KEY_BYTES} bytes would be right")
-    if len({k.secret for k in keys}) != len(keys):
+    if ring.version != FILE_VERSION:
+        raise KeyFileError(f"{path}: version {ring.version}; this program reads version {FILE_VERSION}")
+    if not 1 <= len(keys) <= MAX_KEYS or any(len(key.secret) != KEY_BYTES for key in keys):
+        raise KeyFileError(f"{path}: 1 to {MAX_KEYS} keys of {KEY_BYTES} bytes would be right")
+    if len({key.secret for key in keys}) != len(keys):
         raise KeyFileError(f"{path}: a key stands there twice")
     return keys
 
 
-def write(path: str, keys: list[Key], fresh: bool = False) -> None:
-    """Put a ring there, whole or not at all. Raises KeyFileError; `fresh` never replaces one."""
-    if fresh and os.path.exists(path):
+def _read_private(path: str) -> bytes:
+    try:
+        mode = stat.S_IMODE(os.stat(path).st_mode)
+        if mode & OTHERS_MODE_BITS:
+            raise KeyFileError(f"{path}: mode {mode:04o} lets others read keys; chmod 0600 would be right")
+        return Path(path).read_bytes()
+    except OSError as error:
+        raise KeyFileError(f"{path}: {error.strerror}; `decklb keys new` makes one") from error
+
+
+def write(path: str, keys: list[Key], must_be_new: bool = False) -> None:
+    """Write a ring, whole or not at all.
+
+    Args:
+        path: of the key file.
+        keys: the ring, the key that seals first.
+        must_be_new: refuse to replace a file.
+
+    Raises:
+        KeyFileError: if the file can't be written, or is there and must not be.
+    """
+    if must_be_new and os.path.exists(path):
         raise KeyFileError(f"{path}: is there already; `decklb keys rotate` changes it")
-    data = msgspec.json.format(
-        msgspec.json.encode(_File(1, [_Key(base64.b64encode(k.secret).decode(), k.made) for k in keys])), indent=1
-    )
+    records = [_KeyRecord(base64.b64encode(key.secret).decode(), key.created) for key in keys]
+    data = msgspec.json.format(msgspec.json.encode(_KeyRing(FILE_VERSION, records)), indent=1)
     part = f"{path}.new"
     try:
         # Another process, or a reload, must never read half of it, nor others any of it.
-        file = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, MODE)
-        with os.fdopen(file, "wb") as out:
-            os.fchmod(out.fileno(), MODE)
-            out.write(data + b"\n")
-            out.flush()
-            os.fsync(out.fileno())
+        descriptor = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
+        with os.fdopen(descriptor, "wb") as file:
+            os.fchmod(file.fileno(), FILE_MODE)
+            file.write(data + b"\n")
+            file.flush()
+            os.fsync(file.fileno())
         os.replace(part, path)
     except OSError as error:
         raise KeyFileError(f"{path}: {error.strerror}") from error
 
 
-def make(secret: bytes | None = None, made: str = "") -> Key:
-    """A new key."""
-    return Key(secret or os.urandom(KEY_BYTES), made or datetime.now(UTC).isoformat(timespec="seconds"))
-
+def generate() -> Key:
+    """A new random key."""
+    return Key(os.urandom(KEY_BYTES), datetime.now(UTC).isoformat(timespec="seconds"))
 
-def rotate(keys: list[Key], step: str, fresh: Key) -> list[Key]:
-    """One step of three, each to be brought to all members before the next. Raises KeyFileError.
 
-    `add`: a new key that opens, as the second. `promote`: the second seals from now on. `drop`: all but the first go.
-    """
-    if step == "add":
-        if len(keys) >= MOST_KEYS:
-            raise KeyFileError(f"{MOST_KEYS} keys already; drop old ones first")
-        return [keys[0], fresh, *keys[1:]]
+def rotate(keys: list[Key], step: RotationStep, new_key: Key) -> list[Key]:
+    """The ring after a step; `new_key` is used by `RotationStep.ADD` alone. Raises KeyFileError where it can't be."""
+    if step is RotationStep.ADD:
+        if len(keys) >= MAX_KEYS:
+            raise KeyFileError(f"{MAX_KEYS} keys already; drop old ones first")
+        return [keys[0], new_key, *keys[1:]]
     if len(keys) < 2:
         raise KeyFileError(f"only one key: nothing to {step}; add one first")
-    if step == "promote":
+    if step is RotationStep.PROMOTE:
         return [keys[1], keys[0], *keys[2:]]
     return keys[:1]
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -1,7 +1,8 @@
-"""One instance of the cluster, whole but for its I/O: datagrams and time go in, datagrams and duties to run come out.
+"""One instance of the cluster without its I/O: datagrams and time go in, datagrams and duties to run come out.
 
-The daemon drives it with sockets, the lab with a simulated network. Both call `receive`, `tick` (no later than `due`)
-and `ended`, and then empty `out`, `starts`, `probed` and `notices`.
+Wires membership, the schedulers of duties, sealing and the replay window. `runtime` drives it with sockets, the lab
+with a simulated network. Both call `receive`, `tick` (no later than `next_due`) and `on_run_ended`, and then empty
+`outgoing`, `runs_to_start`, `health_updates`, `user_messages` and `notices`.
 """
 
 from __future__ import annotations
@@ -10,42 +11,87 @@
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
-from decklb.cluster import messages as m
-from decklb.cluster.duties import Duties, Start
+from decklb.cluster.duties import DutyScheduler
+from decklb.cluster.duty import DutyRun
+from decklb.cluster.duty_status import duty_health, duty_rows
 from decklb.cluster.errors import WireError
 from decklb.cluster.events import MembershipEvents
+from decklb.cluster.lamport_clock import LamportClock
 from decklb.cluster.member import Address, LocalMember, Member
 from decklb.cluster.membership import Membership
-from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus, MemberState, Message, UserMessage
-from decklb.cluster.rendezvous import Lamport, Ranking
-from decklb.cluster.sealing import Replays, Sealer
+from decklb.cluster.messages import (
+    MAX_MESSAGES,
+    DutyDecline,
+    DutyResult,
+    Envelope,
+    HealthStatus,
+    MemberState,
+    Message,
+    UserMessage,
+    decode_envelope,
+    encode_envelope,
+    encode_message,
+    message_capacity,
+)
+from decklb.cluster.rendezvous import Ranking
+from decklb.cluster.replay_window import ReplayWindow
+from decklb.cluster.sealing import Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.timers import Timer, TimerQueue
-from decklb.cluster.verdicts import AGAIN, Verdicts
+from decklb.cluster.verdicts import UPDATE_INTERVAL_MS, HealthUpdate, VerdictTable
 
 # Probe intervals by which a timer may be late before this process takes itself for stalled.
 STALL_INTERVALS = 2.0
 
-STATES = {
-    MemberState.ALIVE: "alive",
-    MemberState.SUSPECT: "suspect",
-    MemberState.DEAD: "dead",
-    MemberState.LEFT: "left",
-}
+# A run id is the Unix time of the start in ms and this many random bits, within the 53 bits of the wire form.
+RUN_ID_RANDOM_BITS = 10
+MAX_RUN_ID = (1 << 53) - 1
+
+# Gossip intervals from a change of members to the new assignment of duties: changes come in bursts, and one assignment
+# for all of them moves each duty at most once.
+REASSIGN_DELAY = 2
+
+# Between looks at the health updates that are due.
+UPDATE_CHECK_INTERVAL_MS = UPDATE_INTERVAL_MS / 4
+
+
+class Datagram(NamedTuple):
+    """A sealed datagram to be sent."""
+
+    address: Address
+    data: bytes
+
+
+class ReceivedUserMessage(NamedTuple):
+    """A subsystem's message from its counterpart at another member."""
+
+    topic: str
+    sender: str
+    payload: bytes
 
 
 @dataclass(slots=True)
 class Notice:
-    """Something that operators read in the log."""
+    """An event for the log: its code and fields."""
 
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
 
 
 class Node:
-    """Membership, ownership, duties of any kinds and what is held of their subjects, behind one door."""
+    """A member of the cluster.
+
+    Attributes:
+        outgoing: datagrams to be sent.
+        runs_to_start: runs of duties to be started; the schedulers hold this list and append to it.
+        health_updates: what the dispatcher is to be told.
+        user_messages: received for other subsystems.
+        notices: to be logged.
+        dropped: datagrams that could not be opened or read, by reason.
+        schedulers: of the duties, by kind.
+    """
 
     def __init__(
         self,
@@ -56,298 +102,343 @@
         sealer: Sealer,
         rng: random.Random,
         now: float,
-        wall: float,
+        wall_clock_ms: float,
         rankings: Mapping[str, Ranking] | None = None,
     ) -> None:
-        """`now` is a monotonic clock, `wall` Unix time, both in ms. Rankings, one a kind, may be shared where many
-        nodes are tried in one process: they depend on names alone."""
-        self.s, self.sealer, self.rng = membership, sealer, rng
-        self.out: list[tuple[Address, bytes]] = []
-        self.starts: list[Start] = []
-        self.probed: list[tuple[str, str, bool]] = []  # kind, subject, whether it is up
+        """Make a node that has not started.
+
+        Args:
+            membership: settings of the membership.
+            duties: settings of each kind of duty.
+            name: of this member.
+            address: where other members reach it.
+            sealer: seals and opens datagrams.
+            rng: source of all random choices.
+            now: local monotonic ms.
+            wall_clock_ms: Unix time.
+            rankings: by kind; may be shared by many nodes of one process, as they depend on names alone.
+        """
+        self.settings = membership
+        self.sealer = sealer
+        self.rng = rng
+        self.outgoing: list[Datagram] = []
+        self.runs_to_start: list[DutyRun] = []
+        self.health_updates: list[HealthUpdate] = []
+        self.user_messages: list[ReceivedUserMessage] = []
         self.notices: list[Notice] = []
-        self.cargo: list[tuple[str, str, bytes]] = []  # topic, sender, data
-        self.dropped: Counter[str] = Counter()  # datagrams that could not be opened or read, by reason
-        self.sent_bytes = self.sent = self.received = 0
-        self._wall = wall - now
-        self._seq = 0
-        self._window = Replays(membership.max_clock_skew_ms)
-        self.timers, self.lamport = TimerQueue(now), Lamport()
-        # The older run has the lower number, and no two have the same.
-        boot = (int(wall) << 10 | rng.getrandbits(10)) & ((1 << 53) - 1)
-        local = LocalMember(name, address, int(wall), boot, False, membership.weight, MemberState.ALIVE, now)
-        events = MembershipEvents(self._changed, self._conflict, self._ready)
-        self.membership = Membership(membership, local, rng, self.timers, self._post, events)
-        self.listed: dict[str, Collection[str]] = {}  # by kind: subjects of which verdicts count
-        self._review: Timer | None = None
-        self.books: dict[str, Duties] = {}  # by kind
-        for duty in duties:
-            ranking = (rankings or {}).get(duty.kind) or Ranking(duty.kind)
-            ranking.add(name, membership.weight)
-            self.books[duty.kind] = Duties(
-                duty,
-                name,
-                ranking,
-                Verdicts(duty),
-                self.lamport,
-                self.timers,
-                self.wall,
-                self.starts.append,
-                self._tell,
-            )
-        if self.books:
-            self.timers.call_at(now + AGAIN * rng.random(), self._effects)
+        self.dropped: Counter[str] = Counter()
+        self.sent = self.sent_bytes = self.received = 0
+        self._wall_clock_offset = wall_clock_ms - now
+        self._sequence = 0
+        self._replay_window = ReplayWindow(membership.max_clock_skew_ms)
+        self.timers = TimerQueue(now)
+        self.lamport_clock = LamportClock()
+        self.membership = self._make_membership(name, address, now, wall_clock_ms)
+        self.schedulers = {duty.kind: self._make_scheduler(duty, rankings or {}) for duty in duties}
+        self._listed: dict[str, Collection[str]] = {}  # by kind: subjects whose verdicts are reported
+        self._reassign_timer: Timer | None = None
+        if self.schedulers:
+            self.timers.call_at(now + UPDATE_INTERVAL_MS * rng.random(), self._collect_health_updates)
+
+    def _make_membership(self, name: str, address: Address, now: float, wall_clock_ms: float) -> Membership:
+        # The older of two runs has the lower id, and no two have the same.
+        run_id = (int(wall_clock_ms) << RUN_ID_RANDOM_BITS | self.rng.getrandbits(RUN_ID_RANDOM_BITS)) & MAX_RUN_ID
+        local = LocalMember(
+            name,
+            address,
+            incarnation=int(wall_clock_ms),  # above that of earlier runs
+            run_id=run_id,
+            ready=False,
+            weight=self.settings.weight,
+            state=MemberState.ALIVE,
+            state_since=now,
+        )
+        events = MembershipEvents(self._on_member_changed, self._on_name_conflict, self._on_ready)
+        return Membership(self.settings, local, self.rng, self.timers, self._send, events)
+
+    def _make_scheduler(self, duty: DutySettings, rankings: Mapping[str, Ranking]) -> DutyScheduler:
+        ranking = rankings.get(duty.kind) or Ranking(duty.kind)
+        ranking.add_member(self.membership.local.name, self.settings.weight)
+        return DutyScheduler(
+            duty,
+            self.membership.local.name,
+            ranking,
+            VerdictTable(duty),
+            self.lamport_clock,
+            self.timers,
+            self.wall_clock_ms,
+            self.runs_to_start.append,
+            self._report,
+        )
 
-    def wall(self, now: float) -> float:
+    def wall_clock_ms(self, now: float) -> float:
         """Unix time in ms at a moment of the monotonic clock."""
-        return now + self._wall
+        return now + self._wall_clock_offset
 
     # Driven from outside.
 
     def start(self, now: float, seeds: Collection[Address]) -> None:
-        """Look for the others."""
+        """Join the cluster by its seeds."""
         self.membership.start(now, seeds)
 
-    def due(self) -> float:
+    def next_due(self) -> float:
         """When `tick` is to be called next."""
         return self.timers.next_due()
 
-    def tick(self, now: float, wall: float) -> None:
-        """What is due by now."""
-        self._wall = wall - now
-        late = now - self.timers.next_due()
-        if late > STALL_INTERVALS * self.s.probe_interval_ms:
+    def tick(self, now: float, wall_clock_ms: float) -> None:
+        """Run the timers that are due."""
+        self._wall_clock_offset = wall_clock_ms - now
+        late_ms = now - self.timers.next_due()
+        if late_ms > STALL_INTERVALS * self.settings.probe_interval_ms:
             # Stopped, swapped out or starved: nothing that was missed meanwhile speaks against others.
-            self.membership.on_stall(late)
-            self.notices.append(Notice("held-up", {"late_ms": round(late)}))
+            self.membership.on_stall(late_ms)
+            self.notices.append(Notice("held-up", {"late_ms": round(late_ms)}))
         self.timers.now = now
         self.timers.run_due(now)
 
-    def receive(self, now: float, wall: float, data: bytes, address: Address) -> None:
-        """A datagram. What can't be opened or read is counted and dropped, and never answered."""
-        self._wall = wall - now
+    def receive(self, now: float, wall_clock_ms: float, data: bytes, address: Address) -> None:
+        """Handle a datagram. What can't be opened or read is counted and dropped, and never answered."""
+        self._wall_clock_offset = wall_clock_ms - now
         try:
-            envelope = m.decode_envelope(self.sealer.open(data))
-            if envelope.sender == self.membership.local.name and envelope.run_id == self.membership.local.run_id:
-                raise WireError("own")
-            self._window.check(envelope, wall)
+            envelope = self._unseal(data, wall_clock_ms)
         except WireError as error:
             self.dropped[error.reason] += 1
             return
         self.received += 1
         self.timers.now = now
-        self.lamport.hear(envelope.lamport_time)
+        self.lamport_clock.observe(envelope.lamport_time)
         self.membership.handle(now, envelope.sender, envelope.run_id, address, envelope.messages)
         for message in envelope.messages:
-            if isinstance(message, DutyResult) and (book := self.books.get(message.kind)) is not None:
-                if book.heard(now, message):
-                    self._spread(message)
-            elif (
-                isinstance(message, DutyDecline)
-                and (book := self.books.get(message.kind)) is not None
-                and book.disclaimed(now, message)
-            ):
-                self._spread(message)
+            if isinstance(message, DutyResult | DutyDecline):
+                if self._apply(now, message):
+                    self._broadcast(message)
             elif isinstance(message, UserMessage):
-                self.cargo.append((message.topic, envelope.sender, message.payload))
+                self.user_messages.append(ReceivedUserMessage(message.topic, envelope.sender, message.payload))
 
-    def carry(self, now: float, topic: str, data: bytes, to: str = "") -> None:
-        """Tell a member, or all others that are not known to be gone. Each goes in a datagram of its own: a member of
-        an older version refuses it whole, and must lose nothing else by that."""
-        self.timers.now = now
-        if not self.membership.local.is_yielding:
-            packed = m.encode_message(UserMessage(topic, data))
-            for name in self.membership.live_names() if not to else [to] if to in self.membership.members else []:
-                self._send(self.membership.members[name].address, [packed])
+    def _unseal(self, data: bytes, wall_clock_ms: float) -> Envelope:
+        envelope = decode_envelope(self.sealer.open(data))
+        local = self.membership.local
+        if envelope.sender == local.name and envelope.run_id == local.run_id:
+            raise WireError("own")
+        self._replay_window.check(envelope, wall_clock_ms)
+        return envelope
 
-    def known(self) -> list[str]:
-        """All members that have not left, dead ones for a while too."""
-        return [x.name for x in self.membership.members.values() if x.state != MemberState.LEFT]
+    def send_user_message(self, now: float, topic: str, payload: bytes, to: str = "") -> None:
+        """Send a subsystem's message to a member, or to all others that are not known to be gone.
 
-    def ended(self, now: float, kind: str, subject: str, ok: bool) -> None:
-        """A duty that `starts` asked for has been run."""
+        Each goes in a datagram of its own: a member of an older version refuses it whole, and must lose nothing else by
+        that.
+        """
         self.timers.now = now
-        self.books[kind].ended(now, subject, ok)
+        if self.membership.local.is_yielding:
+            return
+        members = self.membership.members
+        message = encode_message(UserMessage(topic, payload))
+        receivers = [name for name in [to] if name in members] if to else self.membership.live_names()
+        for name in receivers:
+            self._send_datagram(members[name].address, [message])
+
+    def known_members(self) -> list[str]:
+        """All members that have not left; dead ones are known for a while too."""
+        return [member.name for member in self.membership.members.values() if member.state != MemberState.LEFT]
+
+    def on_run_ended(self, now: float, kind: str, subject: str, ok: bool) -> None:
+        """A duty of `runs_to_start` has been run."""
+        self.timers.now = now
+        self.schedulers[kind].on_run_ended(now, subject, ok)
+
+    def set_subjects(self, now: float, kind: str, warming_until: Mapping[str, float], listed: Collection[str]) -> None:
+        """Replace the subjects of a kind.
 
-    def subjects(self, now: float, kind: str, cold: Mapping[str, float], listed: Collection[str]) -> None:
-        """All subjects of a kind, until when (wall clock) each is cold, and those of which verdicts count: of engines
-        those that the list calls up."""
-        self.listed[kind] = frozenset(listed)
+        Args:
+            now: local monotonic ms.
+            kind: of duty.
+            warming_until: all subjects, each with the end of its warm-up (Unix ms).
+            listed: those whose verdicts are reported: of engines, those that the endpoint list calls up.
+        """
+        self._listed[kind] = frozenset(listed)
         self.timers.now = now
-        self.books[kind].subjects(now, cold)
+        self.schedulers[kind].set_subjects(now, warming_until)
 
-    def rekey(self, sealer: Sealer) -> None:
-        """Another ring, or the same with another salt."""
+    def set_sealer(self, sealer: Sealer) -> None:
+        """Use another ring of keys, or the same with another salt."""
         self.sealer = sealer
 
     def leave(self, now: float) -> None:
-        """Own nothing from now on, and say so."""
+        """Own nothing from now on, and tell the others."""
         self.timers.now = now
         self.membership.leave(now)
-        for book in self.books.values():
-            book.review(now, (), False)
+        for scheduler in self.schedulers.values():
+            scheduler.update_ownership(now, (), False)
 
-    # Inside.
+    # Sending.
 
-    def _post(self, address: Address, messages: Sequence[Message], *, piggyback: bool) -> None:
-        if self.membership.local.is_yielding:  # whoever has the name speaks for it
+    def _send(self, address: Address, messages: Sequence[Message], *, piggyback: bool) -> None:
+        """Send messages in as many datagrams as they need; broadcasts may fill the rest of the last one."""
+        if self.membership.local.is_yielding:  # the other run of this name speaks for it
             return
-        room = m.message_capacity(self.membership.local.name)
+        capacity = message_capacity(self.membership.local.name)
         body: list[bytes] = []
-        left = room
-        for message in map(m.encode_message, messages):
-            if len(message) > left or len(body) >= m.MAX_MESSAGES:
-                self._send(address, body)
-                body, left = [], room
+        left = capacity
+        for message in map(encode_message, messages):
+            if len(message) > left or len(body) >= MAX_MESSAGES:
+                self._send_datagram(address, body)
+                body, left = [], capacity
             body.append(message)
             left -= len(message)
         if piggyback:
-            body += self.membership.gossip.take(left)[: m.MAX_MESSAGES - len(body)]
+            body += self.membership.gossip.take(left)[: MAX_MESSAGES - len(body)]
         if body:
-            self._send(address, body)
+            self._send_datagram(address, body)
 
-    def _send(self, address: Address, body: list[bytes]) -> None:
+    def _send_datagram(self, address: Address, messages: list[bytes]) -> None:
         local = self.membership.local
-        self._seq += 1
-        data = self.sealer.seal(
-            m.encode_envelope(
-                local.name, local.run_id, self._seq, max(0, int(self.wall(self.timers.now))), self.lamport.value, body
-            )
+        self._sequence += 1
+        wall_clock_ms = max(0, int(self.wall_clock_ms(self.timers.now)))
+        envelope = encode_envelope(
+            local.name, local.run_id, self._sequence, wall_clock_ms, self.lamport_clock.value, messages
         )
+        datagram = Datagram(address, self.sealer.seal(envelope))
         self.sent += 1
-        self.sent_bytes += len(data)
-        self.out.append((address, data))
-
-    def _tell(self, message: DutyResult | DutyDecline) -> None:
-        """News of our own duties, which holds here as it does elsewhere."""
-        now, book = self.timers.now, self.books[message.kind]
-        if isinstance(message, DutyResult):
-            if book.heard(now, message):
-                self._spread(message)
-                self.notices.append(
-                    Notice(
-                        "duty-result",
-                        {
-                            "kind": message.kind,
-                            "subject": message.subject,
-                            "term": message.term,
-                            "up": message.status != HealthStatus.DOWN,
-                        },
-                    )
-                )
-        else:  # said again now and then, for those that came later
-            if book.disclaimed(now, message):
-                self.notices.append(
-                    Notice(
-                        "duty-handed-on", {"kind": message.kind, "subject": message.subject, "rest_ms": message.hold_ms}
-                    )
-                )
-            self._spread(message)
-
-    def _spread(self, message: DutyResult | DutyDecline) -> None:
-        subject = (message.kind, message.subject, "" if isinstance(message, DutyResult) else message.declined_by)
-        self.membership.gossip.broadcast(subject, message)
-
-    def _changed(self, now: float, member: Member, before: MemberState | None) -> None:
-        for book in self.books.values():
-            book.ranking.add(member.name, member.weight)
+        self.sent_bytes += len(datagram.data)
+        self.outgoing.append(datagram)
+
+    # Results and declines of duties.
+
+    def _apply(self, now: float, report: DutyResult | DutyDecline) -> bool:
+        """Apply a report here; true if it is new, and worth passing on."""
+        scheduler = self.schedulers.get(report.kind)
+        if scheduler is None:
+            return False
+        if isinstance(report, DutyResult):
+            return scheduler.on_result(now, report)
+        return scheduler.on_decline(now, report)
+
+    def _report(self, report: DutyResult | DutyDecline) -> None:
+        """A report of our own, which holds here as it does elsewhere."""
+        is_new = self._apply(self.timers.now, report)
+        if is_new:
+            self.notices.append(_report_notice(report))
+        # Declines are repeated now and then, for members that came later.
+        if is_new or isinstance(report, DutyDecline):
+            self._broadcast(report)
+
+    def _broadcast(self, report: DutyResult | DutyDecline) -> None:
+        subject = (report.kind, report.subject, "" if isinstance(report, DutyResult) else report.declined_by)
+        self.membership.gossip.broadcast(subject, report)
+
+    def _collect_health_updates(self, now: float) -> None:
+        for kind, scheduler in self.schedulers.items():
+            verdicts = scheduler.verdicts
+            was_mass_failure = verdicts.mass_failure_since is not None
+            self.health_updates += verdicts.take_updates(now, self._listed.get(kind, ()))
+            if was_mass_failure != (verdicts.mass_failure_since is not None):
+                event = "all-down-over" if was_mass_failure else "all-down-doubted"
+                self.notices.append(Notice(event, {"kind": kind}))
+        self.timers.call_at(now + UPDATE_CHECK_INTERVAL_MS, self._collect_health_updates)
+
+    # Events of the membership.
+
+    def _on_member_changed(self, now: float, member: Member, before: MemberState | None) -> None:
+        for scheduler in self.schedulers.values():
+            scheduler.ranking.add_member(member.name, member.weight)
         if before != member.state:
             self.notices.append(
                 Notice(
                     "member",
                     {
                         "member": member.name,
-                        "state": STATES[member.state],
-                        "before": "unknown" if before is None else STATES[before],
+                        "state": _state_name(member.state),
+                        "before": "unknown" if before is None else _state_name(before),
                         "life": member.incarnation,
                     },
                 )
             )
-        self.schedule_review(now)
+        self.schedule_reassignment(now)
 
-    def _ready(self, now: float) -> None:
+    def _on_ready(self, now: float) -> None:
         self.notices.append(Notice("settled", {"members": self.membership.table.live_count}))
-        self.schedule_review(now)
+        self.schedule_reassignment(now)
 
-    def _conflict(self, now: float, address: Address, yielding: bool) -> None:
+    def _on_name_conflict(self, now: float, address: Address, is_yielding: bool) -> None:
+        host, port = address
         self.notices.append(
             Notice(
                 "name-conflict",
-                {"member": self.membership.local.name, "yields": yielding, "other": f"{address[0]}:{address[1]}"},
+                {"member": self.membership.local.name, "yields": is_yielding, "other": f"{host}:{port}"},
             )
         )
-        self.schedule_review(now)
-
-    def schedule_review(self, now: float) -> None:
-        """Look at the owners again, soon: changes come in bursts, and one look at all moves each duty at most once."""
-        if self._review is None:
-            self._review = self.timers.call_at(now + 2 * self.s.gossip_interval_ms, self._review_now)
-
-    def _review_now(self, now: float) -> None:
-        self._review = None
-        able, minority, known = (
-            self.membership.eligible_owners(),
-            self.membership.in_minority(now),
-            self.membership.members,
-        )
-        for book in self.books.values():
-            book.review(now, able, minority)
-            for name in [n for n in book.ranking.weights if n not in known]:
-                book.ranking.remove(name)
-
-    def _effects(self, now: float) -> None:
-        for kind, book in self.books.items():
-            surge = book.verdicts.surge
-            self.probed += [
-                (kind, subject, up) for subject, up in book.verdicts.effects(now, self.listed.get(kind, ()))
-            ]
-            if (surge is None) != (book.verdicts.surge is None):
-                self.notices.append(Notice("all-down-doubted" if surge is None else "all-down-over", {"kind": kind}))
-        self.timers.call_at(now + AGAIN / 4, self._effects)
-
-    # For operators.
-
-    def members(self, now: float) -> list[dict[str, Any]]:
+        self.schedule_reassignment(now)
+
+    def schedule_reassignment(self, now: float) -> None:
+        """Assign the duties anew, soon."""
+        if self._reassign_timer is None:
+            due = now + REASSIGN_DELAY * self.settings.gossip_interval_ms
+            self._reassign_timer = self.timers.call_at(due, self._reassign)
+
+    def _reassign(self, now: float) -> None:
+        self._reassign_timer = None
+        eligible = self.membership.eligible_owners()
+        in_minority = self.membership.in_minority(now)
+        known = self.membership.members
+        for scheduler in self.schedulers.values():
+            scheduler.update_ownership(now, eligible, in_minority)
+            for name in [name for name in scheduler.ranking.weights if name not in known]:
+                scheduler.ranking.remove_member(name)
+
+    # For operators; the keys are those of the JSON output.
+
+    def member_rows(self, now: float) -> list[dict[str, Any]]:
         """All members as this instance sees them."""
-        view = self.membership
+        local = self.membership.local
         return [
             {
-                "name": x.name,
-                "address": f"{x.address[0]}:{x.address[1]}",
-                "state": STATES[x.state],
-                "life": x.incarnation,
-                "settled": x.ready,
-                "weight": x.weight,
-                "since_ms": max(0, round(now - x.state_since)),
-                "self": x is view.local,
+                "name": member.name,
+                "address": f"{member.address[0]}:{member.address[1]}",
+                "state": _state_name(member.state),
+                "life": member.incarnation,
+                "settled": member.ready,
+                "weight": member.weight,
+                "since_ms": max(0, round(now - member.state_since)),
+                "self": member is local,
             }
-            for x in sorted(view.members.values(), key=lambda x: x.name)
+            for member in sorted(self.membership.members.values(), key=lambda member: member.name)
         ]
 
     def duty_rows(self, now: float) -> list[dict[str, Any]]:
-        """All duties: owner by this instance's view, term, last result and its age in ms.
-
-        Of duties of others only what is out of the ordinary is told between members: `up` is then None.
-        """
-        return [row for book in self.books.values() for row in book.rows(now)]
+        """All duties of all kinds; see `duty_status.duty_rows`."""
+        return [row for scheduler in self.schedulers.values() for row in duty_rows(scheduler, now)]
 
     def health(self) -> dict[str, Any]:
         """Counters."""
-        view = self.membership
-        made: dict[str, Any] = {
-            "doubt": view.health.score,
-            "probes": view.counters.probes,
-            "failed_probes": view.counters.failed_probes,
-            "refuted": view.counters.refutations,
-            "held_up": view.counters.stalls,
-            "conflicts": view.counters.name_conflicts,
+        membership = self.membership
+        counters = membership.counters
+        return {
+            "doubt": membership.health.score,
+            "probes": counters.probes,
+            "failed_probes": counters.failed_probes,
+            "refuted": counters.refutations,
+            "held_up": counters.stalls,
+            "conflicts": counters.name_conflicts,
             "sent": self.sent,
             "sent_bytes": self.sent_bytes,
             "received": self.received,
             "dropped": dict(self.dropped),
-            "news": len(view.gossip.queue),
-            "minority": view.in_minority(self.timers.now),
-            "yielding": view.local.is_yielding,
+            "news": len(membership.gossip.queue),
+            "minority": membership.in_minority(self.timers.now),
+            "yielding": membership.local.is_yielding,
+            "duties": {kind: duty_health(scheduler) for kind, scheduler in self.schedulers.items()},
         }
-        made["duties"] = {kind: book.health() for kind, book in self.books.items()}
-        return made
+
+
+def _state_name(state: MemberState) -> str:
+    return state.name.lower()
+
+
+def _report_notice(report: DutyResult | DutyDecline) -> Notice:
+    fields: dict[str, Any] = {"kind": report.kind, "subject": report.subject}
+    if isinstance(report, DutyResult):
+        fields |= {"term": report.term, "up": report.status != HealthStatus.DOWN}
+        return Notice("duty-result", fields)
+    fields["rest_ms"] = report.hold_ms
+    return Notice("duty-handed-on", fields)
--- a/decklb/cluster/rendezvous.py
+++ b/decklb/cluster/rendezvous.py
@@ -1,10 +1,11 @@
-"""Which member owns which duty: weighted rendezvous hashing over those that may own (free of I/O).
+"""Assignment of duties to members: weighted rendezvous hashing over the members that may own them.
 
 Thaler, Ravishankar: "Using Name-Based Mappings to Increase Hit Rates" (1998); weights after Schindelhauer and
 Schomaker (2005): each member scores each duty with -weight / ln(u), u being a hash of both in (0, 1), and the highest
 owns it. So a member that goes loses only its own duties, and one that comes takes only its share.
 
-Scores depend on names alone, not on who is alive, so the best few of each duty are kept and walked through.
+Scores depend on names and weights alone, not on who is alive, so the best few members of each duty are kept and walked
+through. One ranking a kind of duty, owned by its scheduler in `duties`.
 """
 
 from __future__ import annotations
@@ -13,184 +14,152 @@
 import math
 from bisect import bisect_left
 from collections.abc import Collection, Iterable, Mapping
+from typing import NamedTuple
 
 import xxhash
 
-SAME = 1000.0  # ms
-KEEP = 8  # best members kept of each duty
+# Members kept for each duty, the best ones; only where all of them are gone are the others' scores needed.
+BEST_MEMBERS = 8
 
+HASH_RANGE = 18446744073709551616.0  # 2^64
 
-def _score(seed: int, weight: float, duty: str) -> float:
-    return -weight / math.log((xxhash.xxh64_intdigest(duty.encode(), seed) + 0.5) / 18446744073709551616.0)
+
+def score(seed: int, weight: float, duty: str) -> float:
+    """A member's score for a duty; `seed` is the hash of the member's name."""
+    uniform = (xxhash.xxh64_intdigest(duty.encode(), seed) + 0.5) / HASH_RANGE
+    return -weight / math.log(uniform)
+
+
+class RankedMember(NamedTuple):
+    """A member's score for one duty; compares by the score, then by the name."""
+
+    score: float
+    name: str
 
 
 class Ranking:
-    """The best members of each duty, among all members that are known, alive or not."""
+    """The best members for each duty, among all members that are known, alive or not.
 
-    def __init__(self, kind: str = "", keep: int = KEEP) -> None:
-        """Duties of different kinds on one subject have owners of their own."""
-        self.kind, self.keep = kind, keep
+    Attributes:
+        kind: hashed with the names, so that duties of different kinds on one subject have owners of their own.
+        weights: all known members and their weights.
+    """
+
+    def __init__(self, kind: str = "", best_members: int = BEST_MEMBERS) -> None:
+        self.kind = kind
+        self.best_members = best_members
         self.weights: dict[str, float] = {}
-        self._seeds: dict[str, int] = {}
-        self._best: dict[str, list[tuple[float, str]]] = {}  # highest score last
-        self._of: dict[str, set[str]] = {}  # duties among whose best a member is
-        # Duties whose best a member is, with the names of all their best; made when it is asked for.
-        self._leads: dict[str, list[tuple[str, tuple[str, ...]]]] | None = None
+        self._seeds: dict[str, int] = {}  # by member
+        self._best: dict[str, list[RankedMember]] = {}  # by duty, highest score last
+        self._ranked_duties: dict[str, set[str]] = {}  # by member: duties among whose best it is
+        # By member: duties whose first choice it is, each with the names of its best; None until it is needed.
+        self._first_choices: dict[str, list[tuple[str, tuple[str, ...]]]] | None = None
 
     def __contains__(self, duty: str) -> bool:
         return duty in self._best
 
     def duties(self) -> Collection[str]:
-        """All of them."""
+        """All duties."""
         return self._best.keys()
 
-    def add(self, member: str, weight: float) -> None:
-        """A member, or its new weight: one hash a duty."""
+    def add_member(self, member: str, weight: float) -> None:
+        """Add a member, or change its weight; costs one hash a duty."""
         if self.weights.get(member) == weight:
             return
         if member in self.weights:
-            self.remove(member)
+            self.remove_member(member)
         self.weights[member] = weight
-        self._leads = None
+        self._first_choices = None
         seed = self._seeds[member] = xxhash.xxh64_intdigest(f"{self.kind}/{member}".encode())
-        mine = self._of[member] = set()
+        mine = self._ranked_duties[member] = set()
         for duty, best in self._best.items():
-            pair = (_score(seed, weight, duty), member)
-            if len(best) < self.keep or pair > best[0]:
-                best.insert(bisect_left(best, pair), pair)
+            ranked = RankedMember(score(seed, weight, duty), member)
+            if len(best) < self.best_members or ranked > best[0]:
+                best.insert(bisect_left(best, ranked), ranked)
                 mine.add(duty)
-                if len(best) > self.keep:
+                if len(best) > self.best_members:
                     _, last = best.pop(0)
-                    self._of[last].discard(duty)
+                    self._ranked_duties[last].discard(duty)
 
-    def remove(self, member: str) -> None:
-        """A member that has been forgotten: its duties' best are sought anew."""
+    def remove_member(self, member: str) -> None:
+        """Forget a member; the best of its duties are computed anew."""
         if self.weights.pop(member, None) is None:
             return
         del self._seeds[member]
-        self._leads = None
-        for duty in self._of.pop(member):
+        self._first_choices = None
+        for duty in self._ranked_duties.pop(member):
             for _, name in self._best[duty]:
                 if name != member:
-                    self._of[name].discard(duty)
-            self._seek(duty)
+                    self._ranked_duties[name].discard(duty)
+            self._rank(duty)
 
-    def _seek(self, duty: str) -> None:
-        scored = ((_score(seed, self.weights[name], duty), name) for name, seed in self._seeds.items())
-        self._best[duty] = heapq.nlargest(self.keep, scored)[::-1]
+    def _rank(self, duty: str) -> None:
+        scored = (RankedMember(score(seed, self.weights[name], duty), name) for name, seed in self._seeds.items())
+        self._best[duty] = heapq.nlargest(self.best_members, scored)[::-1]
         for _, name in self._best[duty]:
-            self._of[name].add(duty)
+            self._ranked_duties[name].add(duty)
 
     def set_duties(self, duties: Iterable[str]) -> None:
-        """These and no others."""
+        """Replace the duties."""
         wanted = set(duties)
         if wanted == self._best.keys():
             return
-        self._leads = None
-        for duty in [d for d in self._best if d not in wanted]:
+        self._first_choices = None
+        for duty in [known for known in self._best if known not in wanted]:
             for _, name in self._best.pop(duty):
-                self._of[name].discard(duty)
+                self._ranked_duties[name].discard(duty)
         for duty in wanted - self._best.keys():
-            self._seek(duty)
+            self._rank(duty)
 
-    def owner(self, duty: str, able: Collection[str], passed: Collection[str] = ()) -> str | None:
-        """The best of those able that are not passed over; where all are, the best of those able."""
-        best = self._best[duty]
-        for _, name in reversed(best):
-            if name in able and name not in passed:
+    def owner(self, duty: str, eligible: Collection[str], declined: Collection[str] = ()) -> str | None:
+        """The best eligible member that does not decline the duty; where all decline, the best eligible one."""
+        for _, name in reversed(self._best[duty]):
+            if name in eligible and name not in declined:
                 return name
-        pool = [n for n in able if n in self._seeds and n not in passed] or [n for n in able if n in self._seeds]
-        if not pool:
+        candidates = [name for name in eligible if name in self._seeds]
+        candidates = [name for name in candidates if name not in declined] or candidates
+        if not candidates:
             return None
-        return max(pool, key=lambda n: (_score(self._seeds[n], self.weights[n], duty), n))
+        return max(candidates, key=lambda name: (score(self._seeds[name], self.weights[name], duty), name))
+
+    def duties_of(self, member: str, eligible: Collection[str], declined: Mapping[str, Collection[str]]) -> set[str]:
+        """The duties that a member owns; `declined` are the members that decline each duty.
 
-    def mine(self, me: str, able: Collection[str], passed: Mapping[str, Collection[str]]) -> set[str]:
-        """The duties that `me` owns: only those among whose best it is are walked through, as far as that tells."""
-        if me not in able or me not in self.weights:
+        Only duties among whose best the member is are walked through, as far as these decide.
+        """
+        if member not in eligible or member not in self.weights:
             return set()
-        found = set()
-        for duty in self._of[me]:
+        owned = set()
+        for duty in self._ranked_duties[member]:
             for _, name in reversed(self._best[duty]):
-                if name in able:
-                    if name == me:
-                        found.add(duty)
+                if name in eligible:
+                    if name == member:
+                        owned.add(duty)
                     break
-        away = [n for n in self.weights if n not in able]
-        if len(away) >= self.keep:  # all of a duty's best may be away
-            leads, here = self._led(), frozenset(able)
-            for name in away:
-                for duty, names in leads.get(name, ()):
-                    if here.isdisjoint(names) and self.owner(duty, here) == me:
-                        found.add(duty)
-        for duty, those in passed.items():
+        owned |= self._orphaned_duties_of(member, eligible)
+        for duty, members in declined.items():
             if duty in self._best:
-                (found.add if self.owner(duty, able, those) == me else found.discard)(duty)
-        return found
+                (owned.add if self.owner(duty, eligible, members) == member else owned.discard)(duty)
+        return owned
 
-    def _led(self) -> dict[str, list[tuple[str, tuple[str, ...]]]]:
-        if self._leads is None:
-            self._leads = {}
+    def _orphaned_duties_of(self, member: str, eligible: Collection[str]) -> set[str]:
+        """Duties that a member owns though it is not among their best, as none of these is eligible."""
+        away = [name for name in self.weights if name not in eligible]
+        if len(away) < self.best_members:
+            return set()
+        first_choices, here = self._duties_by_first_choice(), frozenset(eligible)
+        return {
+            duty
+            for name in away
+            for duty, best in first_choices.get(name, ())
+            if here.isdisjoint(best) and self.owner(duty, here) == member
+        }
+
+    def _duties_by_first_choice(self) -> dict[str, list[tuple[str, tuple[str, ...]]]]:
+        if self._first_choices is None:
+            self._first_choices = {}
             for duty, best in self._best.items():
                 if best:
-                    self._leads.setdefault(best[-1][1], []).append((duty, tuple(n for _, n in best)))
-        return self._leads
-
-
-class Lamport:
-    """A logical clock (Lamport, 1978) that rides on every datagram: what is taken later has a higher term."""
-
-    def __init__(self, value: int = 0) -> None:
-        self.value = value
-
-    def hear(self, value: int) -> None:
-        """Another member's time."""
-        self.value = max(self.value, value)
-
-    def term(self) -> int:
-        """A new term, above all that have been heard of."""
-        self.value += 1
-        return self.value
-
-
-class Passed:
-    """Who can't do which duty, by their own word, and until when."""
-
-    def __init__(self) -> None:
-        self._until: dict[str, dict[str, float]] = {}
-
-    def add(self, duty: str, member: str, until: float) -> bool:
-        """True if that is news."""
-        members = self._until.setdefault(duty, {})
-        if members.get(member, -math.inf) >= until - SAME:  # the same word again, by another clock
-            return False
-        members[member] = until
-        return True
-
-    def now(self, now: float) -> dict[str, set[str]]:
-        """Those that still hold, by duty."""
-        for duty, members in list(self._until.items()):
-            for member in [m for m, until in members.items() if until <= now]:
-                del members[member]
-            if not members:
-                del self._until[duty]
-        return {duty: set(members) for duty, members in self._until.items()}
-
-    def of(self, duty: str, now: float) -> set[str]:
-        """Those that still hold for one duty."""
-        return {m for m, until in self._until.get(duty, {}).items() if until > now}
-
-    def by(self, member: str, now: float) -> list[tuple[str, float]]:
-        """One member's own words that still hold, with how many ms are left of each."""
-        return [
-            (duty, members[member] - now) for duty, members in self._until.items() if members.get(member, 0.0) > now
-        ]
-
-    def forget(self, away: Collection[str]) -> None:
-        """Members that are away own nothing, and come back without a memory: their words go."""
-        for members in self._until.values():
-            for name in [n for n in members if n in away]:
-                del members[name]
-
-    def next(self) -> float:
-        """When the first of them ends; infinity for none."""
-        return min((t for members in self._until.values() for t in members.values()), default=float("inf"))
+                    names = tuple(name for _, name in best)
+                    self._first_choices.setdefault(best[-1].name, []).append((duty, names))
+        return self._first_choices
--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -1,4 +1,8 @@
-"""The node on a real socket and clock: carries out what it decides, and logs what it notices."""
+"""The cluster's I/O: a node on a real UDP socket, clock and key file, with its health checks and log lines.
+
+Made by `daemon.assembly`, or by `middleware.members` for an application's processes. Other subsystems subscribe to
+their user messages here. All decisions are taken by `node`.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +16,24 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from decklb.cluster import keyfile
+from decklb.cluster.duty import DutyRun
 from decklb.cluster.errors import KeyFileError
-from decklb.cluster.node import Node, Notice
+from decklb.cluster.member import Address
+from decklb.cluster.node import Datagram, Node, Notice
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.cluster.settings import ClusterSettings
 from decklb.core.ports import Clock, Timer
-from decklb.wire.prober import Address, Prober
+from decklb.wire.prober import Prober
+
+# Between the last datagrams and the closing of the socket, so that they leave it.
+CLOSE_DELAY_MS = 100.0
+
+# Largest datagram read: above the largest that members send, so that a longer one is seen as such and dropped.
+MAX_PACKET_BYTES = 2048
 
-FAREWELL = 100.0  # ms between what is said at the end and the socket's end
+SEED_BYTES = 16
+
+UserMessageHandler = Callable[[str, bytes], None]  # sender, payload
 
 
 def wall() -> float:
@@ -28,50 +42,78 @@
 
 
 def log_notices(part: str, notices: Iterable[Notice]) -> None:
-    """One line each, with the notice's event and fields."""
-    for n in notices:
-        text = " ".join(f"{k}={v}" for k, v in n.fields.items())
-        logger.info(part + ": {what} {text}", event=n.event, what=n.event, text=text, **n.fields)
+    """Log each notice as one line with its event code and fields."""
+    for notice in notices:
+        text = " ".join(f"{key}={value}" for key, value in notice.fields.items())
+        logger.info(part + ": {what} {text}", event=notice.event, what=notice.event, text=text, **notice.fields)
 
 
 class ClusterService(DatagramProtocol):
-    """One member. `probed(engine, up)` is told what is held of engines that the list calls up."""
+    """One member of the cluster on its socket.
+
+    Attributes:
+        node: takes the decisions.
+        addresses: where the engines are, by id.
+    """
 
     transport: Any = None
 
     def __init__(
-        self, reactor: Any, clock: Clock, settings: ClusterSettings, prober: Prober, probed: Callable[[str, bool], None]
+        self,
+        reactor: Any,
+        clock: Clock,
+        settings: ClusterSettings,
+        prober: Prober,
+        on_health_update: Callable[[str, bool], None],
     ) -> None:
-        """Raises KeyFileError where the keys can't be had."""
-        self.reactor, self.clock, self.settings, self.prober, self.probed = reactor, clock, settings, prober, probed
+        """Make a member that has not started.
+
+        Args:
+            reactor: Twisted's.
+            clock: the process's.
+            settings: this instance's.
+            prober: makes the health checks of engines.
+            on_health_update: called with an engine's id and whether it is up.
+
+        Raises:
+            KeyFileError: if the key file can't be used.
+        """
+        self.reactor = reactor
+        self.clock = clock
+        self.settings = settings
+        self.prober = prober
+        self.on_health_update = on_health_update
         self.addresses: Mapping[str, Address] = {}
-        self.timer: Timer | None = None
-        self.armed = float("inf")
-        self.closed = False
-        self.pumping = False
-        self.topics: dict[str, Callable[[str, bytes], None]] = {}  # who takes the words of a subsystem, and its sender
+        self._timer: Timer | None = None
+        self._timer_due = float("inf")
+        self._is_closed = False
+        self._is_pumping = False
+        self._handlers: dict[str, UserMessageHandler] = {}  # by topic
         self.node = Node(
             settings.membership,
             [settings.health_checks] if settings.health_checks else [],
             settings.member,
             settings.advertised_address,
-            self._sealer(),
-            random.Random(os.urandom(16)),
+            self._make_sealer(),
+            random.Random(os.urandom(SEED_BYTES)),
             clock.now(),
             wall(),
         )
 
-    def _sealer(self) -> Sealer:
+    def _make_sealer(self) -> Sealer:
         keys = keyfile.read(self.settings.key_file)
-        return Sealer(self.settings.membership.cluster_name, [k.secret for k in keys], os.urandom(SALT_BYTES))
+        secrets = [key.secret for key in keys]
+        return Sealer(self.settings.membership.cluster_name, secrets, os.urandom(SALT_BYTES))
+
+    # Life cycle.
 
     def start(self) -> None:
         """Open the socket. Raises what Twisted raises when the address can't be had."""
         host, port = self.settings.bind_address
-        self.reactor.listenUDP(port, self, interface=host, maxPacketSize=2048)
+        self.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_PACKET_BYTES)
 
     def startProtocol(self) -> None:
-        """The socket is open."""
+        """Join: the socket is open."""
         logger.info(
             "cluster member {member} on {address}, told as {told}, {seeds} seeds",
             event="cluster-listening",
@@ -86,107 +128,144 @@
     def reload(self) -> None:
         """Read the key file anew. One that can't be used changes nothing and is logged."""
         try:
-            self.node.rekey(self._sealer())
+            self.node.set_sealer(self._make_sealer())
         except KeyFileError as error:
-            return logger.error(
-                "keys kept, the new ones can't be used: {error}", event="keys-refused", error=str(error)
-            )
+            logger.error("keys kept, the new ones can't be used: {error}", event="keys-refused", error=str(error))
+            return
         logger.info("keys read", event="keys-read")
 
-    def engines(self, cold: Mapping[str, float], listed: set[str], addresses: Mapping[str, Address]) -> None:
-        """The list of engines: until when (Unix ms) each is cold, which are up, and where they are."""
+    def close(self) -> None:
+        """Leave the cluster and close the socket."""
+        if self._is_closed:
+            return
+        self.node.leave(self.clock.now())
+        self._pump()
+        self._is_closed = True
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        self.prober.close()
+        if self.transport is not None:
+            self.clock.call_later(CLOSE_DELAY_MS, self.transport.stopListening)
+
+    # Used by the daemon and other subsystems.
+
+    def set_engines(
+        self, warming_until: Mapping[str, float], listed: set[str], addresses: Mapping[str, Address]
+    ) -> None:
+        """Replace the engines.
+
+        Args:
+            warming_until: all engines, each with the end of its warm-up (Unix ms).
+            listed: those that the endpoint list calls up.
+            addresses: where they are.
+        """
         self.addresses = addresses
         if self.settings.health_checks is not None:
-            self.node.subjects(self.clock.now(), self.settings.health_checks.kind, cold, listed)
+            self.node.set_subjects(self.clock.now(), self.settings.health_checks.kind, warming_until, listed)
         self._pump()
 
+    def subscribe(self, topic: str, handler: UserMessageHandler) -> None:
+        """Call the handler with each user message of a topic."""
+        self._handlers[topic] = handler
+
+    def unsubscribe(self, topic: str) -> None:
+        """Drop the user messages of a topic."""
+        self._handlers.pop(topic, None)
+
+    def send_user_message(self, topic: str, payload: bytes, to: str = "") -> None:
+        """Send a subsystem's message to a member, or to all others; see `Node.send_user_message`."""
+        if not self._is_closed and self.transport is not None:
+            self.node.send_user_message(self.clock.now(), topic, payload, to)
+            self._pump()
+
+    def member_rows(self) -> list[dict[str, Any]]:
+        """See `Node.member_rows`."""
+        return self.node.member_rows(self.clock.now())
+
+    def duty_rows(self) -> list[dict[str, Any]]:
+        """See `Node.duty_rows`."""
+        return self.node.duty_rows(self.clock.now())
+
+    # Events of the socket and the clock.
+
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """From a member, or from anybody."""
-        if not self.closed:
+        """Handle a datagram, from a member or from anybody."""
+        if not self._is_closed:
             self.node.receive(self.clock.now(), wall(), datagram, (addr[0], addr[1]))
             self._pump()
 
     def connectionRefused(self) -> None:
-        """Nobody listens there; the probes of members find that out."""
+        """Nobody listens there; the failure detector finds that out."""
 
     def _tick(self) -> None:
-        self.timer, self.armed = None, float("inf")
+        self._timer, self._timer_due = None, float("inf")
         self.node.tick(self.clock.now(), wall())
-        if self.node.sealer.spent:
+        if self.node.sealer.needs_new_salt:
             self.reload()
         self._pump()
 
+    # Carrying out what the node asks for.
+
     def _pump(self) -> None:
-        if self.pumping:  # a probe that ends at once comes back here
+        """Empty the node's lists, and come back when it is due."""
+        if self._is_pumping:  # a health check that ends at once comes back here
             return
-        self.pumping = True
+        self._is_pumping = True
         node = self.node
-        while node.out or node.starts or node.probed or node.notices or node.cargo:
-            cargo, node.cargo = node.cargo, []
-            for topic, sender, data in cargo:
-                if topic in self.topics:
-                    self.topics[topic](sender, data)
-            out, node.out = node.out, []
-            for address, data in out:
-                try:
-                    self.transport.write(data, address)
-                except OSError as error:  # a full buffer or no route: as good as lost
-                    logger.debug("datagram not sent: {error}", event="datagram-not-sent", error=str(error))
-            starts = list(node.starts)
-            node.starts.clear()
-            for start in starts:
-                self._probe(start.kind, start.subject)
-            probed, node.probed = node.probed, []
-            for _, engine, up in probed:
-                self.probed(engine, up)
+        while node.outgoing or node.runs_to_start or node.health_updates or node.notices or node.user_messages:
+            self._deliver_user_messages()
+            self._send_datagrams()
+            self._start_runs()
+            updates, node.health_updates = node.health_updates, []
+            for update in updates:
+                self.on_health_update(update.subject, update.is_up)
             notices, node.notices = node.notices, []
             log_notices("cluster", notices)
-        self.pumping = False
-        due = node.due()
-        if due < self.armed and not self.closed:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.armed = due
-            self.timer = self.clock.call_later(max(0.0, due - self.clock.now()), self._tick)
-
-    def carry(self, topic: str, data: bytes, to: str = "") -> None:
-        """Tell a member, or all others; see Node.carry."""
-        if not self.closed and self.transport is not None:
-            self.node.carry(self.clock.now(), topic, data, to)
-            self._pump()
+        self._is_pumping = False
+        self._arm_timer()
 
-    def _probe(self, kind: str, engine: str) -> None:
-        address = self.addresses.get(engine)
-        duty = self.settings.health_checks
-        if address is None or duty is None:
-            return self._ended(kind, engine, False)
-        self.prober.probe(engine, address, duty.timeout_ms, lambda ok: self._ended(kind, engine, ok))
+    def _deliver_user_messages(self) -> None:
+        messages, self.node.user_messages = self.node.user_messages, []
+        for message in messages:
+            handler = self._handlers.get(message.topic)
+            if handler is not None:
+                handler(message.sender, message.payload)
 
-    def _ended(self, kind: str, engine: str, ok: bool) -> None:
-        if not self.closed:
-            self.node.ended(self.clock.now(), kind, engine, ok)
-            self._pump()
+    def _send_datagrams(self) -> None:
+        datagrams, self.node.outgoing = self.node.outgoing, []
+        for datagram in datagrams:
+            self._send(datagram)
 
-    def close(self) -> None:
-        """Leave: others take the duties at once."""
-        if self.closed:
-            return
-        self.node.leave(self.clock.now())
-        self._pump()
-        self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        self.prober.close()
-        if self.transport is not None:
-            self.clock.call_later(FAREWELL, self.transport.stopListening)
+    def _send(self, datagram: Datagram) -> None:
+        try:
+            self.transport.write(datagram.data, datagram.address)
+        except OSError as error:  # a full buffer or no route: as good as lost
+            logger.debug("datagram not sent: {error}", event="datagram-not-sent", error=str(error))
 
-    # For operators.
+    def _start_runs(self) -> None:
+        runs = list(self.node.runs_to_start)
+        self.node.runs_to_start.clear()  # the list stays the same: the node's schedulers hold it
+        for run in runs:
+            self._check_health(run)
 
-    def members(self) -> list[dict[str, Any]]:
-        """See Node.members."""
-        return self.node.members(self.clock.now())
+    def _check_health(self, run: DutyRun) -> None:
+        address = self.addresses.get(run.subject)
+        settings = self.settings.health_checks
+        if address is None or settings is None:
+            self._on_run_ended(run, False)
+            return
+        self.prober.probe(run.subject, address, settings.timeout_ms, lambda ok: self._on_run_ended(run, ok))
 
-    def duties(self) -> list[dict[str, Any]]:
-        """See Node.duty_rows."""
-        return self.node.duty_rows(self.clock.now())
+    def _on_run_ended(self, run: DutyRun, ok: bool) -> None:
+        if not self._is_closed:
+            self.node.on_run_ended(self.clock.now(), run.kind, run.subject, ok)
+            self._pump()
+
+    def _arm_timer(self) -> None:
+        due = self.node.next_due()
+        if due < self._timer_due and not self._is_closed:
+            if self._timer is not None:
+                self._timer.cancel()
+            self._timer_due = due
+            self._timer = self.clock.call_later(max(0.0, due - self.clock.now()), self._tick)
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -123,10 +123,10 @@
     def _members(self) -> dict[str, Any]:
         if self.cluster is None:
             return {"members": [], "health": {"minority": False, "yielding": False}}
-        return {"members": self.cluster.members(), "health": self.cluster.node.health()}
+        return {"members": self.cluster.member_rows(), "health": self.cluster.node.health()}
 
     def _duties(self) -> list[dict[str, Any]]:
-        return [] if self.cluster is None else self.cluster.duties()
+        return [] if self.cluster is None else self.cluster.duty_rows()
 
     def _handoff(self) -> dict[str, Any]:
         return {} if self.handoff is None else self.handoff.keeper.health()
@@ -213,7 +213,7 @@
         self.dispatcher.members(entries)
         if self.cluster is not None:
             until = time.time() * 1000.0 - self.clock.now() + self.config.settings.cold
-            self.cluster.engines(
+            self.cluster.set_engines(
                 {e.engine: e.ready_at + until if e.ready_at else 0.0 for e in entries},
                 {e.engine for e in entries if e.phase is Phase.UP},
                 addresses,
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -218,7 +218,7 @@
         now, view = self.clock.now(), self.cluster.node.membership
         live = {n: view.members[n].run_id for n in view.live_names()}
         self.keeper.members(now, live | {self.keeper.me: self.keeper.run}, view.members.keys())
-        if self.sealer.spent:
+        if self.sealer.needs_new_salt:
             self.reload()
         for link in list(self.links):
             silent = now - link.heard > (SILENT * self.settings.lease if link.up else GREET)
--- a/decklb/lab/cluster.py
+++ b/decklb/lab/cluster.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from decklb.cluster.duties import Duties, Start, phase
+from decklb.cluster.duties import DutyScheduler
+from decklb.cluster.duty import DutyRun, phase_of
 from decklb.cluster.messages import MemberRecord, MemberState
 from decklb.cluster.node import Node
 from decklb.cluster.rendezvous import Ranking
@@ -18,7 +19,7 @@
 class SharedRanking(Ranking):
     """One ranking for all nodes of a process: it depends on names alone. What one node forgets, others may not have."""
 
-    def remove(self, member: str) -> None:
+    def remove_member(self, member: str) -> None:
         """Keep it."""
 
     def set_duties(self, duties: Iterable[str]) -> None:
@@ -87,7 +88,7 @@
         made.cold = dict.fromkeys(made.engines, 0.0)
         if made.ranking is not None:
             for i in range(instances):
-                made.ranking.add(f"m{i}", membership.weight)
+                made.ranking.add_member(f"m{i}", membership.weight)
         world.run_duty, world.on_notice, world.on_probed = made._run, made._notice, made._probed
         made.seeds = [made.address(i) for i in range(min(3, instances))]
         for i in range(instances):
@@ -114,7 +115,7 @@
             (2 * rng.random() - 1) * self.drift,
             (2 * rng.random() - 1) * self.skew - wall_back,
         )
-        host.node.subjects(host.now(), self.duty.kind, self.cold, self.engines)
+        host.node.set_subjects(host.now(), self.duty.kind, self.cold, self.engines)
         self.hosts = [h for h in self.hosts if h.address != host.address] + [host]
         return self.world.add(host, self.seeds)
 
@@ -133,7 +134,7 @@
             view.anti_entropy.on_records(host.now(), host.address, rows)
             for row in rows:
                 view.gossip.queue.drop(row.name)
-            host.node.schedule_review(host.now())
+            host.node.schedule_reassignment(host.now())
             self.world.pump(host)
 
     def host(self, name: str) -> Host:
@@ -156,11 +157,11 @@
         """All may talk again."""
         self.world.cut = lambda source, target: False
 
-    def book(self, host: Host) -> Duties:
+    def book(self, host: Host) -> DutyScheduler:
         """The duties of one instance."""
-        return host.node.books[self.duty.kind]
+        return host.node.schedulers[self.duty.kind]
 
-    def _run(self, host: Host, start: Start) -> tuple[float, bool]:
+    def _run(self, host: Host, start: DutyRun) -> tuple[float, bool]:
         self.runs.append(Run(self.world.now, host.name, start.subject, start.term))
         if start.subject in self.down or (host.name, start.subject) in self.unreachable:
             return self.duty.timeout_ms, False
@@ -180,7 +181,7 @@
         found: dict[str, list[str]] = {e: [] for e in self.engines}
         for host in self.live():
             for duty in self.book(host).duties.values():
-                if duty.owned:
+                if duty.is_owned:
                     found[duty.subject].append(host.name)
         return found
 
@@ -207,13 +208,13 @@
         """The highest term that each host has heard of each subject: these may only rise."""
         found = {}
         for host in self.live():
-            for subject, verdict in self.book(host).verdicts.held.items():
+            for subject, verdict in self.book(host).verdicts.by_subject.items():
                 found[host.name, subject] = verdict.term
         return found
 
     def phase(self, subject: str) -> float:
         """Of its period, in ms, at which a duty is due on the world's clock."""
-        return (phase(self.duty.kind, subject) * self.duty.period_ms - EPOCH) % self.duty.period_ms
+        return (phase_of(self.duty.kind, subject) * self.duty.period_ms - EPOCH) % self.duty.period_ms
 
     def counts(self, start: float, end: float) -> dict[str, list[int]]:
         """Runs of each duty in each whole period between two moments, periods being cut half a period from its
--- a/decklb/lab/duties.py
+++ b/decklb/lab/duties.py
@@ -88,7 +88,7 @@
     out["per_period_mean"] = round(sum(counts) / max(1, len(counts)), 4)
     out["per_period_max"] = max(counts, default=0)
     out["bytes_per_member_per_s"] = round(sent / len(c.live()) / ((end - start) / 1000))
-    owned = [sum(d.owned for d in c.book(h).duties.values()) for h in c.live()]
+    owned = [sum(d.is_owned for d in c.book(h).duties.values()) for h in c.live()]
     out["owned_most_over_mean"] = round(max(owned) / (len(c.engines) / len(owned)), 3)
     out["false_deaths"] = len(c.deaths)
 
@@ -137,7 +137,7 @@
         if r.at >= start + span / 2:
             owners[r.subject, r.host in side].add(r.host)
     out["parted_max_per_side"] = max((len(names) for names in owners.values()), default=0)
-    out["minority_slowed"] = sum(c.book(h).slow for h in live)
+    out["minority_slowed"] = sum(c.book(h).in_minority for h in live)
     c.heal()
     healed, until = world.now, world.now + after
     single = 0.0
--- a/decklb/lab/network.py
+++ b/decklb/lab/network.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from decklb.cluster.duties import Start
+from decklb.cluster.duty import DutyRun
 from decklb.cluster.node import Node
 from decklb.lab.events import Loop
 
@@ -70,7 +70,7 @@
         self.faults = faults or Faults()
         self.hosts: dict[Address, Host] = {}
         self.cut: Callable[[Address, Address], bool] = lambda source, target: False
-        self.run_duty: Callable[[Host, Start], tuple[float, bool]] = lambda host, start: (1.0, True)
+        self.run_duty: Callable[[Host, DutyRun], tuple[float, bool]] = lambda host, start: (1.0, True)
         self.on_notice: Callable[[Host, str, dict[str, object]], None] = lambda host, event, fields: None
         self.on_probed: Callable[[Host, str, bool], None] = lambda host, subject, up: None
         self.delivered = 0
@@ -139,13 +139,13 @@
     def pump(self, host: Host) -> None:
         """Carry out what a node asks for, and come back when it is due."""
         node = host.node
-        if node.out:
-            out, node.out = node.out, []
+        if node.outgoing:
+            out, node.outgoing = node.outgoing, []
             for target, data in out:
                 self._transmit(host.address, target, data)
-        if node.starts:
-            starts = list(node.starts)
-            node.starts.clear()  # the list is the node's own: its duties append to it
+        if node.runs_to_start:
+            starts = list(node.runs_to_start)
+            node.runs_to_start.clear()  # the list is the node's own: its duties append to it
             for start in starts:
                 took, ok = self.run_duty(host, start)
                 self.after(took, lambda s=start, ok=ok: self._ended(host, s, ok))  # type: ignore[misc]
@@ -153,11 +153,11 @@
             notices, node.notices = node.notices, []
             for notice in notices:
                 self.on_notice(host, notice.event, notice.fields)
-        if node.probed:
-            probed, node.probed = node.probed, []
-            for _, subject, up in probed:
-                self.on_probed(host, subject, up)
-        due = host.at(node.due())
+        if node.health_updates:
+            updates, node.health_updates = node.health_updates, []
+            for update in updates:
+                self.on_probed(host, update.subject, update.is_up)
+        due = host.at(node.next_due())
         if due < host.armed:
             host.armed = due
             self.loop.call_later(due - self.now, lambda: self._due(host, due))
@@ -173,11 +173,11 @@
             host.node.tick(host.now() + 1e-6, host.wall())
             self.pump(host)
 
-    def _ended(self, host: Host, start: Start, ok: bool) -> None:
+    def _ended(self, host: Host, start: DutyRun, ok: bool) -> None:
         if not host.up:
             return
         if host.paused:
             self.after(5.0, lambda: self._ended(host, start, ok))
             return
-        host.node.ended(host.now(), start.kind, start.subject, ok)
+        host.node.on_run_ended(host.now(), start.kind, start.subject, ok)
         self.pump(host)
--- a/decklb/lab/outage.py
+++ b/decklb/lab/outage.py
@@ -172,7 +172,7 @@
         self.binds = {n: (self.host[n], ports.free(1, self.host[n])[0]) for n in self.names}
         self.rig = Rig(self.binds, self.seed, targets)
         await self.rig.open()
-        keyfile.write(str(self.folder / "keys.json"), [keyfile.make()])
+        keyfile.write(str(self.folder / "keys.json"), [keyfile.generate()])
         await asyncio.gather(*(self.up(n) for n in self.names))
 
     async def serve(self, engine: Process, where: list[int] | None = None) -> list[int]:
--- a/decklb/lab/probing.py
+++ b/decklb/lab/probing.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from decklb.cluster.duties import Start
+from decklb.cluster.duty import DutyRun
 from decklb.cluster.node import Node
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
@@ -65,10 +65,10 @@
         """The list as that manager has it."""
         host = self.hosts[manager.number]
         cold = {name: EPOCH + at + self.run.world.engine.cold if at > 0 else 0.0 for name, at in born if name in phases}
-        host.node.subjects(host.now(), self.duty.kind, cold, {n for n, p in phases.items() if p is Phase.UP})
+        host.node.set_subjects(host.now(), self.duty.kind, cold, {n for n, p in phases.items() if p is Phase.UP})
         self.world.pump(host)
 
-    def _run(self, host: Host, start: Start) -> tuple[float, bool]:
+    def _run(self, host: Host, start: DutyRun) -> tuple[float, bool]:
         self.probes += 1
         engine = self.run.engines[start.subject]
         way = 2 * self.run.world.delay
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -47,7 +47,7 @@
 
     def start(self) -> None:
         """Listen for words, and look from now on."""
-        self.cluster.topics[TOPIC] = self._heard
+        self.cluster.subscribe(TOPIC, self._heard)
         self.dispatcher.places = self
         self._arm()
 
@@ -87,7 +87,7 @@
     def _tick(self) -> None:
         self.timer = None
         now = self.clock.now()
-        self.council.members(self.cluster.node.known())
+        self.council.members(self.cluster.node.known_members())
         for zone in self.council.common.zones:
             view = self.sight.view(zone, now)
             if view is not None:
@@ -96,7 +96,7 @@
         self.council.tick(now)
         out, self.council.out = self.council.out, []
         for data in out:
-            self.cluster.carry(TOPIC, data)
+            self.cluster.send_user_message(TOPIC, data)
         notices, self.council.notices = self.council.notices, []
         log_notices("zones", notices)
         for engine in self.sight.due(now, len(self.council.common.known)):
@@ -140,7 +140,7 @@
         """The program ends; requests that still come go anywhere."""
         self.closed = True
         self.dispatcher.places = None
-        self.cluster.topics.pop(TOPIC, None)
+        self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
             self.timer.cancel()
         self.prober.close()
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -77,7 +77,7 @@
 
     def start(self) -> None:
         """Listen for words, and look from now on."""
-        self.cluster.topics[TOPIC] = self._heard
+        self.cluster.subscribe(TOPIC, self._heard)
         self._arm()
 
     # The list of engines.
@@ -163,7 +163,7 @@
         self.timer = None
         now = self.clock.now()
         membership = self.cluster.node.membership
-        self.conductor.members(now, membership.live_names(), self.cluster.node.known())
+        self.conductor.members(now, membership.live_names(), self.cluster.node.known_members())
         council = self.locality.council
         unwell = frozenset(z for z in council.common.zones if council.state(z)[0] is not State.HEALTHY)
         busy = {name: len(x.out) for name, x in self.dispatcher.gateway.fleet.engines.items() if x.out}
@@ -208,14 +208,14 @@
     def _pump(self) -> None:
         out, self.conductor.out = self.conductor.out, []
         for to, data in out:
-            self.cluster.carry(TOPIC, data, to)
+            self.cluster.send_user_message(TOPIC, data, to)
         notices, self.conductor.notices = self.conductor.notices, []
         log_notices("plan", notices)
 
     def close(self) -> None:
         """The program ends."""
         self.closed = True
-        self.cluster.topics.pop(TOPIC, None)
+        self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
             self.timer.cancel()
         self.prober.close()
--- a/tests/test_cluster_lab.py
+++ b/tests/test_cluster_lab.py
@@ -88,7 +88,7 @@
         c.world.cut = lambda source, target: c.address(0) in (source, target)
         fresh = c.start(0)
         c.world.run(c.world.now + MEMBERSHIP.settle_time_ms - 100.0)
-        self.assertFalse(any(d.owned for d in c.book(fresh).duties.values()))
+        self.assertFalse(any(d.is_owned for d in c.book(fresh).duties.values()))
         c.heal()
         c.world.run(c.world.now + KNOWN)
         self.assertEqual(c.one_owner(), [])
@@ -101,7 +101,7 @@
         first = next(h for h in c.hosts if h.name == "m1" and h is not second)
         self.assertTrue(second.node.membership.local.is_yielding)
         self.assertFalse(first.node.membership.local.is_yielding)
-        self.assertFalse(any(d.owned for d in c.book(second).duties.values()))
+        self.assertFalse(any(d.is_owned for d in c.book(second).duties.values()))
         self.assertGreaterEqual(second.node.membership.counters.name_conflicts, 1)
         c.world.kill(second)
         c.hosts.remove(second)
@@ -140,16 +140,16 @@
         c.part(side)
         c.world.run(4 * SECOND + 4 * KNOWN)
         for names in (side, {h.name for h in c.hosts} - side):
-            owners = [d for n in names for d, x in c.book(c.host(n)).duties.items() if x.owned]
+            owners = [d for n in names for d, x in c.book(c.host(n)).duties.items() if x.is_owned]
             self.assertEqual(sorted(owners), sorted(c.engines))
-        self.assertEqual({h.name for h in c.hosts if c.book(h).slow}, side)
+        self.assertEqual({h.name for h in c.hosts if c.book(h).in_minority}, side)
         before = c.terms()
         c.heal()
         c.world.run(c.world.now + 2 * DUTY.period_ms)
         self.assertEqual((c.one_owner(), c.wrongly_dead()), ([], []))
         after = c.terms()
         self.assertTrue(all(after[k] >= v for k, v in before.items()))
-        self.assertFalse(any(c.book(h).slow for h in c.hosts))
+        self.assertFalse(any(c.book(h).in_minority for h in c.hosts))
 
     def test_results_of_the_older_term_are_dropped(self):
         c = cluster(4, seed=5)
@@ -160,7 +160,7 @@
         c.world.run(c.world.now + 14 * DUTY.period_ms)
         c.heal()
         c.world.run(c.world.now + 4 * DUTY.period_ms)
-        held = {(v.term, v.owner, v.state) for v in (c.book(h).verdicts.held["motor-1"] for h in c.hosts)}
+        held = {(v.term, v.owner, v.status) for v in (c.book(h).verdicts.by_subject["motor-1"] for h in c.hosts)}
         self.assertEqual(len(held), 1, held)
 
     def test_cut_route_is_handed_on_and_stays_with_the_next(self):
@@ -172,7 +172,7 @@
         new = c.owners()["motor-7"]
         self.assertEqual(len(new), 1)
         self.assertNotEqual(new, [owner])
-        self.assertFalse(any(c.book(h).verdicts.down("motor-7") for h in c.hosts))
+        self.assertFalse(any(c.book(h).verdicts.is_down("motor-7") for h in c.hosts))
         self.assertEqual(c.probed, [])
         c.world.run(12 * DUTY.period_ms)
         self.assertEqual(c.owners()["motor-7"], new)
@@ -195,10 +195,10 @@
         c.down = set(c.engines)
         c.world.run(2 * SECOND + 10 * DUTY.period_ms)
         some = c.book(c.host("m0"))
-        self.assertIsNotNone(some.verdicts.surge)
-        until = some.verdicts.surge + DUTY.mass_failure_hold_ms
-        early = [s for at, h, s, _ in c.probed if h == "m0" and some.verdicts.surge <= at < until]
-        few = {s for at, h, s, _ in c.probed if h == "m0" and at < some.verdicts.surge}
+        self.assertIsNotNone(some.verdicts.mass_failure_since)
+        until = some.verdicts.mass_failure_since + DUTY.mass_failure_hold_ms
+        early = [s for at, h, s, _ in c.probed if h == "m0" and some.verdicts.mass_failure_since <= at < until]
+        few = {s for at, h, s, _ in c.probed if h == "m0" and at < some.verdicts.mass_failure_since}
         self.assertLess(len(few), DUTY.mass_failure_ratio * 10)
         self.assertLessEqual(set(early), few)
         self.assertEqual({s for at, h, s, _ in c.probed if h == "m0" and at >= until}, set(c.engines))
--- a/tests/test_cluster_parts.py
+++ b/tests/test_cluster_parts.py
@@ -19,16 +19,19 @@
 from decklb.cluster import keyfile
 from decklb.cluster import messages as m
 from decklb.cluster.broadcast_queue import BroadcastQueue
-from decklb.cluster.duties import Duties
+from decklb.cluster.declines import Declines
+from decklb.cluster.duties import DutyScheduler
 from decklb.cluster.errors import WireError
+from decklb.cluster.lamport_clock import LamportClock
 from decklb.cluster.messages import DutyDecline, DutyResult, HealthStatus
 from decklb.cluster.node import Node
-from decklb.cluster.rendezvous import Lamport, Passed, Ranking
-from decklb.cluster.sealing import WINDOW, Replays, Sealer
+from decklb.cluster.rendezvous import Ranking
+from decklb.cluster.replay_window import WINDOW_SIZE, ReplayWindow
+from decklb.cluster.sealing import Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.cluster.suspicion import Suspicion
 from decklb.cluster.timers import TimerQueue
-from decklb.cluster.verdicts import Verdicts
+from decklb.cluster.verdicts import VerdictTable
 
 KEY, OTHER, SALT = bytes(32), bytes([1]) * 32, bytes(8)
 WALL = 1_700_000_000_000
@@ -67,7 +70,7 @@
         self.assertEqual(len({sealer.seal(b"x")[5:17] for _ in range(1000)}), 1000)
 
     def test_window(self):
-        replays, wall = Replays(1000.0), float(WALL)
+        replays, wall = ReplayWindow(1000.0), float(WALL)
 
         def seen(seq, at=WALL, boot=7):
             try:
@@ -77,7 +80,9 @@
                 return error.reason
 
         self.assertEqual([seen(n) for n in (5, 7, 6, 5, 7, 6)], ["", "", "", "replay", "replay", "replay"])
-        self.assertEqual([seen(n) for n in (5000, 5000 - WINDOW + 1, 5000 - WINDOW, 4999)], ["", "", "replay", ""])
+        self.assertEqual(
+            [seen(n) for n in (5000, 5000 - WINDOW_SIZE + 1, 5000 - WINDOW_SIZE, 4999)], ["", "", "replay", ""]
+        )
         self.assertEqual([seen(6000, WALL - 1001), seen(6001, WALL + 1001), seen(5, boot=8)], ["skew", "skew", ""])
 
 
@@ -112,15 +117,15 @@
 def test_foreign_datagrams_are_counted_and_never_answered(reason, data):
     n = node()
     n.receive(0.0, WALL, data, ("127.0.0.1", 9))
-    assert n.dropped == {reason: 1} and n.received == 0 and not n.out
+    assert n.dropped == {reason: 1} and n.received == 0 and not n.outgoing
 
 
 def test_replayed_datagram():
     n, data = node(), Sealer("decklb", [KEY], SALT).seal(envelope([m.Ping(1, "a")]))
     n.receive(0.0, WALL, data, ("127.0.0.1", 9))
-    answers = len(n.out)
+    answers = len(n.outgoing)
     n.receive(1.0, WALL + 1, data, ("127.0.0.1", 9))
-    assert answers > 0 and len(n.out) == answers and n.dropped == {"replay": 1}
+    assert answers > 0 and len(n.outgoing) == answers and n.dropped == {"replay": 1}
 
 
 def test_decoder_on_noise():
@@ -175,13 +180,13 @@
     def ranking(self, members, duties=2000):
         r = Ranking()
         for name, weight in members.items():
-            r.add(name, weight)
+            r.add_member(name, weight)
         r.set_duties([f"e{i}" for i in range(duties)])
         return r
 
     def test_shares_follow_weights(self):
         r = self.ranking({"a": 1.0, "b": 2.0, "c": 1.0})
-        sizes = {n: len(r.mine(n, {"a", "b", "c"}, {})) for n in "abc"}
+        sizes = {n: len(r.duties_of(n, {"a", "b", "c"}, {})) for n in "abc"}
         self.assertEqual(sum(sizes.values()), 2000)
         self.assertTrue(900 < sizes["b"] < 1100, sizes)
 
@@ -190,48 +195,50 @@
     def test_exactly_one_owner_whoever_is_able(self, able, gone):
         r = self.ranking({f"m{i}": 1.0 + i % 3 for i in range(40)}, 200)
         names = {f"m{i}" for i in able}
-        owned = [d for n in names for d in r.mine(n, names, {})]
+        owned = [d for n in names for d in r.duties_of(n, names, {})]
         self.assertEqual(sorted(owned), sorted(r.duties()))
-        self.assertTrue(all(d in r.mine(r.owner(d, names), names, {}) for d in list(r.duties())[:20]))
+        self.assertTrue(all(d in r.duties_of(r.owner(d, names), names, {}) for d in list(r.duties())[:20]))
         # One that goes: nobody else's duties move.
         victim = sorted(names)[gone % len(names)]
         rest = names - {victim}
         if rest:
             moved = {d for d in r.duties() if r.owner(d, names) != r.owner(d, rest)}
-            self.assertEqual(moved, r.mine(victim, names, {}))
+            self.assertEqual(moved, r.duties_of(victim, names, {}))
 
     def test_order_of_arrival_does_not_matter(self):
         names = {f"m{i}": 1.0 for i in range(30)}
         one, two = self.ranking(names, 300), Ranking()
         two.set_duties([f"e{i}" for i in range(300)])
         for name in reversed(names):
-            two.add(name, 1.0)
-        two.add("x", 5.0)
-        two.remove("x")
-        two.add("m3", 2.0)
-        two.add("m3", 1.0)
+            two.add_member(name, 1.0)
+        two.add_member("x", 5.0)
+        two.remove_member("x")
+        two.add_member("m3", 2.0)
+        two.add_member("m3", 1.0)
         for able in (set(names), {"m4", "m20"}):
             self.assertEqual([one.owner(d, able) for d in one.duties()], [two.owner(d, able) for d in one.duties()])
 
     def test_passed_over(self):
         r = self.ranking({"a": 1.0, "b": 1.0}, 50)
-        duty = next(iter(r.mine("a", {"a", "b"}, {})))
+        duty = next(iter(r.duties_of("a", {"a", "b"}, {})))
         self.assertEqual(r.owner(duty, {"a", "b"}, {"a"}), "b")
-        self.assertIn(duty, r.mine("b", {"a", "b"}, {duty: {"a"}}))
+        self.assertIn(duty, r.duties_of("b", {"a", "b"}, {duty: {"a"}}))
         self.assertEqual(r.owner(duty, {"a", "b"}, {"a", "b"}), "a")  # nobody is left: its first owner
-        passed = Passed()
-        self.assertTrue(passed.add(duty, "a", 10.0))
-        self.assertFalse(passed.add(duty, "a", 10.0))
-        self.assertEqual((passed.now(9.0), passed.now(10.0)), ({duty: {"a"}}, {}))
+        declines = Declines()
+        self.assertTrue(declines.add(duty, "a", 10.0))
+        self.assertFalse(declines.add(duty, "a", 10.0))
+        self.assertEqual((declines.active(9.0), declines.active(10.0)), ({duty: {"a"}}, {}))
 
 
 class Held(unittest.TestCase):
     def setUp(self):
-        self.v = Verdicts(DutySettings(repeat_interval_ms=1000.0, mass_failure_hold_ms=5000.0, mass_failure_ratio=0.6))
+        self.v = VerdictTable(
+            DutySettings(repeat_interval_ms=1000.0, mass_failure_hold_ms=5000.0, mass_failure_ratio=0.6)
+        )
         self.listed = {f"e{i}" for i in range(10)}
 
     def say(self, now, subject, state, term=1, at=1, owner="a"):
-        return self.v.take(now, DutyResult("probe", subject, term, owner, at, state))
+        return self.v.apply(now, DutyResult("probe", subject, term, owner, at, state))
 
     def test_older_terms_are_dropped(self):
         self.assertTrue(self.say(0, "e1", HealthStatus.UP, term=5))
@@ -239,39 +246,39 @@
         self.assertFalse(self.say(1, "e1", HealthStatus.DOWN, term=5, at=0))
         self.assertTrue(self.say(1, "e1", HealthStatus.DOWN, term=5, at=2))
         self.assertFalse(self.say(1, "e1", HealthStatus.DOWN, term=5, at=2))  # the same again is no older result
-        self.assertEqual((self.v.term("e1"), self.v.dropped), (5, 2))
+        self.assertEqual((self.v.term("e1"), self.v.outdated_results), (5, 2))
 
     def test_told_again_then_lifted_then_aged_out(self):
         self.say(0, "e1", HealthStatus.DOWN)
-        self.assertEqual(self.v.effects(0, self.listed), [("e1", False)])
-        self.assertEqual(self.v.effects(500, self.listed), [])
-        self.assertEqual(self.v.effects(1000, self.listed), [("e1", False)])
+        self.assertEqual(self.v.take_updates(0, self.listed), [("probe", "e1", False)])
+        self.assertEqual(self.v.take_updates(500, self.listed), [])
+        self.assertEqual(self.v.take_updates(1000, self.listed), [("probe", "e1", False)])
         self.say(1500, "e1", HealthStatus.UP, at=2)
-        self.assertEqual(self.v.effects(1500, self.listed), [("e1", True)])
+        self.assertEqual(self.v.take_updates(1500, self.listed), [("probe", "e1", True)])
         self.say(2000, "e1", HealthStatus.DOWN, at=3)
-        self.v.effects(2000, self.listed)
-        self.assertEqual(self.v.effects(5001, self.listed), [])  # no word for three refreshes: unknown, not up
-        self.assertFalse(self.v.down("e1"))
+        self.v.take_updates(2000, self.listed)
+        self.assertEqual(self.v.take_updates(5001, self.listed), [])  # no word for three refreshes: unknown, not up
+        self.assertFalse(self.v.is_down("e1"))
 
     def test_never_lets_in_what_the_list_keeps_out(self):
         self.say(0, "e1", HealthStatus.DOWN)
-        self.v.effects(0, self.listed)
+        self.v.take_updates(0, self.listed)
         self.say(1, "e1", HealthStatus.UP, at=2)
-        self.assertEqual(self.v.effects(1, self.listed - {"e1"}), [])
+        self.assertEqual(self.v.take_updates(1, self.listed - {"e1"}), [])
 
     def test_all_down_at_once_is_doubted(self):
         self.say(0, "e0", HealthStatus.DOWN)
-        self.assertEqual(self.v.effects(0, self.listed), [("e0", False)])
+        self.assertEqual(self.v.take_updates(0, self.listed), [("probe", "e0", False)])
         for t in range(1000, 9000, 500):  # known to be down long before
             self.say(t, "e0", HealthStatus.DOWN, at=t)
-            self.v.effects(t, self.listed)
+            self.v.take_updates(t, self.listed)
         for i in range(1, 10):
             self.say(9000, f"e{i}", HealthStatus.DOWN)
-        self.assertEqual(self.v.effects(9000, self.listed), [("e0", False)])
+        self.assertEqual(self.v.take_updates(9000, self.listed), [("probe", "e0", False)])
         for i in range(10):
             self.say(11_900, f"e{i}", HealthStatus.DOWN, at=9001)
-        self.assertEqual(self.v.effects(13_900, self.listed), [("e0", False)])
-        self.assertEqual(len(self.v.effects(14_000, self.listed)), 9)  # it has stood for so long: believed
+        self.assertEqual(self.v.take_updates(13_900, self.listed), [("probe", "e0", False)])
+        self.assertEqual(len(self.v.take_updates(14_000, self.listed)), 9)  # it has stood for so long: believed
 
 
 class Scheduling(unittest.TestCase):
@@ -282,13 +289,13 @@
     def make(self, me="a", members=("a",), subjects=("e1",), **settings_):
         ranking, s = Ranking(), DutySettings(**({"period_ms": 1000.0, "timeout_ms": 100.0} | settings_))
         for name in members:
-            ranking.add(name, 1.0)
-        self.lamport = Lamport()
-        d = Duties(
+            ranking.add_member(name, 1.0)
+        self.lamport = LamportClock()
+        d = DutyScheduler(
             s,
             me,
             ranking,
-            Verdicts(s),
+            VerdictTable(s),
             self.lamport,
             self.timers,
             lambda now: now + 1e9 + self.shift,
@@ -297,16 +304,16 @@
         )
         self.d = d
         self.now = 0.0
-        d.subjects(0.0, dict.fromkeys(subjects, 0.0))
-        d.review(0.0, set(members), False)
+        d.set_subjects(0.0, dict.fromkeys(subjects, 0.0))
+        d.update_ownership(0.0, set(members), False)
         return d
 
     def tell(self, message):
         self.told.append(message)
         if isinstance(message, DutyResult):
-            self.d.heard(self.now, message)
+            self.d.on_result(self.now, message)
         else:
-            self.d.disclaimed(self.now, message)
+            self.d.on_decline(self.now, message)
 
     def go(self, until, ok=True, took=10.0):
         """Let time pass; each run ends after `took` ms, None for never."""
@@ -321,7 +328,7 @@
 
     def end(self, now, subject, ok):
         before = len(self.started)
-        self.d.ended(now, subject, ok)
+        self.d.on_run_ended(now, subject, ok)
         for _, start in self.started[before:]:
             self.timers.call_at(now + 10.0, lambda t, s=start.subject: self.end(t, s, ok))
 
@@ -337,10 +344,10 @@
 
     def test_cold_is_probed_less_and_few_members_slow_down(self):
         d = self.make(warming_up_factor=2.0, minority_factor=3.0)
-        d.subjects(0.0, {"e1": 1e9 + 4000.0})
-        self.assertEqual([d.period(t, "e1") for t in (0.0, 3999.0, 4000.0)], [2000.0, 2000.0, 1000.0])
-        d.review(0.0, {"a"}, True)
-        self.assertEqual(d.period(5000.0, "e1"), 3000.0)
+        d.set_subjects(0.0, {"e1": 1e9 + 4000.0})
+        self.assertEqual([d.period_ms(t, "e1") for t in (0.0, 3999.0, 4000.0)], [2000.0, 2000.0, 1000.0])
+        d.update_ownership(0.0, {"a"}, True)
+        self.assertEqual(d.period_ms(5000.0, "e1"), 3000.0)
 
     def test_a_clock_that_jumps_neither_doubles_nor_stops(self):
         self.make()
@@ -358,7 +365,7 @@
         d = self.make()
         self.go(4500.0, took=None)
         self.assertEqual((len(self.started), d.counters.overruns >= 3), (1, True))
-        d.ended(4500.0, "e1", True)
+        d.on_run_ended(4500.0, "e1", True)
         self.go(6000.0)
         self.assertGreater(len(self.started), 1)
 
@@ -366,20 +373,20 @@
         d = self.make(subjects=[f"e{i}" for i in range(30)], max_concurrent=4)
         self.go(1500.0, took=None)
         self.assertEqual((len(self.started), d.running), (4, 4))
-        d.ended(1500.0, self.started[0][1].subject, True)
+        d.on_run_ended(1500.0, self.started[0][1].subject, True)
         self.assertEqual(len(self.started), 5)
 
     def test_hands_on_then_believes(self):
         d = self.make(
             members=("a", "b"), subjects=[f"e{i}" for i in range(8)], failures_to_decline=3, decline_hold_ms=60_000.0
         )
-        mine = {s for s, x in d.duties.items() if x.owned}
+        mine = {s for s, x in d.duties.items() if x.is_owned}
         self.assertTrue(0 < len(mine) < 8)
         self.go(1950.0, ok=False)
         self.assertEqual(self.told, [])
         self.go(3100.0, ok=False)
         self.assertEqual({(type(x), x.subject) for x in self.told}, {(DutyDecline, s) for s in mine})
-        self.assertFalse(any(x.owned for x in d.duties.values()))
+        self.assertFalse(any(x.is_owned for x in d.duties.values()))
         self.go(70_000.0, ok=False)  # its rest is over: it tries again, and rests longer
         # What is said again meanwhile has less of its rest left.
         rests = {x.hold_ms for x in self.told if isinstance(x, DutyDecline)}
@@ -387,9 +394,9 @@
 
     def test_second_opinion_then_a_verdict(self):
         d = self.make(me="b", members=("a", "b"), failures_to_decline=3, subjects=[f"e{i}" for i in range(8)])
-        theirs = sorted(set(d.ranking.duties()) - {s for s, x in d.duties.items() if x.owned})[0]
-        d.disclaimed(0.0, DutyDecline("probe", theirs, "a", 10**9, 60_000))
-        self.assertTrue(d.duties[theirs].owned)
+        theirs = sorted(set(d.ranking.duties()) - {s for s, x in d.duties.items() if x.is_owned})[0]
+        d.on_decline(0.0, DutyDecline("probe", theirs, "a", 10**9, 60_000))
+        self.assertTrue(d.duties[theirs].is_owned)
         self.go(400.0, ok=False)  # promptly, not in its turn
         self.assertEqual([(x.subject, x.status) for x in self.told], [(theirs, HealthStatus.DOWN)])
         self.go(2000.0, ok=True)
@@ -409,28 +416,28 @@
     def test_terms_rise_over_what_others_found(self):
         d = self.make()
         first = d.duties["e1"].term
-        d.heard(0.0, DutyResult("probe", "e1", 50, "z", 5, HealthStatus.DOWN))
+        d.on_result(0.0, DutyResult("probe", "e1", 50, "z", 5, HealthStatus.DOWN))
         self.assertGreater(d.duties["e1"].term, max(first, 50))
-        self.assertFalse(d.heard(0.0, DutyResult("probe", "e1", 49, "y", 9, HealthStatus.DOWN)))
+        self.assertFalse(d.on_result(0.0, DutyResult("probe", "e1", 49, "y", 9, HealthStatus.DOWN)))
         self.go(2000.0)
         self.assertEqual([(x.status, x.term > 50) for x in self.told], [(HealthStatus.UP, True)])
 
     def test_one_that_died_is_taken_over_promptly_one_that_moved_is_not(self):
         d = self.make(members=("a", "b"), subjects=[f"e{i}" for i in range(40)])
         before = set(d.duties)
-        d.review(0.0, {"a"}, False)
+        d.update_ownership(0.0, {"a"}, False)
         due = [x.timer.due_ms for s, x in d.duties.items() if s not in before]
         self.assertLessEqual(max(due), 250.0)
         self.go(300.0)
-        d.review(300.0, {"a", "b"}, False)
-        self.assertEqual({s for s, x in d.duties.items() if x.owned}, before)
+        d.update_ownership(300.0, {"a", "b"}, False)
+        self.assertEqual({s for s, x in d.duties.items() if x.is_owned}, before)
         self.assertEqual((d.counters.lost, d.counters.gained), (len(due), 40))
 
     def test_lamport(self):
-        clock = Lamport()
-        clock.hear(7)
-        self.assertEqual((clock.term(), clock.term()), (8, 9))
-        clock.hear(3)
+        clock = LamportClock()
+        clock.observe(7)
+        self.assertEqual((clock.next_term(), clock.next_term()), (8, 9))
+        clock.observe(3)
         self.assertEqual(clock.value, 9)
 
 
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -16,7 +16,7 @@
 from decklb.cluster import keyfile
 from decklb.cluster import messages as m
 from decklb.cluster.broadcast_queue import BroadcastQueue, transmit_limit
-from decklb.cluster.duties import phase
+from decklb.cluster.duty import phase_of
 from decklb.cluster.rendezvous import Ranking
 from decklb.cluster.sealing import Sealer, key_id
 from decklb.cluster.settings import DutySettings, MembershipSettings
@@ -80,8 +80,8 @@
     fresh = keyfile.Key(bytes(32), "later")
     return {
         "text": Path(path).read_text(),
-        "names": [k.ident for k in ring],
-        "rotated": {step: [k.ident for k in keyfile.rotate(ring, step, fresh)] for step in ("add", "promote", "drop")},
+        "names": [k.name for k in ring],
+        "rotated": {step: [k.name for k in keyfile.rotate(ring, step, fresh)] for step in keyfile.RotationStep},
     }
 
 
@@ -112,9 +112,11 @@
 def owners() -> dict[str, list[str]]:
     ranking = Ranking("probe")
     for name, weight in (("m0", 1.0), ("m1", 2.0), ("m2", 0.5), ("m3", 1.0)):
-        ranking.add(name, weight)
+        ranking.add_member(name, weight)
     ranking.set_duties(f"engine-{i}" for i in range(12))
-    return {name: sorted(ranking.mine(name, {"m0", "m1", "m2"}, {"engine-3": {"m1"}})) for name in ("m0", "m1", "m2")}
+    return {
+        name: sorted(ranking.duties_of(name, {"m0", "m1", "m2"}, {"engine-3": {"m1"}})) for name in ("m0", "m1", "m2")
+    }
 
 
 def simulated(seed: int) -> dict[str, object]:
@@ -169,7 +171,7 @@
     for event in [*cluster.deaths, *cluster.probed]:
         digest.update(repr(event).encode())
     for host in cluster.hosts:
-        digest.update(json.dumps([host.node.members(host.now()), host.node.duty_rows(host.now())]).encode())
+        digest.update(json.dumps([host.node.member_rows(host.now()), host.node.duty_rows(host.now())]).encode())
         digest.update(json.dumps(host.node.health()).encode())
     return {"datagrams": sent, "runs": len(cluster.runs), "deaths": len(cluster.deaths), "digest": digest.hexdigest()}
 
@@ -185,7 +187,7 @@
         "transmissions": [transmit_limit(6, members) for members in (1, 2, 10, 100, 1000)],
         "broadcasts": broadcast_rounds(),
         "suspicion_ends_ms": suspicion_ends(),
-        "phases": [phase("probe", f"engine-{i}") for i in range(4)],
+        "phases": [phase_of("probe", f"engine-{i}") for i in range(4)],
         "owners": owners(),
         "simulated": {str(seed): simulated(seed) for seed in (1, 2, 3)},
     }
@@ -245,7 +247,7 @@
 
 
 def test_duties_have_the_recorded_phases_and_owners():
-    assert [phase("probe", f"engine-{i}") for i in range(4)] == recorded()["phases"]
+    assert [phase_of("probe", f"engine-{i}") for i in range(4)] == recorded()["phases"]
     assert owners() == recorded()["owners"]
 
 
--- a/tests/test_duties_program.py
+++ b/tests/test_duties_program.py
@@ -29,7 +29,7 @@
         self.engines = [PingEngine(self.loop) for _ in range(ENGINES)]
         self.ports = ports.free(3)
         self.keys = str(Path(self.folder.name) / "keys.json")
-        keyfile.write(self.keys, [keyfile.make()])
+        keyfile.write(self.keys, [keyfile.generate()])
         self.programs = [self.start(i) for i in range(3)]
 
     def socket(self, i):
@@ -174,7 +174,7 @@
         engine = PgEngine(loop)
         with tempfile.TemporaryDirectory() as folder:
             keys = str(Path(folder) / "k.json")
-            keyfile.write(keys, [keyfile.make()])
+            keyfile.write(keys, [keyfile.generate()])
             port = ports.free(1)[0]
             xml = (
                 f'<decklb version="1"><postgres user="u"/><cluster name="c" bind="127.0.0.1:{port}" keys="{keys}" '
--- a/tests/test_middleware_fleet.py
+++ b/tests/test_middleware_fleet.py
@@ -74,7 +74,7 @@
         self.folder = Path(folder.name)
         taken = ports.free(3)
         seeds = "".join(f"<seed>127.0.0.1:{p}</seed>" for p in taken)
-        keyfile.write(str(self.folder / "keys.json"), [keyfile.make()])
+        keyfile.write(str(self.folder / "keys.json"), [keyfile.generate()])
         (self.folder / "runs").touch()
         self.workers = {}
         for name, port in zip(NAMES, taken, strict=True):
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -28,7 +28,7 @@
         self.loop.run(self.rig.open())
         self.addCleanup(lambda: self.act(self.rig.close))
         keys = str(self.folder / "keys.json")
-        keyfile.write(keys, [keyfile.make()])
+        keyfile.write(keys, [keyfile.generate()])
         seeds = "".join(f"<seed>{h}:{p}</seed>" for h, p in self.rig.told.values())
         self.programs = {}
         for name, (host, port) in binds.items():
