--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -10,12 +10,11 @@
 import random
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from decklb.cluster import notices
 from decklb.cluster.duties import DutyScheduler
 from decklb.cluster.duty import DutyRun
-from decklb.cluster.duty_status import duty_health, duty_rows
 from decklb.cluster.errors import WireError
 from decklb.cluster.events import MembershipEvents
 from decklb.cluster.lamport_clock import LamportClock
@@ -26,7 +25,6 @@
     DutyDecline,
     DutyResult,
     Envelope,
-    HealthStatus,
     MemberState,
     Message,
     UserMessage,
@@ -72,14 +70,6 @@
     payload: bytes
 
 
-@dataclass(slots=True)
-class Notice:
-    """An event for the log: its code and fields."""
-
-    event: str
-    fields: dict[str, Any] = field(default_factory=dict)
-
-
 class Node:
     """A member of the cluster.
 
@@ -125,7 +115,7 @@
         self.runs_to_start: list[DutyRun] = []
         self.health_updates: list[HealthUpdate] = []
         self.user_messages: list[ReceivedUserMessage] = []
-        self.notices: list[Notice] = []
+        self.notices: list[notices.Notice] = []
         self.dropped: Counter[str] = Counter()
         self.sent = self.sent_bytes = self.received = 0
         self._wall_clock_offset = wall_clock_ms - now
@@ -192,7 +182,7 @@
         if late_ms > STALL_INTERVALS * self.settings.probe_interval_ms:
             # Stopped, swapped out or starved: nothing that was missed meanwhile speaks against others.
             self.membership.on_stall(late_ms)
-            self.notices.append(Notice("held-up", {"late_ms": round(late_ms)}))
+            self.notices.append(notices.process_stalled(late_ms))
         self.timers.now = now
         self.timers.run_due(now)
 
@@ -318,7 +308,7 @@
         """A report of our own, which holds here as it does elsewhere."""
         is_new = self._apply(self.timers.now, report)
         if is_new:
-            self.notices.append(_report_notice(report))
+            self.notices.append(notices.duty_reported(report))
         # Declines are repeated now and then, for members that came later.
         if is_new or isinstance(report, DutyDecline):
             self._broadcast(report)
@@ -333,8 +323,7 @@
             was_mass_failure = verdicts.mass_failure_since is not None
             self.health_updates += verdicts.take_updates(now, self._listed.get(kind, ()))
             if was_mass_failure != (verdicts.mass_failure_since is not None):
-                event = "all-down-over" if was_mass_failure else "all-down-doubted"
-                self.notices.append(Notice(event, {"kind": kind}))
+                self.notices.append(notices.mass_failure(kind, is_over=was_mass_failure))
         self.timers.call_at(now + UPDATE_CHECK_INTERVAL_MS, self._collect_health_updates)
 
     # Events of the membership.
@@ -343,31 +332,15 @@
         for scheduler in self.schedulers.values():
             scheduler.ranking.add_member(member.name, member.weight)
         if before != member.state:
-            self.notices.append(
-                Notice(
-                    "member",
-                    {
-                        "member": member.name,
-                        "state": _state_name(member.state),
-                        "before": "unknown" if before is None else _state_name(before),
-                        "life": member.incarnation,
-                    },
-                )
-            )
+            self.notices.append(notices.member_state_changed(member, before))
         self.schedule_reassignment(now)
 
     def _on_ready(self, now: float) -> None:
-        self.notices.append(Notice("settled", {"members": self.membership.table.live_count}))
+        self.notices.append(notices.member_ready(self.membership.table.live_count))
         self.schedule_reassignment(now)
 
     def _on_name_conflict(self, now: float, address: Address, is_yielding: bool) -> None:
-        host, port = address
-        self.notices.append(
-            Notice(
-                "name-conflict",
-                {"member": self.membership.local.name, "yields": is_yielding, "other": f"{host}:{port}"},
-            )
-        )
+        self.notices.append(notices.name_conflict(self.membership.local.name, address, is_yielding))
         self.schedule_reassignment(now)
 
     def schedule_reassignment(self, now: float) -> None:
@@ -385,60 +358,3 @@
             scheduler.update_ownership(now, eligible, in_minority)
             for name in [name for name in scheduler.ranking.weights if name not in known]:
                 scheduler.ranking.remove_member(name)
-
-    # For operators; the keys are those of the JSON output.
-
-    def member_rows(self, now: float) -> list[dict[str, Any]]:
-        """All members as this instance sees them."""
-        local = self.membership.local
-        return [
-            {
-                "name": member.name,
-                "address": f"{member.address[0]}:{member.address[1]}",
-                "state": _state_name(member.state),
-                "life": member.incarnation,
-                "settled": member.ready,
-                "weight": member.weight,
-                "since_ms": max(0, round(now - member.state_since)),
-                "self": member is local,
-            }
-            for member in sorted(self.membership.members.values(), key=lambda member: member.name)
-        ]
-
-    def duty_rows(self, now: float) -> list[dict[str, Any]]:
-        """All duties of all kinds; see `duty_status.duty_rows`."""
-        return [row for scheduler in self.schedulers.values() for row in duty_rows(scheduler, now)]
-
-    def health(self) -> dict[str, Any]:
-        """Counters."""
-        membership = self.membership
-        counters = membership.counters
-        return {
-            "doubt": membership.health.score,
-            "probes": counters.probes,
-            "failed_probes": counters.failed_probes,
-            "refuted": counters.refutations,
-            "held_up": counters.stalls,
-            "conflicts": counters.name_conflicts,
-            "sent": self.sent,
-            "sent_bytes": self.sent_bytes,
-            "received": self.received,
-            "dropped": dict(self.dropped),
-            "news": len(membership.gossip.queue),
-            "minority": membership.in_minority(self.timers.now),
-            "yielding": membership.local.is_yielding,
-            "duties": {kind: duty_health(scheduler) for kind, scheduler in self.schedulers.items()},
-        }
-
-
-def _state_name(state: MemberState) -> str:
-    return state.name.lower()
-
-
-def _report_notice(report: DutyResult | DutyDecline) -> Notice:
-    fields: dict[str, Any] = {"kind": report.kind, "subject": report.subject}
-    if isinstance(report, DutyResult):
-        fields |= {"term": report.term, "up": report.status != HealthStatus.DOWN}
-        return Notice("duty-result", fields)
-    fields["rest_ms"] = report.hold_ms
-    return Notice("duty-handed-on", fields)
--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -17,9 +17,12 @@
 
 from decklb.cluster import keyfile
 from decklb.cluster.duty import DutyRun
+from decklb.cluster.duty_status import duty_rows
 from decklb.cluster.errors import KeyFileError
 from decklb.cluster.member import Address
-from decklb.cluster.node import Datagram, Node, Notice
+from decklb.cluster.node import Datagram, Node
+from decklb.cluster.node_status import member_rows, node_health
+from decklb.cluster.notices import Notice
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.cluster.settings import ClusterSettings
 from decklb.core.ports import Clock, Timer
@@ -115,11 +118,11 @@
     def startProtocol(self) -> None:
         """Join: the socket is open."""
         logger.info(
-            "cluster member {member} on {address}, told as {told}, {seeds} seeds",
+            "cluster member {member} on {address}, advertised as {advertised}, {seeds} seeds",
             event="cluster-listening",
             member=self.settings.member,
             address="{}:{}".format(*self.settings.bind_address),
-            told="{}:{}".format(*self.settings.advertised_address),
+            advertised="{}:{}".format(*self.settings.advertised_address),
             seeds=len(self.settings.seeds),
         )
         self.node.start(self.clock.now(), self.settings.seeds)
@@ -130,9 +133,11 @@
         try:
             self.node.set_sealer(self._make_sealer())
         except KeyFileError as error:
-            logger.error("keys kept, the new ones can't be used: {error}", event="keys-refused", error=str(error))
+            logger.error(
+                "key file rejected, the old keys stay in use: {error}", event="key-file-rejected", error=str(error)
+            )
             return
-        logger.info("keys read", event="keys-read")
+        logger.info("key file loaded", event="key-file-loaded")
 
     def close(self) -> None:
         """Leave the cluster and close the socket."""
@@ -180,12 +185,17 @@
             self._pump()
 
     def member_rows(self) -> list[dict[str, Any]]:
-        """See `Node.member_rows`."""
-        return self.node.member_rows(self.clock.now())
+        """All members, for `decklb members`."""
+        return member_rows(self.node.membership, self.clock.now())
 
     def duty_rows(self) -> list[dict[str, Any]]:
-        """See `Node.duty_rows`."""
-        return self.node.duty_rows(self.clock.now())
+        """All duties of all kinds, for `decklb duties`."""
+        now = self.clock.now()
+        return [row for scheduler in self.node.schedulers.values() for row in duty_rows(scheduler, now)]
+
+    def health(self) -> dict[str, Any]:
+        """Counters, for `decklb members`."""
+        return node_health(self.node)
 
     # Events of the socket and the clock.
 
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -123,7 +123,7 @@
     def _members(self) -> dict[str, Any]:
         if self.cluster is None:
             return {"members": [], "health": {"minority": False, "yielding": False}}
-        return {"members": self.cluster.member_rows(), "health": self.cluster.node.health()}
+        return {"members": self.cluster.member_rows(), "health": self.cluster.health()}
 
     def _duties(self) -> list[dict[str, Any]]:
         return [] if self.cluster is None else self.cluster.duty_rows()
--- a/decklb/lab/cluster.py
+++ b/decklb/lab/cluster.py
@@ -168,7 +168,7 @@
         return self.took, True
 
     def _notice(self, host: Host, event: str, fields: dict[str, object]) -> None:
-        if event == "member" and fields["state"] == "dead":
+        if event == "member-state-changed" and fields["state"] == "dead":
             self.deaths.append((self.world.now, host.name, str(fields["member"])))
 
     def _probed(self, host: Host, subject: str, up: bool) -> None:
--- a/decklb/lab/outage.py
+++ b/decklb/lab/outage.py
@@ -282,7 +282,7 @@
         worst = self.rig.late
         for p in self.managers.values():
             for line, at in zip(p.lines, p.stamps, strict=False):
-                if at >= since and (m := re.search(r"held-up late_ms=(\d+)", line)):
+                if at >= since and (m := re.search(r"process-stalled stall_ms=(\d+)", line)):
                     worst = max(worst, float(m[1]))
         return round(worst, 1)
 
--- a/decklb/locality/council.py
+++ b/decklb/locality/council.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from decklb.cluster.errors import WireError
-from decklb.cluster.node import Notice
+from decklb.cluster.notices import Notice
 from decklb.locality import messages as m
 from decklb.locality.settings import ALONE, LocalitySettings
 from decklb.locality.zones import Ballot, Decided, State, View, Zones
--- a/decklb/maintenance/conductor.py
+++ b/decklb/maintenance/conductor.py
@@ -16,7 +16,7 @@
 from zlib import crc32
 
 from decklb.cluster.errors import WireError
-from decklb.cluster.node import Notice
+from decklb.cluster.notices import Notice
 from decklb.maintenance import messages as m
 from decklb.maintenance.plan import (
     AWAY,
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -17,6 +17,8 @@
 from decklb.cluster import messages as m
 from decklb.cluster.broadcast_queue import BroadcastQueue, transmit_limit
 from decklb.cluster.duty import phase_of
+from decklb.cluster.duty_status import duty_rows
+from decklb.cluster.node_status import member_rows, node_health
 from decklb.cluster.rendezvous import Ranking
 from decklb.cluster.sealing import Sealer, key_id
 from decklb.cluster.settings import DutySettings, MembershipSettings
@@ -171,8 +173,10 @@
     for event in [*cluster.deaths, *cluster.probed]:
         digest.update(repr(event).encode())
     for host in cluster.hosts:
-        digest.update(json.dumps([host.node.member_rows(host.now()), host.node.duty_rows(host.now())]).encode())
-        digest.update(json.dumps(host.node.health()).encode())
+        members = member_rows(host.node.membership, host.now())
+        duties = duty_rows(cluster.book(host), host.now())
+        digest.update(json.dumps([members, duties]).encode())
+        digest.update(json.dumps(node_health(host.node)).encode())
     return {"datagrams": sent, "runs": len(cluster.runs), "deaths": len(cluster.deaths), "digest": digest.hexdigest()}
 
 
--- a/tests/test_duties_program.py
+++ b/tests/test_duties_program.py
@@ -139,9 +139,9 @@
                 [*run, "keys", "rotate", trio.keys, "--step", step], cwd=ROOT, check=True, capture_output=True
             )
             for program in trio.programs:
-                marks = sum("keys read" in line for line in program.lines)
+                marks = sum("key file loaded" in line for line in program.lines)
                 program.process.send_signal(signal.SIGHUP)
-                wait_for(lambda p=program, n=marks: sum("keys read" in x for x in p.lines) > n, "keys read")
+                wait_for(lambda p=program, n=marks: sum("key file loaded" in x for x in p.lines) > n, "key file loaded")
         heard = ask(trio.socket(0), "members")["health"]["received"]
         wait_for(lambda: ask(trio.socket(0), "members")["health"]["received"] > heard + 20, "talk under the new key")
         self.formed()
