--- /dev/null
+++ b/tests/test_cluster_broadcast_queue.py
@@ -0,0 +1,17 @@
+"""The order and number of transmissions of broadcasts."""
+
+from __future__ import annotations
+
+from decklb.cluster.broadcast_queue import BroadcastQueue
+
+
+def test_the_least_sent_go_first_and_each_a_bounded_number_of_times():
+    queue = BroadcastQueue()
+    for i in range(4):
+        queue.add(i, bytes([i]) * 100)
+    assert queue.take(250, 2) == [bytes([0]) * 100, bytes([1]) * 100]
+    assert [message[0] for message in queue.take(250, 2)] == [2, 3]
+    queue.add(0, bytes([9]) * 100)  # a newer broadcast on the same subject starts anew
+    assert [message[0] for message in queue.take(450, 2)] == [9, 1, 2, 3]
+    assert [message[0] for message in queue.take(450, 2)] == [9]
+    assert len(queue) == 0
--- /dev/null
+++ b/tests/test_cluster_keyfile.py
@@ -0,0 +1,69 @@
+"""The key file and the commands that make and rotate it."""
+
+from __future__ import annotations
+
+import pytest
+from click.testing import CliRunner
+
+from decklb.cli import main
+from decklb.cluster import keyfile
+from decklb.cluster.errors import KeyFileError
+
+
+@pytest.fixture
+def path(tmp_path):
+    return tmp_path / "k.json"
+
+
+def run_keys(*words):
+    return CliRunner().invoke(main, ["keys", *map(str, words)])
+
+
+def secrets(path):
+    return [key.secret for key in keyfile.read(str(path))]
+
+
+def test_a_key_file_is_made_once_readable_by_its_owner_alone(path):
+    assert run_keys("new", path).exit_code == 0
+    assert path.stat().st_mode & 0o777 == 0o600
+    assert run_keys("new", path).exit_code == 1
+
+
+def test_a_rotation_adds_then_promotes_then_drops(path):
+    run_keys("new", path)
+    assert "nothing to promote" in run_keys("rotate", path, "--step", "promote").output
+    [old] = secrets(path)
+    run_keys("rotate", path, "--step", "add")
+    assert [secret == old for secret in secrets(path)] == [True, False]
+    run_keys("rotate", path, "--step", "promote")
+    assert [secret == old for secret in secrets(path)] == [False, True]
+    listed = run_keys("list", path).output
+    assert "seals and opens" in listed.splitlines()[0]
+    assert old.hex() not in listed
+    run_keys("rotate", path, "--step", "drop")
+    assert old not in secrets(path)
+
+
+@pytest.mark.parametrize(
+    ("text", "words"),
+    [
+        ("", "no key file"),
+        ('{"version":2,"keys":[]}', "version 2"),
+        ('{"version":1,"keys":[]}', "1 to 8"),
+        ('{"version":1,"keys":[{"key":"!!","made":""}]}', "no key file"),
+        ('{"version":1,"keys":[{"key":"AAAA","made":""}]}', "32 bytes"),
+    ],
+    ids=["empty", "version", "no-keys", "not-base64", "short-key"],
+)
+def test_faults_of_the_file_are_named(path, text, words):
+    path.write_text(text)
+    path.chmod(0o600)
+    with pytest.raises(KeyFileError, match=words):
+        keyfile.read(str(path))
+
+
+def test_a_file_that_others_may_read_is_refused(path):
+    run_keys("new", path)
+    path.chmod(0o640)
+    with pytest.raises(KeyFileError, match="chmod 0600"):
+        keyfile.read(str(path))
--- /dev/null
+++ b/tests/test_cluster_lamport_clock.py
@@ -0,0 +1,13 @@
+"""The logical clock of terms."""
+
+from __future__ import annotations
+
+from decklb.cluster.lamport_clock import LamportClock
+
+
+def test_terms_rise_above_all_times_heard_of():
+    clock = LamportClock()
+    clock.observe(7)
+    assert (clock.next_term(), clock.next_term()) == (8, 9)
+    clock.observe(3)
+    assert clock.value == 9
