--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
     "test_regions": "fleets-2",
     "test_middleware_fleet": "fleets-2",
     "test_rig_program": "fleets-2",
-    "test_duties_program": "fleets-2",
+    "test_shared_health_checks_program": "fleets-2",
     "test_system_calls": "fleets-1",
     "test_live": "fleets-2",
 }
--- a/tests/test_cluster_lab.py
+++ b/tests/test_cluster_simulation.py
@@ -53,7 +53,7 @@
         self.assertEqual(c.one_owner(), [])
         self.assertEqual({name for _, _, name in c.deaths}, {"m4"})
 
-    def test_leave_is_known_at_once(self):
+    def test_a_departure_is_known_at_once(self):
         c = cluster()
         c.world.run(2 * SECOND)
         leaving = c.host("m2")
@@ -109,7 +109,7 @@
         self.assertEqual(c.one_owner(), [])
         self.assertEqual(c.host("m0").node.membership.members["m1"].address, first.address)
 
-    def test_a_pause_makes_the_paused_doubt_itself(self):
+    def test_a_stalled_process_accuses_nobody(self):
         c = cluster(5)
         c.world.run(3 * SECOND)
         c.world.pause(c.host("m1"), 30 * SECOND)
@@ -121,7 +121,7 @@
         self.assertEqual({name for _, _, name in c.deaths}, {"m1"})  # it accused nobody
         self.assertEqual(c.one_owner(), [])
 
-    def test_one_way_cut(self):
+    def test_after_a_one_way_cut_nobody_is_wrongly_dead(self):
         c = cluster(7)
         c.world.run(2 * SECOND)
         c.part({"m3"}, one_way=True)
@@ -163,7 +163,7 @@
         held = {(v.term, v.owner, v.status) for v in (c.book(h).verdicts.by_subject["motor-1"] for h in c.hosts)}
         self.assertEqual(len(held), 1, held)
 
-    def test_cut_route_is_handed_on_and_stays_with_the_next(self):
+    def test_a_duty_whose_route_is_cut_is_declined_and_stays_with_the_next(self):
         c = cluster(4, seed=2)
         c.world.run(2 * SECOND)
         owner = c.owners()["motor-7"][0]
@@ -189,7 +189,7 @@
         c.world.run(11 * DUTY.period_ms)
         self.assertEqual([up for _, h, s, up in c.probed if h == "m0"][-1], True)
 
-    def test_all_dead_at_once_has_no_effect_for_the_stated_time(self):
+    def test_a_mass_failure_has_no_effect_until_its_hold_is_over(self):
         c = cluster(3, engines=10)
         c.world.run(2 * SECOND)
         c.down = set(c.engines)
@@ -203,7 +203,7 @@
         self.assertLessEqual(set(early), few)
         self.assertEqual({s for at, h, s, _ in c.probed if h == "m0" and at >= until}, set(c.engines))
 
-    def test_experiment(self):
+    def test_the_experiments_figures_are_within_their_bounds(self):
         x = run(Experiment(instances=9, engines=60, periods=16, loss=0.1, kill=1, partition=0.4, seed=3))
         self.assertEqual((x["per_period_mean"], x["per_period_max"], x["false_deaths"]), (1.0, 1, 0))
         self.assertLessEqual(x["takeover_periods_max"], 3.0)
@@ -254,7 +254,7 @@
 )
 
 
-class AnyMix(unittest.TestCase):
+class AnyMixOfFaults(unittest.TestCase):
     @settings(max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
     @given(st.lists(st.tuples(FAULT, st.floats(0.0, 9000.0)), min_size=1, max_size=8), st.integers(0, 99))
     def test_after_quiet_one_live_owner_and_nobody_wrongly_dead(self, schedule, seed):
--- a/tests/test_duties_program.py
+++ b/tests/test_shared_health_checks_program.py
@@ -1,4 +1,4 @@
-"""Three real instances over real sockets share the probing of stand-in engines; one is killed and comes back."""
+"""Three real instances over real sockets share the health checks of stand-in engines; one is killed and returns."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     return found
 
 
-class SharedProbing(unittest.TestCase):
+class SharedHealthChecks(unittest.TestCase):
     def setUp(self):
         self.trio = Trio()
         self.addCleanup(self.trio.close)
@@ -81,7 +81,7 @@
         wait_for(lambda: all(self.trio.alive(int(n[1])) == set(names) for n in names), "one view")
         wait_for(lambda: all(self.trio.owners(int(n[1])) == self.trio.owners(some) for n in names), "one split")
 
-    def test_each_once_a_period_and_taken_over(self):
+    def test_each_engine_is_checked_once_a_period_and_taken_over(self):
         trio, engines = self.trio, self.trio.engines
         owners = trio.owners(0)
         self.assertEqual(set(owners.values()), {"m0", "m1", "m2"})
@@ -116,7 +116,7 @@
             gaps = [b - a for a, b in zip(e.pings, e.pings[1:], strict=False) if a > back + PERIOD]
             self.assertGreater(min(gaps), PERIOD / 2, "a duty is still done twice a period after its owner is back")
 
-    def test_operators_see_it_and_keys_rotate_under_way(self):
+    def test_operators_see_members_and_duties_and_keys_rotate_under_way(self):
         trio = self.trio
         run = [sys.executable, "-m", "decklb"]
         out = subprocess.run(
@@ -168,8 +168,8 @@
         wait_for(lambda: set(trio.owners(0).values()) == {"m0", "m2"}, "new owners")
 
 
-class PgProbing(unittest.TestCase):
-    def test_probes_run_no_statement(self):
+class PostgresHealthChecks(unittest.TestCase):
+    def test_health_checks_run_no_statement(self):
         loop = Loop()
         engine = PgEngine(loop)
         with tempfile.TemporaryDirectory() as folder:
