--- a/decklb/cluster/__init__.py
+++ b/decklb/cluster/__init__.py
@@ -1,4 +1,5 @@
-"""Several instances: who is alive, and which of them does which periodic duty.
+"""The cluster subsystem: membership of instances, and the periodic duties that they share.
 
-The decisions know no socket, clock or logger: time and randomness come in as arguments, datagrams go out as values.
+`runtime.ClusterService` is the entry point for the daemon and other subsystems. Decisions are free of I/O: time and
+randomness come in as arguments, datagrams go out as values. docs/duties.md lists the modules and the design's reasons.
 """
--- a/decklb/cluster/duties.py
+++ b/decklb/cluster/duties.py
@@ -120,7 +120,7 @@
             self._release(self.duties[subject])
         self._acquire_all(now, assigned - owned, before, declined)
         if self.eligible - before:
-            self._greet_returned(now, owned & assigned)
+            self._on_members_returned(now, owned & assigned)
         if in_minority != self.in_minority:
             self.in_minority = in_minority
             for duty in self.duties.values():
@@ -160,12 +160,12 @@
         if not duty.is_running:
             del self.duties[duty.subject]
 
-    def _greet_returned(self, now: float, kept: set[str]) -> None:
+    def _on_members_returned(self, now: float, still_owned: set[str]) -> None:
         """Members have come, or come back from another side of a partition."""
-        if kept:
+        if still_owned:
             # They may have owned these duties on their side: our results must outdo theirs.
             term = self.lamport_clock.next_term()
-            for subject in kept:
+            for subject in still_owned:
                 self.duties[subject].term = term
         self._send_declines(now)  # which they have not heard
 
--- a/decklb/cluster/duty_status.py
+++ b/decklb/cluster/duty_status.py
@@ -27,7 +27,7 @@
     if owned is not None and owned.last_ok is not None:
         is_up, age_ms = owned.last_ok, now - owned.last_ended
     elif verdict is not None and verdict.status is not None:
-        is_up, age_ms = verdict.status != HealthStatus.DOWN, now - verdict.last_heard
+        is_up, age_ms = verdict.status != HealthStatus.DOWN, now - verdict.last_received
     if owned is not None:
         term: int | None = owned.term
     else:
--- a/decklb/cluster/keyfile.py
+++ b/decklb/cluster/keyfile.py
@@ -109,16 +109,16 @@
         raise KeyFileError(f"{path}: is there already; `decklb keys rotate` changes it")
     records = [_KeyRecord(base64.b64encode(key.secret).decode(), key.created) for key in keys]
     data = msgspec.json.format(msgspec.json.encode(_KeyRing(FILE_VERSION, records)), indent=1)
-    part = f"{path}.new"
+    temporary = f"{path}.new"
     try:
         # Another process, or a reload, must never read half of it, nor others any of it.
-        descriptor = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
+        descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         with os.fdopen(descriptor, "wb") as file:
             os.fchmod(file.fileno(), FILE_MODE)
             file.write(data + b"\n")
             file.flush()
             os.fsync(file.fileno())
-        os.replace(part, path)
+        os.replace(temporary, path)
     except OSError as error:
         raise KeyFileError(f"{path}: {error.strerror}") from error
 
--- a/decklb/cluster/member_table.py
+++ b/decklb/cluster/member_table.py
@@ -102,8 +102,10 @@
         return [member for member in self.members.values() if bucket_of(member.name) in buckets]
 
     def count_known(self, now: float, retention_ms: float) -> int:
-        """Members known within the retention, this instance among them; seeds that never answered count, since they may
-        be alive on the other side of a partition."""
+        """Members known within the retention, this instance among them.
+
+        Seeds that never answered count: they may be alive on the other side of a partition.
+        """
         addresses = {self.local.address}
         count = 1
         for name in [*self.live.items, *self.dead.items]:
--- a/decklb/cluster/membership.py
+++ b/decklb/cluster/membership.py
@@ -125,7 +125,7 @@
         self.timers.call_at(now + self._prune_interval_ms, self._prune)
         self.anti_entropy.schedule_join_retry(now)
 
-    def leave(self, now: float) -> None:
+    def leave(self) -> None:
         """Announce the departure; nothing is owned from now on."""
         if self.local.has_left:
             return
@@ -221,12 +221,12 @@
             return []
         if not self._refutation_requests.allow(sender, now):
             return []
-        ask_for_record = BucketRequest(bytes([bucket_of(sender)]))
+        record_request = BucketRequest(bytes([bucket_of(sender)]))
         if member is None:
-            return [ask_for_record]
+            return [record_request]
         dead = Dead(sender, member.incarnation, self.local.name)
         if member.run_id != run_id:  # its clock may be behind that of the run we know: it must outdo that
-            return [ask_for_record, dead]
+            return [record_request, dead]
         # It lives; let it refute with a higher incarnation.
         suspect = Suspect(sender, member.incarnation, self.local.name)
         return [dead if member.state == MemberState.DEAD else suspect]
--- a/decklb/cluster/name_conflict.py
+++ b/decklb/cluster/name_conflict.py
@@ -15,7 +15,7 @@
 from decklb.cluster.timers import TimerQueue
 
 # Signs of another run under our name after which it must be alive; fewer may be echoes of an earlier run of ours.
-SIGNS_OF_LIFE = 3
+SIGNS_REQUIRED = 3
 
 # For which a yielding instance stays silent before it tries again.
 YIELD_MS = 60_000.0
@@ -44,7 +44,7 @@
         """Another run uses our name at `address`."""
         signs = self._signs.get(run_id, 0) + 1
         self._signs[run_id] = signs
-        if signs < SIGNS_OF_LIFE or self.local.is_yielding:
+        if signs < SIGNS_REQUIRED or self.local.is_yielding:
             return
         self._signs.clear()
         self.counters.name_conflicts += 1
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -257,7 +257,7 @@
     def leave(self, now: float) -> None:
         """Own nothing from now on, and tell the others."""
         self.timers.now = now
-        self.membership.leave(now)
+        self.membership.leave()
         for scheduler in self.schedulers.values():
             scheduler.update_ownership(now, (), False)
 
--- a/decklb/cluster/rendezvous.py
+++ b/decklb/cluster/rendezvous.py
@@ -71,12 +71,12 @@
         self.weights[member] = weight
         self._first_choices = None
         seed = self._seeds[member] = xxhash.xxh64_intdigest(f"{self.kind}/{member}".encode())
-        mine = self._ranked_duties[member] = set()
+        ranked_duties = self._ranked_duties[member] = set()
         for duty, best in self._best.items():
             ranked = RankedMember(score(seed, weight, duty), member)
             if len(best) < self.best_members or ranked > best[0]:
                 best.insert(bisect_left(best, ranked), ranked)
-                mine.add(duty)
+                ranked_duties.add(duty)
                 if len(best) > self.best_members:
                     _, last = best.pop(0)
                     self._ranked_duties[last].discard(duty)
--- a/decklb/cluster/suspicion.py
+++ b/decklb/cluster/suspicion.py
@@ -59,8 +59,8 @@
         confirmations = len(self.reporters) - 1
         if not self.expected_confirmations or confirmations <= 0:
             return self.started_at + self.max_timeout_ms
-        share = math.log(min(confirmations, self.expected_confirmations) + 1) / math.log(
+        progress = math.log(min(confirmations, self.expected_confirmations) + 1) / math.log(
             self.expected_confirmations + 1
         )
-        shrunk_ms = self.max_timeout_ms - (self.max_timeout_ms - self.min_timeout_ms) * share
+        shrunk_ms = self.max_timeout_ms - (self.max_timeout_ms - self.min_timeout_ms) * progress
         return self.started_at + max(self.min_timeout_ms, shrunk_ms)
--- a/decklb/cluster/verdicts.py
+++ b/decklb/cluster/verdicts.py
@@ -36,7 +36,7 @@
         found_at_ms: the owner's wall clock.
         owner: name of the member.
         status: None where the result has expired.
-        last_heard: when the result came, local monotonic time.
+        last_received: when the result came, local monotonic time.
         status_since: when the status began here, local monotonic time.
     """
 
@@ -44,7 +44,7 @@
     found_at_ms: int
     owner: str
     status: HealthStatus | None
-    last_heard: float
+    last_received: float
     status_since: float
 
     @property
@@ -80,13 +80,13 @@
         return subject in self._down
 
     def apply(self, now: float, result: DutyResult) -> bool:
-        """Hold a result if it is newer than the one held; true if it is."""
-        held = self.by_subject.get(result.subject)
+        """Hold a result if it is newer than the current one; true if it is."""
+        current = self.by_subject.get(result.subject)
         order = (result.term, result.found_at_ms, result.owner)
-        if held is not None and order <= held.order:
-            self.outdated_results += order != held.order
+        if current is not None and order <= current.order:
+            self.outdated_results += order != current.order
             return False
-        since = held.status_since if held is not None and held.status == result.status else now
+        since = current.status_since if current is not None and current.status == result.status else now
         self.by_subject[result.subject] = Verdict(*order, result.status, now, since)
         (self._down.add if result.status == HealthStatus.DOWN else self._down.discard)(result.subject)
         return True
@@ -122,7 +122,7 @@
 
     def _expire(self, now: float) -> None:
         ttl_ms = self.settings.result_ttl_ms
-        for subject in [down for down in self._down if now - self.by_subject[down].last_heard > ttl_ms]:
+        for subject in [down for down in self._down if now - self.by_subject[down].last_received > ttl_ms]:
             self.by_subject[subject].status = None
             self._down.discard(subject)
 
