--- a/tests/test_cluster_duties.py
+++ b/tests/test_cluster_duties.py
@@ -16,18 +16,18 @@
 class Scheduling(unittest.TestCase):
     def setUp(self):
         self.timers, self.runs, self.reports = TimerQueue(), [], []
-        self.wall_shift = 0.0  # of the wall clock
+        self.wall_shift = 0.0  # by which the wall clock has jumped, ms
 
-    def make(self, me="a", members=("a",), subjects=("e1",), **settings_):
-        ranking, s = Ranking(), DutySettings(**({"period_ms": 1000.0, "timeout_ms": 100.0} | settings_))
+    def make(self, me="a", members=("a",), subjects=("e1",), **overrides):
+        ranking, settings = Ranking(), DutySettings(**({"period_ms": 1000.0, "timeout_ms": 100.0} | overrides))
         for name in members:
             ranking.add_member(name, 1.0)
         self.lamport = LamportClock()
         scheduler = DutyScheduler(
-            s,
+            settings,
             me,
             ranking,
-            VerdictTable(s),
+            VerdictTable(settings),
             self.lamport,
             self.timers,
             lambda now: now + 1e9 + self.wall_shift,
