--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 from decklb.cluster import keyfile
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import KeyFileError, WireError
 from decklb.cluster.runtime import ClusterService
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.core.ports import Clock, Timer
@@ -151,18 +151,18 @@
         self, reactor: Any, clock: Clock, settings: HandoffSettings, cluster: ClusterService, guard: Guard
     ) -> None:
         self.reactor, self.clock, self.settings, self.cluster, self.guard = reactor, clock, settings, cluster, guard
-        me, now = cluster.node.membership.me, clock.now()
+        me, now = cluster.node.membership.local, clock.now()
         self.store: Store | None = None
-        memory, born, kept = me.boot, now, list[Any]()
+        memory, born, kept = me.run_id, now, list[Any]()
         if settings.data:
             from decklb.handoff.store import Store, boot_id
 
             self.store = Store(settings.data, settings.room)
-            memory, born, kept = self.store.open(me.name, me.boot, now, boot_id())
+            memory, born, kept = self.store.open(me.name, me.run_id, now, boot_id())
         self.keeper = Keeper(
             settings,
             me.name,
-            me.boot,
+            me.run_id,
             memory,
             now - born,
             random.Random(os.urandom(16)),
@@ -182,10 +182,10 @@
         self.pumping = self.closed = False
 
     def _sealer(self) -> Sealer:
-        keys = keyfile.read(self.cluster.settings.keys)
+        keys = keyfile.read(self.cluster.settings.key_file)
         # Another name than the datagrams': what is sealed for one is no use for the other.
         return Sealer(
-            f"{self.cluster.settings.membership.cluster}/handoff",
+            f"{self.cluster.settings.membership.cluster_name}/handoff",
             [k.secret for k in keys],
             os.urandom(SALT_BYTES),
             m.MOST_FRAME,
@@ -193,7 +193,7 @@
 
     def start(self) -> None:
         """Open the socket. Raises what Twisted raises when the address can't be had."""
-        host, port = self.cluster.settings.bind
+        host, port = self.cluster.settings.bind_address
         self.port = self.reactor.listenTCP(port, Door(self), interface=host)
         logger.info(
             "handoff on {host}:{port}, {copies} voters a key, {members} members, {kept} keys kept on disk",
@@ -210,15 +210,15 @@
         """Read the keys anew; the cluster has logged what was wrong with them."""
         try:
             self.sealer = self._sealer()
-        except keyfile.KeyFileError:
+        except KeyFileError:
             return
 
     def _tick(self) -> None:
         self.timer = self.clock.call_later(TICK, self._tick)
         now, view = self.clock.now(), self.cluster.node.membership
-        live = {n: view.members[n].boot for n in view.live.items}
+        live = {n: view.members[n].run_id for n in view.live_names()}
         self.keeper.members(now, live | {self.keeper.me: self.keeper.run}, view.members.keys())
-        if self.sealer.spent:
+        if self.sealer.needs_new_salt:
             self.reload()
         for link in list(self.links):
             silent = now - link.heard > (SILENT * self.settings.lease if link.up else GREET)
@@ -244,7 +244,7 @@
         factory: Any = ClientFactory.forProtocol(make)
         factory.noisy = False
         dialled: Any = TCP4ClientEndpoint(
-            self.reactor, *address, timeout=CONNECT / 1000, bindAddress=(self.cluster.settings.bind[0], 0)
+            self.reactor, *address, timeout=CONNECT / 1000, bindAddress=(self.cluster.settings.bind_address[0], 0)
         ).connect(factory)
         dialled.addErrback(
             lambda why: logger.debug(
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from decklb.cli.maint import maint
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.lab.emulation.simulated_quorum_register import World
 from decklb.lab.fault_runs.maintenance_run import Step, budget, doubled
 from decklb.maintenance import messages as m
