--- a/decklb/core/dispatcher.py
+++ b/decklb/core/dispatcher.py
@@ -19,8 +19,8 @@
 from decklb.core.request_log import RequestLog
 from decklb.core.timers import call_after_reading
 from decklb.interface import Effect, Outcome
-from decklb.rules import Gateway
-from decklb.state import NEVER_RAN
+from decklb.policy.gateway import Gateway
+from decklb.policy.records import NEVER_RAN
 
 # A budget runs from when the client sent its request, which is some time before it is read here whole, and the
 # last answer needs its way back: the module is told of this much less. With 15 ms a client was seen to stop waiting
--- a/decklb/lab/policies.py
+++ b/decklb/lab/policies.py
@@ -15,8 +15,8 @@
 
 from decklb import interface as api
 from decklb.interface import Effect, Phase, Settings
-from decklb.rules import Gateway
-from decklb.state import NEVER_RAN
+from decklb.policy.gateway import Gateway
+from decklb.policy.records import NEVER_RAN
 
 Truth = Callable[[str, float, int], float]  # engine, work, threads: ms that it would take
 
--- /dev/null
+++ b/decklb/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of decklb, without sockets, files, clocks or loggers. The way in is `gateway.Gateway`."""
--- a/decklb/rules.py
+++ b/decklb/policy/gateway.py
@@ -11,7 +11,7 @@
 
 from decklb import interface as api
 from decklb.interface import Effect, Outcome, Settings
-from decklb.state import LONG_AGO, Attempt, Engine, Fleet, Keys, Request, Tenant, Usual, Window, Word
+from decklb.policy.records import LONG_AGO, Attempt, Engine, Fleet, Keys, Request, Tenant, Usual, Window, Word
 
 PERIOD = 5000.0  # ms between retunes of the weights (design page)
 GAIN_P, GAIN_I = 0.5, 0.25  # weight per unit of relative error: last period, and the memory of those before
--- a/decklb/wirehost.py
+++ b/decklb/wirehost.py
@@ -10,7 +10,7 @@
 from typing import Any, TextIO
 
 from decklb import interface as api
-from decklb.rules import Gateway
+from decklb.policy.gateway import Gateway
 from decklb.settings import settings_from
 
 Json = dict[str, Any]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -50,7 +50,7 @@
 def test_serve_on_the_platform_imports_nothing_that_is_off():
     out = subprocess.run([sys.executable, "-c", CODE], cwd=ROOT, capture_output=True, text=True, check=True).stdout
     loaded = set(out.strip().split(","))
-    assert {"decklb.net.front", "decklb.rules"} <= loaded
+    assert {"decklb.net.front", "decklb.policy.gateway"} <= loaded
     assert not [name for name in OFF if name in loaded]
 
 
--- a/tests/test_random_settings.py
+++ b/tests/test_random_settings.py
@@ -15,8 +15,8 @@
 
 from decklb import interface as api
 from decklb.interface import Effect, Outcome, Phase
-from decklb.rules import Gateway
-from decklb.state import DOUBTFUL, NEVER_RAN
+from decklb.policy.gateway import Gateway
+from decklb.policy.records import DOUBTFUL, NEVER_RAN
 
 TICK, SLACK, LONGEST = 5.0, 20.0, 20_000.0  # ms; SLACK: of a final answer
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import decklb.rules as rules
+import decklb.policy.gateway as rules
 from decklb import interface as api
 from decklb.interface import Effect, Outcome, Phase
-from decklb.rules import Gateway
-from decklb.state import Word
+from decklb.policy.gateway import Gateway
+from decklb.policy.records import Word
 
 SAFE = api.ClassSpec("safe", aim=1000.0, deadline=5000.0, effect=Effect.SAFE)
 KEYED = api.ClassSpec("keyed", aim=1000.0, deadline=9000.0, effect=Effect.KEYED, memory_span=2000.0)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 from decklb.lab.shipped import world
 
 SPAN = 120_000.0  # ms
-PROGRAM = ["*/decklb/core/*", "*/decklb/rules.py", "*/decklb/state.py", "*/decklb/interface.py"]
+PROGRAM = ["*/decklb/core/*", "*/decklb/policy/*", "*/decklb/interface.py"]
 
 
 def held() -> int:
