--- a/decklb/core/dispatcher.py
+++ b/decklb/core/dispatcher.py
@@ -20,7 +20,7 @@
 from decklb.core.timers import call_after_reading
 from decklb.interface import Effect, Outcome
 from decklb.policy.gateway import Gateway
-from decklb.policy.records import NEVER_RAN
+from decklb.policy.requests import NEVER_EXECUTED
 
 # A budget runs from when the client sent its request, which is some time before it is read here whole, and the
 # last answer needs its way back: the module is told of this much less. With 15 ms a client was seen to stop waiting
@@ -262,7 +262,7 @@
 
     def _repeatable(self, r: Request) -> float:
         """Until when its class lets another attempt begin."""
-        ran = next((a for a in r.attempts if a.outcome not in NEVER_RAN), None)
+        ran = next((a for a in r.attempts if a.outcome not in NEVER_EXECUTED), None)
         spec = self.settings.classes.get(r.work.lane)
         if ran is None or spec is None or spec.effect is Effect.SAFE:
             return math.inf
--- a/decklb/lab/checkers.py
+++ b/decklb/lab/checkers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from decklb.interface import Effect, Outcome, Settings
-from decklb.policy.records import NEVER_RAN
+from decklb.policy.requests import NEVER_EXECUTED
 
 RULES = ("answer", "overlap", "attempts", "repeat", "drain", "cold", "key", "ration")
 KEPT = 20  # texts of faults that are kept
@@ -108,7 +108,7 @@
         w = self.open.get((manager, req))
         if w is not None:
             w.out -= 1
-            w.ran = w.ran or outcome not in NEVER_RAN
+            w.ran = w.ran or outcome not in NEVER_EXECUTED
             self._over(manager, req, w)
 
     def answered(self, manager: int, req: str, kind: str) -> None:
--- a/decklb/lab/policies.py
+++ b/decklb/lab/policies.py
@@ -16,7 +16,7 @@
 from decklb import interface as api
 from decklb.interface import Effect, Phase, Settings
 from decklb.policy.gateway import Gateway
-from decklb.policy.records import NEVER_RAN
+from decklb.policy.requests import NEVER_EXECUTED
 
 Truth = Callable[[str, float, int], float]  # engine, work, threads: ms that it would take
 
@@ -116,7 +116,7 @@
         if r is None:
             return
         r.out -= 1
-        r.ran = r.ran or e.outcome not in NEVER_RAN
+        r.ran = r.ran or e.outcome not in NEVER_EXECUTED
         if r.done or e.finished:
             self._close(r)
         elif self._may_repeat(r):
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -69,9 +69,9 @@
     def place(self, lane: str) -> tuple[str, Collection[str] | None]:
         """For one request of a class: the zone to use first, and all that it may use."""
         self._taken[lane] += 1
-        usual, spec = self.dispatcher.gateway.usual.get(lane), self.dispatcher.settings.classes.get(lane)
+        statistics, spec = self.dispatcher.gateway.statistics.get(lane), self.dispatcher.settings.classes.get(lane)
         # The mean, not the least that a request takes, by which a budget would be overdrawn.
-        work = usual.hold * spec.threads if usual is not None and spec is not None else 0.0
+        work = statistics.run_ms * spec.threads if statistics is not None and spec is not None else 0.0
         return self.steering.place(self.clock.now(), lane, work, self.council)
 
     def ended(self, engine: str, lane: str, outcome: Outcome, took: float) -> None:
@@ -109,10 +109,10 @@
         """Cores that the own callers ask for, by the module's own figures of each class's work."""
         span, self._last = max(1.0, now - self._last), now
         weight, load = 1 - math.exp(-span / PACE), 0.0
-        for lane, u in self.dispatcher.gateway.usual.items():
+        for lane, statistics in self.dispatcher.gateway.statistics.items():
             rate = self._rates.get(lane, 0.0)
             rate = self._rates[lane] = rate + weight * (1000 * self._taken[lane] / span - rate)
-            load += rate * u.work / 1000 if u.n >= SURE else 0.0
+            load += rate * statistics.work_ms / 1000 if statistics.answers >= SURE else 0.0
         self._taken.clear()
         return load
 
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -166,7 +166,7 @@
         self.conductor.members(now, membership.live.items, self.cluster.node.known())
         council = self.locality.council
         unwell = frozenset(z for z in council.common.zones if council.state(z)[0] is not State.HEALTHY)
-        busy = {name: len(x.out) for name, x in self.dispatcher.gateway.fleet.engines.items() if x.out}
+        busy = {name: len(x.attempts) for name, x in self.dispatcher.gateway.engines.by_id.items() if x.attempts}
         watched = self.conductor.watched()
         self._misses = {n: c for n, c in self._misses.items() if n in watched}
         down = {n for n, c in self._misses.items() if c >= MISSES}
--- /dev/null
+++ b/decklb/policy/gossip.py
@@ -0,0 +1,63 @@
+"""Gossip between gateways: who is told, and the fraction of the traffic that is this gateway's.
+
+Messages go to all peers where they are few, else to a random few, as in epidemic protocols (Demers et al.):
+all-to-all grows with the square. A peer that falls silent while others speak counts as down. State: the
+last rates of each peer and the fractions, which the concurrency limit and tenants' quotas follow. Called by
+the gateway each second.
+"""
+
+from __future__ import annotations
+
+import random
+
+from decklb.interface import Settings, Tell
+from decklb.policy.constants import CONTROL_PERIOD_MS
+from decklb.policy.peer_messages import PeerMessage
+
+FANOUT = 7  # peers told each time
+PEER_SILENCE_MS = (
+    0.7 * CONTROL_PERIOD_MS
+)  # after which a peer is down: three messages in a row are rarely lost
+TO_ALL = -1  # peer number of a message to all
+
+
+class PeerGossip:
+    """Peers' arrival rates and this gateway's fraction of the traffic."""
+
+    def __init__(self, settings: Settings, classes: int) -> None:
+        self._me, self._gateways = settings.me, settings.fronts
+        self._tenants, self._classes = len(settings.tenants or [""]), classes
+        self.enabled = settings.peers and settings.fronts > 1
+        self.peer_rates: dict[
+            int, tuple[float, list[float]]
+        ] = {}  # by peer: when told, arrivals a second by tenant
+        self.fraction = 1.0 / settings.fronts  # of all traffic
+        self.tenant_fractions = [self.fraction] * self._tenants  # of each listed tenant's traffic
+
+    def receive(self, sender: int, data: bytes, now: float) -> PeerMessage | None:
+        """Take a message; None for one that can't be read or is of no peer."""
+        message = PeerMessage.read(data, self._tenants, self._classes)
+        if message is None or sender == self._me or not 0 <= sender < self._gateways:
+            return None
+        self.peer_rates[sender] = (now, message.arrival_rates)
+        return message
+
+    def update_fractions(self, own: list[float], now: float) -> None:
+        """Compare own arrival rates with those of the peers; those not heard of carry the mean."""
+        fresh = [rates for told_at, rates in self.peer_rates.values() if now - told_at < PEER_SILENCE_MS]
+        # Where only a few peers are told, silence is chance.
+        told_by_all = self._gateways <= FANOUT + 1
+        silent = len(self.peer_rates) - len(fresh) if fresh and told_by_all else 0
+        even = 1.0 / (self._gateways - silent)
+        means = [sum(rates) / len(rates) for rates in zip(own, *fresh, strict=True)]
+        self.fraction = even * (sum(own) / sum(means) if sum(own) > 0 else 1.0)
+        self.tenant_fractions = [
+            even * (rate / mean if rate > 0 else 1.0) for rate, mean in zip(own, means, strict=True)
+        ]
+
+    def address(self, message: PeerMessage, rng: random.Random) -> list[Tell]:
+        """The messages to send."""
+        data = message.pack()
+        peers = [peer for peer in range(self._gateways) if peer != self._me]
+        targets = [TO_ALL] if len(peers) <= FANOUT else rng.sample(peers, FANOUT)
+        return [Tell(data, peer) for peer in targets]
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -193,7 +193,7 @@
             self.ask()
             self.run_until_started(n)
             self.engines.started[-1].end(Outcome.GOOD)
-        self.assertGreater(self.d.gateway.usual["read"].best, 0)
+        self.assertGreater(self.d.gateway.statistics["read"].best_run_ms, 0)
 
     def test_no_circles_are_left_to_the_garbage_collector(self):
         """Full collections of them stopped the loop for up to 60 ms (708c32f2)."""
--- /dev/null
+++ b/tests/test_policy_class_statistics.py
@@ -0,0 +1,28 @@
+"""What is learned of each class."""
+
+from __future__ import annotations
+
+import pytest
+
+from decklb.interface import Outcome
+from tests.policy_builders import arrival, ended, make_gateway, sent
+
+
+def test_estimated_size_counts_between_a_tenth_and_ten_times_the_usual():
+    gateway = make_gateway(engines=0)
+    gateway.step(1.0, [arrival("usual", cost=100.0)])
+    gateway.statistics["safe"].mean_cost = 100.0
+    sizes = []
+    for i, cost in enumerate((1.0, 20.0, 500.0, 9e9)):
+        gateway.step(2.0 + i, [arrival(f"q{i}", cost=cost)])
+        gateway.statistics["safe"].mean_cost = 100.0
+        sizes.append(gateway.requests[f"q{i}"].relative_size())
+    assert sizes == pytest.approx([0.1, 0.2, 5.0, 10.0])
+
+
+def test_without_bills_work_is_learned_from_the_best_time_not_from_a_jam():
+    gateway = make_gateway(engines=1)
+    for i in range(40):
+        for send in sent(gateway.step(1.0 + i, [arrival(f"r{i}")])):
+            gateway.step(1.5 + i, [ended(send, Outcome.GOOD, rtt=100.0 if i < 30 else 4000.0)])
+    assert gateway.statistics["safe"].work_ms < 200.0 < gateway.statistics["safe"].run_ms
--- /dev/null
+++ b/tests/test_policy_load_reports.py
@@ -0,0 +1,66 @@
+"""Load reports and the probes for them."""
+
+from __future__ import annotations
+
+from decklb import interface as api
+from decklb.interface import Effect, Outcome
+from decklb.policy.constants import CONTROL_PERIOD_MS
+from decklb.policy.gateway import Gateway
+from decklb.policy.load_reports import MAX_SAVED_PROBES
+from tests.policy_builders import SAFE, arrival, entry, polling_gateway, probed_engines, report, sent
+
+
+def test_a_request_waits_for_reports_and_goes_to_the_less_loaded_engine():
+    gateway = polling_gateway()
+    first = gateway.step(1.0, [arrival("a")])
+    two = probed_engines(first)
+    assert len(two) == 2 and not sent(first)
+    (send,) = sent(gateway.step(6.0, [report(two[0], 5), report(two[1], 1)]))
+    assert send.engine == two[1]
+
+
+def test_nothing_is_sent_blind_while_probes_are_answered_and_something_when_none_is():
+    gateway = polling_gateway()
+    two = probed_engines(gateway.step(1.0, [arrival("a", left=20000.0)]))
+    for now in range(6, 306, 50):
+        busy = gateway.step(float(now), [report(e, 90) for e in two])
+        assert not sent(busy)
+        two = probed_engines(busy) or two
+    gateway = polling_gateway(api.ClassSpec("safe", aim=9000.0, deadline=20000.0, effect=Effect.SAFE))
+    actions = gateway.step(1.0, [arrival("a", left=20000.0)])
+    for now in range(51, 6000, 50):
+        assert not sent(actions)
+        if now > CONTROL_PERIOD_MS:
+            break
+        actions = gateway.step(float(now), [])
+    assert sent(gateway.step(5100.0, []))
+
+
+def test_limits_on_reported_load_differ_so_gateways_do_not_send_all_at_once():
+    limits = set()
+    for seed in range(20):
+        gateway = Gateway(api.Settings(classes={"safe": SAFE}, cores={"k": 8}, probes=True, fields=("rif",)), seed)
+        gateway.step(0.0, [api.Members([entry("e0")], True)])
+        gateway.step(1.0, [report("e0", 3)])
+        limits.add(round(gateway.engines.by_id["e0"].load_limit, 3))
+    assert len(limits) > 15
+
+
+def test_probes_are_bounded_by_requests_and_never_sent_where_forbidden():
+    gateway = polling_gateway(api.ClassSpec("safe", aim=9000.0, deadline=20000.0, effect=Effect.SAFE))
+    now, asked = probed_engines(gateway.step(1.0, [arrival("a", left=20000.0)])), 2
+    for i in range(40):  # all are busy, and their reports grow too old
+        now = probed_engines(gateway.step(6.0 + 200 * i, [report(e, 90) for e in now]))
+        asked += len(now)
+    assert 2 < asked <= MAX_SAVED_PROBES
+    gateway = polling_gateway(probes=False)
+    actions = gateway.step(1.0, [arrival("a")])
+    assert sent(actions) and not probed_engines(actions)
+
+
+def test_an_odd_answer_to_a_probe_is_ignored():
+    gateway = polling_gateway()
+    two = probed_engines(gateway.step(1.0, [arrival("a")]))
+    late = api.Probed(two[1], Outcome.LATE, 250.0)
+    gateway.step(2.0, [report("unknown", 1), api.Probed(two[0], Outcome.GOOD, 1.0), late])
+    assert gateway.engines.by_id[two[0]].reported_at < 0
--- /dev/null
+++ b/tests/test_policy_settings.py
@@ -0,0 +1,18 @@
+"""Settings and classes that can not be."""
+
+from __future__ import annotations
+
+import pytest
+
+from decklb import interface as api
+from tests.policy_builders import SAFE
+
+
+@pytest.mark.parametrize("bad", [{"classes": {}}, {"fronts": 0}, {"tick": 0.0}, {"cores": {"k": 0}}])
+def test_settings_that_make_no_sense_are_rejected_when_built(bad):
+    with pytest.raises(ValueError):
+        api.Settings(**({"classes": {"safe": SAFE}} | bad))
+    with pytest.raises(ValueError):
+        api.ClassSpec("x", aim=-1.0, deadline=5.0)
+    with pytest.raises(ValueError):
+        api.ClassSpec("x", aim=1.0, deadline=0.0)
--- a/tests/test_random_settings.py
+++ b/tests/test_random_settings.py
@@ -16,7 +16,7 @@
 from decklb import interface as api
 from decklb.interface import Effect, Outcome, Phase
 from decklb.policy.gateway import Gateway
-from decklb.policy.records import DOUBTFUL, NEVER_RAN
+from decklb.policy.requests import NEVER_EXECUTED, UNCERTAIN
 
 TICK, SLACK, LONGEST = 5.0, 20.0, 20_000.0  # ms; SLACK: of a final answer
 
@@ -86,7 +86,7 @@
         self.arrival, self.spec, self.at, self.end, self.legs = arrival, spec, at, "", []
 
     def ran(self):
-        return [leg for leg in self.legs if leg.outcome not in NEVER_RAN]
+        return [leg for leg in self.legs if leg.outcome not in NEVER_EXECUTED]
 
     def out(self):
         return [leg for leg in self.legs if leg.outcome is None]
@@ -250,7 +250,7 @@
             line = self.keys[r.arrival.key]
             for before in (self.asked[name] for name in line[: line.index(action.req)]):
                 yield "out of order", not before.end or before.out()
-                rest = [leg.ended + s.settle for leg in before.legs if leg.outcome in DOUBTFUL]
+                rest = [leg.ended + s.settle for leg in before.legs if leg.outcome in UNCERTAIN]
                 yield "key at rest", any(self.now < until for until in rest)
         if r.legs and s.extra_ratio is not None:
             since = self.now - s.extra_window
@@ -298,10 +298,10 @@
         plant(wrong)
         world.gateway = Gateway(wrong, seed)
         if fault == "to one that drains":
-            world.gateway.fleet.up = lambda g=world.gateway: list(g.fleet.engines.values())
-            world.gateway.fleet.order = lambda group, g=world.gateway: list(g.fleet.engines.values())
+            world.gateway.engines.up = lambda g=world.gateway: list(g.engines.by_id.values())
+            world.gateway.engines.order = lambda group, g=world.gateway: list(g.engines.by_id.values())
         elif fault == "has no answer in time":
-            world.gateway._sweep = lambda: None
+            world.gateway._scan = lambda: None
         if any(fault in x for x in world.play()):
             return
     pytest.fail(f"never found: {fault}")
