--- a/decklb/settings.py
+++ b/decklb/settings.py
@@ -1,4 +1,7 @@
-"""The translation of a settings object, shared by the simulator's adapter and the real program."""
+"""The reader of a settings object (JSON), shared by the simulator's adapter and the real program.
+
+The keys are the platform's and stay as they are; they are translated here once, into `interface.Settings`.
+"""
 
 from __future__ import annotations
 
@@ -10,45 +13,22 @@
 
 
 def settings_from(raw: Json) -> api.Settings:
-    """Translate a `setup` object; absent optional settings mean off, unknown ones are skipped."""
+    """Translate a settings object; absent optional settings mean off, unknown ones are skipped.
+
+    Raises:
+        KeyError: a class or tenant lacks a required key.
+        ValueError: a figure that makes no sense, or an unknown kind of class.
+    """
     rules, limits, domain = raw.get("rules", {}), raw.get("limits", {}), raw.get("domain", {})
     kinds, telemetry = raw.get("kinds", []), raw.get("telemetry", {})
-
-    def per(name: str, i: int, default: Any) -> Any:
-        values = domain.get(name) or []
-        return values[i] if i < len(values) else default
-
-    classes = {}
-    for i, c in enumerate(raw["categories"]):
-        classes[c["name"]] = api.ClassSpec(
-            name=c["name"],
-            aim=c["aim"],
-            deadline=c["deadline"],
-            worth=c.get("worth", 1.0),
-            late_worth=c.get("late_worth", 0.0),
-            stretch=c.get("aim_stretch", 0.0),
-            effect=api.Effect(c["semantics"]),
-            group=c.get("group", "all"),
-            memory_span=c.get("memory_span", 0.0),
-            serial=bool(c.get("serial_by_key")),
-            streaming=bool(c.get("streaming")),
-            zones=tuple(c["areas_open"]) if "areas_open" in c else None,
-            kinds=tuple(c["served_on"]) if "served_on" in c else None,
-            threads=per("dop", i, 1),
-            holds=per("holds_tables", i, False),
-            yields=per("yields_to_loads", i, False),
-        )
-    tenants = {
-        t["name"]: api.TenantSpec(t["name"], t.get("share", 0.0), t.get("quota_per_s")) for t in raw.get("tenants", [])
-    }
     return api.Settings(
-        classes=classes,
-        tenants=tenants,
+        classes={c["name"]: _class_from(c, i, domain) for i, c in enumerate(raw["categories"])},
+        tenants={t["name"]: _tenant_from(t) for t in raw.get("tenants", [])},
         me=raw.get("me", 0),
         fronts=raw.get("balancers", 1),
         zone=raw.get("zone", ""),
-        cores={k: per("kind_cores", i, 1) for i, k in enumerate(kinds)},
-        memory={k: per("kind_memory_mb", i, 0.0) for i, k in enumerate(kinds)},
+        cores={kind: _value_at(domain, "kind_cores", i, 1) for i, kind in enumerate(kinds)},
+        memory={kind: _value_at(domain, "kind_memory_mb", i, 0.0) for i, kind in enumerate(kinds)},
         largest_share=domain.get("largest_share", 1.0),
         grants=bool(domain.get("grants_count")),
         ranks=bool(domain.get("ranks_heeded")),
@@ -77,3 +57,35 @@
         tick=raw.get("tick", 1.0),
         goal=dict(raw.get("score_parts", {})),
     )
+
+
+def _class_from(raw: Json, index: int, domain: Json) -> api.ClassSpec:
+    """Translate a class; some of its figures stand in lists of the domain, at its index."""
+    return api.ClassSpec(
+        name=raw["name"],
+        aim=raw["aim"],
+        deadline=raw["deadline"],
+        worth=raw.get("worth", 1.0),
+        late_worth=raw.get("late_worth", 0.0),
+        stretch=raw.get("aim_stretch", 0.0),
+        effect=api.Effect(raw["semantics"]),
+        group=raw.get("group", "all"),
+        memory_span=raw.get("memory_span", 0.0),
+        serial=bool(raw.get("serial_by_key")),
+        streaming=bool(raw.get("streaming")),
+        zones=tuple(raw["areas_open"]) if "areas_open" in raw else None,
+        kinds=tuple(raw["served_on"]) if "served_on" in raw else None,
+        threads=_value_at(domain, "dop", index, 1),
+        holds=_value_at(domain, "holds_tables", index, False),
+        yields=_value_at(domain, "yields_to_loads", index, False),
+    )
+
+
+def _tenant_from(raw: Json) -> api.TenantSpec:
+    return api.TenantSpec(raw["name"], raw.get("share", 0.0), raw.get("quota_per_s"))
+
+
+def _value_at(domain: Json, name: str, index: int, default: Any) -> Any:
+    """A list's value at an index, or the default where the list is absent or too short."""
+    values = domain.get(name) or []
+    return values[index] if index < len(values) else default
