--- /dev/null
+++ b/tests/test_policy_imports.py
@@ -0,0 +1,24 @@
+"""What the decision module may know: its interface, its own files and the standard library's plain parts."""
+
+from __future__ import annotations
+
+import ast
+
+from tests.standins import ROOT
+
+ALLOWED = {"__future__", "bisect", "collections", "dataclasses", "hashlib", "math", "random", "struct", "typing"}
+
+
+def imported(path):
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            yield node.module
+
+
+def test_decisions_know_no_io():
+    for path in (ROOT / "decklb" / "policy").glob("*.py"):
+        for module in imported(path):
+            own = module in ("decklb", "decklb.interface") or module.startswith("decklb.policy")
+            assert own or module.partition(".")[0] in ALLOWED, f"{path.name}: {module}"
