--- a/decklb/core/dispatcher.py
+++ b/decklb/core/dispatcher.py
@@ -20,7 +20,7 @@
 from decklb.core.timers import call_after_reading
 from decklb.interface import Effect, Outcome
 from decklb.policy.gateway import Gateway
-from decklb.policy.requests import NEVER_EXECUTED
+from decklb.policy.records import NEVER_EXECUTED
 
 # A budget runs from when the client sent its request, which is some time before it is read here whole, and the
 # last answer needs its way back: the module is told of this much less. With 15 ms a client was seen to stop waiting
--- a/decklb/lab/checkers.py
+++ b/decklb/lab/checkers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from decklb.interface import Effect, Outcome, Settings
-from decklb.policy.requests import NEVER_EXECUTED
+from decklb.policy.records import NEVER_EXECUTED
 
 RULES = ("answer", "overlap", "attempts", "repeat", "drain", "cold", "key", "ration")
 KEPT = 20  # texts of faults that are kept
--- a/decklb/lab/policies.py
+++ b/decklb/lab/policies.py
@@ -16,7 +16,7 @@
 from decklb import interface as api
 from decklb.interface import Effect, Phase, Settings
 from decklb.policy.gateway import Gateway
-from decklb.policy.requests import NEVER_EXECUTED
+from decklb.policy.records import NEVER_EXECUTED
 
 Truth = Callable[[str, float, int], float]  # engine, work, threads: ms that it would take
 
--- a/decklb/policy/concurrency.py
+++ b/decklb/policy/concurrency.py
@@ -13,9 +13,8 @@
 from decklb.interface import Settings
 from decklb.policy.class_statistics import MAX_ANSWER_SLOWDOWN
 from decklb.policy.constants import EWMA_WEIGHT, PEER_WEIGHT
-from decklb.policy.engines import Engine
 from decklb.policy.lost_attempts import SURELY_LOST_RUNS
-from decklb.policy.requests import Attempt, Request
+from decklb.policy.records import Attempt, Engine, Request
 
 THREADS_PER_CORE = 2.0  # threads a core under pressure (design page); beyond it engines lose work
 EXTRA_QUERIES = 1.0  # further queries of the widest class that may be in flight while answers are quick
--- a/decklb/policy/deadlines.py
+++ b/decklb/policy/deadlines.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from decklb.policy.constants import SCAN_TICKS
-from decklb.policy.requests import Request
+from decklb.policy.records import Request
 
 
 def is_hopeless(request: Request, now: float, tick_ms: float) -> bool:
--- a/decklb/policy/gateway.py
+++ b/decklb/policy/gateway.py
@@ -16,7 +16,7 @@
 from decklb.policy.concurrency import ConcurrencyLimit
 from decklb.policy.constants import CONTROL_PERIOD_MS, HOUSEKEEPING_PERIOD_MS, SCAN_TICKS
 from decklb.policy.deadlines import is_hopeless
-from decklb.policy.engines import Engine, EngineRegistry
+from decklb.policy.engines import EngineRegistry
 from decklb.policy.gossip import PeerGossip
 from decklb.policy.key_ordering import KeyOrdering
 from decklb.policy.load_reports import LoadReports
@@ -25,7 +25,7 @@
 from decklb.policy.memory_grants import NORMAL_PRIORITY, memory_grant_mb, priority
 from decklb.policy.peer_messages import PeerMessage
 from decklb.policy.queueing import WeightedRoundRobin
-from decklb.policy.requests import Attempt, Request
+from decklb.policy.records import Attempt, Engine, Request
 from decklb.policy.retry_budget import RetryBudget
 from decklb.policy.routing import Router
 from decklb.policy.slow_start import SlowStart
@@ -97,7 +97,7 @@
             self._scan()
         if self.scheduler.has_queued():
             self._release()
-            for request in self.shedder.excess(list(self.scheduler.tenants.values()), self.limit, now):
+            for request in self.shedder.excess(list(self.scheduler.queues.values()), self.limit, now):
                 self._give_up(request)
         self._set_timer()
         return self.actions
@@ -224,8 +224,8 @@
     def _scan(self) -> None:
         """Look after what falls due, several ticks apart."""
         self._scanned_at = self.now
-        tenants = self.scheduler.tenants.values()
-        for request in [queued[2] for tenant in tenants for queued in tenant.queue] + self.keys.waiting():
+        queues = self.scheduler.queues.values()
+        for request in [queued[2] for queue in queues for queued in queue.requests] + self.keys.waiting():
             if not request.closed and is_hopeless(request, self.now, self.settings.tick):
                 self._give_up(request)
         for attempt in self.lost_attempts.mark_lost(self.engines.up(), self.now):
@@ -241,10 +241,10 @@
             self._housekeep()
         if self.now - self._weights_set_at >= CONTROL_PERIOD_MS:
             self._weights_set_at = self.now
-            update_weights(tenants)
+            update_weights(self.scheduler.tenants())
 
     def _housekeep(self) -> None:
-        for tenant in self.scheduler.tenants.values():
+        for tenant in self.scheduler.tenants():
             tenant.update_arrival_rate(self.now - self._housekept_at)
         self._housekept_at = self.now
         slowdown.refresh(self.engines.up(), self.now)
@@ -277,20 +277,20 @@
 
     def _release(self) -> None:
         """Weighted round robin over tenants with something to send, until nothing more fits."""
-        ready = list(self.scheduler.tenants.values())
+        ready = list(self.scheduler.queues.values())
         up = self.engines.up()
         head = QUEUE_HEAD_POLLING if self.reports.enabled else QUEUE_HEAD
         self.limit.count_threads(up, self.now)
         while ready and not self.limit.all_saturated(up, self.now):
-            tenant = min(ready, key=lambda tenant: tenant.virtual_time)
-            for _, _, request in tenant.queue[:head]:
+            queue = min(ready, key=lambda queue: queue.virtual_time)
+            for _, _, request in queue.requests[:head]:
                 engine = self._route(request) if self.limit.admits(request) else None
                 if engine is not None:
-                    self.scheduler.charge(request)
+                    self.scheduler.charge(queue, request)
                     self._send(request, engine)
                     break
             else:
-                ready.remove(tenant)
+                ready.remove(queue)
 
     def _route(self, request: Request) -> Engine | None:
         if self.keys.is_held(request, self.now):
@@ -301,7 +301,7 @@
 
     def _send(self, request: Request, engine: Engine) -> None:
         arrival, settings = request.arrival, self.settings
-        request.tenant.remove(request)
+        self.scheduler.remove(request)
         if request.attempts:
             self.retries.add_retry(self.now)
         grant_mb = memory_grant_mb(request, engine, settings)
@@ -328,7 +328,7 @@
     def _give_up(self, request: Request) -> None:
         """Answer now; of a request whose attempt is in flight only the queued hedge is given up."""
         if request.is_in_flight() and not request.closed:
-            request.tenant.remove(request)
+            self.scheduler.remove(request)
         else:
             self._answer(request)
 
@@ -346,7 +346,7 @@
     def _close(self, request: Request) -> None:
         """The request is over; its key's line and its attempts live on until all of them have ended."""
         request.closed = True
-        request.tenant.remove(request)
+        self.scheduler.remove(request)
         if not request.attempts:
             self.retries.discard_request(request.arrived_at)
         if head := self.keys.advance(request.arrival.key, self.now):
--- a/decklb/policy/hedging.py
+++ b/decklb/policy/hedging.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from decklb.interface import Effect, Progress, Settings
-from decklb.policy.requests import Attempt
+from decklb.policy.records import Attempt
 
 RUNAWAY_FACTOR = (
     2.5  # times its usual run time, or its objective, that the rest of a query takes under a bad plan
--- a/decklb/policy/key_ordering.py
+++ b/decklb/policy/key_ordering.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from decklb.interface import Settings
-from decklb.policy.requests import Request
+from decklb.policy.records import Request
 
 
 class KeyOrdering:
--- a/decklb/policy/load_reports.py
+++ b/decklb/policy/load_reports.py
@@ -14,8 +14,7 @@
 from decklb.policy.class_statistics import ClassStatistics
 from decklb.policy.concurrency import CLOSE_FACTOR, OPEN_FACTOR, THREADS_PER_CORE
 from decklb.policy.constants import CONTROL_PERIOD_MS, LONG_AGO, SCAN_TICKS
-from decklb.policy.engines import Engine
-from decklb.policy.requests import Request
+from decklb.policy.records import Engine, Request
 
 PROBES_PER_REQUEST = 2.0  # probes that a request taken pays for
 MAX_SAVED_PROBES = 8.0  # probes saved up at most
--- a/decklb/policy/load_shedding.py
+++ b/decklb/policy/load_shedding.py
@@ -11,8 +11,8 @@
 from decklb.interface import Settings
 from decklb.policy.class_statistics import ClassStatistics
 from decklb.policy.concurrency import ConcurrencyLimit
-from decklb.policy.queueing import Tenant
-from decklb.policy.requests import Request
+from decklb.policy.queueing import TenantQueue
+from decklb.policy.records import Request
 
 MAX_QUEUE_SHARE = 0.5  # share of the shortest objective that a queue may last before it is shed
 
@@ -24,28 +24,27 @@
         self._settings, self._statistics = settings, statistics
         self._max_queue_ms = MAX_QUEUE_SHARE * min(spec.aim for spec in settings.classes.values())
 
-    def excess(self, tenants: list[Tenant], limit: ConcurrencyLimit, now: float) -> Iterator[Request]:
+    def excess(self, queues: list[TenantQueue], limit: ConcurrencyLimit, now: float) -> Iterator[Request]:
         """Yield what is over, tenant by tenant; the caller takes each out of its queue before the next."""
         most_ms = self._max_queue_ms * limit.thread_limit * limit.factor  # thread-ms of all queues together
-        weights = sum(tenant.weight for tenant in tenants if tenant.queue) or 1.0
-        for tenant in tenants:
-            over_ms = self._queued_thread_ms(tenant) - most_ms * tenant.weight / weights
+        weights = sum(queue.tenant.weight for queue in queues if queue.requests) or 1.0
+        for queue in queues:
+            over_ms = self._queued_thread_ms(queue) - most_ms * queue.tenant.weight / weights
             if over_ms <= 0 or most_ms <= 0:
                 continue
-            queued = [request for _, _, request in tenant.queue]
+            queued = [request for _, _, request in queue.requests]
             for request in sorted(queued, key=lambda r: (self._value(r, now), r.sequence))[:-1]:
                 if over_ms > 0:
                     over_ms -= request.expected_run_ms() * request.spec.threads
                     yield request
 
-    def _queued_thread_ms(self, tenant: Tenant) -> float:
+    def _queued_thread_ms(self, queue: TenantQueue) -> float:
         """By class where there are no cost estimates: under a flood this is computed at each step."""
         known, classes = self._statistics, self._settings.classes
-        if any(known[name].mean_cost for name in tenant.queued_by_class):
-            return sum(request.expected_run_ms() * request.spec.threads for _, _, request in tenant.queue)
+        if any(known[name].mean_cost for name in queue.count_by_class):
+            return sum(request.expected_run_ms() * request.spec.threads for _, _, request in queue.requests)
         return sum(
-            count * known[name].run_ms * classes[name].threads
-            for name, count in tenant.queued_by_class.items()
+            count * known[name].run_ms * classes[name].threads for name, count in queue.count_by_class.items()
         )
 
     def _value(self, request: Request, now: float) -> float:
--- a/decklb/policy/lost_attempts.py
+++ b/decklb/policy/lost_attempts.py
@@ -10,8 +10,7 @@
 
 from decklb.interface import Outcome, Settings, Verdict
 from decklb.policy.constants import EWMA_WEIGHT
-from decklb.policy.engines import Engine
-from decklb.policy.requests import Attempt
+from decklb.policy.records import Attempt, Engine
 
 MAYBE_LOST_RUNS = 3.0  # times its usual run time after which an attempt may be lost
 SURELY_LOST_RUNS = 8.0  # times its usual run time after which it surely was
--- a/decklb/policy/memory_grants.py
+++ b/decklb/policy/memory_grants.py
@@ -10,8 +10,7 @@
 
 from decklb.interface import Settings
 from decklb.policy.class_statistics import MEMORY_ESTIMATE_EXPONENT, TRUSTED_ANSWERS, ClassStatistics
-from decklb.policy.engines import Engine
-from decklb.policy.requests import Request
+from decklb.policy.records import Engine, Request
 
 GRANT_QUANTILE = 0.96  # of the memory needed over estimated
 OUTLIER_SIZE = 4.0  # times the usual size of its class at which a query runs at the lowest priority
--- a/decklb/policy/outlier_detection.py
+++ b/decklb/policy/outlier_detection.py
@@ -10,8 +10,7 @@
 from __future__ import annotations
 
 from decklb.interface import Effect, Outcome
-from decklb.policy.engines import Engine
-from decklb.policy.requests import Request
+from decklb.policy.records import Engine, Request
 
 MIN_BACKOFF_MS = 500.0  # of the first ejection
 MAX_BACKOFF_MS = 4000.0  # of any
--- a/decklb/policy/retry_budget.py
+++ b/decklb/policy/retry_budget.py
@@ -13,7 +13,7 @@
 
 from decklb.interface import Effect, Outcome, Settings
 from decklb.policy.deadlines import is_hopeless
-from decklb.policy.requests import Request
+from decklb.policy.records import Request
 
 MAX_ERRORS = (
     2  # errors from engines after which a request gets no retry: what none can use would use up the budget
--- a/decklb/policy/routing.py
+++ b/decklb/policy/routing.py
@@ -16,9 +16,9 @@
 from decklb.interface import Action, Effect, Settings
 from decklb.policy import outlier_detection
 from decklb.policy.concurrency import ConcurrencyLimit
-from decklb.policy.engines import Engine, EngineRegistry
+from decklb.policy.engines import EngineRegistry
 from decklb.policy.load_reports import LoadReports
-from decklb.policy.requests import Attempt, Request
+from decklb.policy.records import Attempt, Engine, Request
 from decklb.policy.slow_start import SlowStart
 
 CHOICES = 2  # engines compared, at least
--- a/decklb/policy/slow_start.py
+++ b/decklb/policy/slow_start.py
@@ -9,7 +9,7 @@
 
 from decklb.interface import Settings
 from decklb.policy.class_statistics import ClassStatistics
-from decklb.policy.engines import Engine
+from decklb.policy.records import Engine
 
 USED_BUDGET = 0.55  # share of its fraction of the budget that a gateway uses; the rest is for chance
 SPAN_BUDGET = 0.5  # share of the budget given out where gateways take turns: two turns may meet in one span
--- a/decklb/policy/slowdown.py
+++ b/decklb/policy/slowdown.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from decklb.policy.constants import PEER_WEIGHT
-from decklb.policy.engines import Engine
+from decklb.policy.records import Engine
 
 MAX_SLOWDOWN = 15.0  # times the usual that an engine counts as slow: an error counts as much
 OWN_WEIGHT = 4 * PEER_WEIGHT  # weight of one own answer
--- a/decklb/policy/subsetting.py
+++ b/decklb/policy/subsetting.py
@@ -12,7 +12,7 @@
 
 from decklb.interface import Settings
 from decklb.policy.concurrency import THREADS_PER_CORE
-from decklb.policy.engines import Engine
+from decklb.policy.records import Engine
 
 MIN_SUBSET = 4  # engines that a gateway prefers, at least
 
--- a/decklb/policy/weight_controller.py
+++ b/decklb/policy/weight_controller.py
@@ -10,11 +10,8 @@
 from __future__ import annotations
 
 from collections.abc import Collection
-from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from decklb.policy.queueing import Tenant
+from decklb.policy.tenants import ControlState, Tenant
 
 PROPORTIONAL_GAIN = 0.5  # weight per unit of relative error of the last period
 INTEGRAL_GAIN = 0.25  # weight per unit of the fading sum of errors
@@ -24,26 +21,6 @@
 )
 
 
-@dataclass(slots=True, eq=False)
-class ControlState:
-    """A tenant's answers in this period, and the integral of its error."""
-
-    answers: int = 0
-    latency_sum_ms: float = 0.0
-    objective_sum_ms: float = 0.0
-    integral: float = 0.0
-
-    def record_answer(self, latency_ms: float, objective_ms: float) -> None:
-        """Count an answer; only answers are throughput, not what was rejected or timed out and came back."""
-        self.answers += 1
-        self.latency_sum_ms += latency_ms
-        self.objective_sum_ms += objective_ms
-
-    def start_period(self) -> None:
-        """Forget this period's answers."""
-        self.answers, self.latency_sum_ms, self.objective_sum_ms = 0, 0.0, 0.0
-
-
 def update_weights(tenants: Collection[Tenant]) -> None:
     """Set all weights for the next period, normalised to 1."""
     answered = sum(tenant.control.answers for tenant in tenants)
--- a/tests/test_policy_gossip.py
+++ b/tests/test_policy_gossip.py
@@ -11,7 +11,7 @@
 def test_peers_rates_size_this_gateways_fraction_and_garbage_is_ignored():
     gateway = make_gateway(fronts=2, peers=True)
     assert fraction(gateway) == 0.5
-    gateway.scheduler.tenants[""].arrival_rate_per_s = 30.0
+    gateway.scheduler.queues[""].tenant.arrival_rate_per_s = 30.0
     gateway.step(1.0, [api.Datagram(1, b"\x00"), api.Datagram(9, peer_message(5.0))])
     assert fraction(gateway) == 0.5
     gateway.step(2.0, [api.Datagram(1, peer_message(10.0))])
@@ -20,12 +20,12 @@
 
 def test_a_peer_that_fell_silent_while_others_speak_leaves_its_fraction():
     gateway = make_gateway(fronts=3, peers=True)
-    gateway.scheduler.tenants[""].arrival_rate_per_s = 10.0
+    gateway.scheduler.queues[""].tenant.arrival_rate_per_s = 10.0
     gateway.step(1.0, [api.Datagram(i, peer_message(10.0)) for i in (1, 2)])
     assert fraction(gateway) == pytest.approx(1 / 3)
-    gateway.scheduler.tenants[""].arrival_rate_per_s = 10.0
-    gateway.step(4000.0, [api.Datagram(1, peer_message(gateway.scheduler.tenants[""].arrival_rate_per_s))])
-    gateway.gossip.peer_rates[1] = (4000.0, [gateway.scheduler.tenants[""].arrival_rate_per_s])
+    gateway.scheduler.queues[""].tenant.arrival_rate_per_s = 10.0
+    gateway.step(4000.0, [api.Datagram(1, peer_message(gateway.scheduler.queues[""].tenant.arrival_rate_per_s))])
+    gateway.gossip.peer_rates[1] = (4000.0, [gateway.scheduler.queues[""].tenant.arrival_rate_per_s])
     assert fraction(gateway) == pytest.approx(1 / 2)
     gateway.now = 9000.0  # with no fresh word at all the part is even again
     assert fraction(gateway) == pytest.approx(1 / 3)
--- a/tests/test_policy_load_shedding.py
+++ b/tests/test_policy_load_shedding.py
@@ -27,5 +27,5 @@
     gateway.limit.factor = 1.0
     batch = [arrival(f"{n}{i}", tenant=n) for n in two for i in range(24)]
     gateway.step(1.0, batch)
-    big, small = (len(gateway.scheduler.tenants[n].queue) for n in two)
+    big, small = (len(gateway.scheduler.queues[n].requests) for n in two)
     assert 1 <= small <= 2 < big
--- a/tests/test_policy_queueing.py
+++ b/tests/test_policy_queueing.py
@@ -7,7 +7,7 @@
 
 
 def test_round_robin_follows_weights_and_conserves_work():
-    shares = {n: api.TenantSpec(n, send) for n, send in (("a", 0.75), ("b", 0.25))}
+    shares = {n: api.TenantSpec(n, share) for n, share in (("a", 0.75), ("b", 0.25))}
     gateway = make_gateway(tenants=shares, engines=1)
     batch = [arrival(f"{t}{i}", tenant=t) for i in range(8) for t in "ab"]
     first = [send.req[0] for send in sent(gateway.step(1.0, batch))][:8]
--- a/tests/test_random_settings.py
+++ b/tests/test_random_settings.py
@@ -16,7 +16,7 @@
 from decklb import interface as api
 from decklb.interface import Effect, Outcome, Phase
 from decklb.policy.gateway import Gateway
-from decklb.policy.requests import NEVER_EXECUTED, UNCERTAIN
+from decklb.policy.records import NEVER_EXECUTED, UNCERTAIN
 
 TICK, SLACK, LONGEST = 5.0, 20.0, 20_000.0  # ms; SLACK: of a final answer
 
