--- a/decklb/policy/concurrency.py
+++ b/decklb/policy/concurrency.py
@@ -31,7 +31,9 @@
     """The limit, what it follows, and the own threads in flight that it is held against."""
 
     def __init__(self, settings: Settings, polls_load: bool, report_max_age_ms: float) -> None:
-        self._settings, self._polls_load, self._report_max_age_ms = settings, polls_load, report_max_age_ms
+        self._settings = settings
+        self._polls_load = polls_load
+        self._report_max_age_ms = report_max_age_ms
         self.traffic_fraction = 1.0 / settings.fronts  # this gateway's, of all traffic
         self.thread_limit = 1.0  # all own threads, before the factor
         self.factor = INITIAL_FACTOR
@@ -91,9 +93,8 @@
         """Whether an engine may get no more, by its load report if it is recent, else by own threads."""
         if now - engine.reported_at < self._report_max_age_ms:
             return engine.reported_load >= engine.load_limit
-        return engine.threads >= max(
-            1.0, THREADS_PER_CORE * engine.cores * self.traffic_fraction * self.factor
-        )
+        limit = THREADS_PER_CORE * engine.cores * self.traffic_fraction * self.factor
+        return engine.threads >= max(1.0, limit)
 
     def all_saturated(self, engines: list[Engine], now: float) -> bool:
         """Whether no engine may get more, so that routing is in vain; never said where load is polled."""
--- a/decklb/policy/gateway.py
+++ b/decklb/policy/gateway.py
@@ -33,9 +33,7 @@
 from decklb.policy.weight_controller import update_weights
 
 LIST_RETRY_MS = 500.0  # to twice that by chance, before a broken endpoint list is asked for again
-QUEUE_HEAD = (
-    8  # requests at the head of a queue that are tried: past those that placement or a key holds back
-)
+QUEUE_HEAD = 8  # requests of a queue that are tried in turn, past those held back by placement or a key
 QUEUE_HEAD_POLLING = 2  # the same where load is polled, since all that waits for reports waits alike
 
 
@@ -51,16 +49,23 @@
         }
         self.requests: dict[str, Request] = {}
         self.engines = EngineRegistry()
-        self.scheduler, self.keys = WeightedRoundRobin(settings), KeyOrdering(settings)
-        self.retries, self.lost_attempts = RetryBudget(settings), LostAttemptDetector(settings)
-        self.gossip, self.reports = PeerGossip(settings, len(self.statistics)), LoadReports(settings)
+        self.scheduler = WeightedRoundRobin(settings)
+        self.keys = KeyOrdering(settings)
+        self.retries = RetryBudget(settings)
+        self.lost_attempts = LostAttemptDetector(settings)
+        self.gossip = PeerGossip(settings, len(self.statistics))
+        self.reports = LoadReports(settings)
         self.limit = ConcurrencyLimit(settings, self.reports.enabled, self.reports.max_age_ms)
         self.slow_start = SlowStart(settings, self.statistics)
         self.shedder = LoadShedder(settings, self.statistics)
         self.router = Router(settings, self.engines, self.limit, self.slow_start, self.reports, self.rng)
-        self.now, self.actions = 0.0, list[api.Action]()  # of the step under way
-        self._started, self._arrivals = False, 0
-        self._scanned_at = self._housekept_at = self._weights_set_at = 0.0
+        self.now = 0.0  # of the step under way, as are the actions
+        self.actions: list[api.Action] = []
+        self._started = False
+        self._arrivals = 0  # requests so far
+        self._scanned_at = 0.0
+        self._housekept_at = 0.0
+        self._weights_set_at = 0.0
         self._list_retry_at = 0.0  # 0: none is due
         self._wakes_at = 0.0
 
--- a/decklb/policy/gossip.py
+++ b/decklb/policy/gossip.py
@@ -15,9 +15,7 @@
 from decklb.policy.peer_messages import PeerMessage
 
 FANOUT = 7  # peers told each time
-PEER_SILENCE_MS = (
-    0.7 * CONTROL_PERIOD_MS
-)  # after which a peer is down: three messages in a row are rarely lost
+PEER_SILENCE_MS = 0.7 * CONTROL_PERIOD_MS  # then a peer is down: three messages in a row are rarely lost
 TO_ALL = -1  # peer number of a message to all
 
 
@@ -25,12 +23,13 @@
     """Peers' arrival rates and this gateway's fraction of the traffic."""
 
     def __init__(self, settings: Settings, classes: int) -> None:
-        self._me, self._gateways = settings.me, settings.fronts
-        self._tenants, self._classes = len(settings.tenants or [""]), classes
+        self._me = settings.me
+        self._gateways = settings.fronts
+        self._tenants = len(settings.tenants or [""])
+        self._classes = classes
         self.enabled = settings.peers and settings.fronts > 1
-        self.peer_rates: dict[
-            int, tuple[float, list[float]]
-        ] = {}  # by peer: when told, arrivals a second by tenant
+        self.peer_rates: dict[int, list[float]] = {}  # by peer: arrivals a second of each listed tenant
+        self.last_message_at: dict[int, float] = {}  # by peer: ms
         self.fraction = 1.0 / settings.fronts  # of all traffic
         self.tenant_fractions = [self.fraction] * self._tenants  # of each listed tenant's traffic
 
@@ -39,14 +38,15 @@
         message = PeerMessage.read(data, self._tenants, self._classes)
         if message is None or sender == self._me or not 0 <= sender < self._gateways:
             return None
-        self.peer_rates[sender] = (now, message.arrival_rates)
+        self.peer_rates[sender] = message.arrival_rates
+        self.last_message_at[sender] = now
         return message
 
     def update_fractions(self, own: list[float], now: float) -> None:
         """Compare own arrival rates with those of the peers; those not heard of carry the mean."""
-        fresh = [rates for told_at, rates in self.peer_rates.values() if now - told_at < PEER_SILENCE_MS]
-        # Where only a few peers are told, silence is chance.
-        told_by_all = self._gateways <= FANOUT + 1
+        alive = [peer for peer, at in self.last_message_at.items() if now - at < PEER_SILENCE_MS]
+        fresh = [self.peer_rates[peer] for peer in alive]
+        told_by_all = self._gateways <= FANOUT + 1  # else silence is chance
         silent = len(self.peer_rates) - len(fresh) if fresh and told_by_all else 0
         even = 1.0 / (self._gateways - silent)
         means = [sum(rates) / len(rates) for rates in zip(own, *fresh, strict=True)]
--- a/decklb/policy/hedging.py
+++ b/decklb/policy/hedging.py
@@ -11,9 +11,7 @@
 from decklb.interface import Effect, Progress, Settings
 from decklb.policy.records import Attempt
 
-RUNAWAY_FACTOR = (
-    2.5  # times its usual run time, or its objective, that the rest of a query takes under a bad plan
-)
+RUNAWAY_FACTOR = 2.5  # times its usual run time, or its objective, that a query with a bad plan has left
 SHARE_DONE = 1  # kind of progress note that carries the share done
 
 
--- a/decklb/policy/load_reports.py
+++ b/decklb/policy/load_reports.py
@@ -16,6 +16,7 @@
 from decklb.policy.constants import CONTROL_PERIOD_MS, LONG_AGO, SCAN_TICKS
 from decklb.policy.records import Engine, Request
 
+QUERIES_FIELD = "rif"  # of a load report: queries in flight at the engine (the platform's word)
 PROBES_PER_REQUEST = 2.0  # probes that a request taken pays for
 MAX_SAVED_PROBES = 8.0  # probes saved up at most
 MAX_AGE_OBJECTIVES = 0.25  # of the shortest objective: how long a report holds
@@ -27,7 +28,7 @@
     """When to probe, and how reports are read."""
 
     def __init__(self, settings: Settings) -> None:
-        self.enabled = settings.probes and "rif" in settings.fields
+        self.enabled = settings.probes and QUERIES_FIELD in settings.fields
         self.max_age_ms = MAX_AGE_OBJECTIVES * min(spec.aim for spec in settings.classes.values())
         self.wait_ms = SCAN_TICKS * settings.tick  # for the answer to a probe
         self.last_report_at = 0.0
@@ -46,7 +47,8 @@
         actions: list[Action] = []
         for engine in engines:
             if self._saved_probes >= 1 and engine.probe_sent_at == LONG_AGO:
-                self._saved_probes, engine.probe_sent_at = self._saved_probes - 1, now
+                self._saved_probes -= 1
+                engine.probe_sent_at = now
                 actions.append(Probe(engine.entry.engine))
         return actions
 
@@ -56,8 +58,8 @@
         With one limit for all, every gateway that waits would send at once.
         """
         engine.probe_sent_at = LONG_AGO
-        if result.outcome is Outcome.GOOD and "rif" in result.report:
-            engine.reported_load = result.report["rif"] * self._threads_per_query / engine.cores
+        if result.outcome is Outcome.GOOD and QUERIES_FIELD in result.report:
+            engine.reported_load = result.report[QUERIES_FIELD] * self._threads_per_query / engine.cores
             engine.reported_at = self.last_report_at = now
             limit = THREADS_PER_CORE * max(CLOSE_FACTOR, min(OPEN_FACTOR, factor))
             engine.load_limit = limit * rng.uniform(MIN_LIMIT_SHARE, 1.0)
@@ -77,7 +79,7 @@
 
     def update_threads_per_query(self, statistics: dict[str, ClassStatistics]) -> None:
         """Reports count queries: their mean threads are taken from what this gateway sends."""
-        weighed = [
-            (max(1, s.answers) * s.run_ms, self._classes[name].threads) for name, s in statistics.items()
-        ]
-        self._threads_per_query = sum(w * threads for w, threads in weighed) / sum(w for w, _ in weighed)
+        weights = [max(1, known.answers) * known.run_ms for known in statistics.values()]
+        threads = [self._classes[name].threads for name in statistics]
+        weighed = sum(weight * count for weight, count in zip(weights, threads, strict=True))
+        self._threads_per_query = weighed / sum(weights)
--- a/decklb/policy/records.py
+++ b/decklb/policy/records.py
@@ -33,11 +33,11 @@
     request: Request
     number: int  # 0 for the first
     engine: Engine
-    sent_at: float
+    sent_at: float  # ms
     size_step: float = 1.0  # relative size of its request, rounded to a power of two
     outcome: Outcome | None = None  # None while in flight
     presumed_lost: bool = False
-    last_progress_at: float = LONG_AGO
+    last_progress_at: float = LONG_AGO  # ms, of the last progress note
     confirmed: bool = False  # the engine itself vouches for the outcome
 
     @property
@@ -54,7 +54,7 @@
     spec: ClassSpec
     statistics: ClassStatistics
     tenant: Tenant
-    arrived_at: float
+    arrived_at: float  # ms
     sequence: int  # order of arrival
     over_quota: bool = False
     attempts: list[Attempt] = field(default_factory=list)
@@ -84,9 +84,8 @@
         """Its estimated cost over the mean of its class, within bounds; 1 where there is no estimate."""
         if self.arrival.cost <= 0:
             return 1.0
-        return min(
-            MAX_RELATIVE_SIZE, max(MIN_RELATIVE_SIZE, self.statistics.relative_size(self.arrival.cost))
-        )
+        size = self.statistics.relative_size(self.arrival.cost)
+        return min(MAX_RELATIVE_SIZE, max(MIN_RELATIVE_SIZE, size))
 
     def size_step(self) -> float:
         """The relative size, rounded to a power of two."""
@@ -126,7 +125,7 @@
 
     entry: Entry  # its line in the endpoint list
     cores: float
-    last_answer_at: float
+    last_answer_at: float  # ms; of its first listing before any
     started_at: float = LONG_AGO  # last start, or when it was last unreachable: it is cold for a while after
     # Own attempts in flight
     attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # by request and number
@@ -134,17 +133,17 @@
     in_flight: dict[tuple[str, float], InFlightGroup] = field(default_factory=dict)  # by class and size step
     recent_work: deque[tuple[float, float]] = field(default_factory=deque)  # (time, work in ms) of own sends
     # Outlier detection
-    ejected_until: float = 0.0
-    backoff_ms: float = 0.0
+    ejected_until: float = 0.0  # ms
+    backoff_ms: float = 0.0  # length of the last ejection, 0 since an answer
     on_trial: bool = False  # ejected, and has not answered since
-    error_share: float = 0.0  # share of its recent answers that were errors of its own
+    error_share: float = 0.0  # share of its recent answers that were 'full' or errors of its own
     # Slowness of its answers
     slowdown: float = 1.0  # times the usual that they took of late
     slowdown_changed: bool = False  # since peers were last told
     # Load reports
     reported_load: float = 0.0  # threads a core at its last report, own sends since included
     load_limit: float = 0.0  # load up to which this gateway sends until the next report
-    reported_at: float = LONG_AGO
+    reported_at: float = LONG_AGO  # ms, when that report came
     probe_sent_at: float = LONG_AGO  # LONG_AGO while no probe is unanswered
     # Subsetting
     subset_size: int = 1  # number of gateways that prefer it
@@ -189,6 +188,5 @@
 
     def runs_load_on(self, tables: int) -> bool:
         """Whether an own load that locks this group of tables is in flight here."""
-        return any(
-            a.request.spec.holds and a.request.arrival.tables == tables for a in self.attempts.values()
-        )
+        requests = (attempt.request for attempt in self.attempts.values())
+        return any(request.spec.holds and request.arrival.tables == tables for request in requests)
--- a/decklb/policy/retry_budget.py
+++ b/decklb/policy/retry_budget.py
@@ -15,9 +15,7 @@
 from decklb.policy.deadlines import is_hopeless
 from decklb.policy.records import Request
 
-MAX_ERRORS = (
-    2  # errors from engines after which a request gets no retry: what none can use would use up the budget
-)
+MAX_ERRORS = 2  # errors after which a request gets no retry: what no engine can use would use up the budget
 
 
 class SlidingWindow(deque[float]):
--- a/decklb/policy/routing.py
+++ b/decklb/policy/routing.py
@@ -27,7 +27,7 @@
 
 
 class Router:
-    """Chooses engines."""
+    """Chooses engines, from what the mechanisms that it is given know."""
 
     def __init__(
         self,
@@ -72,20 +72,18 @@
     def _choose_by_reports(
         self, request: Request, order: list[Engine], now: float, actions: list[Action]
     ) -> Engine | None:
+        """As `choose`, among engines with a recent report; None while the answer to a probe is awaited."""
         reports = self._reports
         reported, others, unreported = self._sort_by_reports(request, order, now)
         if len(reported) < CHOICES and unreported:
             request.awaits_reports_since = request.awaits_reports_since or now
             actions += reports.probe(unreported[: CHOICES - len(reported)], now)
-            if (
-                now - request.awaits_reports_since < reports.wait_ms
-                or not reported
-                and reports.are_answered(now)
-            ):
+            waited_ms = now - request.awaits_reports_since
+            if waited_ms < reports.wait_ms or not reported and reports.are_answered(now):
                 return None
             reported = reported or unreported[:CHOICES]  # no probe is answered any more
         return min(
-            self._prefer_cold(reported, now) or others[:CHOICES],
+            reported or others[:CHOICES],
             default=None,
             key=lambda engine: (
                 engine.reported_load * engine.slowdown,
--- a/decklb/policy/slow_start.py
+++ b/decklb/policy/slow_start.py
@@ -41,11 +41,11 @@
         query_ms = max(works) if heavy else min(works)
         if budget < 2 * query_ms * engine.subset_size:
             # Where the fraction is below two queries gateways take turns, in an order that each computes
-            # alone: half the budget goes whole to a few for one span, so no window sees more than all of it.
-            few = int(budget / (4 * query_ms)) or 1
-            budget *= SPAN_BUDGET * engine.subset_size / few
-            turn = engine.subset_rank + engine.subset_size // 2 * heavy + few * int(age / settings.fall)
-            if turn % engine.subset_size >= few:
+            # alone: half the budget goes whole to a few for each span, so no window sees more than all of it.
+            at_once = int(budget / (4 * query_ms)) or 1  # gateways whose turn it is in a span
+            budget *= SPAN_BUDGET * engine.subset_size / at_once
+            turn = engine.subset_rank + engine.subset_size // 2 * heavy + at_once * int(age / settings.fall)
+            if turn % engine.subset_size >= at_once:
                 return True
         sent_ms = self._work_sent_since(engine, now - settings.fall - settings.tick)
         return sent_ms + work_ms > budget / engine.subset_size
--- a/decklb/policy/tenants.py
+++ b/decklb/policy/tenants.py
@@ -10,9 +10,7 @@
 from decklb.interface import TenantSpec
 from decklb.policy.constants import EWMA_WEIGHT, LONG_AGO
 
-ARRIVAL_WEIGHT = (
-    6 * EWMA_WEIGHT
-)  # weight of the last second in the arrival rate: about three seconds remembered
+ARRIVAL_WEIGHT = 6 * EWMA_WEIGHT  # weight of the last second in the arrival rate: remembers about three
 
 
 @dataclass(slots=True, eq=False)
--- a/decklb/policy/weight_controller.py
+++ b/decklb/policy/weight_controller.py
@@ -16,9 +16,7 @@
 PROPORTIONAL_GAIN = 0.5  # weight per unit of relative error of the last period
 INTEGRAL_GAIN = 0.25  # weight per unit of the fading sum of errors
 INTEGRAL_MEMORY = 0.7  # share of the sum kept each period; two bare periods smooth too little
-MAX_WEIGHT_FACTOR = (
-    4.0  # a weight stays within this factor of its share, so that a burst is repaid in a few periods
-)
+MAX_WEIGHT_FACTOR = 4.0  # of its share that a weight is at most: a burst is repaid in a few periods
 
 
 def update_weights(tenants: Collection[Tenant]) -> None:
--- a/tests/test_policy_gossip.py
+++ b/tests/test_policy_gossip.py
@@ -25,7 +25,8 @@
     assert fraction(gateway) == pytest.approx(1 / 3)
     gateway.scheduler.queues[""].tenant.arrival_rate_per_s = 10.0
     gateway.step(4000.0, [api.Datagram(1, peer_message(gateway.scheduler.queues[""].tenant.arrival_rate_per_s))])
-    gateway.gossip.peer_rates[1] = (4000.0, [gateway.scheduler.queues[""].tenant.arrival_rate_per_s])
+    gateway.gossip.peer_rates[1] = [gateway.scheduler.queues[""].tenant.arrival_rate_per_s]
+    gateway.gossip.last_message_at[1] = 4000.0
     assert fraction(gateway) == pytest.approx(1 / 2)
     gateway.now = 9000.0  # with no fresh word at all the part is even again
     assert fraction(gateway) == pytest.approx(1 / 3)
