--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -18,11 +18,13 @@
 from decklb.policy.gateway import Gateway
 from decklb.policy.records import NEVER_EXECUTED, UNCERTAIN
 
-TICK, SLACK, LONGEST = 5.0, 20.0, 20_000.0  # ms; SLACK: of a final answer
+TICK_MS = 5.0
+ANSWER_SLACK_MS = 20.0  # after its deadline a final answer may still come
+LONGEST_MS = 20_000.0  # deadline, window
 
 
 def draw_class(draw, name, zones):
-    effect, deadline = draw.choice(list(Effect)), draw.choice([300.0, 1000.0, 5000.0, LONGEST])
+    effect, deadline = draw.choice(list(Effect)), draw.choice([300.0, 1000.0, 5000.0, LONGEST_MS])
     return api.ClassSpec(
         name,
         aim=deadline * draw.choice([0.1, 0.3, 1.0]),
@@ -34,7 +36,7 @@
         group=draw.choice(["all", "zone", "cell"]),
         serial=draw.random() < 0.3,
         threads=draw.choice([1, 2, 4]),
-        memory_span=draw.choice([100.0, 1000.0, LONGEST]) if effect is Effect.KEYED else 0.0,
+        memory_span=draw.choice([100.0, 1000.0, LONGEST_MS]) if effect is Effect.KEYED else 0.0,
         zones=draw.choice([None, None, (draw.choice(zones),)]),
         kinds=draw.choice([None, None, None, ("k0",)]),
         holds=draw.random() < 0.2,
@@ -72,44 +74,44 @@
         extra_ratio=draw.choice([None, 0.1]),
         extra_window=draw.choice([1000.0, 5000.0]),
         settle=draw.choice([0.0, 300.0]),
-        tick=TICK,
+        tick=TICK_MS,
     )
 
 
-class Leg:
+class SentAttempt:
     def __init__(self, engine, sent):
         self.engine, self.sent, self.outcome, self.ended = engine, sent, None, 0.0
 
 
-class Asked:
+class ExpectedRequest:
     def __init__(self, arrival, spec, at):
-        self.arrival, self.spec, self.at, self.end, self.legs = arrival, spec, at, "", []
+        self.arrival, self.spec, self.at, self.end, self.attempts = arrival, spec, at, "", []
 
-    def ran(self):
-        return [leg for leg in self.legs if leg.outcome not in NEVER_EXECUTED]
+    def executed(self):
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_EXECUTED]
 
-    def out(self):
-        return [leg for leg in self.legs if leg.outcome is None]
+    def in_flight(self):
+        return [attempt for attempt in self.attempts if attempt.outcome is None]
 
 
-DOUBT = "doubt"  # the end of an answered attempt's connection, soon after its answer
+COMPLETION_UNCERTAIN = "doubt"  # the end of an answered attempt's connection, soon after its answer
 
 
 class World:
-    """One front, its engines and clients; `broken` lists each rule that was broken."""
+    """One gateway, its engines and clients; `violations` lists each rule that was broken."""
 
     def __init__(self, seed):
         self.draw = draw = random.Random(seed)
         self.zones = ["a", "b", "c"][: draw.randint(1, 3)]
-        self.s = draw_settings(draw, self.zones)
-        self.gateway = Gateway(self.s, seed)
-        self.now, self.broken, self.events = 1000.0, [], []
-        self.engines, self.told = {}, {}  # by id; since when it is told that one drains or is gone
-        self.asked, self.keys, self.ends = {}, {}, []
-        self.open = []
-        self.taken, self.extra = [], []  # when requests came, when further attempts were sent
-        self.rate, self.hold = draw.choice([0.02, 0.1, 0.3]), draw.choice([20, 200, 2000])
-        self.lossy = draw.choice([0, 10])
+        self.settings = draw_settings(draw, self.zones)
+        self.gateway = Gateway(self.settings, seed)
+        self.now, self.violations, self.events = 1000.0, [], []
+        self.engines, self.not_up_since = {}, {}  # by id; since when it is told that one drains or is gone
+        self.requests, self.lines, self.due_outcomes = {}, {}, []
+        self.open_requests = []
+        self.arrived_at, self.retried_at = [], []  # when requests came, when further attempts were sent
+        self.arrival_probability, self.mean_run_ms = draw.choice([0.02, 0.1, 0.3]), draw.choice([20, 200, 2000])
+        self.lost_weight = draw.choice([0, 10])
         for _ in range(draw.randint(1, 6)):
             self.engine(0.0)
         self.events = [api.Members(list(self.engines.values()), True)]
@@ -127,9 +129,9 @@
         )
         self.events.append(api.Members([self.engines[name]], False))
 
-    def play(self):
+    def run(self):
         end = self.now + self.draw.choice([1000, 3000])
-        while self.now < end or self.ends or self.open:
+        while self.now < end or self.due_outcomes or self.open_requests:
             if self.now < end:
                 self.arrivals()
                 self.list_changes()
@@ -138,170 +140,192 @@
             actions, self.events = self.gateway.step(self.now, self.events), []
             for action in actions:
                 self.check(action)
-            self.open = [r for r in self.open if not r.end]
-            for r in self.open:
-                if self.now > r.at + r.arrival.time_left + SLACK:
-                    r.end = "lost"
-                    self.broken.append(f"{r.arrival.req} has no answer in time")
-            self.now += TICK
-        return self.broken
+            self.open_requests = [request for request in self.open_requests if not request.end]
+            for request in self.open_requests:
+                if self.now > request.at + request.arrival.time_left + ANSWER_SLACK_MS:
+                    request.end = "lost"
+                    self.violations.append(f"{request.arrival.req} has no answer in time")
+            self.now += TICK_MS
+        return self.violations
 
     def arrivals(self):
         many = 20 if self.draw.random() < 0.02 else 1
-        while self.draw.random() < self.rate * many and many < 60:
+        while self.draw.random() < self.arrival_probability * many and many < 60:
             many += many > 1
-            name, lane = f"r{len(self.asked)}", self.draw.choice(list(self.s.classes))
-            spec = self.s.classes[lane]
+            name, lane = f"r{len(self.requests)}", self.draw.choice(list(self.settings.classes))
+            spec = self.settings.classes[lane]
             key = self.draw.choice("xyz") if spec.serial and self.draw.random() < 0.9 else None
             arrival = api.Arrival(
                 name,
                 lane,
-                self.draw.choice(list(self.s.tenants) or [""]),
+                self.draw.choice(list(self.settings.tenants) or [""]),
                 spec.deadline * self.draw.choice([1.0, 0.8, 0.1]),
                 self.draw.randint(0, 5),
                 key,
                 cost=self.draw.choice([0.0, 100.0, 5000.0]),
                 need=self.draw.choice([0.0, 100.0]),
             )
-            self.asked[name] = Asked(arrival, spec, self.now)
-            self.open.append(self.asked[name])
-            self.taken.append(self.now)
+            self.requests[name] = ExpectedRequest(arrival, spec, self.now)
+            self.open_requests.append(self.requests[name])
+            self.arrived_at.append(self.now)
             self.events.append(arrival)
             if key is not None:
-                self.keys.setdefault(key, []).append(name)
+                self.lines.setdefault(key, []).append(name)
 
     def list_changes(self):
         if self.draw.random() < 0.01:
-            x, phase = self.draw.choice(list(self.engines.values())), self.draw.choice(list(Phase))
-            if x.phase is not Phase.REMOVED:
-                back = phase is Phase.UP and x.phase is not Phase.UP
-                x = self.engines[x.engine] = api.Entry(
-                    x.engine, x.zone, x.kind, x.cell, phase, 1.0, self.now if back else x.ready_at
+            engine, phase = self.draw.choice(list(self.engines.values())), self.draw.choice(list(Phase))
+            if engine.phase is not Phase.REMOVED:
+                back = phase is Phase.UP and engine.phase is not Phase.UP
+                engine = self.engines[engine.engine] = api.Entry(
+                    engine.engine,
+                    engine.zone,
+                    engine.kind,
+                    engine.cell,
+                    phase,
+                    1.0,
+                    self.now if back else engine.ready_at,
                 )
                 if phase is Phase.UP:
-                    self.told.pop(x.engine, None)
+                    self.not_up_since.pop(engine.engine, None)
                 else:
-                    self.told.setdefault(x.engine, self.now)
-                self.events.append(api.Members([x], False))
+                    self.not_up_since.setdefault(engine.engine, self.now)
+                self.events.append(api.Members([engine], False))
         if self.draw.random() < 0.005:
             self.engine(self.now)
 
     def leave(self):
-        for r in self.open:
+        for request in self.open_requests:
             if self.draw.random() < 0.0005:
-                r.end = "left"
-                self.events.append(api.Left(r.arrival.req))
+                request.end = "left"
+                self.events.append(api.Left(request.arrival.req))
 
     def verdicts(self):
-        while self.ends and self.ends[0][0] <= self.now:
-            _, _, name, number, outcome = heapq.heappop(self.ends)
-            r = self.asked[name]
-            leg = r.legs[number]
-            if outcome is DOUBT:
-                leg.outcome, leg.ended = Outcome.RST, self.now
-                self.events.append(api.Doubted(r.arrival.key))
-            if leg.outcome is not None:
+        while self.due_outcomes and self.due_outcomes[0][0] <= self.now:
+            _, _, name, number, outcome = heapq.heappop(self.due_outcomes)
+            request = self.requests[name]
+            attempt = request.attempts[number]
+            if outcome is COMPLETION_UNCERTAIN:
+                attempt.outcome, attempt.ended = Outcome.RST, self.now
+                self.events.append(api.Doubted(request.arrival.key))
+            if attempt.outcome is not None:
                 continue
             if outcome is None:
                 self.events.append(api.Progress(name, number, self.draw.randint(1, 3), self.draw.random()))
                 continue
-            leg.outcome, leg.ended = outcome, self.now
+            attempt.outcome, attempt.ended = outcome, self.now
             if outcome is Outcome.GOOD:
-                r.end = r.end or "served"
-                if r.arrival.key is not None and self.draw.random() < 0.2:
-                    self.later(self.draw.random() * self.s.settle, name, number, DOUBT)
-            self.events.append(api.Verdict(name, number, leg.engine, outcome, self.now - leg.sent + 0.001, bool(r.end)))
+                request.end = request.end or "served"
+                if request.arrival.key is not None and self.draw.random() < 0.2:
+                    self.later(self.draw.random() * self.settings.settle, name, number, COMPLETION_UNCERTAIN)
+            self.events.append(
+                api.Verdict(name, number, attempt.engine, outcome, self.now - attempt.sent + 0.001, bool(request.end))
+            )
 
     def later(self, wait, name, number, outcome):
-        heapq.heappush(self.ends, (self.now + wait, len(self.ends) + self.draw.random(), name, number, outcome))
+        heapq.heappush(
+            self.due_outcomes, (self.now + wait, len(self.due_outcomes) + self.draw.random(), name, number, outcome)
+        )
 
     def check(self, action):
         if isinstance(action, api.Send):
-            r = self.asked[action.req]
-            self.broken += [f"{action.req}: {fault}" for fault, holds in self.faults(r, action) if holds]
-            self.send(r, action)
+            request = self.requests[action.req]
+            self.violations += [f"{action.req}: {fault}" for fault, holds in self.faults(request, action) if holds]
+            self.send(request, action)
         elif isinstance(action, api.Cancel):
-            if not self.s.cancelling:
-                self.broken.append(f"{action.req} is cancelled where nothing may be")
+            if not self.settings.cancelling:
+                self.violations.append(f"{action.req} is cancelled where nothing may be")
             self.later(self.draw.random() * 3, action.req, action.leg, Outcome.CXL)
         elif isinstance(action, api.Refuse | api.Fail):
-            r, refused = self.asked[action.req], isinstance(action, api.Refuse)
-            if r.end in ("refused", "failed", "lost"):
-                self.broken.append(f"{action.req} is answered twice")
-            keeps = r.spec.effect is Effect.UNSAFE or r.spec.effect is Effect.KEYED and r.spec.group != "all"
-            if refused and not r.end and r.ran() and keeps:
-                self.broken.append(f"{action.req} is refused though it may have run")
-            r.end = r.end or ("refused" if refused else "failed")
-
-    def faults(self, r, action):
-        s, spec, x, ran = self.s, r.spec, self.engines[action.engine], r.ran()
-        yield "sent after its end", r.end
-        yield "too many attempts", len(r.legs) >= s.max_attempts
-        yield "overlap", r.out() and not (s.duplicates and spec.effect is not Effect.UNSAFE)
-        yield "unsafe repeat", ran and spec.effect is Effect.UNSAFE
-        if ran and spec.effect is Effect.KEYED:
-            home = self.engines[ran[0].engine]
-            yield "past its window", self.now > ran[0].sent + spec.memory_span
-            yield "out of its zone", spec.group != "all" and home.zone != x.zone
-            yield "out of its cell", spec.group == "cell" and home.cell != x.cell
-        yield "to one that drains", self.now > self.told.get(x.engine, self.now) + s.drain_grace
-        yield "placement", spec.zones and x.zone not in spec.zones or spec.kinds and x.kind not in spec.kinds
-        if spec.serial and r.arrival.key is not None:
-            line = self.keys[r.arrival.key]
-            for before in (self.asked[name] for name in line[: line.index(action.req)]):
-                yield "out of order", not before.end or before.out()
-                rest = [leg.ended + s.settle for leg in before.legs if leg.outcome in UNCERTAIN]
-                yield "key at rest", any(self.now < until for until in rest)
-        if r.legs and s.extra_ratio is not None:
-            since = self.now - s.extra_window
-            room = s.extra_floor + s.extra_ratio * (len(self.taken) - bisect_left(self.taken, since))
-            yield "over the ration", 1 + sum(t >= since for t in self.extra) > room + 1e-9
-
-    def send(self, r, action):
-        number = len(r.legs)
+            request, refused = self.requests[action.req], isinstance(action, api.Refuse)
+            if request.end in ("refused", "failed", "lost"):
+                self.violations.append(f"{action.req} is answered twice")
+            keeps = (
+                request.spec.effect is Effect.UNSAFE
+                or request.spec.effect is Effect.KEYED
+                and request.spec.group != "all"
+            )
+            if refused and not request.end and request.executed() and keeps:
+                self.violations.append(f"{action.req} is refused though it may have run")
+            request.end = request.end or ("refused" if refused else "failed")
+
+    def faults(self, request, action):
+        settings, spec, executed = self.settings, request.spec, request.executed()
+        engine = self.engines[action.engine]
+        yield "sent after its end", request.end
+        yield "too many attempts", len(request.attempts) >= settings.max_attempts
+        yield "overlap", request.in_flight() and not (settings.duplicates and spec.effect is not Effect.UNSAFE)
+        yield "unsafe repeat", executed and spec.effect is Effect.UNSAFE
+        if executed and spec.effect is Effect.KEYED:
+            home = self.engines[executed[0].engine]
+            yield "past its deduplication window", self.now > executed[0].sent + spec.memory_span
+            yield "out of its zone", spec.group != "all" and home.zone != engine.zone
+            yield "out of its cell", spec.group == "cell" and home.cell != engine.cell
+        yield "to a draining engine", self.now > self.not_up_since.get(engine.engine, self.now) + settings.drain_grace
+        yield "placement", spec.zones and engine.zone not in spec.zones or spec.kinds and engine.kind not in spec.kinds
+        if spec.serial and request.arrival.key is not None:
+            line = self.lines[request.arrival.key]
+            for before in (self.requests[name] for name in line[: line.index(action.req)]):
+                yield "out of order", not before.end or before.in_flight()
+                held_until = [
+                    attempt.ended + settings.settle for attempt in before.attempts if attempt.outcome in UNCERTAIN
+                ]
+                yield "key held down", any(self.now < until for until in held_until)
+        if request.attempts and settings.extra_ratio is not None:
+            since = self.now - settings.extra_window
+            most = settings.extra_floor + settings.extra_ratio * (
+                len(self.arrived_at) - bisect_left(self.arrived_at, since)
+            )
+            yield "over the retry budget", 1 + sum(t >= since for t in self.retried_at) > most + 1e-9
+
+    def send(self, request, action):
+        number = len(request.attempts)
         if number:
-            self.extra.append(self.now)
-        r.legs.append(Leg(action.engine, self.now))
-        wait = max(0.0, min(action.max_wait or LONGEST, r.at + r.arrival.time_left - self.now))
+            self.retried_at.append(self.now)
+        request.attempts.append(SentAttempt(action.engine, self.now))
+        wait = max(0.0, min(action.max_wait or LONGEST_MS, request.at + request.arrival.time_left - self.now))
         kinds = Outcome.GOOD, Outcome.BAD, Outcome.FULL, Outcome.NOCONN, Outcome.RST, Outcome.LATE
-        outcome = self.draw.choices(kinds, [70, 5, 5, 5, 5, self.lossy])[0]
-        took = self.draw.expovariate(1 / self.hold)
+        outcome = self.draw.choices(kinds, [70, 5, 5, 5, 5, self.lost_weight])[0]
+        took = self.draw.expovariate(1 / self.mean_run_ms)
         if outcome is Outcome.LATE or took > wait:
             outcome, took = Outcome.LATE, wait
         self.later(took, action.req, number, outcome)
-        if self.s.progress:
-            self.later(self.s.progress, action.req, number, None)
+        if self.settings.progress:
+            self.later(self.settings.progress, action.req, number, None)
 
 
 @pytest.mark.parametrize("seed", range(0, 60, 10))
 def test_no_rule_is_broken_under_any_settings(seed):
     for n in range(seed, seed + 10):
-        assert World(n).play() == [], n
+        assert World(n).run() == [], n
 
 
 @pytest.mark.parametrize(
     ("fault", "plant"),
     [
-        ("over the ration", lambda s: setattr(s, "extra_ratio", None)),
+        ("over the retry budget", lambda s: setattr(s, "extra_ratio", None)),
         ("unsafe repeat", lambda s: [setattr(c, "effect", Effect.SAFE) for c in s.classes.values()]),
-        ("key at rest", lambda s: setattr(s, "settle", s.settle / 2)),
+        ("key held down", lambda s: setattr(s, "settle", s.settle / 2)),
         ("out of order", lambda s: [setattr(c, "serial", False) for c in s.classes.values()]),
-        ("past its window", lambda s: [setattr(c, "memory_span", LONGEST) for c in s.classes.values()]),
-        ("to one that drains", lambda s: s.fronts),
+        (
+            "past its deduplication window",
+            lambda s: [setattr(c, "memory_span", LONGEST_MS) for c in s.classes.values()],
+        ),
+        ("to a draining engine", lambda s: s.fronts),
         ("has no answer in time", lambda s: s.fronts),
     ],
 )
 def test_the_checker_finds_a_planted_fault(fault, plant):
     for seed in range(60):
         world = World(seed)
-        wrong = copy.deepcopy(world.s)
+        wrong = copy.deepcopy(world.settings)
         plant(wrong)
         world.gateway = Gateway(wrong, seed)
-        if fault == "to one that drains":
+        if fault == "to a draining engine":
             world.gateway.engines.up = lambda g=world.gateway: list(g.engines.by_id.values())
             world.gateway.engines.order = lambda group, g=world.gateway: list(g.engines.by_id.values())
         elif fault == "has no answer in time":
             world.gateway._scan = lambda: None
-        if any(fault in x for x in world.play()):
+        if any(fault in x for x in world.run()):
             return
     pytest.fail(f"never found: {fault}")
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -7,6 +7,8 @@
 import sys
 from pathlib import Path
 
+from decklb import wirehost
+
 ROOT = Path(__file__).parent.parent
 SETUP = {
     "categories": [{"name": "c", "aim": 500.0, "deadline": 2000.0, "semantics": "idempotent", "new": 1}],
@@ -24,7 +26,7 @@
 ]
 
 
-def talk(*batches, raw=None):
+def run_adapter(*batches, raw=None):
     lines = []
     for i, batch in enumerate(batches):
         lines += [{"msg": "clock", "clock": 10.0 * i}, *batch, {"msg": "go"}]
@@ -34,7 +36,7 @@
     )
 
 
-def replies(run):
+def replies_by_batch(run):
     out = [[]]
     for line in map(json.loads, run.stdout.splitlines()):
         out[-1].append(line)
@@ -45,9 +47,9 @@
 
 def test_request_is_sent_and_each_batch_closed():
     request = {"msg": "request", "who": 3, "req": "r1", "lane": "c", "time_left": 900.0, "fresh": True}
-    run = talk([], BOOT, [request, {"msg": "novelty", "who": 3}])
+    run = run_adapter([], BOOT, [request, {"msg": "novelty", "who": 3}])
     assert run.returncode == 0
-    first, _, last = replies(run)
+    first, _, last = replies_by_batch(run)
     assert first == [{"msg": "ok"}]
     sends = [m for m in last if m["msg"] == "attempt"]
     assert [(m["req"], m["engine"], m["who"]) for m in sends] == [("r1", "10.0.0.1:7", 3)]
@@ -56,13 +58,13 @@
 def test_down_forgets_and_a_list_number_is_used_again():
     gone = ROW | {"engine": "10.0.0.2:7"}
     request = {"msg": "request", "who": 3, "req": "r1", "lane": "c", "time_left": 900.0}
-    run = talk(
+    run = run_adapter(
         BOOT,
         [{"msg": "down", "who": 3}, BOOT[0], {"msg": "census", "table": 0, "rows_in": [gone]}, BOOT[2], request],
         [{"msg": "down", "who": 3}, request],
     )
-    assert [m["engine"] for m in replies(run)[1] if m["msg"] == "attempt"] == ["10.0.0.2:7"]
-    assert replies(run)[2] == [{"msg": "ok"}]
+    assert [m["engine"] for m in replies_by_batch(run)[1] if m["msg"] == "attempt"] == ["10.0.0.2:7"]
+    assert replies_by_batch(run)[2] == [{"msg": "ok"}]
 
 
 def test_what_is_no_message_stops_the_adapter_with_one_line():
@@ -72,13 +74,11 @@
         '["msg"]\n',
         '{"msg":"clock","clock":1}\n{"msg":"request","who":3}\n{"msg":"boot","who":3}\n{"msg":"go"}\n',
     ):
-        run = talk(raw=text)
+        run = run_adapter(raw=text)
         assert run.returncode != 0 and len(run.stderr.splitlines()) == 1, text
 
 
 def test_an_exception_in_the_decisions_is_reported(monkeypatch):
-    from decklb import wirehost
-
     def broken(self, now, events):
         raise RuntimeError("broken")
 
@@ -89,8 +89,6 @@
 
 
 def test_probes_go_out_and_their_answers_come_in():
-    from decklb import wirehost
-
     settings = BOOT[0]["setup"] | {"limits": {"probes": True}}
     settings["telemetry"] = {"how": "pull", "fields": ["rif"]}
     host = wirehost.Host()
