--- a/decklb/policy/routing.py
+++ b/decklb/policy/routing.py
@@ -12,6 +12,7 @@
 
 import math
 import random
+from typing import NamedTuple
 
 from decklb.interface import Action, Effect, Settings
 from decklb.policy import outlier_detection
@@ -26,6 +27,14 @@
 REPORTED_HEAD = 6  # head of the order: engines drawn among where load is polled
 
 
+class Candidates(NamedTuple):
+    """Usable engines where load is polled."""
+
+    reported: list[Engine]  # with a recent report, as many as are compared
+    unreported: list[Engine]  # to be probed
+    last_resort: list[Engine]  # for when no other is free
+
+
 class Router:
     """Chooses engines, from what the mechanisms that it is given know."""
 
@@ -47,19 +56,19 @@
         if self._reports.enabled:
             return self._choose_by_reports(request, order, now, actions)
         wanted = max(CHOICES, math.ceil(THREADS_COMPARED * len(order) / max(1.0, self._limit.thread_limit)))
-        preferred, others = list[Engine](), list[Engine]()
+        preferred, last_resort = list[Engine](), list[Engine]()
         executed = request.first_executed()
         for engine in order:
             if not self._is_usable(request, engine, executed, now):
                 continue
             if self._is_last_resort(request, engine):
-                others.append(engine)
+                last_resort.append(engine)
                 continue
             preferred.append(engine)
             if len(preferred) >= wanted:
                 break
         return min(
-            self._prefer_cold(preferred, now) or others[:wanted],
+            self._prefer_cold(preferred, now) or last_resort[:wanted],
             default=None,
             key=lambda engine: (
                 engine.threads / engine.cores + (1 - self._limit.traffic_fraction) * engine.slowdown,
@@ -74,7 +83,8 @@
     ) -> Engine | None:
         """As `choose`, among engines with a recent report; None while the answer to a probe is awaited."""
         reports = self._reports
-        reported, others, unreported = self._sort_by_reports(request, order, now)
+        candidates = self._sort_by_reports(request, order, now)
+        reported, unreported = candidates.reported, candidates.unreported
         if len(reported) < CHOICES and unreported:
             request.awaits_reports_since = request.awaits_reports_since or now
             actions += reports.probe(unreported[: CHOICES - len(reported)], now)
@@ -83,7 +93,7 @@
                 return None
             reported = reported or unreported[:CHOICES]  # no probe is answered any more
         return min(
-            reported or others[:CHOICES],
+            reported or candidates.last_resort[:CHOICES],
             default=None,
             key=lambda engine: (
                 engine.reported_load * engine.slowdown,
@@ -93,32 +103,27 @@
             ),
         )
 
-    def _sort_by_reports(
-        self, request: Request, order: list[Engine], now: float
-    ) -> tuple[list[Engine], list[Engine], list[Engine]]:
-        """Usable engines with a recent report (two), those for when no other is free, and those to be probed.
-
-        The order starts at a random place in its head; what comes after it is led by recent reports.
-        """
+    def _sort_by_reports(self, request: Request, order: list[Engine], now: float) -> Candidates:
+        """The usable engines; the order starts at a random place in its head, recent reports lead the rest."""
         reports = self._reports
         first, oldest = int(request.order_offset * REPORTED_HEAD), now - reports.max_age_ms
         tail = sorted(order[REPORTED_HEAD:], key=lambda engine: engine.reported_at < oldest)
-        reported, others, unreported = list[Engine](), list[Engine](), list[Engine]()
+        candidates = Candidates([], [], [])
         executed = request.first_executed()
         for i, engine in enumerate(order[first:REPORTED_HEAD] + order[:first] + tail):
             if not self._is_usable(request, engine, executed, now):
                 continue
             if self._is_last_resort(request, engine):
-                others.append(engine)
+                candidates.last_resort.append(engine)
             elif reports.is_current(engine, now):
-                reported.append(engine)
-                if len(reported) >= CHOICES:
+                candidates.reported.append(engine)
+                if len(candidates.reported) >= CHOICES:
                     break
-            elif i >= REPORTED_HEAD and len(unreported) >= CHOICES:
+            elif i >= REPORTED_HEAD and len(candidates.unreported) >= CHOICES:
                 break
             elif reports.may_answer(engine, now):
-                unreported.append(engine)
-        return reported, others, unreported
+                candidates.unreported.append(engine)
+        return candidates
 
     def _is_usable(self, request: Request, engine: Engine, executed: Attempt | None, now: float) -> bool:
         """Whether the engine is in use, has capacity, and may run the request."""
