--- a/decklb/policy/routing.py
+++ b/decklb/policy/routing.py
@@ -104,7 +104,7 @@
         )
 
     def _sort_by_reports(self, request: Request, order: list[Engine], now: float) -> Candidates:
-        """The usable engines; the order starts at a random place in its head, recent reports lead the rest."""
+        """The usable engines; their order starts at random in its head, recent reports lead the tail."""
         reports = self._reports
         first, oldest = int(request.order_offset * REPORTED_HEAD), now - reports.max_age_ms
         tail = sorted(order[REPORTED_HEAD:], key=lambda engine: engine.reported_at < oldest)
