--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -26,8 +26,8 @@
 from decklb.daemon.control import ControlError, ask
 from decklb.lab.checks.execution_verdict import Line, Story, Verdict, judge
 from decklb.lab.fault_runs.isolation import TRIES, apart
+from decklb.lab.faults import free_ports as ports
 from decklb.lab.faults.fault_schedule import Fault, Kind, Link, schedule
-from decklb.lab.faults.fault_schedule import free_ports as ports
 from decklb.lab.faults.network_proxy import HELD_UP, Address, Rig
 from decklb.pg import messages as pg
 
--- /dev/null
+++ b/decklb/policy/gateway.py
@@ -0,0 +1,361 @@
+"""The decisions of one gateway: events in, actions out. Types: decklb/interface.py. Why: docs/design.md.
+
+`Gateway.step` is called by the dispatcher (real sockets) or the simulator's adapter, at most once a tick.
+It knows no socket and no clock. Each mechanism stands in a file of its own beside this one; here is what
+happens at each event.
+"""
+
+from __future__ import annotations
+
+import random
+
+from decklb import interface as api
+from decklb.interface import Effect, Outcome, Settings
+from decklb.policy import hedging, outlier_detection, slowdown
+from decklb.policy.class_statistics import ClassStatistics
+from decklb.policy.concurrency import ConcurrencyLimit
+from decklb.policy.constants import CONTROL_PERIOD_MS, HOUSEKEEPING_PERIOD_MS, SCAN_TICKS
+from decklb.policy.deadlines import is_hopeless
+from decklb.policy.engines import EngineRegistry
+from decklb.policy.gossip import PeerGossip
+from decklb.policy.key_ordering import KeyOrdering
+from decklb.policy.load_reports import LoadReports
+from decklb.policy.load_shedding import LoadShedder
+from decklb.policy.lost_attempts import MAYBE_LOST_RUNS, LostAttemptDetector
+from decklb.policy.memory_grants import NORMAL_PRIORITY, memory_grant_mb, priority
+from decklb.policy.peer_messages import PeerMessage
+from decklb.policy.queueing import WeightedRoundRobin
+from decklb.policy.records import Attempt, Engine, Request
+from decklb.policy.retry_budget import RetryBudget
+from decklb.policy.routing import Router
+from decklb.policy.slow_start import SlowStart
+from decklb.policy.subsetting import assign_subsets
+from decklb.policy.weight_controller import update_weights
+
+LIST_RETRY_MS = 500.0  # to twice that by chance, before a broken endpoint list is asked for again
+QUEUE_HEAD = 8  # requests of a queue that are tried in turn, past those held back by placement or a key
+QUEUE_HEAD_POLLING = 2  # the same where load is polled, since all that waits for reports waits alike
+
+
+class Gateway:
+    """One gateway: `step` takes a batch of events and returns the actions, in order."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.settings, self.rng = settings, random.Random(seed)
+        # Before the first answers half the objective is the guess: high, so that a cold engine is safe.
+        self.statistics = {
+            name: ClassStatistics.initial(spec.aim / 2, spec.threads)
+            for name, spec in settings.classes.items()
+        }
+        self.requests: dict[str, Request] = {}
+        self.engines = EngineRegistry()
+        self.scheduler = WeightedRoundRobin(settings)
+        self.keys = KeyOrdering(settings)
+        self.retries = RetryBudget(settings)
+        self.lost_attempts = LostAttemptDetector(settings)
+        self.gossip = PeerGossip(settings, len(self.statistics))
+        self.reports = LoadReports(settings)
+        self.limit = ConcurrencyLimit(settings, self.reports.enabled, self.reports.max_age_ms)
+        self.slow_start = SlowStart(settings, self.statistics)
+        self.shedder = LoadShedder(settings, self.statistics)
+        self.router = Router(settings, self.engines, self.limit, self.slow_start, self.reports, self.rng)
+        self.now = 0.0  # of the step under way, as are the actions
+        self.actions: list[api.Action] = []
+        self._started = False
+        self._arrivals = 0  # requests so far
+        self._scanned_at = 0.0
+        self._housekept_at = 0.0
+        self._weights_set_at = 0.0
+        self._list_retry_at = 0.0  # 0: none is due
+        self._wakes_at = 0.0
+
+    def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
+        """Take a batch of events at one moment, in ms, and return the actions in order."""
+        self.now, self.actions = now, []
+        if not self._started:
+            self._start()
+        for event in events:
+            match event:
+                case api.Arrival():
+                    self._on_arrival(event)
+                case api.Verdict():
+                    self._on_outcome(event)
+                case api.Doubted():
+                    self.keys.hold_again(event.key, now)
+                case api.Members(failed=True):  # ask again a little later, so that the list recovers
+                    self._list_retry_at = now + LIST_RETRY_MS * (1 + self.rng.random())
+                case api.Members():
+                    self._on_endpoint_list(event)
+                case api.Probed():
+                    self._on_health_check(event)
+                case api.Left() if event.req in self.requests:
+                    self._close(self.requests[event.req])
+                case api.Closing():
+                    self._on_shutdown()
+                case api.Started() if event.req in self.requests:
+                    self.requests[event.req].streaming = True
+                case api.Datagram():
+                    self._on_peer_message(event)
+                case api.Progress() if event.req in self.requests:
+                    self._on_progress(self.requests[event.req], event)
+        if now - self._scanned_at >= (SCAN_TICKS - 1) * self.settings.tick:
+            self._scan()
+        if self.scheduler.has_queued():
+            self._release()
+            for request in self.shedder.excess(list(self.scheduler.queues.values()), self.limit, now):
+                self._give_up(request)
+        self._set_timer()
+        return self.actions
+
+    # Events.
+
+    def _start(self) -> None:
+        self._started = True
+        self._weights_set_at = self._housekept_at = self.reports.last_report_at = self.now
+        if self.settings.must_ask:
+            self.actions.append(api.Watch())
+
+    def _on_arrival(self, arrival: api.Arrival) -> None:
+        spec = self.settings.classes.get(arrival.lane)
+        if arrival.req in self.requests:
+            return
+        if spec is None:
+            self.actions.append(api.Fail(arrival.req))
+            return
+        self.retries.add_request(self.now)
+        tenant, statistics = self.scheduler.tenant(arrival.tenant), self.statistics[arrival.lane]
+        self._arrivals += 1
+        request = Request(arrival, spec, statistics, tenant, self.now, self._arrivals)
+        self.requests[arrival.req] = request
+        self.reports.add_request(request, self.rng)
+        tenant.arrivals += 1
+        if tenant.spec.quota_per_s:
+            own_quota = tenant.spec.quota_per_s * self.gossip.tenant_fractions[tenant.index]
+            request.over_quota = not tenant.quota.take(own_quota, self.now)
+        statistics.learn_cost(arrival.cost)
+        if is_hopeless(request, self.now, self.settings.tick):  # a client's last try may leave no time at all
+            self._give_up(request)
+        elif self.keys.join(request):
+            self.scheduler.enqueue(request)
+
+    def _on_outcome(self, verdict: api.Verdict) -> None:
+        request = self.requests.get(verdict.req)
+        if request is None or not 0 <= verdict.leg < len(request.attempts):
+            return
+        attempt = request.attempts[verdict.leg]
+        if attempt.outcome is not None:
+            return
+        attempt.outcome, attempt.confirmed = verdict.outcome, verdict.certain
+        attempt.engine.end_attempt(attempt)
+        self.lost_attempts.observe(attempt, verdict)
+        self._judge(attempt.engine, request, verdict)
+        if request.closed or verdict.finished:
+            if not request.closed and verdict.outcome is Outcome.GOOD:
+                latency_ms = self.now - request.arrived_at
+                request.tenant.control.record_answer(latency_ms, request.latency_objective_ms())
+            self._close(request)
+        elif not request.streaming and not request.queued and not request.is_in_flight():
+            if self.retries.allows(request, self.now):
+                self.scheduler.enqueue(request)
+            else:
+                self._give_up(request)
+
+    def _judge(self, engine: Engine, request: Request, verdict: api.Verdict) -> None:
+        """What an outcome tells of its engine."""
+        match verdict.outcome:
+            case Outcome.GOOD:
+                self._learn(engine, request, verdict)
+            case Outcome.NOCONN:
+                outlier_detection.record_unreachable(engine, self.now)
+            case Outcome.LATE if engine.on_trial:
+                outlier_detection.record_unreachable(engine, self.now)
+            case Outcome.BAD:
+                slowdown.record_error(engine)
+                if len(request.attempts) == 1:
+                    self.retries.discard_request(request.arrived_at)
+                if engine.on_trial:
+                    outlier_detection.eject(engine, self.now)
+            case Outcome.FULL:  # turning work away leaves it idle, as errors do
+                outlier_detection.record_error(engine, self.now)
+            case Outcome.RST:
+                outlier_detection.record_reset(engine, self.now)
+
+    def _learn(self, engine: Engine, request: Request, answer: api.Verdict) -> None:
+        outlier_detection.record_answer(engine, request, self.now)
+        size, estimate_mb = request.relative_size(), request.arrival.need
+        ratio = request.statistics.learn_answer(answer, request.spec.threads, size, estimate_mb, self.rng)
+        self.limit.observe_answer(ratio)
+        slowdown.record(engine, ratio)
+
+    def _on_progress(self, request: Request, note: api.Progress) -> None:
+        if note.leg < len(request.attempts):
+            attempt = request.attempts[note.leg]
+            attempt.last_progress_at = self.now
+            if hedging.is_runaway(attempt, note, self.now):
+                self._cancel_for_retry(attempt)
+
+    def _on_endpoint_list(self, update: api.Members) -> None:
+        self.engines.update(update.entries, update.complete, self.now, self.settings.cores)
+        assign_subsets(self.engines.up(), self.settings, self.reports.enabled)
+        self._update_limit()
+
+    def _on_health_check(self, result: api.Probed) -> None:
+        if engine := self.engines.by_id.get(result.engine):
+            if result.outcome is Outcome.NOCONN:
+                outlier_detection.eject(engine, self.now)
+            self.reports.record(engine, result, self.limit.factor, self.now, self.rng)
+
+    def _on_peer_message(self, datagram: api.Datagram) -> None:
+        message = self.gossip.receive(datagram.sender, datagram.data, self.now)
+        if message is None:
+            return
+        self.limit.observe_peer(message.slowdown)
+        for tag, ratio in message.engine_slowdowns:
+            if engine := self.engines.by_tag.get(tag):
+                slowdown.record_peer(engine, ratio)
+        for statistics, ratio in zip(self.statistics.values(), message.memory_ratios, strict=True):
+            statistics.add_memory_ratio(ratio, self.rng)
+
+    def _on_shutdown(self) -> None:
+        """Cancel what is in flight, and answer all that is open."""
+        for request in [request for request in self.requests.values() if not request.closed]:
+            if self.settings.cancelling:
+                numbers = [attempt.number for attempt in request.attempts if attempt.outcome is None]
+                self.actions += [api.Cancel(request.arrival.req, number) for number in numbers]
+            self._answer(request)
+
+    # Timers.
+
+    def _scan(self) -> None:
+        """Look after what falls due, several ticks apart."""
+        self._scanned_at = self.now
+        queues = self.scheduler.queues.values()
+        for request in [queued[2] for queue in queues for queued in queue.requests] + self.keys.waiting():
+            if not request.closed and is_hopeless(request, self.now, self.settings.tick):
+                self._give_up(request)
+        for attempt in self.lost_attempts.mark_lost(self.engines.up(), self.now):
+            if not self.settings.duplicates:
+                self._cancel_for_retry(attempt)
+            elif not attempt.request.queued and self.retries.allows(attempt.request, self.now):
+                self.scheduler.enqueue(attempt.request)
+        self.keys.expire(self.now)
+        if 0 < self._list_retry_at <= self.now:
+            self._list_retry_at = 0.0
+            self.actions.append(api.Watch())
+        if self.now - self._housekept_at >= HOUSEKEEPING_PERIOD_MS:
+            self._housekeep()
+        if self.now - self._weights_set_at >= CONTROL_PERIOD_MS:
+            self._weights_set_at = self.now
+            update_weights(self.scheduler.tenants())
+
+    def _housekeep(self) -> None:
+        for tenant in self.scheduler.tenants():
+            tenant.update_arrival_rate(self.now - self._housekept_at)
+        self._housekept_at = self.now
+        slowdown.refresh(self.engines.up(), self.now)
+        if self.gossip.enabled:
+            message = PeerMessage(
+                self.scheduler.listed_arrival_rates(),
+                self.limit.slowdown,
+                [statistics.take_unsent_memory_ratio() for statistics in self.statistics.values()],
+                slowdown.take_changed(self.engines.up()),
+            )
+            self.actions += self.gossip.address(message, self.rng)
+        self.reports.update_threads_per_query(self.statistics)
+        self.limit.adapt()
+        self._update_limit()
+
+    def _update_limit(self) -> None:
+        self.gossip.update_fractions(self.scheduler.listed_arrival_rates(), self.now)
+        self.limit.resize(self.gossip.fraction, self.engines.up(), self.now)
+
+    def _set_timer(self) -> None:
+        tick = self.settings.tick
+        due = self.now + (
+            SCAN_TICKS * tick if self.requests else HOUSEKEEPING_PERIOD_MS
+        )  # idle gateways seldom wake
+        if not self.now + tick / 2 < self._wakes_at <= due:
+            self._wakes_at = due
+            self.actions.append(api.Sleep(due - self.now, "sweep"))
+
+    # Requests.
+
+    def _release(self) -> None:
+        """Weighted round robin over tenants with something to send, until nothing more fits."""
+        ready = list(self.scheduler.queues.values())
+        up = self.engines.up()
+        head = QUEUE_HEAD_POLLING if self.reports.enabled else QUEUE_HEAD
+        self.limit.count_threads(up, self.now)
+        while ready and not self.limit.all_saturated(up, self.now):
+            queue = min(ready, key=lambda queue: queue.virtual_time)
+            for _, _, request in queue.requests[:head]:
+                engine = self._route(request) if self.limit.admits(request) else None
+                if engine is not None:
+                    self.scheduler.charge(queue, request)
+                    self._send(request, engine)
+                    break
+            else:
+                ready.remove(queue)
+
+    def _route(self, request: Request) -> Engine | None:
+        if self.keys.is_held(request, self.now):
+            return None
+        if request.attempts and not self.retries.allows(request, self.now):
+            return None
+        return self.router.choose(request, self.now, self.actions)
+
+    def _send(self, request: Request, engine: Engine) -> None:
+        arrival, settings = request.arrival, self.settings
+        self.scheduler.remove(request)
+        if request.attempts:
+            self.retries.add_retry(self.now)
+        grant_mb = memory_grant_mb(request, engine, settings)
+        rank = priority(request, self.statistics, settings)
+        if grant_mb or rank != NORMAL_PRIORITY:
+            self.actions.append(api.Terms(arrival.req, grant_mb, rank))
+        wait_ms = max(settings.tick, arrival.time_left - (self.now - request.arrived_at))
+        if engine.on_trial:
+            wait_ms = min(wait_ms, MAYBE_LOST_RUNS * request.statistics.run_ms)
+        attempt = Attempt(request, len(request.attempts), engine, self.now, request.size_step())
+        request.attempts.append(attempt)
+        engine.add_attempt(attempt)
+        engine.reported_load += request.spec.threads / engine.cores
+        self.limit.add_attempt(attempt)
+        self.slow_start.record_send(engine, request.statistics.work_ms, self.now)
+        self.actions.append(api.Send(arrival.req, engine.entry.engine, wait_ms))
+
+    def _cancel_for_retry(self, attempt: Attempt) -> None:
+        """Cancel an attempt; its outcome leads to a retry elsewhere."""
+        request = attempt.request
+        if hedging.may_cancel(attempt, self.settings) and self.retries.allows(request, self.now):
+            self.actions.append(api.Cancel(request.arrival.req, attempt.number))
+
+    def _give_up(self, request: Request) -> None:
+        """Answer now; of a request whose attempt is in flight only the queued hedge is given up."""
+        if request.is_in_flight() and not request.closed:
+            self.scheduler.remove(request)
+        else:
+            self._answer(request)
+
+    def _answer(self, request: Request) -> None:
+        """The final answer without a result: rejected where a client's retry is harmless, else failed."""
+        spec, settings = request.spec, self.settings
+        is_deduplicated = spec.effect is Effect.KEYED and spec.group == "all"
+        if request.first_executed() is None or spec.effect is Effect.SAFE or is_deduplicated:
+            wait_ms = min(settings.max_retry_after, spec.aim) * settings.retry_after
+            self.actions.append(api.Refuse(request.arrival.req, wait_ms))
+        else:
+            self.actions.append(api.Fail(request.arrival.req))
+        self._close(request)
+
+    def _close(self, request: Request) -> None:
+        """The request is over; its key's line and its attempts live on until all of them have ended."""
+        request.closed = True
+        self.scheduler.remove(request)
+        if not request.attempts:
+            self.retries.discard_request(request.arrived_at)
+        if head := self.keys.advance(request.arrival.key, self.now):
+            self.scheduler.enqueue(head)
+        if not request.is_in_flight():
+            self.requests.pop(request.arrival.req, None)
+            request.attempts.clear()  # a circle of references would wait for the garbage collector
