--- /dev/null
+++ b/tests/handoff_samples.py
@@ -0,0 +1,68 @@
+"""Messages and records of every kind whose bytes `tests/golden/handoff/` keeps; built by position, as on the wire."""
+
+from dataclasses import replace
+
+from decklb.handoff import messages
+from decklb.handoff.records import Outcome, Record, fingerprint
+from decklb.interface import Effect
+
+BODY = b"select 1 -- a request"
+MEMBERS = ("m0", "m1", "m2")
+
+
+def new_record(key="key-1", effect=Effect.SAFE, holder="m9", incarnation=77):
+    """A request as its holder first replicates it."""
+    return Record(
+        key, holder, 3, 0, "cusco", "consulta", effect, 5000.25, fingerprint(BODY), MEMBERS, incarnation, True
+    )
+
+
+def records():
+    """One record for each stage and transition."""
+    first = new_record()
+    attempted = first.sent("engine-1", b"\x00\x01cancel")
+    return {
+        "queued": first,
+        "keyed": new_record("key-2", Effect.KEYED),
+        "unsafe": new_record("key-3", Effect.UNSAFE),
+        "attempted": attempted,
+        "cancel-token": attempted.traced(b"\x02other"),
+        "attempt-rejected": attempted.bounced(),
+        "answered": attempted.answered(Outcome.SERVED, b"rows", 100, "done"),
+        "answer-too-large": attempted.answered(Outcome.SERVED, b"rows", 3),
+        "failed-locally": attempted.ended(Outcome.FAILED, "in-doubt"),
+        "taken-over": attempted.taken("m1", 9, 78),
+        "bare": Record("k", "", 0, 0, "t", "c", Effect.SAFE, 0.0, ""),
+        "refused": replace(first, outcome=Outcome.REFUSED),
+    }
+
+
+def messages_by_tag():
+    """One or more messages of each tag, in the order of their tags, with every optional field given and left out."""
+    kinds = messages.Message.__args__
+    replicate, ack, reject, beat, beat_ack, fenced, claim, grant, refuse, lookup, found, drop = kinds
+    record = records()["attempted"]
+    return {
+        "1-replicate": replicate(record, 4750.5, 20.25, 1000.125, True, BODY),
+        "1-replicate-without-body": replicate(records()["answered"], -3.0, 0.0, 5.0, False),
+        "2-ack": ack("key-1", 3, 2, 1000.125),
+        "3-reject": reject("key-1", 3, 1, 1000.125, "m2", 8),
+        "3-reject-short": reject("key-1", 3, 8, 1000.125),
+        "4-heartbeat": beat(12.5),
+        "5-heartbeat-ack": beat_ack(12.5),
+        "6-fenced": fenced("key-1", 9, "m2"),
+        "7-claim": claim("key-1", 9),
+        "8-grant": grant("key-1", 9, record, 400.75, BODY),
+        "8-grant-of-nothing": grant("key-1", 9),
+        "9-refuse": refuse("key-1", 9, 7, 12),
+        "9-refuse-short": refuse("key-1", 9, 4),
+        "10-lookup": lookup(41, "key-1", fingerprint(BODY)),
+        "11-found": found(41, 2, Outcome.FAILED, b"rows", "in-doubt"),
+        "11-found-nothing": found(41, 0),
+        "12-release": drop("key-1", 77),
+    }
+
+
+def greeting():
+    """The first frame of each side."""
+    return messages.Hello(1, "m0", 77, 78, 35900.5, bytes(range(16)))
--- /dev/null
+++ b/tests/test_handoff_message_trace.py
@@ -0,0 +1,75 @@
+"""Seeded runs on the simulated network deliver the same messages, in the same order, as an earlier version did.
+
+A trace is each message received, with its time, sender, receiver and packed bytes, then each member's counters. It
+depends on the order of random draws and on every float expression of the handoff and of `decklb.lab.handoff`.
+"""
+
+import json
+from collections import Counter
+from dataclasses import astuple
+from hashlib import blake2b
+from pathlib import Path
+
+import pytest
+
+from decklb.handoff import messages
+from decklb.handoff.keeper import Keeper
+from decklb.lab.handoff import World
+
+GOLDEN = json.loads((Path(__file__).parent / "golden/handoff/message_traces.json").read_text())
+
+
+class Trace:
+    """Digest of what the members of one simulated run receive."""
+
+    def __init__(self):
+        self.digest = blake2b(digest_size=16)
+        self.messages_by_tag = Counter()
+        self.members = []
+
+    def add(self, *parts):
+        for part in parts:
+            data = part if isinstance(part, bytes) else repr(part).encode()
+            self.digest.update(len(data).to_bytes(4, "big") + data)
+
+
+def traced_member_class(trace):
+    """A member whose received messages and final counters go into `trace`."""
+
+    class TracedMember(Keeper):
+        def __init__(self, *args):
+            super().__init__(*args)
+            trace.members.append(self)
+
+        def receive(self, now, peer, message):
+            trace.messages_by_tag[messages.Message.__args__.index(type(message)) + 1] += 1
+            trace.add(now, peer, self.me, messages.pack(message))
+            super().receive(now, peer, message)
+
+    return TracedMember
+
+
+def traced_run(seed, members, harsh):
+    """The digest and the messages of each tag in one run."""
+    trace = Trace()
+    verdict = World(seed, members, keeper=traced_member_class(trace), harsh=harsh).run()
+    for member in trace.members:
+        figures = member.health()
+        trace.add(sorted(figures.pop("counts").items()), sorted(figures.items()))
+    trace.add(astuple(verdict))
+    return {
+        "seed": seed,
+        "members": members,
+        "harsh": harsh,
+        "messages_by_tag": {str(tag): trace.messages_by_tag[tag] for tag in sorted(trace.messages_by_tag)},
+        "digest": trace.digest.hexdigest(),
+    }
+
+
+@pytest.mark.parametrize("expected", GOLDEN, ids=lambda run: f"{run['seed']}-{run['members']}-{run['harsh']}")
+def test_seeded_run_delivers_the_recorded_messages(expected):
+    assert traced_run(expected["seed"], expected["members"], expected["harsh"]) == expected
+
+
+def test_recorded_runs_reach_every_message():
+    assert {tag for run in GOLDEN for tag in run["messages_by_tag"]} == {str(tag) for tag in range(1, 13)}
--- /dev/null
+++ b/tests/test_handoff_stored_records.py
@@ -0,0 +1,115 @@
+"""A store written by an earlier version: read, taken over from, and written on. See `tests/golden/handoff/`."""
+
+import random
+import zipfile
+from dataclasses import replace
+from pathlib import Path
+
+import pytest
+
+from decklb.handoff import messages
+from decklb.handoff.keeper import Hooks, Keeper
+from decklb.handoff.records import Outcome, Stage
+from decklb.handoff.settings import HandoffSettings
+from decklb.handoff.store import Kept, Store
+from tests.handoff_samples import BODY, MEMBERS, new_record, records
+
+ARCHIVE = Path(__file__).parent / "golden/handoff/store.zip"  # written as member m0, boot "boot-1", memory 4711
+WRITTEN_AT = 2000.0  # ms on the clock of the member that wrote it
+NOW = 50_000.0  # ms; its memory reaches back for longer than any record lives
+DEADLINE = 70_000.0  # ms, of its records
+
+
+def written_entries():
+    """What the earlier version wrote: a record of a lost member, one of the member's own, an answer, a bare grant."""
+    lost = replace(records()["attempted"], deadline=DEADLINE)
+    own = replace(new_record("key-own", holder="m0", incarnation=5), deadline=DEADLINE).sent("engine-2", b"cancel")
+    answered = replace(new_record("key-answered"), deadline=DEADLINE).answered(Outcome.SERVED, b"rows", 9)
+    return {
+        "key-1": Kept("key-1", lost, BODY, None),
+        "key-own": Kept("key-own", own, BODY, (4, "m1")),
+        "key-answered": Kept("key-answered", answered, None, None),
+        "key-granted": Kept("key-granted", None, None, (9, "m2")),
+    }
+
+
+@pytest.fixture
+def folder(tmp_path):
+    with zipfile.ZipFile(ARCHIVE) as archive:
+        archive.extractall(tmp_path / "m0")
+    return str(tmp_path / "m0")
+
+
+@pytest.fixture
+def store(folder):
+    store = Store(folder, 1 << 20)
+    yield store
+    store.close()
+
+
+def restored(store):
+    """The member that comes back with what the earlier version kept."""
+    settings = HandoffSettings()
+    memory, born, kept = store.open("m0", 12, NOW, "boot-1")
+    member = Keeper(
+        settings, "m0", 6, memory, NOW - born, random.Random(1), NOW, Hooks(lambda record, body: None, lambda key: None)
+    )
+    for entry in kept:
+        member.table.restore(entry.key, entry.record, entry.body, entry.granted, NOW)
+    return member
+
+
+def test_entries_of_an_earlier_version_are_read(store):
+    memory, born, kept = store.open("m0", 12, NOW, "boot-1")
+    assert (memory, born) == (4711, WRITTEN_AT)
+    assert {entry.key: entry for entry in kept} == written_entries()
+
+
+def test_restored_member_answers_votes_and_takes_over_by_what_was_stored(store):
+    member = restored(store)
+    sent = []
+
+    def drain():
+        nonlocal sent
+        sent, member.out = member.out, []
+        return sent
+
+    kinds = dict(zip([*range(1, 13)], messages.Message.__args__, strict=True))
+    copy, ack, claim, grant, refusal = kinds[1], kinds[2], kinds[7], kinds[8], kinds[9]
+    member.members(NOW, {"m0": 6, "m1": 1}, MEMBERS)
+    member.linked(NOW, "m1", 1, 1)
+    drain()
+    # A claim below the stored grant is refused, one above it granted with nothing.
+    member.receive(NOW, "m1", claim("key-granted", 9))
+    assert drain() == [("m1", refusal("key-granted", 9, 8, 9))]
+    member.receive(NOW, "m1", claim("key-granted", 10))
+    assert drain() == [("m1", grant("key-granted", 10))]
+    # The records of the lost member are claimed, also its own of an earlier run, and taken over.
+    for tick in range(1, 160):
+        now = NOW + tick * 25.0
+        member.tick(now)
+        for peer, message in drain():
+            if isinstance(message, claim):
+                member.receive(now, peer, grant(message.key, message.term))
+            elif isinstance(message, copy):
+                record = message.record
+                member.receive(now, peer, ack(record.key, record.term, record.version, now))
+            elif isinstance(message, kinds[4]):
+                member.receive(now, peer, kinds[5](now))
+    terms = {key: member.table.get(key).term for key in sorted(member.holds)}
+    assert terms == {"key-1": 4, "key-answered": 4, "key-own": 5}  # the last above the grant that was stored
+    held = member.table.get("key-1")
+    assert (held.owner, held.run, held.term, held.stage) == ("m0", 6, 4, Stage.SENT)
+    assert member.table.body("key-1") == BODY
+    # What it knows now is written on, and found again.
+    store.write({"key-1": Kept("key-1", held, BODY, (4, "m0")), "key-granted": None})
+    _, _, kept = store.open("m0", 13, NOW, "boot-1")
+    assert {entry.key: entry.record for entry in kept} == {
+        "key-1": held,
+        "key-own": written_entries()["key-own"].record,
+        "key-answered": written_entries()["key-answered"].record,
+    }
+
+
+def test_another_boot_of_the_machine_forgets_what_was_stored(store):
+    assert store.open("m0", 12, NOW, "boot-2") == (12, NOW, [])
--- /dev/null
+++ b/tests/test_handoff_wire_format.py
@@ -0,0 +1,107 @@
+"""Bytes of every message and stored record of the handoff, as an earlier version wrote them, and its settings."""
+
+import json
+from dataclasses import astuple
+from pathlib import Path
+
+import lxml.etree
+import msgspec
+import pytest
+
+from decklb import config
+from decklb.handoff import messages
+from decklb.handoff.records import Record
+from decklb.handoff.store import Kept
+from tests.handoff_samples import BODY, greeting, messages_by_tag, records
+
+GOLDEN = json.loads((Path(__file__).parent / "golden/handoff/wire_format.json").read_text())
+NONCE = bytes(range(16, 32))
+EXAMPLE = Path(__file__).parents[1] / "deploy/handoff.xml"
+ENCODER = msgspec.msgpack.Encoder()
+
+
+@pytest.mark.parametrize("name", GOLDEN["messages"])
+def test_message_keeps_its_bytes(name):
+    message = messages_by_tag()[name]
+    packed = bytes.fromhex(GOLDEN["messages"][name])
+    assert messages.pack(message) == packed
+    found = messages.read(messages.envelope(NONCE, 7, [packed]))
+    assert (found.nonce, found.seq, found.body) == (NONCE, 7, [message])
+
+
+def test_every_message_type_has_golden_bytes():
+    assert list(GOLDEN["messages"]) == list(messages_by_tag())
+    assert {type(m) for m in messages_by_tag().values()} == set(messages.Message.__args__)
+
+
+def test_envelope_keeps_its_bytes():
+    packed = [messages.pack(m) for m in messages_by_tag().values()]
+    frame = messages.envelope(NONCE, 3, packed)
+    assert frame.hex() == GOLDEN["envelope"]
+    assert messages.read(frame).body == list(messages_by_tag().values())
+
+
+def test_greeting_keeps_its_bytes():
+    assert messages.pack(greeting()).hex() == GOLDEN["greeting"]
+    assert messages.read_hello(bytes.fromhex(GOLDEN["greeting"])) == greeting()
+
+
+@pytest.mark.parametrize("reason, frame", GOLDEN["bad_frames"])
+def test_bad_frame_is_refused_for_the_same_reason(reason, frame):
+    with pytest.raises(messages.FrameError) as raised:
+        messages.read(bytes.fromhex(frame))
+    assert raised.value.reason == reason
+
+
+def test_frame_of_more_than_a_thousand_messages_is_refused():
+    beat = messages.pack(messages_by_tag()["4-heartbeat"])
+    assert len(messages.read(messages.envelope(NONCE, 1, [beat] * 1000)).body) == 1000
+    with pytest.raises(messages.FrameError) as raised:
+        messages.read(messages.envelope(NONCE, 1, [beat] * 1001))
+    assert raised.value.reason == "shape"
+
+
+@pytest.mark.parametrize("reason, frame", GOLDEN["bad_greetings"])
+def test_bad_greeting_is_refused_for_the_same_reason(reason, frame):
+    with pytest.raises(messages.FrameError) as raised:
+        messages.read_hello(bytes.fromhex(frame))
+    assert raised.value.reason == reason
+
+
+@pytest.mark.parametrize("name", GOLDEN["records"])
+def test_record_keeps_its_bytes(name):
+    record = records()[name]
+    packed = bytes.fromhex(GOLDEN["records"][name])
+    assert ENCODER.encode(record) == packed
+    assert msgspec.msgpack.decode(packed, type=Record) == record
+
+
+@pytest.mark.parametrize("name", GOLDEN["stored"])
+def test_stored_entry_keeps_its_bytes(name):
+    entry = stored_entries()[name]
+    packed = bytes.fromhex(GOLDEN["stored"][name])
+    assert ENCODER.encode(entry) == packed
+    assert msgspec.msgpack.decode(packed, type=Kept) == entry
+
+
+def stored_entries():
+    return {
+        "record-and-grant": Kept("key-1", records()["attempted"], BODY, (9, "m2")),
+        "grant-alone": Kept("key-1", None, None, (9, "m2")),
+        "answer": Kept("key-1", records()["answered"], None, None),
+    }
+
+
+def test_settings_of_the_xml_keep_their_values(tmp_path):
+    """Each attribute of <handoff>, and the values that are reckoned from them."""
+    tree = lxml.etree.parse(str(EXAMPLE))
+    for given in GOLDEN["settings"]:
+        element = tree.find("handoff")
+        element.attrib.clear()
+        element.attrib.update(given["attributes"])
+        path = tmp_path / "settings.xml"
+        tree.write(path)
+        made = config.load(None, str(path)).handoff
+        *values, folder = astuple(made)
+        assert [values, folder.removeprefix(f"{tmp_path}/")] == [given["values"], given["attributes"].get("data", "")]
+        assert [made.quorum, made.life] == given["derived"]
