--- a/decklb/handoff/fencing.py
+++ b/decklb/handoff/fencing.py
@@ -54,7 +54,7 @@
         """True while this member may act on the record, and for `early` ms more. It counts itself only while its own
         grants admit the record: a holder that granted a higher claim has stepped down, whatever others still
         acknowledge. Voters that are unfit (they granted a higher claim, or lost their memory) don't count."""
-        if record.owner != self.me or not mine.admits(record):
+        if record.holder != self.me or not mine.admits(record):
             return False
         since, heard = now + early - self.settings.lease, self._heard
         fresh = sum(
@@ -82,7 +82,7 @@
     def admits(self, record: Record) -> bool:
         """A copy or a request for acknowledgement from a holder: refused once a higher term was granted."""
         granted = self._granted.get(record.key)
-        return granted is None or record.term > granted[0] or (record.term, record.owner) == granted
+        return granted is None or record.term > granted[0] or (record.term, record.holder) == granted
 
     def term(self, key: str) -> int:
         """The highest term granted for a key; 0 for none."""
@@ -152,5 +152,5 @@
 
     def newest(self, run: int = 0) -> Record:
         """The record it takes: the newest among the grants, under its own term."""
-        best = max((r for r in (self.record, *self.granted.values()) if r is not None), key=Record.order)
-        return best.taken(self.ballot[1], self.ballot[0], run)
+        best = max((r for r in (self.record, *self.granted.values()) if r is not None), key=Record.precedence)
+        return best.transferred_to(self.ballot[1], self.ballot[0], run)
--- a/decklb/handoff/guard.py
+++ b/decklb/handoff/guard.py
@@ -188,7 +188,7 @@
             self.dispatcher.settings.classes[work.lane].effect,
             now + work.budget,
             fingerprint(body),
-            made=made,
+            key_generated=made,
         )
         self.keeper.take(now, record, body, lambda taken: self._taken(p, work, taken, now))
         self.pump()
@@ -223,14 +223,14 @@
         if record.key not in self.keeper.holds or record.key in self._called:
             return
         call_off = getattr(self.engines.inner, "call_off", None)
-        if not record.trace or call_off is None:
+        if not record.cancel_token or call_off is None:
             return self._again(record, body)
         # Its engine goes on with what a lost manager sent; two runs at once are one too many, also where both may be.
         self.say(Protected(self, record.key, None), f"called off at {record.engine}")
         self._called.add(record.key)
         call_off(
             record.engine,
-            record.trace,
+            record.cancel_token,
             lambda: self.clock.call_later(self.dispatcher.settings.settle, lambda: self._called_off(record, body)),
         )
 
@@ -246,7 +246,7 @@
 
     def _again(self, record: Record, body: bytes) -> None:
         now = self.clock.now()
-        work = self.codec.decode(body, max(1.0, record.deadline - now))
+        work = self.codec.decode(body, max(1.0, record.deadline_ms - now))
         work.once = record.key
         self._run(Protected(self, record.key, None), work)
 
--- a/decklb/handoff/keeper.py
+++ b/decklb/handoff/keeper.py
@@ -10,9 +10,11 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Collection, Mapping
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 from typing import Any
 
+from msgspec.structs import replace
+
 from decklb.handoff import messages as m
 from decklb.handoff.errors import KeyReused, TableFull
 from decklb.handoff.fencing import Ballot, Claim, Lease, quorum_of
@@ -130,16 +132,21 @@
         """A request with its key; `record` lacks only what this member fills in. `done` is told once."""
         key = record.key
         try:
-            found = self.table.lookup(key, record.digest)
+            found = self.table.lookup(key, record.request_digest)
         except KeyReused:
             return done(Taken("reused"))
         if found.known:
-            return self._known(now, key, record.digest, done)
+            return self._known(now, key, record.request_digest, done)
         if self.closed or len(self.known) < self.s.members:
             return self._turn_away(done, "closed" if self.closed else "members-unknown")
         voters = self.placement.voters(key, self.s.copies)
         record = replace(
-            record, owner=self.me, run=self.run, term=self.table.promises.term(key) + 1, version=0, voters=voters
+            record,
+            holder=self.me,
+            holder_incarnation=self.run,
+            term=self.table.promises.term(key) + 1,
+            version=0,
+            voters=voters,
         )
         try:
             self.table.take(record, body)
@@ -148,7 +155,7 @@
         self._claims.pop(key, None)  # whatever was claimed under this key is gone, or it would have been found
         self._orphans.pop(key, None)
         hold = self.holds[key] = Hold(record, now, admit=done)
-        if not self._fit(now, record.made, 0.0):
+        if not self._fit(now, record.key_generated, 0.0):
             hold.unfit.add(self.me)
         self._wait(now, hold, lambda ok: self._admitted(key, hold, ok))
         self._spread(now, hold)
@@ -159,27 +166,27 @@
         hold = self.holds.get(key)
         if hold is None or hold.stalled or self.closed:
             return call(False)
-        self._write(now, hold, hold.record.sent(engine, trace))
+        self._write(now, hold, hold.record.with_attempt(engine, trace))
         self._wait(now, hold, lambda ok: self._may_send(now, hold, ok, call))
 
     def traced(self, now: float, key: str, engine: str, trace: bytes) -> None:
         """The attempt is out on a new connection, and can be called off by this. Nobody waits for its copies."""
         hold = self.holds.get(key)
         if hold is not None and hold.record.stage is Stage.SENT and hold.record.engine == engine and not hold.stalled:
-            self._write(now, hold, hold.record.traced(trace))
+            self._write(now, hold, hold.record.with_cancel_token(trace))
 
     def bounced(self, now: float, key: str) -> None:
         """The attempt provably never ran."""
         hold = self.holds.get(key)
         if hold is not None and hold.record.stage is Stage.SENT:
-            self._write(now, hold, hold.record.bounced())
+            self._write(now, hold, hold.record.with_attempt_rejected())
 
     def answered(self, now: float, key: str, outcome: Outcome, answer: bytes, reason: str, call: Call) -> None:
         """The final answer is known; `call` is told whether it may be given: once a quorum has it."""
         hold = self.holds.get(key)
         if hold is None or hold.record.stage >= Stage.ANSWERED or self.closed:
             return call(False)
-        self._write(now, hold, hold.record.answered(outcome, answer, self.s.answer_bytes, reason))
+        self._write(now, hold, hold.record.with_answer(outcome, answer, self.s.answer_bytes, reason))
         self._wait(now, hold, call)
 
     def release(self, now: float, key: str) -> None:
@@ -273,7 +280,7 @@
                 held = self.table.get(message.key)
                 if (
                     held is not None
-                    and (held.owner, held.run) == (peer, message.run)
+                    and (held.holder, held.holder_incarnation) == (peer, message.run)
                     and self.table.promises.admits(held)
                 ):
                     self.table.drop(message.key)
@@ -321,7 +328,7 @@
     def _may_send(self, now: float, hold: Hold, ok: bool, call: Call) -> None:
         if not ok and self.holds.get(hold.record.key) is hold:
             # It never went out; it is taken up again once a quorum is heard.
-            hold.record, hold.stalled = hold.record.bounced(), True
+            hold.record, hold.stalled = hold.record.with_attempt_rejected(), True
             self._write(now, hold, hold.record)
             self._active[hold.record.key] = None
         call(ok)
@@ -373,7 +380,12 @@
                 (
                     voter,
                     m.Copy(
-                        replace(r, deadline=0.0), r.deadline - now, now - hold.since, now, hold.admit is not None, body
+                        replace(r, deadline_ms=0.0),
+                        r.deadline_ms - now,
+                        now - hold.since,
+                        now,
+                        hold.admit is not None,
+                        body,
                     ),
                 )
             )
@@ -501,7 +513,7 @@
             self._fenced(peer, n.key, (n.highest, LAST))  # not ours, or it would have been admitted
         elif n.reason in (m.TAKEN, m.REUSED) and done is not None:
             hold.admit, hold.waits = None, []
-            digest = hold.record.digest
+            digest = hold.record.request_digest
             self._let_go(hold)
             if n.reason == m.REUSED:
                 done(Taken("reused"))
@@ -516,7 +528,7 @@
         held, hold = self.table.get(key), self.holds.get(key)
         assert held is not None
         if hold is None:
-            return self._ask(now, held.owner, key, digest, done)
+            return self._ask(now, held.holder, key, digest, done)
         if (
             hold.record.stage < Stage.ANSWERED
             or self._committed(hold) < hold.record.version
@@ -524,11 +536,11 @@
         ):
             return done(Taken("running"))
         r = hold.record
-        if not r.kept and r.effect is Effect.SAFE:
+        if not r.answer_retained and r.effect is Effect.SAFE:
             self._let_go(hold)
             return self._turn_away(done, "answer-not-kept")
         self.counts["answered-again"] += 1
-        done(Taken("done", r.outcome if r.kept else Outcome.FAILED, r.answer, r.reason))
+        done(Taken("done", r.outcome if r.answer_retained else Outcome.FAILED, r.answer, r.reason))
 
     def _ask(self, now: float, owner: str, key: str, digest: str, done: Callable[[Taken], None]) -> None:
         if owner not in self.links or owner not in self.view:
@@ -548,7 +560,7 @@
                 if v in self.links
             ]
             return
-        if held.digest != ask.digest:
+        if held.request_digest != ask.digest:
             return self.out.append((peer, m.Found(ask.n, m.OTHER)))
         if ask.key not in self.holds:  # on its way to yet another
             return self.out.append((peer, m.Found(ask.n, m.RUNNING)))
@@ -589,30 +601,34 @@
         return remembers >= self.s.life or made and remembers > age * (1 + self.s.drift)
 
     def _lives(self, record: Record) -> bool:
-        return self.view.get(record.owner) == record.run
+        return self.view.get(record.holder) == record.holder_incarnation
 
     def _on_copy(self, now: float, peer: str, c: m.Copy) -> None:
         r = c.record
-        if r.owner != peer or self.me not in r.voters:
+        if r.holder != peer or self.me not in r.voters:
             return
         held = self.table.get(r.key)
         why, owner = 0, ""
-        if held is not None and (held.owner, held.run) != (r.owner, r.run) and (c.fresh or r.term <= held.term):
-            why, owner = (m.TAKEN if held.digest == r.digest else m.REUSED), held.owner
-        elif held is None and not self._fit(now, r.made and not r.admitted, c.age):
+        if (
+            held is not None
+            and (held.holder, held.holder_incarnation) != (r.holder, r.holder_incarnation)
+            and (c.fresh or r.term <= held.term)
+        ):
+            why, owner = (m.TAKEN if held.request_digest == r.request_digest else m.REUSED), held.holder
+        elif held is None and not self._fit(now, r.key_generated and not r.admitted, c.age):
             why = m.YOUNG
         elif not self.table.promises.admits(r):
             why = m.FENCED
         elif c.body is None and r.stage < Stage.ANSWERED and self.table.body(r.key) is None:
             why = m.WHOLE
         elif not self.table.receive(r, c.left, now, c.body):
-            if held is not None and held.order() > r.order() and held.owner == r.owner:
+            if held is not None and held.precedence() > r.precedence() and held.holder == r.holder:
                 return  # an older version, late: the newer one was acknowledged
             why = m.NO_ROOM
         if why:
             return self.out.append((peer, m.Nack(r.key, r.term, why, c.sent, owner, self.table.promises.term(r.key))))
         hold = self.holds.get(r.key)
-        if hold is not None and hold.record.owner != r.owner:
+        if hold is not None and hold.record.holder != r.holder:
             self._lose(hold)
         self._orphans.pop(r.key, None)
         self.out.append((peer, m.Ack(r.key, r.term, r.version, c.sent)))
@@ -622,7 +638,7 @@
         highest = self.table.promises.term(c.key)
         if held is None and not self._fit(now, False, 0.0):
             return self.out.append((peer, m.Refusal(c.key, c.term, m.YOUNG, highest)))
-        if held is not None and held.owner != peer and self._lives(held):
+        if held is not None and held.holder != peer and self._lives(held):
             return self.out.append((peer, m.Refusal(c.key, c.term, m.ALIVE, highest)))
         if held is not None and c.term <= held.term or not self.table.grant(c.key, (c.term, peer), now):
             highest = max(highest, held.term if held is not None else 0)
@@ -636,17 +652,17 @@
         if claiming is not None and claiming.claim.ballot < (c.term, peer):
             del self._claims[c.key]
             self._orphans[c.key] = now + self.s.lease + self.rng.uniform(*AGAIN)
-        record = None if held is None else replace(held, deadline=0.0)
+        record = None if held is None else replace(held, deadline_ms=0.0)
         self.out.append(
-            (peer, m.Grant(c.key, c.term, record, held.deadline - now if held else 0.0, self.table.body(c.key)))
+            (peer, m.Grant(c.key, c.term, record, held.deadline_ms - now if held else 0.0, self.table.body(c.key)))
         )
 
     def _pass(self, key: str, held: Record, ballot: Ballot) -> None:
         """The former holder is told, now and on each new connection: its lease rests on our silence."""
         term, by = ballot
-        self._passed[key] = (held.owner, term, by)
-        if held.owner in self.links and held.owner != by:
-            self.out.append((held.owner, m.Fenced(key, term, by)))
+        self._passed[key] = (held.holder, term, by)
+        if held.holder in self.links and held.holder != by:
+            self.out.append((held.holder, m.Fenced(key, term, by)))
 
     # The claimer's side.
 
@@ -697,7 +713,7 @@
         claiming = self._claims.get(g.key)
         if claiming is None or claiming.claim.ballot != (g.term, self.me):
             return
-        newest = None if g.record is None else replace(g.record, deadline=now + g.left)
+        newest = None if g.record is None else replace(g.record, deadline_ms=now + g.left)
         claiming.claim.grant(peer, newest, now)
         claiming.body = claiming.body if claiming.body is not None else g.body
         self._grant_own(now, g.key, claiming)
@@ -705,7 +721,7 @@
     def _grant_own(self, now: float, key: str, claiming: Claiming) -> None:
         claim, held = claiming.claim, self.table.get(key)
         if claim.wants_own() and held is not None and self.table.promises.grant(key, claim.ballot):
-            if held.owner != self.me:
+            if held.holder != self.me:
                 self._pass(key, held, claim.ballot)
             claim.grant(self.me, held, now)
             claiming.body = claiming.body if claiming.body is not None else self.table.body(key)
@@ -725,7 +741,11 @@
         """The lease of whoever held it has ended: it is held here from now on."""
         del self._claims[key]
         held, claimed = self.table.get(key), claiming.claim.record
-        if held is None or (held.owner, held.run, held.term) != (claimed.owner, claimed.run, claimed.term):
+        if held is None or (held.holder, held.holder_incarnation, held.term) != (
+            claimed.holder,
+            claimed.holder_incarnation,
+            claimed.term,
+        ):
             return  # its holder let go of it, and the key may have been taken anew
         record = claiming.claim.newest(self.run)
         if not self.table.promises.admits(record):  # a higher claim was granted meanwhile
@@ -735,7 +755,7 @@
             Notice(
                 "handoff-taken-over",
                 key,
-                {"owner": claiming.claim.record.owner, "term": record.term, "stage": record.stage.name.lower()},
+                {"owner": claiming.claim.record.holder, "term": record.term, "stage": record.stage.name.lower()},
             )
         )
         if (before := self.holds.get(key)) is not None:
--- a/decklb/handoff/records.py
+++ b/decklb/handoff/records.py
@@ -1,104 +1,123 @@
-"""What a manager knows of one request it took, as it is copied to others (free of I/O).
+"""The replicated record of one in-flight request, and how it changes from admission to its final answer.
 
-A record is whole and immutable: a copy replaces an older one, never merges with it. Of two records of a key the one of
-the higher term wins, and within a term the higher version: only the holder of a term writes its versions. Two managers
-that were given a new key at once may both write term 1; only one of them is admitted by a quorum, and its record wins.
+A record is immutable and complete: a replica replaces an older one, never merges with it. Of two records of a key the
+one of the higher term wins, and within a term the higher version, since only the holder of a term writes its versions.
+Two members that were given a new key at once may both write term 1; only one of them is admitted by a quorum, and its
+record wins. This module holds no state and does no I/O; every other module of the package uses it.
 """
 
 from __future__ import annotations
 
 import hashlib
-from dataclasses import dataclass, replace
 from enum import IntEnum
 
+from msgspec import Struct
+from msgspec.structs import replace
+
 from decklb.interface import Effect
 
-TOO_LARGE = "too-large"  # reason of a final answer that was not copied
+ANSWER_TOO_LARGE = "too-large"  # `Record.reason` of a final answer that was not replicated
+FINGERPRINT_BYTES = 12  # of a request: enough that two requests under one key never share it by chance
 
 
 class Stage(IntEnum):
-    """Where a request stands. The order is the order of its life."""
+    """How far a request has come, in the order of its life. The values are stored and sent to other members."""
 
-    QUEUED = 0  # taken and never sent on, or sent and proven not to have run (the engine said FULL)
-    SENT = 1  # sent to `engine`; it may have run
-    ANSWERED = 2  # its final answer is known, and kept until it lapses for a client that comes back
+    QUEUED = 0  # admitted and never sent, or sent and proven not to have run (the engine answered FULL)
+    SENT = 1  # sent to `Record.engine`, where it may have run
+    ANSWERED = 2  # its final answer is known, and retained for a client that comes back
 
 
 class Outcome(IntEnum):
-    """A final answer, as the protocol has them."""
+    """The kind of a final answer. The values are stored and sent to other members."""
 
     SERVED = 0
-    REFUSED = 1
+    REJECTED = 1
     FAILED = 2
 
 
 def fingerprint(body: bytes) -> str:
-    """What tells one request from another under the same key."""
-    return hashlib.blake2b(body, digest_size=12).hexdigest()
+    """A digest that tells one request from another under the same key."""
+    return hashlib.blake2b(body, digest_size=FINGERPRINT_BYTES).hexdigest()
+
+
+# A record is stored and sent as a map by these names, which older members know; all others are the fields' own.
+WIRE_NAMES = {
+    "holder": "owner",
+    "request_class": "category",
+    "deadline_ms": "deadline",
+    "request_digest": "digest",
+    "holder_incarnation": "run",
+    "key_generated": "made",
+    "cancel_token": "trace",
+}
 
 
-@dataclass(frozen=True, slots=True)
-class Record:
-    """One request in hand.
+class Record(Struct, frozen=True, rename=WIRE_NAMES):
+    """One request under an idempotency key. The order of the fields is part of its stored and its wire form.
 
-    `deadline` is on the holding member's own clock: a copy carries what is left of it, and its receiver reckons that on
-    its own clock (`Table.receive`), so members' clocks need not agree, and one that jumps shortens nothing of others'.
+    `deadline_ms` is on the clock of the member that keeps this copy: a message carries the time that is left, and its
+    receiver adds that to its own clock (`RecordTable.receive_replica`). So members' clocks need not agree, and one that
+    jumps shortens no deadline elsewhere.
     """
 
     key: str
-    owner: str  # the member that holds the term and alone acts on the request
-    term: int
-    version: int
+    holder: str  # the member that holds the term, and alone acts on the request
+    term: int  # raised by each takeover
+    version: int  # of this term, raised by each change
     tenant: str
-    category: str
+    request_class: str
     effect: Effect
-    deadline: float
-    digest: str  # fingerprint of the request
-    voters: tuple[str, ...] = ()  # fixed when it was taken: they alone grant claims and acknowledge copies
-    run: int = 0  # of the owner's process: an owner that came back under its name knows nothing of earlier runs
-    made: bool = False  # the key was made by a manager, so nobody can have used it before
-    admitted: bool = False  # a quorum took it: its holder has gone on from the first version
+    deadline_ms: float
+    request_digest: str  # `fingerprint` of the request
+    voters: tuple[str, ...] = ()  # fixed at admission: they alone acknowledge versions and grant claims
+    holder_incarnation: int = 0  # of the holder's process: one that restarted under its name has forgotten the record
+    key_generated: bool = False  # the key was generated by a member, so nobody can have used it before
+    admitted: bool = False  # a quorum acknowledged its first version
     stage: Stage = Stage.QUEUED
-    engine: str = ""  # where it was last sent
+    engine: str = ""  # where it was sent last
     attempts: int = 0
-    outcome: Outcome | None = None
+    outcome: Outcome | None = None  # set when `stage` is ANSWERED
     answer: bytes = b""
     reason: str = ""  # why it ended so, for the log
-    trace: bytes = b""  # by which the attempt at `engine` can be called off there, where the wire knows such a thing
+    cancel_token: bytes = b""  # by which the attempt at `engine` can be cancelled there, where the protocol has one
 
-    def order(self) -> tuple[int, bool, int]:
-        """Which of two records of a key stands: the higher."""
+    def precedence(self) -> tuple[int, bool, int]:
+        """The sort key by which the higher of two records of a key stands."""
         return self.term, self.admitted, self.version
 
-    def newer(self, other: Record | None) -> bool:
-        """True where this one replaces `other`."""
-        return other is None or self.order() > other.order()
+    def supersedes(self, other: Record | None) -> bool:
+        """Whether this record replaces `other`."""
+        return other is None or self.precedence() > other.precedence()
 
-    def sent(self, engine: str, trace: bytes = b"") -> Record:
-        """An attempt goes to `engine`."""
+    def with_attempt(self, engine: str, cancel_token: bytes = b"") -> Record:
+        """The next version: an attempt goes to `engine`."""
         return replace(
             self,
             stage=Stage.SENT,
             engine=engine,
-            trace=trace,
+            cancel_token=cancel_token,
             attempts=self.attempts + 1,
             admitted=True,
             version=self.version + 1,
         )
 
-    def traced(self, trace: bytes) -> Record:
-        """How the attempt that is out can be called off."""
-        return replace(self, trace=trace, version=self.version + 1)
+    def with_cancel_token(self, cancel_token: bytes) -> Record:
+        """The next version: the attempt that is out can be cancelled by this token."""
+        return replace(self, cancel_token=cancel_token, version=self.version + 1)
 
-    def bounced(self) -> Record:
-        """The engine answered FULL: the attempt never ran, and the request may be sent again by anyone."""
-        return replace(self, stage=Stage.QUEUED, trace=b"", version=self.version + 1)
+    def with_attempt_rejected(self) -> Record:
+        """The next version: the attempt provably never ran, so any member may send the request again."""
+        return replace(self, stage=Stage.QUEUED, cancel_token=b"", version=self.version + 1)
 
-    def answered(self, outcome: Outcome, answer: bytes, room: int, reason: str = "") -> Record:
-        """Its final answer is known. Of one too large to be copied only the outcome is: what was served is never in
-        doubt, and what its class lets be repeated is sent again for a client that comes back."""
-        if len(answer) > room:
-            answer, reason = b"", TOO_LARGE
+    def with_answer(self, outcome: Outcome, answer: bytes, max_answer_bytes: int, reason: str = "") -> Record:
+        """The next version: the final answer is known.
+
+        Of an answer above `max_answer_bytes` only the outcome is replicated: that it was served is then never in doubt,
+        and a request whose class may be repeated is sent again for a client that comes back.
+        """
+        if len(answer) > max_answer_bytes:
+            answer, reason = b"", ANSWER_TOO_LARGE
         return replace(
             self,
             stage=Stage.ANSWERED,
@@ -109,17 +128,8 @@
             version=self.version + 1,
         )
 
-    @property
-    def kept(self) -> bool:
-        """Whether the final answer can be given to a client that comes back."""
-        return self.stage >= Stage.ANSWERED and self.reason != TOO_LARGE
-
-    def taken(self, owner: str, term: int, run: int = 0) -> Record:
-        """Another member holds it from now, under a higher term."""
-        return replace(self, owner=owner, term=term, run=run, version=0, admitted=True)
-
-    def ended(self, outcome: Outcome, reason: str) -> Record:
-        """Its final answer is one the holder gives itself, without an engine: refused or failed."""
+    def with_local_outcome(self, outcome: Outcome, reason: str) -> Record:
+        """The next version: the holder itself ends the request, without an engine's answer."""
         return replace(
             self,
             stage=Stage.ANSWERED,
@@ -129,3 +139,12 @@
             admitted=True,
             version=self.version + 1,
         )
+
+    def transferred_to(self, holder: str, term: int, holder_incarnation: int = 0) -> Record:
+        """The first version under another holder and a higher term."""
+        return replace(self, holder=holder, term=term, holder_incarnation=holder_incarnation, version=0, admitted=True)
+
+    @property
+    def answer_retained(self) -> bool:
+        """Whether the final answer can be given to a client that comes back."""
+        return self.stage >= Stage.ANSWERED and self.reason != ANSWER_TOO_LARGE
--- a/decklb/handoff/table.py
+++ b/decklb/handoff/table.py
@@ -4,7 +4,9 @@
 
 import heapq
 from collections.abc import Iterator
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
+
+from msgspec.structs import replace
 
 from decklb.handoff.errors import KeyReused, TableFull
 from decklb.handoff.fencing import Claim, Promises
@@ -65,7 +67,7 @@
         """A request taken here. The same request again under its key gets the record it has; another, KeyReused."""
         held = self._records.get(record.key)
         if held is not None:
-            if held.digest != record.digest:
+            if held.request_digest != record.request_digest:
                 raise KeyReused(record.key)
             return held
         if self._full(len(body)):
@@ -83,11 +85,13 @@
         if not self.promises.admits(record):
             return False
         held = self._records.get(record.key)
-        if held is not None and (held.digest != record.digest or not record.newer(held)):
-            return held.digest == record.digest and held.order() == record.order()  # the same copy twice
+        if held is not None and (held.request_digest != record.request_digest or not record.supersedes(held)):
+            return (
+                held.request_digest == record.request_digest and held.precedence() == record.precedence()
+            )  # the same copy twice
         if self._full(len(body or b"") + len(record.answer), held is None):
             return False
-        self._store(replace(record, deadline=now + left), body)
+        self._store(replace(record, deadline_ms=now + left), body)
         return True
 
     def claim(self, key: str, me: str, floor: int = 0) -> Claim | None:
@@ -110,11 +114,11 @@
         held = self._records.get(key)
         if held is None:
             return UNKNOWN
-        if held.digest != digest:
+        if held.request_digest != digest:
             raise KeyReused(key)
         if held.stage >= Stage.ANSWERED:
             return Lookup(outcome=held.outcome, answer=held.answer, reason=held.reason)
-        return Lookup(owner=held.owner)
+        return Lookup(owner=held.holder)
 
     def drop(self, key: str) -> None:
         """Its holder has let go of it: the key is free, for terms above if its holder had gone on from the first
@@ -165,8 +169,8 @@
             self._forget_body(key)
             self._bodies[key] = body
             self.held += len(body)
-        if held is None or held.deadline != record.deadline:
-            heapq.heappush(self._ends, (record.deadline + self.settings.slack + self.settings.linger, key))
+        if held is None or held.deadline_ms != record.deadline_ms:
+            heapq.heappush(self._ends, (record.deadline_ms + self.settings.slack + self.settings.linger, key))
 
     def _forget_body(self, key: str) -> None:
         self.held -= len(self._bodies.pop(key, b""))
--- a/decklb/handoff/takeover.py
+++ b/decklb/handoff/takeover.py
@@ -35,29 +35,31 @@
 
 def decide(record: Record, now: float, settings: HandoffSettings) -> Decision:
     """What the holder of a record taken over does with it."""
-    if record.stage is Stage.ANSWERED and (record.kept or record.effect is not Effect.SAFE or now > record.deadline):
+    if record.stage is Stage.ANSWERED and (
+        record.answer_retained or record.effect is not Effect.SAFE or now > record.deadline_ms
+    ):
         return Decision(Step.HOLD, record, "answered")
-    if now > record.deadline:
-        return Decision(Step.FAIL, record.ended(Outcome.FAILED, "deadline"), "deadline")
+    if now > record.deadline_ms:
+        return Decision(Step.FAIL, record.with_local_outcome(Outcome.FAILED, "deadline"), "deadline")
     if record.stage is Stage.QUEUED:
         return Decision(Step.SEND, record, "never-ran")
     if record.effect is Effect.SAFE:
         return Decision(Step.SEND, record, "repeatable")
     if record.effect is Effect.KEYED:
         return Decision(Step.SEND_KEYED, record, "deduplicated")
-    return Decision(Step.FAIL, record.ended(Outcome.FAILED, "in-doubt"), "in-doubt")
+    return Decision(Step.FAIL, record.with_local_outcome(Outcome.FAILED, "in-doubt"), "in-doubt")
 
 
 def turn(record: Record, me: str, alive: Mapping[str, int]) -> int | None:
     """Which turn of those alive in this view (by name, with the run of each) `me` has in claiming a record: 0 claims
     first, the others grant unless they see nothing of it. None where it has none, or the owner lives in its run."""
-    if alive.get(record.owner) == record.run or me not in record.voters:
+    if alive.get(record.holder) == record.holder_incarnation or me not in record.voters:
         return None
     # An owner that came back is asked last: it has forgotten the record, unless it kept it on disk.
-    order = [v for v in record.voters if v in alive and v != record.owner] + [record.owner]
+    order = [v for v in record.voters if v in alive and v != record.holder] + [record.holder]
     return order.index(me) if me in order else None
 
 
 def lapsed(record: Record, now: float, settings: HandoffSettings) -> bool:
     """Past its deadline, the slack and the lingering: nobody needs it."""
-    return now > record.deadline + settings.slack + settings.linger
+    return now > record.deadline_ms + settings.slack + settings.linger
--- a/decklb/lab/handoff.py
+++ b/decklb/lab/handoff.py
@@ -290,7 +290,7 @@
 
     def adopt(self, record: Record, body: bytes) -> None:
         """Run a request that was taken over."""
-        if self.clock() < record.deadline:
+        if self.clock() < record.deadline_ms:
             self._run(record.key, Running(float(body)))
         else:
             self.keeper.answered(self.clock(), record.key, Outcome.FAILED, b"", "deadline", lambda ok: None)
@@ -306,7 +306,7 @@
         self.front[key] = r
         record = self.keeper.table.get(key)
         if record is not None:
-            self.world.at(self.world.now + record.deadline - self.clock(), partial(self._over, key, r))
+            self.world.at(self.world.now + record.deadline_ms - self.clock(), partial(self._over, key, r))
 
         def may(ok: bool) -> None:
             if ok and not r.off:
--- a/tests/handoff_samples.py
+++ b/tests/handoff_samples.py
@@ -1,6 +1,6 @@
 """Messages and records of every kind whose bytes `tests/golden/handoff/` keeps; built by position, as on the wire."""
 
-from dataclasses import replace
+from msgspec.structs import replace
 
 from decklb.handoff import messages
 from decklb.handoff.records import Outcome, Record, fingerprint
@@ -20,20 +20,20 @@
 def records():
     """One record for each stage and transition."""
     first = new_record()
-    attempted = first.sent("engine-1", b"\x00\x01cancel")
+    attempted = first.with_attempt("engine-1", b"\x00\x01cancel")
     return {
         "queued": first,
         "keyed": new_record("key-2", Effect.KEYED),
         "unsafe": new_record("key-3", Effect.UNSAFE),
         "attempted": attempted,
-        "cancel-token": attempted.traced(b"\x02other"),
-        "attempt-rejected": attempted.bounced(),
-        "answered": attempted.answered(Outcome.SERVED, b"rows", 100, "done"),
-        "answer-too-large": attempted.answered(Outcome.SERVED, b"rows", 3),
-        "failed-locally": attempted.ended(Outcome.FAILED, "in-doubt"),
-        "taken-over": attempted.taken("m1", 9, 78),
+        "cancel-token": attempted.with_cancel_token(b"\x02other"),
+        "attempt-rejected": attempted.with_attempt_rejected(),
+        "answered": attempted.with_answer(Outcome.SERVED, b"rows", 100, "done"),
+        "answer-too-large": attempted.with_answer(Outcome.SERVED, b"rows", 3),
+        "failed-locally": attempted.with_local_outcome(Outcome.FAILED, "in-doubt"),
+        "taken-over": attempted.transferred_to("m1", 9, 78),
         "bare": Record("k", "", 0, 0, "t", "c", Effect.SAFE, 0.0, ""),
-        "refused": replace(first, outcome=Outcome.REFUSED),
+        "refused": replace(first, outcome=Outcome.REJECTED),
     }
 
 
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -3,6 +3,8 @@
 import unittest
 from dataclasses import replace
 
+import msgspec.structs
+
 from decklb.handoff.errors import KeyReused, TableFull
 from decklb.handoff.fencing import Claim
 from decklb.handoff.keeper import Keeper
@@ -20,24 +22,25 @@
 
 def record(key="k", effect=Effect.SAFE, **changes):
     made = Record(key, "o", 1, 0, "cusco", "consulta", effect, 5000.0, fingerprint(key.encode()), voters=VOTERS)
-    return replace(made, **changes)
+    return msgspec.structs.replace(made, **changes)
 
 
 class Records(unittest.TestCase):
     def test_a_copy_replaces_only_an_older_one(self):
         first = record()
-        sent = first.sent("e1")
-        self.assertTrue(sent.newer(first))
-        self.assertFalse(first.newer(sent))
-        self.assertTrue(first.taken("s1", 2).newer(sent))
+        sent = first.with_attempt("e1")
+        self.assertTrue(sent.supersedes(first))
+        self.assertFalse(first.supersedes(sent))
+        self.assertTrue(first.transferred_to("s1", 2).supersedes(sent))
 
     def test_of_an_answer_too_large_to_copy_only_the_outcome_is(self):
-        large = record().sent("e1").answered(Outcome.SERVED, b"x" * 10, room=9)
+        large = record().with_attempt("e1").with_answer(Outcome.SERVED, b"x" * 10, max_answer_bytes=9)
         self.assertEqual(
-            (large.stage, large.outcome, large.answer, large.kept), (Stage.ANSWERED, Outcome.SERVED, b"", False)
+            (large.stage, large.outcome, large.answer, large.answer_retained),
+            (Stage.ANSWERED, Outcome.SERVED, b"", False),
         )
-        small = record().sent("e1").answered(Outcome.SERVED, b"x" * 9, room=9)
-        self.assertEqual((small.stage, small.answer, small.kept), (Stage.ANSWERED, b"x" * 9, True))
+        small = record().with_attempt("e1").with_answer(Outcome.SERVED, b"x" * 9, max_answer_bytes=9)
+        self.assertEqual((small.stage, small.answer, small.answer_retained), (Stage.ANSWERED, b"x" * 9, True))
 
 
 class Places(unittest.TestCase):
@@ -61,7 +64,7 @@
         table.take(record())
         self.assertEqual(table.take(record()).key, "k")
         with self.assertRaises(KeyReused):
-            table.take(record(digest=fingerprint(b"other")))
+            table.take(record(request_digest=fingerprint(b"other")))
         with self.assertRaises(KeyReused):
             table.lookup("k", fingerprint(b"other"))
 
@@ -75,18 +78,20 @@
 
     def test_a_copy_reckons_its_deadline_on_the_receivers_clock_and_lingers_out(self):
         table = Table(SETTINGS)
-        self.assertTrue(table.receive(record(deadline=1e12), left=300.0, now=50.0))
-        self.assertEqual(table.get("k").deadline, 350.0)
+        self.assertTrue(table.receive(record(deadline_ms=1e12), left=300.0, now=50.0))
+        self.assertEqual(table.get("k").deadline_ms, 350.0)
         self.assertEqual(table.expire(449.0), [])
         self.assertEqual(table.expire(451.0), ["k"])
-        self.assertFalse(table.lookup("k", record().digest).known)
+        self.assertFalse(table.lookup("k", record().request_digest).known)
 
     def test_what_is_held_is_bounded_in_bytes_and_counted_back(self):
         table = Table(replace(SETTINGS, room=100))
         table.take(record("a"), b"x" * 60)
         with self.assertRaises(TableFull):
             table.take(record("b"), b"x" * 60)
-        table.write(record("a").sent("e").answered(Outcome.SERVED, b"y" * 10, 100))  # the request itself goes
+        table.write(
+            record("a").with_attempt("e").with_answer(Outcome.SERVED, b"y" * 10, 100)
+        )  # the request itself goes
         self.assertEqual((table.held, table.body("a")), (10, None))
         table.take(record("b"), b"x" * 60)
         table.drop("a")
@@ -98,14 +103,14 @@
         table = Table(SETTINGS)
         self.assertTrue(table.receive(record(), 1000.0, 0.0))
         self.assertTrue(table.promises.grant("k", (2, "s1")))
-        self.assertFalse(table.receive(record().sent("e1"), 1000.0, 0.0))  # arrives after the takeover
-        self.assertTrue(table.receive(record().taken("s1", 2).sent("e2"), 1000.0, 0.0))
-        self.assertEqual(table.lookup("k", record().digest).owner, "s1")
+        self.assertFalse(table.receive(record().with_attempt("e1"), 1000.0, 0.0))  # arrives after the takeover
+        self.assertTrue(table.receive(record().transferred_to("s1", 2).with_attempt("e2"), 1000.0, 0.0))
+        self.assertEqual(table.lookup("k", record().request_digest).owner, "s1")
 
     def test_a_client_that_comes_back_gets_the_answer_held(self):
         table = Table(SETTINGS)
-        table.receive(record().sent("e1").answered(Outcome.SERVED, b"rows", 100), 1000.0, 0.0)
-        found = table.lookup("k", record().digest)
+        table.receive(record().with_attempt("e1").with_answer(Outcome.SERVED, b"rows", 100), 1000.0, 0.0)
+        found = table.lookup("k", record().request_digest)
         self.assertEqual((found.outcome, found.answer), (Outcome.SERVED, b"rows"))
 
 
@@ -128,20 +133,20 @@
                     self.assertEqual(made.record.outcome, Outcome.FAILED)
 
     def test_a_bounced_attempt_may_be_sent_by_anyone(self):
-        bounced = record(effect=Effect.UNSAFE).sent("e1").bounced()
+        bounced = record(effect=Effect.UNSAFE).with_attempt("e1").with_attempt_rejected()
         self.assertEqual(decide(bounced, 0.0, SETTINGS).step, Step.SEND)
 
     def test_voters_claim_in_turns_and_none_while_the_owner_lives_in_its_run(self):
-        held = record(run=7)
+        held = record(holder_incarnation=7)
         self.assertEqual([turn(held, v, {"s2": 1, "s3": 1}) for v in VOTERS], [None, 0, 1])
         self.assertEqual(turn(held, "s1", {"o": 7, "s1": 1}), None)
         self.assertEqual(turn(held, "s1", {"o": 8, "s1": 1}), 0)  # it came back, and knows nothing
         self.assertEqual(turn(held, "o", {"o": 8, "s1": 1}), None)  # it is no voter
-        self.assertEqual(turn(record(run=7, voters=("o", "s1")), "o", {"o": 8, "s1": 1}), 1)
+        self.assertEqual(turn(record(holder_incarnation=7, voters=("o", "s1")), "o", {"o": 8, "s1": 1}), 1)
 
     def test_an_answer_that_was_not_kept_is_sought_again_only_where_that_is_harmless(self):
         for effect, step in ((Effect.SAFE, Step.SEND), (Effect.UNSAFE, Step.HOLD)):
-            large = record(effect=effect).sent("e1").answered(Outcome.SERVED, b"xx", 1)
+            large = record(effect=effect).with_attempt("e1").with_answer(Outcome.SERVED, b"xx", 1)
             self.assertEqual(decide(large, 0.0, SETTINGS).step, step)
 
     def test_of_two_claims_at_once_only_the_higher_is_admitted_by_a_quorum(self):
@@ -163,9 +168,9 @@
 
     def test_the_claimer_takes_the_newest_record_a_grant_brings(self):
         claim = Claim.start(record(), "s1", SETTINGS)
-        claim.grant("s2", record().sent("e1"), now=10.0)
+        claim.grant("s2", record().with_attempt("e1"), now=10.0)
         claim.grant("s1", record(), now=10.0)
-        self.assertEqual((claim.newest().stage, claim.newest().term, claim.newest().owner), (Stage.SENT, 2, "s1"))
+        self.assertEqual((claim.newest().stage, claim.newest().term, claim.newest().holder), (Stage.SENT, 2, "s1"))
         self.assertEqual(claim.acts_from(), 1010.0)
 
 
--- a/tests/test_handoff_store.py
+++ b/tests/test_handoff_store.py
@@ -5,7 +5,8 @@
 import asyncio
 import tempfile
 import unittest
-from dataclasses import replace
+
+from msgspec.structs import replace
 
 from decklb.handoff.records import Outcome
 from decklb.handoff.settings import HandoffSettings
@@ -34,7 +35,7 @@
             store.close()
 
     def test_what_was_written_is_found_by_the_next_process(self):
-        kept = Kept("k", record().sent("e1"), b"body", (2, "s1"))
+        kept = Kept("k", record().with_attempt("e1"), b"body", (2, "s1"))
         gone = Kept("g", record("g"), b"body", None)
         self.assertEqual(self.opened(writes={"k": kept, "g": gone}), (7, 1000.0, []))
         self.assertEqual(self.opened(memory=8, now=2000.0, writes={"g": None})[:2], (7, 1000.0))
@@ -63,7 +64,7 @@
         table = Table(settings)
         table.receive(record(), 1e4, 0.0, b"body")
         table.grant("k", (3, "s2"), 0.0)
-        answered = replace(record("a"), deadline=1e4).sent("e").answered(Outcome.SERVED, b"rows", 100)
+        answered = replace(record("a"), deadline_ms=1e4).with_attempt("e").with_answer(Outcome.SERVED, b"rows", 100)
         table.write(answered)
         self.assertEqual(list(table.touched), ["k", "a"])
         again = Table(settings)
@@ -72,7 +73,7 @@
         self.assertFalse(again.grant("k", (3, "s1"), 0.0))
         self.assertFalse(again.promises.admits(record()))
         self.assertEqual((again.body("k"), again.held), (b"body", table.held))
-        self.assertEqual(again.lookup("a", answered.digest).answer, b"rows")
+        self.assertEqual(again.lookup("a", answered.request_digest).answer, b"rows")
 
 
 class Restarts(unittest.TestCase):
--- a/tests/test_handoff_stored_records.py
+++ b/tests/test_handoff_stored_records.py
@@ -2,10 +2,10 @@
 
 import random
 import zipfile
-from dataclasses import replace
 from pathlib import Path
 
 import pytest
+from msgspec.structs import replace
 
 from decklb.handoff import messages
 from decklb.handoff.keeper import Hooks, Keeper
@@ -22,9 +22,11 @@
 
 def written_entries():
     """What the earlier version wrote: a record of a lost member, one of the member's own, an answer, a bare grant."""
-    lost = replace(records()["attempted"], deadline=DEADLINE)
-    own = replace(new_record("key-own", holder="m0", incarnation=5), deadline=DEADLINE).sent("engine-2", b"cancel")
-    answered = replace(new_record("key-answered"), deadline=DEADLINE).answered(Outcome.SERVED, b"rows", 9)
+    lost = replace(records()["attempted"], deadline_ms=DEADLINE)
+    own = replace(new_record("key-own", holder="m0", incarnation=5), deadline_ms=DEADLINE).with_attempt(
+        "engine-2", b"cancel"
+    )
+    answered = replace(new_record("key-answered"), deadline_ms=DEADLINE).with_answer(Outcome.SERVED, b"rows", 9)
     return {
         "key-1": Kept("key-1", lost, BODY, None),
         "key-own": Kept("key-own", own, BODY, (4, "m1")),
@@ -99,7 +101,7 @@
     terms = {key: member.table.get(key).term for key in sorted(member.holds)}
     assert terms == {"key-1": 4, "key-answered": 4, "key-own": 5}  # the last above the grant that was stored
     held = member.table.get("key-1")
-    assert (held.owner, held.run, held.term, held.stage) == ("m0", 6, 4, Stage.SENT)
+    assert (held.holder, held.holder_incarnation, held.term, held.stage) == ("m0", 6, 4, Stage.SENT)
     assert member.table.body("key-1") == BODY
     # What it knows now is written on, and found again.
     store.write({"key-1": Kept("key-1", held, BODY, (4, "m0")), "key-granted": None})
