--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -76,8 +76,8 @@
             )
     if (h := c.handoff) is not None:
         click.echo(
-            f"handoff: {h.copies} voters a key among {h.members} members, a lease of {h.lease:g}ms, budgets "
-            f"up to {h.longest:g}ms; records live {h.life:.0f}ms at most"
+            f"handoff: {h.voter_count} voters a key among {h.fleet_size} members, a lease of {h.lease_ms:g}ms, budgets "
+            f"up to {h.max_budget_ms:g}ms; records live {h.record_lifetime_ms:.0f}ms at most"
         )
     if (y := c.locality) is not None:
         click.echo(
--- a/decklb/config/operators.py
+++ b/decklb/config/operators.py
@@ -88,20 +88,20 @@
 
 
 HANDOFF: dict[str, tuple[str, Convert]] = {
-    "copies": ("copies", int),
-    "members": ("members", int),
-    "patience": ("patience", duration),
-    "beat": ("beat", duration),
-    "resend": ("resend", duration),
-    "stagger": ("stagger", duration),
-    "longest": ("longest", duration),
-    "room": ("room", size),
-    "capacity": ("capacity", int),
-    "answer-bytes": ("answer_bytes", size),
-    "lease": ("lease", duration),
-    "drift": ("drift", share),
-    "linger": ("linger", duration),
-    "slack": ("slack", duration),
+    "copies": ("voter_count", int),
+    "members": ("fleet_size", int),
+    "patience": ("quorum_timeout_ms", duration),
+    "beat": ("heartbeat_interval_ms", duration),
+    "resend": ("resend_interval_ms", duration),
+    "stagger": ("claim_stagger_ms", duration),
+    "longest": ("max_budget_ms", duration),
+    "room": ("max_bytes", size),
+    "capacity": ("max_records", int),
+    "answer-bytes": ("max_answer_bytes", size),
+    "lease": ("lease_ms", duration),
+    "drift": ("max_clock_drift", share),
+    "linger": ("answer_retention_ms", duration),
+    "slack": ("deadline_grace_ms", duration),
 }
 
 
@@ -169,8 +169,8 @@
         raise SettingsError([Fault(path, 0, str(error))]) from error
     config.cluster, config.control = book.cluster(config.name), book.control()
     config.handoff, config.locality, config.maintenance = book.handoff(), book.locality(), book.maintenance()
-    if config.maintenance is not None and config.handoff is not None and not config.handoff.data:
-        config.maintenance = replace(config.maintenance, memory=config.handoff.life)
+    if config.maintenance is not None and config.handoff is not None and not config.handoff.store_folder:
+        config.maintenance = replace(config.maintenance, memory=config.handoff.record_lifetime_ms)
     book.settle()
     return config
 
@@ -407,19 +407,19 @@
         for other in ("cluster", front):
             if other and self.root.find(other) is None:
                 self.fault(element, f"<handoff> needs <{other}>: it copies statements of that front between members")
-        more = {"data": self._path(element.attrib["data"])} if "data" in element.attrib else {}
+        more = {"store_folder": self._path(element.attrib["data"])} if "data" in element.attrib else {}
         made: HandoffSettings | None = self.check(element, lambda: HandoffSettings(**_taken(element, HANDOFF) | more))
         cluster = self.root.find("cluster")
         if (
             made is not None
             and cluster is not None
             and "lately" in cluster.attrib
-            and duration(cluster.attrib["lately"]) < made.life
+            and duration(cluster.attrib["lately"]) < made.record_lifetime_ms
         ):
             self.fault(
                 cluster,
                 f"<cluster> lately: members must be known for as long as records live; at least "
-                f"{written(made.life)} would be right",
+                f"{written(made.record_lifetime_ms)} would be right",
             )
         return made
 
--- a/decklb/handoff/fencing.py
+++ b/decklb/handoff/fencing.py
@@ -46,7 +46,7 @@
 
     def heard(self, voter: str, now: float) -> bool:
         """Whether it acknowledged something within a lease."""
-        return now - self._heard.get(voter, -float("inf")) < self.settings.lease
+        return now - self._heard.get(voter, -float("inf")) < self.settings.lease_ms
 
     def holds(
         self, record: Record, now: float, mine: Promises, unfit: Collection[str] = (), early: float = 0.0
@@ -56,7 +56,7 @@
         acknowledge. Voters that are unfit (they granted a higher claim, or lost their memory) don't count."""
         if record.holder != self.me or not mine.admits(record):
             return False
-        since, heard = now + early - self.settings.lease, self._heard
+        since, heard = now + early - self.settings.lease_ms, self._heard
         fresh = sum(
             1 for v in record.voters if v not in unfit and (v == self.me or heard.get(v, -float("inf")) > since)
         )
@@ -148,7 +148,7 @@
         """When the new holder may act: a lease and its drift after it won; None before."""
         if self.won_at is None:
             return None
-        return self.won_at + self.settings.lease * (1 + self.settings.drift)
+        return self.won_at + self.settings.lease_ms * (1 + self.settings.max_clock_drift)
 
     def newest(self, run: int = 0) -> Record:
         """The record it takes: the newest among the grants, under its own term."""
--- a/decklb/handoff/guard.py
+++ b/decklb/handoff/guard.py
@@ -175,7 +175,7 @@
         if made:
             self._made += 1
             work.once = f"{self.name}.{self.keeper.run:x}.{self._made}"
-        work.budget = min(work.budget, self.keeper.s.longest)
+        work.budget = min(work.budget, self.keeper.s.max_budget_ms)
         body, now = self.codec.encode(work), self.clock.now()
         p = Protected(self, work.once, sink)
         record = Record(
--- a/decklb/handoff/keeper.py
+++ b/decklb/handoff/keeper.py
@@ -104,7 +104,7 @@
         `age` ms back: since its start, or further where it kept a store."""
         self.s, self.me, self.run, self.memory, self.rng, self.hooks = settings, me, run, memory, rng, hooks
         self.born = now - age
-        self.table, self.lease, self.placement = Table(settings), Lease(settings, me), Placement(settings.buckets)
+        self.table, self.lease, self.placement = Table(settings), Lease(settings, me), Placement(settings.bucket_count)
         self.out: list[tuple[str, m.Message]] = []
         self.notices: list[Notice] = []
         self.counts: Counter[str] = Counter()
@@ -137,9 +137,9 @@
             return done(Taken("reused"))
         if found.known:
             return self._known(now, key, record.request_digest, done)
-        if self.closed or len(self.known) < self.s.members:
+        if self.closed or len(self.known) < self.s.fleet_size:
             return self._turn_away(done, "closed" if self.closed else "members-unknown")
-        voters = self.placement.voters(key, self.s.copies)
+        voters = self.placement.voters(key, self.s.voter_count)
         record = replace(
             record,
             holder=self.me,
@@ -186,7 +186,7 @@
         hold = self.holds.get(key)
         if hold is None or hold.record.stage >= Stage.ANSWERED or self.closed:
             return call(False)
-        self._write(now, hold, hold.record.with_answer(outcome, answer, self.s.answer_bytes, reason))
+        self._write(now, hold, hold.record.with_answer(outcome, answer, self.s.max_answer_bytes, reason))
         self._wait(now, hold, call)
 
     def release(self, now: float, key: str) -> None:
@@ -210,7 +210,7 @@
         self.known |= set(known) | alive.keys()
         for name in sorted(self.known - set(known) - {self.me}):
             # One that is forgotten keeps its votes until the fleet is larger than the operators say.
-            if len(self.known) > self.s.members:
+            if len(self.known) > self.s.fleet_size:
                 self.known.discard(name)
         self.placement.set_members(self.known)
         self.alive = dict(alive)
@@ -287,7 +287,7 @@
 
     def tick(self, now: float) -> None:
         """What is due; to be called each few tens of milliseconds."""
-        if now - self._beat >= self.s.beat:
+        if now - self._beat >= self.s.heartbeat_interval_ms:
             self._beat = now
             self.out += [(peer, m.Beat(now)) for peer in self.links]
         self._look_round(now)
@@ -371,7 +371,7 @@
             if voter == self.me or voter not in self.links or hold.acked.get(voter, -1) >= r.version:
                 continue
             lacks = True
-            if now - hold.sent.get(voter, -float("inf")) < self.s.resend:
+            if now - hold.sent.get(voter, -float("inf")) < self.s.resend_interval_ms:
                 continue
             hold.sent[voter] = now
             body = None if voter in hold.whole else self.table.body(r.key)
@@ -394,7 +394,7 @@
 
     def _wait(self, now: float, hold: Hold, call: Call) -> None:
         self._active[hold.record.key] = None
-        hold.waits.append((hold.record.version, now + self.s.patience, call))
+        hold.waits.append((hold.record.version, now + self.s.quorum_timeout_ms, call))
         self._settle(now, hold)
 
     def _acting(self, now: float, hold: Hold, early: float = 0.0) -> bool:
@@ -433,13 +433,13 @@
             return
         if hold.stalled:
             key = hold.record.key
-            if self._committed(hold) >= 0 and self._acting(now, hold, EARLY * self.s.lease):
+            if self._committed(hold) >= 0 and self._acting(now, hold, EARLY * self.s.lease_ms):
                 self._resume(now, hold)
             elif hold.retry <= now and key not in self._claims:
                 if hold.retry:
                     self._orphans.setdefault(key, now)
-                hold.retry = now + 2 * self.s.lease
-        elif hold.record.stage < Stage.ANSWERED and not self._acting(now, hold, EARLY * self.s.lease):
+                hold.retry = now + 2 * self.s.lease_ms
+        elif hold.record.stage < Stage.ANSWERED and not self._acting(now, hold, EARLY * self.s.lease_ms):
             hold.stalled = True
             self.counts["stalled"] += 1
             self.notices.append(Notice("handoff-lease-ended", hold.record.key, {"term": hold.record.term}))
@@ -520,7 +520,7 @@
             else:
                 self._ask(now, n.owner, n.key, digest, done)
         elif n.reason in (m.YOUNG, m.NO_ROOM):
-            hold.sent[peer] = now + self.s.resend * 4  # it may have room, or memory enough, later
+            hold.sent[peer] = now + self.s.resend_interval_ms * 4  # it may have room, or memory enough, later
 
     # A client that comes back.
 
@@ -546,7 +546,7 @@
         if owner not in self.links or owner not in self.view:
             return done(Taken("running", reason="holder-lost"))
         self._n += 1
-        self._asks[self._n] = (now + self.s.patience, done)
+        self._asks[self._n] = (now + self.s.quorum_timeout_ms, done)
         self.out.append((owner, m.Ask(self._n, key, digest)))
 
     def _on_ask(self, now: float, peer: str, ask: m.Ask) -> None:
@@ -556,7 +556,7 @@
             # Somebody still has a copy of what was let go here.
             self.out += [
                 (v, m.Drop(ask.key, self.run))
-                for v in dict.fromkeys((peer, *self.placement.voters(ask.key, self.s.copies)))
+                for v in dict.fromkeys((peer, *self.placement.voters(ask.key, self.s.voter_count)))
                 if v in self.links
             ]
             return
@@ -598,7 +598,7 @@
         """Whether this member can have forgotten nothing about a key: it remembers for longer than any record lives,
         or since before a key was made that nobody used before."""
         remembers = now - self.born
-        return remembers >= self.s.life or made and remembers > age * (1 + self.s.drift)
+        return remembers >= self.s.record_lifetime_ms or made and remembers > age * (1 + self.s.max_clock_drift)
 
     def _lives(self, record: Record) -> bool:
         return self.view.get(record.holder) == record.holder_incarnation
@@ -651,7 +651,7 @@
         claiming = self._claims.get(c.key)
         if claiming is not None and claiming.claim.ballot < (c.term, peer):
             del self._claims[c.key]
-            self._orphans[c.key] = now + self.s.lease + self.rng.uniform(*AGAIN)
+            self._orphans[c.key] = now + self.s.lease_ms + self.rng.uniform(*AGAIN)
         record = None if held is None else replace(held, deadline_ms=0.0)
         self.out.append(
             (peer, m.Grant(c.key, c.term, record, held.deadline_ms - now if held else 0.0, self.table.body(c.key)))
@@ -676,7 +676,7 @@
             if at is None:
                 self._orphans.pop(key, None)
             elif key not in self._orphans:
-                self._orphans[key] = now + at * self.s.stagger
+                self._orphans[key] = now + at * self.s.claim_stagger_ms
 
     def _claim_due(self, now: float) -> None:
         due = [k for k, at in self._orphans.items() if at <= now][:CLAIMS]
@@ -687,7 +687,7 @@
             acts = claiming.claim.acts_from()
             if acts is not None and acts <= now:
                 self._won(now, key, claiming)
-            elif acts is None and (claiming.claim.lost() or now - claiming.since > self.s.patience * 2):
+            elif acts is None and (claiming.claim.lost() or now - claiming.since > self.s.quorum_timeout_ms * 2):
                 del self._claims[key]
                 self._orphans[key] = now + self.rng.uniform(*AGAIN)
 
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -154,10 +154,10 @@
         me, now = cluster.node.membership.me, clock.now()
         self.store: Store | None = None
         memory, born, kept = me.boot, now, list[Any]()
-        if settings.data:
+        if settings.store_folder:
             from decklb.handoff.store import Store, boot_id
 
-            self.store = Store(settings.data, settings.room)
+            self.store = Store(settings.store_folder, settings.max_bytes)
             memory, born, kept = self.store.open(me.name, me.boot, now, boot_id())
         self.keeper = Keeper(
             settings,
@@ -200,8 +200,8 @@
             event="handoff-listening",
             host=host,
             port=port,
-            copies=self.settings.copies,
-            members=self.settings.members,
+            copies=self.settings.voter_count,
+            members=self.settings.fleet_size,
             kept=self.kept,
         )
         self._tick()
@@ -221,7 +221,7 @@
         if self.sealer.spent:
             self.reload()
         for link in list(self.links):
-            silent = now - link.heard > (SILENT * self.settings.lease if link.up else GREET)
+            silent = now - link.heard > (SILENT * self.settings.lease_ms if link.up else GREET)
             if silent or link.stuck and len(link.transport.dataBuffer) > MOST_UNREAD:
                 link.end("silent" if silent else "slow-reader")
         for name in live:
--- a/decklb/handoff/table.py
+++ b/decklb/handoff/table.py
@@ -71,7 +71,7 @@
                 raise KeyReused(record.key)
             return held
         if self._full(len(body)):
-            raise TableFull(self.settings.capacity)
+            raise TableFull(self.settings.max_records)
         self._store(record, body)
         return record
 
@@ -106,7 +106,7 @@
         if not self.promises.grant(key, ballot):
             return False
         if key not in self._records:
-            heapq.heappush(self._ends, (now + self.settings.life, key))
+            heapq.heappush(self._ends, (now + self.settings.record_lifetime_ms, key))
         return True
 
     def lookup(self, key: str, digest: str) -> Lookup:
@@ -156,7 +156,7 @@
         return dropped
 
     def _full(self, more: int, another: bool = True) -> bool:
-        return self.held + more > self.settings.room or another and len(self._records) >= self.settings.capacity
+        return self.held + more > self.settings.max_bytes or another and len(self._records) >= self.settings.max_records
 
     def _store(self, record: Record, body: bytes | None) -> None:
         key, held = record.key, self._records.get(record.key)
@@ -170,7 +170,10 @@
             self._bodies[key] = body
             self.held += len(body)
         if held is None or held.deadline_ms != record.deadline_ms:
-            heapq.heappush(self._ends, (record.deadline_ms + self.settings.slack + self.settings.linger, key))
+            heapq.heappush(
+                self._ends,
+                (record.deadline_ms + self.settings.deadline_grace_ms + self.settings.answer_retention_ms, key),
+            )
 
     def _forget_body(self, key: str) -> None:
         self.held -= len(self._bodies.pop(key, b""))
--- a/decklb/handoff/takeover.py
+++ b/decklb/handoff/takeover.py
@@ -62,4 +62,4 @@
 
 def lapsed(record: Record, now: float, settings: HandoffSettings) -> bool:
     """Past its deadline, the slack and the lingering: nobody needs it."""
-    return now > record.deadline_ms + settings.slack + settings.linger
+    return now > record.deadline_ms + settings.deadline_grace_ms + settings.answer_retention_ms
--- a/decklb/lab/handoff.py
+++ b/decklb/lab/handoff.py
@@ -30,7 +30,14 @@
 ERRS = 0.01  # chance, at a look, that a member takes a living one for dead
 ONCE = "load"  # the class of what may run at most once
 SETTINGS = HandoffSettings(
-    members=3, lease=600.0, beat=100.0, patience=300.0, resend=60.0, stagger=250.0, longest=4000.0, linger=1500.0
+    fleet_size=3,
+    lease_ms=600.0,
+    heartbeat_interval_ms=100.0,
+    quorum_timeout_ms=300.0,
+    resend_interval_ms=60.0,
+    claim_stagger_ms=250.0,
+    max_budget_ms=4000.0,
+    answer_retention_ms=1500.0,
 )
 
 
@@ -58,7 +65,7 @@
         self.lines: list[Line] = []
         self.stories: list[Story] = []
         self.runs = 0
-        warm = settings.life + 100.0
+        warm = settings.record_lifetime_ms + 100.0
         for name in self.names:
             self.nodes[name] = Node(self, name)
         at = warm
@@ -68,9 +75,11 @@
         self.long = self.rng.random() < 0.5
         self.kinds = ("kill", "cut", "cut-one") if self.long else ("kill", "cut", "cut-one", "held-up")
         for i in range(6 if harsh else 1):
-            start = warm + (self.rng.uniform(0, span) if harsh else i * settings.life + self.rng.uniform(0, span / 2))
+            start = warm + (
+                self.rng.uniform(0, span) if harsh else i * settings.record_lifetime_ms + self.rng.uniform(0, span / 2)
+            )
             self.at(start, partial(self._strike, self.rng.choice(self.names), self.rng.uniform(500, 2500)))
-        self.end = warm + span + settings.life
+        self.end = warm + span + settings.record_lifetime_ms
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         """Make a call at that simulated time, in ms."""
@@ -131,7 +140,7 @@
     def _client(self) -> None:
         n = len(self.stories)
         lane = self.rng.choice(("read", ONCE))
-        budget = self.settings.longest
+        budget = self.settings.max_budget_ms
         story = Story(f"k{n}", lane, self.now / 1000, (self.now + budget + 500.0) / 1000)
         self.stories.append(story)
         self._try(story, self.now + budget, self.rng.choice((5.0, 20.0, 80.0, 1500.0 if self.long else 150.0)))
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -16,7 +16,9 @@
 from decklb.interface import Effect
 from decklb.lab.handoff import play
 
-SETTINGS = HandoffSettings(capacity=4, lease=1000.0, drift=0.0, linger=100.0, slack=0.0)
+SETTINGS = HandoffSettings(
+    max_records=4, lease_ms=1000.0, max_clock_drift=0.0, answer_retention_ms=100.0, deadline_grace_ms=0.0
+)
 VOTERS = ("s1", "s2", "s3")
 
 
@@ -85,7 +87,7 @@
         self.assertFalse(table.lookup("k", record().request_digest).known)
 
     def test_what_is_held_is_bounded_in_bytes_and_counted_back(self):
-        table = Table(replace(SETTINGS, room=100))
+        table = Table(replace(SETTINGS, max_bytes=100))
         table.take(record("a"), b"x" * 60)
         with self.assertRaises(TableFull):
             table.take(record("b"), b"x" * 60)
--- a/tests/test_handoff_wire_format.py
+++ b/tests/test_handoff_wire_format.py
@@ -104,4 +104,4 @@
         made = config.load(None, str(path)).handoff
         *values, folder = astuple(made)
         assert [values, folder.removeprefix(f"{tmp_path}/")] == [given["values"], given["attributes"].get("data", "")]
-        assert [made.quorum, made.life] == given["derived"]
+        assert [made.quorum, made.record_lifetime_ms] == given["derived"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -141,8 +141,8 @@
 class Meaning(unittest.TestCase):
     def test_handoff_example(self):
         c = config.load(None, str(ROOT / "deploy/handoff.xml"))
-        assert c.handoff is not None and c.handoff.members == 3 and c.postgres is not None
-        assert c.handoff.data == str(ROOT / "deploy/reportes-1.data")
+        assert c.handoff is not None and c.handoff.fleet_size == 3 and c.postgres is not None
+        assert c.handoff.store_folder == str(ROOT / "deploy/reportes-1.data")
 
     def test_locality_example(self):
         c = config.load(None, str(ROOT / "deploy/locality.xml"))
