--- a/decklb/handoff/keeper.py
+++ b/decklb/handoff/keeper.py
@@ -16,7 +16,7 @@
 from msgspec.structs import replace
 
 from decklb.handoff import messages as m
-from decklb.handoff.errors import KeyReused, TableFull
+from decklb.handoff.errors import KeyReusedError, RecordLimitError
 from decklb.handoff.fencing import Ballot, Claim, Lease, quorum_of
 from decklb.handoff.placement import Placement
 from decklb.handoff.records import Outcome, Record, Stage
@@ -33,6 +33,17 @@
 
 Call = Callable[[bool], None]
 
+REJECT_COUNTERS = {  # the last part of a counter's name, as `decklb handoff` shows it
+    m.RejectReason.KEY_HELD: "taken",
+    m.RejectReason.KEY_REUSED: "key-reused",
+    m.RejectReason.FENCED: "fenced",
+    m.RejectReason.MEMORY_TOO_SHORT: "no-memory",
+    m.RejectReason.BODY_MISSING: "not-whole",
+    m.RejectReason.OUT_OF_CAPACITY: "no-room",
+    m.RejectReason.HOLDER_ALIVE: "holder-alive",
+    m.RejectReason.TERM_TOO_LOW: "below-term",
+}
+
 
 @dataclass(frozen=True, slots=True)
 class Taken:
@@ -133,7 +144,7 @@
         key = record.key
         try:
             found = self.table.lookup(key, record.request_digest)
-        except KeyReused:
+        except KeyReusedError:
             return done(Taken("reused"))
         if found.known:
             return self._known(now, key, record.request_digest, done)
@@ -150,7 +161,7 @@
         )
         try:
             self.table.take(record, body)
-        except TableFull:
+        except RecordLimitError:
             return self._turn_away(done, "no-room")
         self._claims.pop(key, None)  # whatever was claimed under this key is gone, or it would have been found
         self._orphans.pop(key, None)
@@ -239,7 +250,7 @@
             if peer in hold.record.voters:
                 self._open[key] = None
                 hold.sent.pop(peer, None)
-        self.out.append((peer, m.Beat(now)))
+        self.out.append((peer, m.Heartbeat(now)))
 
     def unlinked(self, now: float, peer: str) -> None:
         """The connection has ended."""
@@ -248,39 +259,39 @@
     def receive(self, now: float, peer: str, message: m.Message) -> None:
         """One word of a member."""
         match message:
-            case m.Copy():
+            case m.Replicate():
                 self._on_copy(now, peer, message)
-            case m.Ack():
-                self.lease.acknowledged(peer, message.sent)
+            case m.ReplicateAck():
+                self.lease.acknowledged(peer, message.sent_at_ms)
                 hold = self.holds.get(message.key)
                 # A key that was let go and taken anew starts over: words on its earlier life say nothing of this one.
-                if hold is not None and hold.record.term == message.term and message.sent >= hold.since:
+                if hold is not None and hold.record.term == message.term and message.sent_at_ms >= hold.since:
                     hold.acked[peer] = max(hold.acked.get(peer, -1), message.version)
                     hold.whole.add(peer)
                     self._settle(now, hold)
-            case m.Nack():
+            case m.ReplicateReject():
                 self._on_nack(now, peer, message)
-            case m.Beat():
-                self.out.append((peer, m.Beaten(message.sent)))
-            case m.Beaten():
-                self.lease.acknowledged(peer, message.sent)
+            case m.Heartbeat():
+                self.out.append((peer, m.HeartbeatAck(message.sent_at_ms)))
+            case m.HeartbeatAck():
+                self.lease.acknowledged(peer, message.sent_at_ms)
             case m.Fenced():
-                self._fenced(peer, message.key, (message.term, message.by))
-            case m.Claim():
+                self._fenced(peer, message.key, (message.term, message.claimer))
+            case m.ClaimRequest():
                 self._on_claim(now, peer, message)
-            case m.Grant():
+            case m.ClaimGrant():
                 self._on_grant(now, peer, message)
-            case m.Refusal():
+            case m.ClaimReject():
                 self._on_refusal(now, peer, message)
-            case m.Ask():
+            case m.LookupRequest():
                 self._on_ask(now, peer, message)
-            case m.Found():
+            case m.LookupReply():
                 self._on_found(message)
-            case m.Drop():
+            case m.Release():
                 held = self.table.get(message.key)
                 if (
                     held is not None
-                    and (held.holder, held.holder_incarnation) == (peer, message.run)
+                    and (held.holder, held.holder_incarnation) == (peer, message.holder_incarnation)
                     and self.table.promises.admits(held)
                 ):
                     self.table.drop(message.key)
@@ -289,7 +300,7 @@
         """What is due; to be called each few tens of milliseconds."""
         if now - self._beat >= self.s.heartbeat_interval_ms:
             self._beat = now
-            self.out += [(peer, m.Beat(now)) for peer in self.links]
+            self.out += [(peer, m.Heartbeat(now)) for peer in self.links]
         self._look_round(now)
         for key in list(self._open):
             if (hold := self.holds.get(key)) is not None:
@@ -352,7 +363,7 @@
         if self.holds.get(key) is hold:
             del self.holds[key]
             self.table.drop(key)
-            self.out += [(v, m.Drop(key, self.run)) for v in hold.record.voters if v in self.links]
+            self.out += [(v, m.Release(key, self.run)) for v in hold.record.voters if v in self.links]
 
     def _write(self, now: float, hold: Hold, record: Record) -> None:
         hold.record = record
@@ -379,7 +390,7 @@
             self.out.append(
                 (
                     voter,
-                    m.Copy(
+                    m.Replicate(
                         replace(r, deadline_ms=0.0),
                         r.deadline_ms - now,
                         now - hold.since,
@@ -493,33 +504,33 @@
                 hold.admit = None
                 done(Taken("running", reason="fenced"))
 
-    def _on_nack(self, now: float, peer: str, n: m.Nack) -> None:
+    def _on_nack(self, now: float, peer: str, n: m.ReplicateReject) -> None:
         hold = self.holds.get(n.key)
-        if hold is None or hold.record.term != n.term or n.sent < hold.since:
+        if hold is None or hold.record.term != n.term or n.sent_at_ms < hold.since:
             return
-        self.counts[f"nack-{m.REASONS[n.reason]}"] += 1
+        self.counts[f"nack-{REJECT_COUNTERS[n.reason]}"] += 1
         done = hold.admit
-        if n.reason == m.WHOLE:
+        if n.reason == m.RejectReason.BODY_MISSING:
             hold.whole.discard(peer)
             hold.sent.pop(peer, None)
-        elif n.reason == m.FENCED and done is not None:
+        elif n.reason == m.RejectReason.FENCED and done is not None:
             # Left over from an earlier life of the key: what is taken now goes above it.
-            hold.record = replace(hold.record, term=n.highest + 1)
+            hold.record = replace(hold.record, term=n.highest_term + 1)
             hold.acked.clear()
             self.table.write(hold.record)
             hold.waits = [(hold.record.version, until, call) for _, until, call in hold.waits]
             self._spread(now, hold)
-        elif n.reason == m.FENCED:
-            self._fenced(peer, n.key, (n.highest, LAST))  # not ours, or it would have been admitted
-        elif n.reason in (m.TAKEN, m.REUSED) and done is not None:
+        elif n.reason == m.RejectReason.FENCED:
+            self._fenced(peer, n.key, (n.highest_term, LAST))  # not ours, or it would have been admitted
+        elif n.reason in (m.RejectReason.KEY_HELD, m.RejectReason.KEY_REUSED) and done is not None:
             hold.admit, hold.waits = None, []
             digest = hold.record.request_digest
             self._let_go(hold)
-            if n.reason == m.REUSED:
+            if n.reason == m.RejectReason.KEY_REUSED:
                 done(Taken("reused"))
             else:
-                self._ask(now, n.owner, n.key, digest, done)
-        elif n.reason in (m.YOUNG, m.NO_ROOM):
+                self._ask(now, n.holder, n.key, digest, done)
+        elif n.reason in (m.RejectReason.MEMORY_TOO_SHORT, m.RejectReason.OUT_OF_CAPACITY):
             hold.sent[peer] = now + self.s.resend_interval_ms * 4  # it may have room, or memory enough, later
 
     # A client that comes back.
@@ -547,33 +558,35 @@
             return done(Taken("running", reason="holder-lost"))
         self._n += 1
         self._asks[self._n] = (now + self.s.quorum_timeout_ms, done)
-        self.out.append((owner, m.Ask(self._n, key, digest)))
+        self.out.append((owner, m.LookupRequest(self._n, key, digest)))
 
-    def _on_ask(self, now: float, peer: str, ask: m.Ask) -> None:
+    def _on_ask(self, now: float, peer: str, ask: m.LookupRequest) -> None:
         held = self.table.get(ask.key)
         if held is None:
-            self.out.append((peer, m.Found(ask.n, m.NOT_KNOWN)))
+            self.out.append((peer, m.LookupReply(ask.request_id, m.LookupState.UNKNOWN)))
             # Somebody still has a copy of what was let go here.
             self.out += [
-                (v, m.Drop(ask.key, self.run))
+                (v, m.Release(ask.key, self.run))
                 for v in dict.fromkeys((peer, *self.placement.voters(ask.key, self.s.voter_count)))
                 if v in self.links
             ]
             return
-        if held.request_digest != ask.digest:
-            return self.out.append((peer, m.Found(ask.n, m.OTHER)))
+        if held.request_digest != ask.request_digest:
+            return self.out.append((peer, m.LookupReply(ask.request_id, m.LookupState.OTHER_REQUEST)))
         if ask.key not in self.holds:  # on its way to yet another
-            return self.out.append((peer, m.Found(ask.n, m.RUNNING)))
+            return self.out.append((peer, m.LookupReply(ask.request_id, m.LookupState.RUNNING)))
         self._known(
             now,
             ask.key,
-            ask.digest,
+            ask.request_digest,
             lambda t: self.out.append(
                 (
                     peer,
-                    m.Found(
-                        ask.n,
-                        {"running": m.RUNNING, "done": m.DONE}.get(t.state, m.NOT_KNOWN),
+                    m.LookupReply(
+                        ask.request_id,
+                        {"running": m.LookupState.RUNNING, "done": m.LookupState.ANSWERED}.get(
+                            t.state, m.LookupState.UNKNOWN
+                        ),
                         t.outcome,
                         t.answer,
                         t.reason,
@@ -582,15 +595,15 @@
             ),
         )
 
-    def _on_found(self, f: m.Found) -> None:
-        asked = self._asks.pop(f.n, None)
+    def _on_found(self, f: m.LookupReply) -> None:
+        asked = self._asks.pop(f.request_id, None)
         if asked is None:
             return
-        if f.state == m.DONE:
+        if f.state == m.LookupState.ANSWERED:
             return asked[1](Taken("done", f.outcome, f.answer, f.reason))
-        if f.state == m.NOT_KNOWN:
+        if f.state == m.LookupState.UNKNOWN:
             return self._turn_away(asked[1], "let-go")
-        asked[1](Taken("reused") if f.state == m.OTHER else Taken("running"))
+        asked[1](Taken("reused") if f.state == m.LookupState.OTHER_REQUEST else Taken("running"))
 
     # The voter's side.
 
@@ -603,46 +616,52 @@
     def _lives(self, record: Record) -> bool:
         return self.view.get(record.holder) == record.holder_incarnation
 
-    def _on_copy(self, now: float, peer: str, c: m.Copy) -> None:
+    def _on_copy(self, now: float, peer: str, c: m.Replicate) -> None:
         r = c.record
         if r.holder != peer or self.me not in r.voters:
             return
         held = self.table.get(r.key)
-        why, owner = 0, ""
+        why: m.RejectReason | None = None
+        owner = ""
         if (
             held is not None
             and (held.holder, held.holder_incarnation) != (r.holder, r.holder_incarnation)
-            and (c.fresh or r.term <= held.term)
+            and (c.new_key or r.term <= held.term)
         ):
-            why, owner = (m.TAKEN if held.request_digest == r.request_digest else m.REUSED), held.holder
-        elif held is None and not self._fit(now, r.key_generated and not r.admitted, c.age):
-            why = m.YOUNG
+            why, owner = (
+                (m.RejectReason.KEY_HELD if held.request_digest == r.request_digest else m.RejectReason.KEY_REUSED),
+                held.holder,
+            )
+        elif held is None and not self._fit(now, r.key_generated and not r.admitted, c.age_ms):
+            why = m.RejectReason.MEMORY_TOO_SHORT
         elif not self.table.promises.admits(r):
-            why = m.FENCED
+            why = m.RejectReason.FENCED
         elif c.body is None and r.stage < Stage.ANSWERED and self.table.body(r.key) is None:
-            why = m.WHOLE
-        elif not self.table.receive(r, c.left, now, c.body):
+            why = m.RejectReason.BODY_MISSING
+        elif not self.table.receive(r, c.remaining_ms, now, c.body):
             if held is not None and held.precedence() > r.precedence() and held.holder == r.holder:
                 return  # an older version, late: the newer one was acknowledged
-            why = m.NO_ROOM
-        if why:
-            return self.out.append((peer, m.Nack(r.key, r.term, why, c.sent, owner, self.table.promises.term(r.key))))
+            why = m.RejectReason.OUT_OF_CAPACITY
+        if why is not None:
+            return self.out.append(
+                (peer, m.ReplicateReject(r.key, r.term, why, c.sent_at_ms, owner, self.table.promises.term(r.key)))
+            )
         hold = self.holds.get(r.key)
         if hold is not None and hold.record.holder != r.holder:
             self._lose(hold)
         self._orphans.pop(r.key, None)
-        self.out.append((peer, m.Ack(r.key, r.term, r.version, c.sent)))
+        self.out.append((peer, m.ReplicateAck(r.key, r.term, r.version, c.sent_at_ms)))
 
-    def _on_claim(self, now: float, peer: str, c: m.Claim) -> None:
+    def _on_claim(self, now: float, peer: str, c: m.ClaimRequest) -> None:
         held = self.table.get(c.key)
         highest = self.table.promises.term(c.key)
         if held is None and not self._fit(now, False, 0.0):
-            return self.out.append((peer, m.Refusal(c.key, c.term, m.YOUNG, highest)))
+            return self.out.append((peer, m.ClaimReject(c.key, c.term, m.RejectReason.MEMORY_TOO_SHORT, highest)))
         if held is not None and held.holder != peer and self._lives(held):
-            return self.out.append((peer, m.Refusal(c.key, c.term, m.ALIVE, highest)))
+            return self.out.append((peer, m.ClaimReject(c.key, c.term, m.RejectReason.HOLDER_ALIVE, highest)))
         if held is not None and c.term <= held.term or not self.table.grant(c.key, (c.term, peer), now):
             highest = max(highest, held.term if held is not None else 0)
-            return self.out.append((peer, m.Refusal(c.key, c.term, m.BELOW, highest)))
+            return self.out.append((peer, m.ClaimReject(c.key, c.term, m.RejectReason.TERM_TOO_LOW, highest)))
         if held is not None:
             self._pass(c.key, held, (c.term, peer))
         hold = self.holds.get(c.key)
@@ -654,7 +673,7 @@
             self._orphans[c.key] = now + self.s.lease_ms + self.rng.uniform(*AGAIN)
         record = None if held is None else replace(held, deadline_ms=0.0)
         self.out.append(
-            (peer, m.Grant(c.key, c.term, record, held.deadline_ms - now if held else 0.0, self.table.body(c.key)))
+            (peer, m.ClaimGrant(c.key, c.term, record, held.deadline_ms - now if held else 0.0, self.table.body(c.key)))
         )
 
     def _pass(self, key: str, held: Record, ballot: Ballot) -> None:
@@ -707,13 +726,13 @@
         self.counts["claims"] += 1
         self._claims[key] = claiming = Claiming(claim, now, None)
         self._grant_own(now, key, claiming)
-        self.out += [(v, m.Claim(key, claim.ballot[0])) for v in others]
+        self.out += [(v, m.ClaimRequest(key, claim.ballot[0])) for v in others]
 
-    def _on_grant(self, now: float, peer: str, g: m.Grant) -> None:
+    def _on_grant(self, now: float, peer: str, g: m.ClaimGrant) -> None:
         claiming = self._claims.get(g.key)
         if claiming is None or claiming.claim.ballot != (g.term, self.me):
             return
-        newest = None if g.record is None else replace(g.record, deadline_ms=now + g.left)
+        newest = None if g.record is None else replace(g.record, deadline_ms=now + g.remaining_ms)
         claiming.claim.grant(peer, newest, now)
         claiming.body = claiming.body if claiming.body is not None else g.body
         self._grant_own(now, g.key, claiming)
@@ -726,15 +745,15 @@
             claim.grant(self.me, held, now)
             claiming.body = claiming.body if claiming.body is not None else self.table.body(key)
 
-    def _on_refusal(self, now: float, peer: str, r: m.Refusal) -> None:
+    def _on_refusal(self, now: float, peer: str, r: m.ClaimReject) -> None:
         claiming = self._claims.get(r.key)
         if claiming is None or claiming.claim.ballot != (r.term, self.me):
             return
-        self.counts[f"claim-{m.REASONS[r.reason]}"] += 1
+        self.counts[f"claim-{REJECT_COUNTERS[r.reason]}"] += 1
         claiming.claim.refuse(peer)
-        if r.reason == m.BELOW and claiming.claim.lost() and claiming.claim.won_at is None:
+        if r.reason == m.RejectReason.TERM_TOO_LOW and claiming.claim.lost() and claiming.claim.won_at is None:
             del self._claims[r.key]
-            self._floors[r.key] = r.highest  # the next one goes above
+            self._floors[r.key] = r.highest_term  # the next one goes above
             self._orphans[r.key] = now + self.rng.uniform(*AGAIN)
 
     def _won(self, now: float, key: str, claiming: Claiming) -> None:
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -22,6 +22,7 @@
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.core.ports import Clock, Timer
 from decklb.handoff import messages as m
+from decklb.handoff.errors import FrameError, StoreError
 from decklb.handoff.guard import Guard
 from decklb.handoff.keeper import Hooks, Keeper
 from decklb.handoff.settings import HandoffSettings
@@ -40,13 +41,13 @@
 class Link(Int32StringReceiver):
     """A connection to one member."""
 
-    MAX_LENGTH = m.MOST_FRAME
+    MAX_LENGTH = m.MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, service: HandoffService) -> None:
         self.service = service
         self.nonce = os.urandom(16)
-        self.hello: m.Hello | None = None
+        self.hello: m.Greeting | None = None
         self.up = self.closed = self.stuck = False
         self.sent_seq = self.seen_seq = 0
         self.heard = service.clock.now()
@@ -60,7 +61,9 @@
         self.transport.registerProducer(self, True)
         k = self.service.keeper
         now = self.service.clock.now()
-        self._frame(m.pack(m.Hello(m.VERSION, k.me, k.run, k.memory, min(1e12, now - k.born), self.nonce)))
+        self._frame(
+            m.encode_message(m.Greeting(m.PROTOCOL_VERSION, k.me, k.run, k.memory, min(1e12, now - k.born), self.nonce))
+        )
 
     def pauseProducing(self) -> None:
         """The member reads slowly."""
@@ -79,9 +82,9 @@
     def say(self, words: list[bytes]) -> None:
         """Words to the member, in order."""
         assert self.hello is not None
-        for at in range(0, max(1, len(words)), m.MOST_BODY):
+        for at in range(0, max(1, len(words)), m.MAX_MESSAGES):
             self.sent_seq += 1
-            self._frame(m.envelope(self.hello.nonce, self.sent_seq, words[at : at + m.MOST_BODY]))
+            self._frame(m.encode_envelope(self.hello.nonce, self.sent_seq, words[at : at + m.MAX_MESSAGES]))
 
     def stringReceived(self, data: bytes) -> None:
         """One frame."""
@@ -90,20 +93,20 @@
         try:
             plain = self.service.sealer.open(data)
             if self.hello is None:
-                return self._greeted(m.read_hello(plain))
-            found = m.read(plain)
+                return self._greeted(m.decode_greeting(plain))
+            found = m.decode_envelope(plain)
             self.seen_seq += 1
-            if found.nonce != self.nonce or found.seq != self.seen_seq:
-                raise m.FrameError("replay")
-        except (m.FrameError, WireError) as error:
+            if found.nonce != self.nonce or found.sequence != self.seen_seq:
+                raise FrameError("replay")
+        except (FrameError, WireError) as error:
             return self.end(f"bad-frame: {error}")
         self.heard = self.service.clock.now()
         if not self.up:
             self.up = True
             self.service.joined(self)
-        self.service.heard(self, found.body)
+        self.service.heard(self, found.messages)
 
-    def _greeted(self, hello: m.Hello) -> None:
+    def _greeted(self, hello: m.Greeting) -> None:
         if hello.member == self.service.keeper.me or self.peer and hello.member != self.peer:
             return self.end(f"other-member: {hello.member}")
         self.hello, self.peer = hello, hello.member
@@ -188,7 +191,7 @@
             f"{self.cluster.settings.membership.cluster}/handoff",
             [k.secret for k in keys],
             os.urandom(SALT_BYTES),
-            m.MOST_FRAME,
+            m.MAX_FRAME_BYTES,
         )
 
     def start(self) -> None:
@@ -266,7 +269,7 @@
             before.end("replaced")
         self.peers[link.peer] = link
         self.dials.pop(link.peer, None)
-        self.keeper.linked(self.clock.now(), link.peer, link.hello.memory, link.hello.run)
+        self.keeper.linked(self.clock.now(), link.peer, link.hello.memory_id, link.hello.incarnation)
         self.pump()
 
     def heard(self, link: Link, words: list[m.Message]) -> None:
@@ -297,7 +300,7 @@
             words: dict[str, list[bytes]] = {}
             for peer, message in out:
                 if peer in self.peers:
-                    words.setdefault(peer, []).append(m.pack(message))
+                    words.setdefault(peer, []).append(m.encode_message(message))
             for peer, packed in words.items():
                 self.peers[peer].say(packed)
             notices, keeper.notices = keeper.notices, []
@@ -317,7 +320,7 @@
         """What changed is on disk, so that words that rest on it may leave."""
         touched, table = self.keeper.table.touched, self.keeper.table
         if self.store is not None and touched:
-            from decklb.handoff.store import Kept, StoreError
+            from decklb.handoff.store import Kept
 
             changes = {}
             for key in touched:
--- a/decklb/handoff/store.py
+++ b/decklb/handoff/store.py
@@ -14,7 +14,7 @@
 import lmdb
 import msgspec
 
-from decklb.handoff.errors import HandoffError
+from decklb.handoff.errors import StoreError
 from decklb.handoff.records import Record
 
 VERSION = 1
@@ -22,10 +22,6 @@
 _HEAD = b"\0head"  # no key's name, which are 32 bytes
 
 
-class StoreError(HandoffError):
-    """The folder can't be used: free room there, or name another; until then nothing is protected here."""
-
-
 class Kept(msgspec.Struct, array_like=True, frozen=True):
     """What is held of one key."""
 
--- a/decklb/handoff/table.py
+++ b/decklb/handoff/table.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from decklb.handoff.errors import KeyReused, TableFull
+from decklb.handoff.errors import KeyReusedError, RecordLimitError
 from decklb.handoff.fencing import Claim, Promises
 from decklb.handoff.records import Outcome, Record, Stage
 from decklb.handoff.settings import HandoffSettings
@@ -64,14 +64,16 @@
         return self._bodies.get(key)
 
     def take(self, record: Record, body: bytes = b"") -> Record:
-        """A request taken here. The same request again under its key gets the record it has; another, KeyReused."""
+        """A request taken here. The same request again gets the record it has.
+
+        Raises KeyReusedError and RecordLimitError."""
         held = self._records.get(record.key)
         if held is not None:
             if held.request_digest != record.request_digest:
-                raise KeyReused(record.key)
+                raise KeyReusedError(record.key)
             return held
         if self._full(len(body)):
-            raise TableFull(self.settings.max_records)
+            raise RecordLimitError(self.settings.max_records)
         self._store(record, body)
         return record
 
@@ -110,12 +112,12 @@
         return True
 
     def lookup(self, key: str, digest: str) -> Lookup:
-        """For a client that comes back. Raises KeyReused where the key was given to another request."""
+        """For a client that comes back. Raises KeyReusedError where the key was given to another request."""
         held = self._records.get(key)
         if held is None:
             return UNKNOWN
         if held.request_digest != digest:
-            raise KeyReused(key)
+            raise KeyReusedError(key)
         if held.stage >= Stage.ANSWERED:
             return Lookup(outcome=held.outcome, answer=held.answer, reason=held.reason)
         return Lookup(owner=held.holder)
--- a/tests/handoff_samples.py
+++ b/tests/handoff_samples.py
@@ -65,4 +65,4 @@
 
 def greeting():
     """The first frame of each side."""
-    return messages.Hello(1, "m0", 77, 78, 35900.5, bytes(range(16)))
+    return messages.Greeting(1, "m0", 77, 78, 35900.5, bytes(range(16)))
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -5,7 +5,7 @@
 
 import msgspec.structs
 
-from decklb.handoff.errors import KeyReused, TableFull
+from decklb.handoff.errors import KeyReusedError, RecordLimitError
 from decklb.handoff.fencing import Claim
 from decklb.handoff.keeper import Keeper
 from decklb.handoff.placement import Placement
@@ -65,16 +65,16 @@
         table = Table(SETTINGS)
         table.take(record())
         self.assertEqual(table.take(record()).key, "k")
-        with self.assertRaises(KeyReused):
+        with self.assertRaises(KeyReusedError):
             table.take(record(request_digest=fingerprint(b"other")))
-        with self.assertRaises(KeyReused):
+        with self.assertRaises(KeyReusedError):
             table.lookup("k", fingerprint(b"other"))
 
     def test_no_more_records_than_the_room(self):
         table = Table(SETTINGS)
         for i in range(4):
             table.take(record(f"k{i}"))
-        with self.assertRaises(TableFull):
+        with self.assertRaises(RecordLimitError):
             table.take(record("k9"))
         self.assertFalse(table.receive(record("k8"), 100.0, 0.0))
 
@@ -89,7 +89,7 @@
     def test_what_is_held_is_bounded_in_bytes_and_counted_back(self):
         table = Table(replace(SETTINGS, max_bytes=100))
         table.take(record("a"), b"x" * 60)
-        with self.assertRaises(TableFull):
+        with self.assertRaises(RecordLimitError):
             table.take(record("b"), b"x" * 60)
         table.write(
             record("a").with_attempt("e").with_answer(Outcome.SERVED, b"y" * 10, 100)
--- a/tests/test_handoff_message_trace.py
+++ b/tests/test_handoff_message_trace.py
@@ -43,7 +43,7 @@
 
         def receive(self, now, peer, message):
             trace.messages_by_tag[messages.Message.__args__.index(type(message)) + 1] += 1
-            trace.add(now, peer, self.me, messages.pack(message))
+            trace.add(now, peer, self.me, messages.encode_message(message))
             super().receive(now, peer, message)
 
     return TracedMember
--- a/tests/test_handoff_wire_format.py
+++ b/tests/test_handoff_wire_format.py
@@ -10,6 +10,7 @@
 
 from decklb import config
 from decklb.handoff import messages
+from decklb.handoff.errors import FrameError
 from decklb.handoff.records import Record
 from decklb.handoff.store import Kept
 from tests.handoff_samples import BODY, greeting, messages_by_tag, records
@@ -24,9 +25,9 @@
 def test_message_keeps_its_bytes(name):
     message = messages_by_tag()[name]
     packed = bytes.fromhex(GOLDEN["messages"][name])
-    assert messages.pack(message) == packed
-    found = messages.read(messages.envelope(NONCE, 7, [packed]))
-    assert (found.nonce, found.seq, found.body) == (NONCE, 7, [message])
+    assert messages.encode_message(message) == packed
+    found = messages.decode_envelope(messages.encode_envelope(NONCE, 7, [packed]))
+    assert (found.nonce, found.sequence, found.messages) == (NONCE, 7, [message])
 
 
 def test_every_message_type_has_golden_bytes():
@@ -35,36 +36,36 @@
 
 
 def test_envelope_keeps_its_bytes():
-    packed = [messages.pack(m) for m in messages_by_tag().values()]
-    frame = messages.envelope(NONCE, 3, packed)
+    packed = [messages.encode_message(m) for m in messages_by_tag().values()]
+    frame = messages.encode_envelope(NONCE, 3, packed)
     assert frame.hex() == GOLDEN["envelope"]
-    assert messages.read(frame).body == list(messages_by_tag().values())
+    assert messages.decode_envelope(frame).messages == list(messages_by_tag().values())
 
 
 def test_greeting_keeps_its_bytes():
-    assert messages.pack(greeting()).hex() == GOLDEN["greeting"]
-    assert messages.read_hello(bytes.fromhex(GOLDEN["greeting"])) == greeting()
+    assert messages.encode_message(greeting()).hex() == GOLDEN["greeting"]
+    assert messages.decode_greeting(bytes.fromhex(GOLDEN["greeting"])) == greeting()
 
 
 @pytest.mark.parametrize("reason, frame", GOLDEN["bad_frames"])
 def test_bad_frame_is_refused_for_the_same_reason(reason, frame):
-    with pytest.raises(messages.FrameError) as raised:
-        messages.read(bytes.fromhex(frame))
+    with pytest.raises(FrameError) as raised:
+        messages.decode_envelope(bytes.fromhex(frame))
     assert raised.value.reason == reason
 
 
 def test_frame_of_more_than_a_thousand_messages_is_refused():
-    beat = messages.pack(messages_by_tag()["4-heartbeat"])
-    assert len(messages.read(messages.envelope(NONCE, 1, [beat] * 1000)).body) == 1000
-    with pytest.raises(messages.FrameError) as raised:
-        messages.read(messages.envelope(NONCE, 1, [beat] * 1001))
+    beat = messages.encode_message(messages_by_tag()["4-heartbeat"])
+    assert len(messages.decode_envelope(messages.encode_envelope(NONCE, 1, [beat] * 1000)).messages) == 1000
+    with pytest.raises(FrameError) as raised:
+        messages.decode_envelope(messages.encode_envelope(NONCE, 1, [beat] * 1001))
     assert raised.value.reason == "shape"
 
 
 @pytest.mark.parametrize("reason, frame", GOLDEN["bad_greetings"])
 def test_bad_greeting_is_refused_for_the_same_reason(reason, frame):
-    with pytest.raises(messages.FrameError) as raised:
-        messages.read_hello(bytes.fromhex(frame))
+    with pytest.raises(FrameError) as raised:
+        messages.decode_greeting(bytes.fromhex(frame))
     assert raised.value.reason == reason
 
 
