--- a/decklb/handoff/keeper.py
+++ b/decklb/handoff/keeper.py
@@ -19,10 +19,10 @@
 from decklb.handoff.errors import KeyReusedError, RecordLimitError
 from decklb.handoff.fencing import Ballot, Claim, Lease, quorum_of
 from decklb.handoff.placement import Placement
+from decklb.handoff.record_table import Table
 from decklb.handoff.records import Outcome, Record, Stage
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.table import Table
-from decklb.handoff.takeover import Step, decide, turn
+from decklb.handoff.takeover_policy import Step, decide, turn
 from decklb.interface import Effect
 
 CLAIMS = 500  # claims begun in one tick
--- a/decklb/handoff/table.py
+++ b/decklb/handoff/record_table.py
@@ -12,7 +12,7 @@
 from decklb.handoff.fencing import Claim, Promises
 from decklb.handoff.records import Outcome, Record, Stage
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.takeover import lapsed
+from decklb.handoff.takeover_policy import lapsed
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -9,10 +9,10 @@
 from decklb.handoff.fencing import Claim
 from decklb.handoff.keeper import Keeper
 from decklb.handoff.placement import Placement
+from decklb.handoff.record_table import Table
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.table import Table
-from decklb.handoff.takeover import Step, decide, turn
+from decklb.handoff.takeover_policy import Step, decide, turn
 from decklb.interface import Effect
 from decklb.lab.handoff import play
 
--- a/tests/test_handoff_store.py
+++ b/tests/test_handoff_store.py
@@ -9,10 +9,10 @@
 from msgspec.structs import replace
 
 from decklb.handoff.errors import StoreError
+from decklb.handoff.record_table import Table
 from decklb.handoff.records import Outcome
 from decklb.handoff.settings import HandoffSettings
 from decklb.handoff.store import Kept, Store
-from decklb.handoff.table import Table
 from decklb.lab.outage import Fleet, Setup
 from decklb.lab.verdict import judge
 from tests.test_handoff import record
