--- a/decklb/handoff/keeper.py
+++ b/decklb/handoff/keeper.py
@@ -16,13 +16,15 @@
 from msgspec.structs import replace
 
 from decklb.handoff import messages as m
+from decklb.handoff.ballots import Ballot, quorum_of
+from decklb.handoff.claims import Claim
 from decklb.handoff.errors import KeyReusedError, RecordLimitError
-from decklb.handoff.fencing import Ballot, Claim, Lease, quorum_of
+from decklb.handoff.lease_tracker import LeaseTracker
 from decklb.handoff.placement import Placement
-from decklb.handoff.record_table import Table
+from decklb.handoff.record_table import RecordTable
 from decklb.handoff.records import Outcome, Record, Stage
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.takeover_policy import Step, decide, turn
+from decklb.handoff.takeover_policy import TakeoverAction, claim_rank, decide_takeover
 from decklb.interface import Effect
 
 CLAIMS = 500  # claims begun in one tick
@@ -115,7 +117,11 @@
         `age` ms back: since its start, or further where it kept a store."""
         self.s, self.me, self.run, self.memory, self.rng, self.hooks = settings, me, run, memory, rng, hooks
         self.born = now - age
-        self.table, self.lease, self.placement = Table(settings), Lease(settings, me), Placement(settings.bucket_count)
+        self.table, self.lease, self.placement = (
+            RecordTable(settings),
+            LeaseTracker(settings, me),
+            Placement(settings.bucket_count),
+        )
         self.out: list[tuple[str, m.Message]] = []
         self.notices: list[Notice] = []
         self.counts: Counter[str] = Counter()
@@ -155,12 +161,12 @@
             record,
             holder=self.me,
             holder_incarnation=self.run,
-            term=self.table.promises.term(key) + 1,
+            term=self.table.ballots.highest_term(key) + 1,
             version=0,
             voters=voters,
         )
         try:
-            self.table.take(record, body)
+            self.table.add(record, body)
         except RecordLimitError:
             return self._turn_away(done, "no-room")
         self._claims.pop(key, None)  # whatever was claimed under this key is gone, or it would have been found
@@ -230,7 +236,7 @@
     def _look_round(self, now: float) -> None:
         """Whoever answers our beats lives, whatever membership says: clocks that jump, or lost datagrams, part members
         that can still talk."""
-        view = self.alive | {p: run for p, run in self.links.items() if self.lease.heard(p, now)}
+        view = self.alive | {p: run for p, run in self.links.items() if self.lease.is_current(p, now)}
         if view != self.view:
             self.view, self._hasty = view, True
 
@@ -262,7 +268,7 @@
             case m.Replicate():
                 self._on_copy(now, peer, message)
             case m.ReplicateAck():
-                self.lease.acknowledged(peer, message.sent_at_ms)
+                self.lease.record_ack(peer, message.sent_at_ms)
                 hold = self.holds.get(message.key)
                 # A key that was let go and taken anew starts over: words on its earlier life say nothing of this one.
                 if hold is not None and hold.record.term == message.term and message.sent_at_ms >= hold.since:
@@ -274,7 +280,7 @@
             case m.Heartbeat():
                 self.out.append((peer, m.HeartbeatAck(message.sent_at_ms)))
             case m.HeartbeatAck():
-                self.lease.acknowledged(peer, message.sent_at_ms)
+                self.lease.record_ack(peer, message.sent_at_ms)
             case m.Fenced():
                 self._fenced(peer, message.key, (message.term, message.claimer))
             case m.ClaimRequest():
@@ -292,9 +298,9 @@
                 if (
                     held is not None
                     and (held.holder, held.holder_incarnation) == (peer, message.holder_incarnation)
-                    and self.table.promises.admits(held)
+                    and self.table.ballots.admits(held)
                 ):
-                    self.table.drop(message.key)
+                    self.table.remove(message.key)
 
     def tick(self, now: float) -> None:
         """What is due; to be called each few tens of milliseconds."""
@@ -327,7 +333,7 @@
         return {
             "held": len(self.table),
             "own": len(self.holds),
-            "bytes": self.table.held,
+            "bytes": self.table.bytes_retained,
             "claims": len(self._claims),
             "orphans": len(self._orphans),
             "links": len(self.links),
@@ -362,7 +368,7 @@
         key = hold.record.key
         if self.holds.get(key) is hold:
             del self.holds[key]
-            self.table.drop(key)
+            self.table.remove(key)
             self.out += [(v, m.Release(key, self.run)) for v in hold.record.voters if v in self.links]
 
     def _write(self, now: float, hold: Hold, record: Record) -> None:
@@ -409,7 +415,7 @@
         self._settle(now, hold)
 
     def _acting(self, now: float, hold: Hold, early: float = 0.0) -> bool:
-        return self.lease.holds(hold.record, now, self.table.promises, hold.unfit, early)
+        return self.lease.permits(hold.record, now, self.table.ballots, hold.unfit, early)
 
     def _committed(self, hold: Hold) -> int:
         """The newest version that a quorum has."""
@@ -465,18 +471,18 @@
     def _resume(self, now: float, hold: Hold) -> None:
         """This member may act on what it took over, or on what it had to leave for a while."""
         hold.stalled = False
-        decision = decide(hold.record, now, self.s)
+        decision = decide_takeover(hold.record, now, self.s)
         self.counts[f"resumed-{decision.reason}"] += 1
         self.notices.append(
             Notice(
                 "handoff-resumed",
                 hold.record.key,
-                {"step": decision.step.value, "reason": decision.reason, "term": hold.record.term},
+                {"step": decision.action.value, "reason": decision.reason, "term": hold.record.term},
             )
         )
-        if decision.step is Step.FAIL:
+        if decision.action is TakeoverAction.FAIL:
             self._write(now, hold, decision.record)
-        elif decision.step in (Step.SEND, Step.SEND_KEYED):
+        elif decision.action in (TakeoverAction.SEND, TakeoverAction.SEND_WITH_KEY):
             body = self.table.body(hold.record.key)
             if body is None:  # an answer too large to be copied: its holder alone had the request by then
                 self._let_go(hold)
@@ -634,17 +640,20 @@
             )
         elif held is None and not self._fit(now, r.key_generated and not r.admitted, c.age_ms):
             why = m.RejectReason.MEMORY_TOO_SHORT
-        elif not self.table.promises.admits(r):
+        elif not self.table.ballots.admits(r):
             why = m.RejectReason.FENCED
         elif c.body is None and r.stage < Stage.ANSWERED and self.table.body(r.key) is None:
             why = m.RejectReason.BODY_MISSING
-        elif not self.table.receive(r, c.remaining_ms, now, c.body):
+        elif not self.table.receive_replica(r, c.remaining_ms, now, c.body):
             if held is not None and held.precedence() > r.precedence() and held.holder == r.holder:
                 return  # an older version, late: the newer one was acknowledged
             why = m.RejectReason.OUT_OF_CAPACITY
         if why is not None:
             return self.out.append(
-                (peer, m.ReplicateReject(r.key, r.term, why, c.sent_at_ms, owner, self.table.promises.term(r.key)))
+                (
+                    peer,
+                    m.ReplicateReject(r.key, r.term, why, c.sent_at_ms, owner, self.table.ballots.highest_term(r.key)),
+                )
             )
         hold = self.holds.get(r.key)
         if hold is not None and hold.record.holder != r.holder:
@@ -654,7 +663,7 @@
 
     def _on_claim(self, now: float, peer: str, c: m.ClaimRequest) -> None:
         held = self.table.get(c.key)
-        highest = self.table.promises.term(c.key)
+        highest = self.table.ballots.highest_term(c.key)
         if held is None and not self._fit(now, False, 0.0):
             return self.out.append((peer, m.ClaimReject(c.key, c.term, m.RejectReason.MEMORY_TOO_SHORT, highest)))
         if held is not None and held.holder != peer and self._lives(held):
@@ -691,7 +700,7 @@
             key = record.key
             if key in self.holds or key in self._claims:
                 continue
-            at = turn(record, self.me, self.view)
+            at = claim_rank(record, self.me, self.view)
             if at is None:
                 self._orphans.pop(key, None)
             elif key not in self._orphans:
@@ -703,10 +712,10 @@
             del self._orphans[key]
             self._claim(now, key, self._floors.get(key, 0))
         for key, claiming in list(self._claims.items()):
-            acts = claiming.claim.acts_from()
+            acts = claiming.claim.effective_from()
             if acts is not None and acts <= now:
                 self._won(now, key, claiming)
-            elif acts is None and (claiming.claim.lost() or now - claiming.since > self.s.quorum_timeout_ms * 2):
+            elif acts is None and (claiming.claim.is_lost() or now - claiming.since > self.s.quorum_timeout_ms * 2):
                 del self._claims[key]
                 self._orphans[key] = now + self.rng.uniform(*AGAIN)
 
@@ -720,7 +729,7 @@
             # A claim that can't win would only take this member's vote from a holder that may live.
             self._orphans[key] = now + self.rng.uniform(*AGAIN)
             return
-        claim = self.table.claim(key, self.me, floor)
+        claim = self.table.start_claim(key, self.me, floor)
         if claim is None:
             return
         self.counts["claims"] += 1
@@ -733,16 +742,16 @@
         if claiming is None or claiming.claim.ballot != (g.term, self.me):
             return
         newest = None if g.record is None else replace(g.record, deadline_ms=now + g.remaining_ms)
-        claiming.claim.grant(peer, newest, now)
+        claiming.claim.add_grant(peer, newest, now)
         claiming.body = claiming.body if claiming.body is not None else g.body
         self._grant_own(now, g.key, claiming)
 
     def _grant_own(self, now: float, key: str, claiming: Claiming) -> None:
         claim, held = claiming.claim, self.table.get(key)
-        if claim.wants_own() and held is not None and self.table.promises.grant(key, claim.ballot):
+        if claim.needs_own_grant() and held is not None and self.table.ballots.grant(key, claim.ballot):
             if held.holder != self.me:
                 self._pass(key, held, claim.ballot)
-            claim.grant(self.me, held, now)
+            claim.add_grant(self.me, held, now)
             claiming.body = claiming.body if claiming.body is not None else self.table.body(key)
 
     def _on_refusal(self, now: float, peer: str, r: m.ClaimReject) -> None:
@@ -750,8 +759,8 @@
         if claiming is None or claiming.claim.ballot != (r.term, self.me):
             return
         self.counts[f"claim-{REJECT_COUNTERS[r.reason]}"] += 1
-        claiming.claim.refuse(peer)
-        if r.reason == m.RejectReason.TERM_TOO_LOW and claiming.claim.lost() and claiming.claim.won_at is None:
+        claiming.claim.add_rejection(peer)
+        if r.reason == m.RejectReason.TERM_TOO_LOW and claiming.claim.is_lost() and claiming.claim.won_at_ms is None:
             del self._claims[r.key]
             self._floors[r.key] = r.highest_term  # the next one goes above
             self._orphans[r.key] = now + self.rng.uniform(*AGAIN)
@@ -766,8 +775,8 @@
             claimed.term,
         ):
             return  # its holder let go of it, and the key may have been taken anew
-        record = claiming.claim.newest(self.run)
-        if not self.table.promises.admits(record):  # a higher claim was granted meanwhile
+        record = claiming.claim.claimed_record(self.run)
+        if not self.table.ballots.admits(record):  # a higher claim was granted meanwhile
             return
         self.counts["taken-over"] += 1
         self.notices.append(
--- a/decklb/handoff/record_table.py
+++ b/decklb/handoff/record_table.py
@@ -1,4 +1,8 @@
-"""The records a member holds, its own and copies of others', bounded in number, bytes and time (free of I/O)."""
+"""The records that a member keeps, its own and replicas of others', bounded in number, bytes and time.
+
+The table owns the records, the requests themselves until they have a final answer, and the ballots granted for their
+keys. Every mechanism of the package reads it; `runtime.py` writes what changed to the store before a message leaves.
+"""
 
 from __future__ import annotations
 
@@ -8,43 +12,42 @@
 
 from msgspec.structs import replace
 
+from decklb.handoff.ballots import Ballot, GrantedBallots
+from decklb.handoff.claims import Claim
 from decklb.handoff.errors import KeyReusedError, RecordLimitError
-from decklb.handoff.fencing import Claim, Promises
 from decklb.handoff.records import Outcome, Record, Stage
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.takeover_policy import lapsed
 
 
 @dataclass(frozen=True, slots=True)
-class Lookup:
-    """What a client that comes back with a key is told: not known, still running at `owner`, or its final answer."""
+class TableEntry:
+    """What the table has of a key: nothing, a request still running at `holder`, or its final answer."""
 
-    owner: str = ""
+    holder: str = ""
     outcome: Outcome | None = None
     answer: bytes = b""
     reason: str = ""
 
     @property
     def known(self) -> bool:
-        """Whether anything at all is known of the key."""
-        return bool(self.owner) or self.outcome is not None
+        """Whether a record of the key is kept."""
+        return bool(self.holder) or self.outcome is not None
 
 
-UNKNOWN = Lookup()
+UNKNOWN_KEY = TableEntry()
 
 
-class Table:
-    """Records by key, with the request itself as long as it has no final answer; each is dropped once it has lingered
-    past its deadline."""
+class RecordTable:
+    """Records by key, each dropped once nobody can need it any more."""
 
     def __init__(self, settings: HandoffSettings) -> None:
-        self.settings = settings
-        self.touched: dict[str, None] = {}  # keys of which something changed, for whoever keeps them on disk
-        self.promises = Promises(self.touched)
-        self.held = 0  # bytes of requests and answers
+        self._settings = settings
+        self.changed_keys: dict[str, None] = {}  # in order, since the store was written last
+        self.ballots = GrantedBallots(self.changed_keys)
+        self.bytes_retained = 0  # of requests and answers
         self._records: dict[str, Record] = {}
         self._bodies: dict[str, bytes] = {}
-        self._ends: list[tuple[float, str]] = []  # (deadline, key); stale entries are skipped when they come up
+        self._expiries: list[tuple[float, str]] = []  # heap of time and key; outdated entries are skipped
 
     def __len__(self) -> int:
         return len(self._records)
@@ -56,126 +59,142 @@
         return iter(self._records.values())
 
     def get(self, key: str) -> Record | None:
-        """The record of a key, if there is one."""
+        """The record of a key, if one is kept."""
         return self._records.get(key)
 
     def body(self, key: str) -> bytes | None:
-        """The request itself, as its front wrote it; None once it has its final answer."""
+        """The request itself, as its front encoded it; None once it has its final answer."""
         return self._bodies.get(key)
 
-    def take(self, record: Record, body: bytes = b"") -> Record:
-        """A request taken here. The same request again gets the record it has.
+    def lookup(self, key: str, request_digest: str) -> TableEntry:
+        """What is known of a key, for a client that comes back.
 
-        Raises KeyReusedError and RecordLimitError."""
-        held = self._records.get(record.key)
-        if held is not None:
-            if held.request_digest != record.request_digest:
+        Raises:
+            KeyReusedError: The key was given to another request.
+        """
+        kept = self._records.get(key)
+        if kept is None:
+            return UNKNOWN_KEY
+        if kept.request_digest != request_digest:
+            raise KeyReusedError(key)
+        if kept.stage >= Stage.ANSWERED:
+            return TableEntry(outcome=kept.outcome, answer=kept.answer, reason=kept.reason)
+        return TableEntry(holder=kept.holder)
+
+    def add(self, record: Record, body: bytes = b"") -> Record:
+        """Keep a request that this member admits; the same request again gets the record it has.
+
+        Raises:
+            KeyReusedError: The key was given to another request.
+            RecordLimitError: There is no capacity for it.
+        """
+        kept = self._records.get(record.key)
+        if kept is not None:
+            if kept.request_digest != record.request_digest:
                 raise KeyReusedError(record.key)
-            return held
-        if self._full(len(body)):
-            raise RecordLimitError(self.settings.max_records)
-        self._store(record, body)
+            return kept
+        if self._is_full(len(body)):
+            raise RecordLimitError(self._settings.max_records)
+        self._put(record, body)
         return record
 
     def write(self, record: Record, body: bytes | None = None) -> None:
-        """A new version of a record held here, by its holder."""
-        self._store(record, body)
+        """Keep a new version of a record that this member holds."""
+        self._put(record, body)
 
-    def receive(self, record: Record, left: float, now: float, body: bytes | None = None) -> bool:
-        """A copy from its holder, with `left` ms of its budget: True to acknowledge it. Copies of a term that a claim
-        has passed, older versions, requests of another digest and copies beyond the room are not acknowledged."""
-        if not self.promises.admits(record):
+    def receive_replica(self, record: Record, remaining_ms: float, now: float, body: bytes | None = None) -> bool:
+        """Keep a version that its holder sent, with `remaining_ms` until its deadline.
+
+        Returns:
+            Whether to acknowledge it: not a version of a term below a granted claim, an older version, another request
+            under the key, or one beyond the capacity.
+        """
+        if not self.ballots.admits(record):
             return False
-        held = self._records.get(record.key)
-        if held is not None and (held.request_digest != record.request_digest or not record.supersedes(held)):
-            return (
-                held.request_digest == record.request_digest and held.precedence() == record.precedence()
-            )  # the same copy twice
-        if self._full(len(body or b"") + len(record.answer), held is None):
+        kept = self._records.get(record.key)
+        if kept is not None:
+            same_request = kept.request_digest == record.request_digest
+            if not same_request or not record.supersedes(kept):
+                return same_request and kept.precedence() == record.precedence()  # the same version twice
+        if self._is_full(len(body or b"") + len(record.answer), new_record=kept is None):
             return False
-        self._store(replace(record, deadline_ms=now + left), body)
+        self._put(replace(record, deadline_ms=now + remaining_ms), body)
         return True
 
-    def claim(self, key: str, me: str, floor: int = 0) -> Claim | None:
-        """A claim of a record held here, above any term granted here; None where none is held."""
-        held = self._records.get(key)
-        if held is None:
+    def start_claim(self, key: str, claimer: str, min_term: int = 0) -> Claim | None:
+        """A claim of a record kept here, above any term granted here; None where none is kept."""
+        kept = self._records.get(key)
+        if kept is None:
             return None
-        return Claim.start(held, me, self.settings, max(floor, self.promises.term(key)))
+        return Claim.start(kept, claimer, self._settings, max(min_term, self.ballots.highest_term(key)))
+
+    def grant(self, key: str, ballot: Ballot, now: float) -> bool:
+        """Grant another member's claim if its ballot is the highest; whether it was.
 
-    def grant(self, key: str, ballot: tuple[int, str], now: float) -> bool:
-        """A claim by another member; what was granted is remembered for as long as a record of the key may live."""
-        if not self.promises.grant(key, ballot):
+        A grant is remembered for as long as a record of the key may live.
+        """
+        if not self.ballots.grant(key, ballot):
             return False
         if key not in self._records:
-            heapq.heappush(self._ends, (now + self.settings.record_lifetime_ms, key))
+            heapq.heappush(self._expiries, (now + self._settings.record_lifetime_ms, key))
         return True
 
-    def lookup(self, key: str, digest: str) -> Lookup:
-        """For a client that comes back. Raises KeyReusedError where the key was given to another request."""
-        held = self._records.get(key)
-        if held is None:
-            return UNKNOWN
-        if held.request_digest != digest:
-            raise KeyReusedError(key)
-        if held.stage >= Stage.ANSWERED:
-            return Lookup(outcome=held.outcome, answer=held.answer, reason=held.reason)
-        return Lookup(owner=held.holder)
-
-    def drop(self, key: str) -> None:
-        """Its holder has let go of it: the key is free, for terms above if its holder had gone on from the first
-        version. That is remembered until it would have lapsed, since another voter may have missed it: its stale copy
-        must not outdo what is taken next."""
-        held = self._records.pop(key, None)
-        if held is not None:
-            self.touched[key] = None
-            self.held -= len(held.answer)
-            self._forget_body(key)
-            if held.admitted:
-                self.promises.above(key, held.term)
-
-    def restore(
-        self, key: str, record: Record | None, body: bytes | None, granted: tuple[int, str] | None, now: float
-    ) -> None:
-        """What an earlier run held of a key."""
+    def remove(self, key: str) -> None:
+        """Drop a record that its holder released: the key is free.
+
+        If the record was admitted, its term is remembered until the record would have expired: another voter may have
+        missed the release, and its stale replica must not supersede what is admitted next.
+        """
+        kept = self._records.pop(key, None)
+        if kept is not None:
+            self.changed_keys[key] = None
+            self.bytes_retained -= len(kept.answer)
+            self._drop_body(key)
+            if kept.admitted:
+                self.ballots.require_above(key, kept.term)
+
+    def restore(self, key: str, record: Record | None, body: bytes | None, granted: Ballot | None, now: float) -> None:
+        """Take back what an earlier process of this member stored of a key."""
         if granted is not None:
             self.grant(key, granted, now)
         if record is not None:
-            self._store(record, body)
+            self._put(record, body)
 
     def expire(self, now: float) -> list[str]:
-        """Drops what has lingered out, and says which keys."""
+        """Drop the records and grants that nobody can need any more; the keys of the records."""
         dropped = []
-        while self._ends and self._ends[0][0] < now:
-            _, key = heapq.heappop(self._ends)
-            held = self._records.get(key)
-            if held is None:
-                self.promises.drop(key)
-            elif lapsed(held, now, self.settings):
-                self.drop(key)
-                self.promises.drop(key)
+        while self._expiries and self._expiries[0][0] < now:
+            _, key = heapq.heappop(self._expiries)
+            kept = self._records.get(key)
+            if kept is None:
+                self.ballots.forget(key)
+            elif now > self._expiry_of(kept):
+                self.remove(key)
+                self.ballots.forget(key)
                 dropped.append(key)
         return dropped
 
-    def _full(self, more: int, another: bool = True) -> bool:
-        return self.held + more > self.settings.max_bytes or another and len(self._records) >= self.settings.max_records
+    def _expiry_of(self, record: Record) -> float:
+        return record.deadline_ms + self._settings.deadline_grace_ms + self._settings.answer_retention_ms
+
+    def _is_full(self, more_bytes: int, new_record: bool = True) -> bool:
+        if self.bytes_retained + more_bytes > self._settings.max_bytes:
+            return True
+        return new_record and len(self._records) >= self._settings.max_records
 
-    def _store(self, record: Record, body: bytes | None) -> None:
-        key, held = record.key, self._records.get(record.key)
-        self.touched[key] = None
+    def _put(self, record: Record, body: bytes | None) -> None:
+        key, kept = record.key, self._records.get(record.key)
+        self.changed_keys[key] = None
         self._records[key] = record
-        self.held += len(record.answer) - (len(held.answer) if held is not None else 0)
+        self.bytes_retained += len(record.answer) - (len(kept.answer) if kept is not None else 0)
         if record.stage >= Stage.ANSWERED:
-            self._forget_body(key)
+            self._drop_body(key)
         elif body is not None:
-            self._forget_body(key)
+            self._drop_body(key)
             self._bodies[key] = body
-            self.held += len(body)
-        if held is None or held.deadline_ms != record.deadline_ms:
-            heapq.heappush(
-                self._ends,
-                (record.deadline_ms + self.settings.deadline_grace_ms + self.settings.answer_retention_ms, key),
-            )
-
-    def _forget_body(self, key: str) -> None:
-        self.held -= len(self._bodies.pop(key, b""))
+            self.bytes_retained += len(body)
+        if kept is None or kept.deadline_ms != record.deadline_ms:
+            heapq.heappush(self._expiries, (self._expiry_of(record), key))
+
+    def _drop_body(self, key: str) -> None:
+        self.bytes_retained -= len(self._bodies.pop(key, b""))
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -318,13 +318,13 @@
 
     def _written(self) -> bool:
         """What changed is on disk, so that words that rest on it may leave."""
-        touched, table = self.keeper.table.touched, self.keeper.table
+        touched, table = self.keeper.table.changed_keys, self.keeper.table
         if self.store is not None and touched:
             from decklb.handoff.store import Kept
 
             changes = {}
             for key in touched:
-                record, granted = table.get(key), table.promises.granted(key)
+                record, granted = table.get(key), table.ballots.granted(key)
                 changes[key] = Kept(key, record, table.body(key), granted) if record or granted else None
             try:
                 self.store.write(changes)
--- a/decklb/handoff/takeover_policy.py
+++ b/decklb/handoff/takeover_policy.py
@@ -1,7 +1,8 @@
-"""What a new holder does with a request it took over, and who claims it (free of I/O).
+"""What the new holder of a record does with it, and which voter claims it first. Free of state.
 
-Never a guess: a request is sent again only where it is proven not to have run (never sent, or FULL), or where its class
-lets it be repeated; otherwise it ends as failed, in doubt. A request past its deadline ends as failed at once.
+A request is never sent again on a guess: only where it is proven not to have run (never sent, or rejected with FULL),
+or where its class lets it be repeated; otherwise it ends as failed, in doubt. A request past its deadline ends as
+failed at once. `leases.py` carries the decisions out, `takeover.py` the order of claims.
 """
 
 from __future__ import annotations
@@ -15,51 +16,57 @@
 from decklb.interface import Effect
 
 
-class Step(Enum):
-    """What a new owner does with a request that it takes over."""
+class TakeoverAction(Enum):
+    """What a new holder does with a request. The values are those of the log line `handoff-resumed`."""
 
     SEND = "send"  # send it to an engine, as a new attempt
-    SEND_KEYED = "send-keyed"  # send it again under its own key, which the engine deduplicates
-    HOLD = "hold"  # its answer is here: give it to the client that comes back
-    FAIL = "fail"  # end it as failed, and hold that for the client
+    SEND_WITH_KEY = "send-keyed"  # send it again under its own key, by which the engine deduplicates
+    RETURN_ANSWER = "hold"  # its answer is known: give it to the client that comes back
+    FAIL = "fail"  # end it as failed, and retain that for the client
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
-    """The step chosen for one record, and why."""
+class TakeoverDecision:
+    """The action chosen for one record."""
 
-    step: Step
-    record: Record
+    action: TakeoverAction
+    record: Record  # its next version, where the action is FAIL; else as it was
     reason: str  # a stable code for the log
 
 
-def decide(record: Record, now: float, settings: HandoffSettings) -> Decision:
-    """What the holder of a record taken over does with it."""
-    if record.stage is Stage.ANSWERED and (
-        record.answer_retained or record.effect is not Effect.SAFE or now > record.deadline_ms
-    ):
-        return Decision(Step.HOLD, record, "answered")
+def decide_takeover(record: Record, now: float, settings: HandoffSettings) -> TakeoverDecision:
+    """What the new holder does with a record."""
+    answered = record.stage is Stage.ANSWERED
+    if answered and (record.answer_retained or record.effect is not Effect.SAFE or now > record.deadline_ms):
+        return TakeoverDecision(TakeoverAction.RETURN_ANSWER, record, "answered")
     if now > record.deadline_ms:
-        return Decision(Step.FAIL, record.with_local_outcome(Outcome.FAILED, "deadline"), "deadline")
+        return _fail(record, "deadline")
     if record.stage is Stage.QUEUED:
-        return Decision(Step.SEND, record, "never-ran")
+        return TakeoverDecision(TakeoverAction.SEND, record, "never-ran")
     if record.effect is Effect.SAFE:
-        return Decision(Step.SEND, record, "repeatable")
+        return TakeoverDecision(TakeoverAction.SEND, record, "repeatable")
     if record.effect is Effect.KEYED:
-        return Decision(Step.SEND_KEYED, record, "deduplicated")
-    return Decision(Step.FAIL, record.with_local_outcome(Outcome.FAILED, "in-doubt"), "in-doubt")
+        return TakeoverDecision(TakeoverAction.SEND_WITH_KEY, record, "deduplicated")
+    return _fail(record, "in-doubt")
 
 
-def turn(record: Record, me: str, alive: Mapping[str, int]) -> int | None:
-    """Which turn of those alive in this view (by name, with the run of each) `me` has in claiming a record: 0 claims
-    first, the others grant unless they see nothing of it. None where it has none, or the owner lives in its run."""
-    if alive.get(record.holder) == record.holder_incarnation or me not in record.voters:
-        return None
-    # An owner that came back is asked last: it has forgotten the record, unless it kept it on disk.
-    order = [v for v in record.voters if v in alive and v != record.holder] + [record.holder]
-    return order.index(me) if me in order else None
+def _fail(record: Record, reason: str) -> TakeoverDecision:
+    return TakeoverDecision(TakeoverAction.FAIL, record.with_local_outcome(Outcome.FAILED, reason), reason)
+
 
+def claim_rank(record: Record, member: str, alive: Mapping[str, int]) -> int | None:
+    """How many voters claim a record before this member does.
 
-def lapsed(record: Record, now: float, settings: HandoffSettings) -> bool:
-    """Past its deadline, the slack and the lingering: nobody needs it."""
-    return now > record.deadline_ms + settings.deadline_grace_ms + settings.answer_retention_ms
+    Args:
+        record: A replica kept here.
+        member: This member's own name.
+        alive: The members alive in its view, with the incarnation of each.
+
+    Returns:
+        0 for the first claimer. None if the member has no turn, or the holder is alive in the record's incarnation.
+    """
+    if alive.get(record.holder) == record.holder_incarnation or member not in record.voters:
+        return None
+    # A holder that restarted comes last: it has forgotten the record, unless it has a store.
+    order = [voter for voter in record.voters if voter in alive and voter != record.holder] + [record.holder]
+    return order.index(member) if member in order else None
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -5,14 +5,14 @@
 
 import msgspec.structs
 
+from decklb.handoff.claims import Claim
 from decklb.handoff.errors import KeyReusedError, RecordLimitError
-from decklb.handoff.fencing import Claim
 from decklb.handoff.keeper import Keeper
 from decklb.handoff.placement import Placement
-from decklb.handoff.record_table import Table
+from decklb.handoff.record_table import RecordTable
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.takeover_policy import Step, decide, turn
+from decklb.handoff.takeover_policy import TakeoverAction, claim_rank, decide_takeover
 from decklb.interface import Effect
 from decklb.lab.handoff import play
 
@@ -62,118 +62,123 @@
 
 class Tables(unittest.TestCase):
     def test_a_key_given_to_another_request_is_refused_by_name(self):
-        table = Table(SETTINGS)
-        table.take(record())
-        self.assertEqual(table.take(record()).key, "k")
+        table = RecordTable(SETTINGS)
+        table.add(record())
+        self.assertEqual(table.add(record()).key, "k")
         with self.assertRaises(KeyReusedError):
-            table.take(record(request_digest=fingerprint(b"other")))
+            table.add(record(request_digest=fingerprint(b"other")))
         with self.assertRaises(KeyReusedError):
             table.lookup("k", fingerprint(b"other"))
 
     def test_no_more_records_than_the_room(self):
-        table = Table(SETTINGS)
+        table = RecordTable(SETTINGS)
         for i in range(4):
-            table.take(record(f"k{i}"))
+            table.add(record(f"k{i}"))
         with self.assertRaises(RecordLimitError):
-            table.take(record("k9"))
-        self.assertFalse(table.receive(record("k8"), 100.0, 0.0))
+            table.add(record("k9"))
+        self.assertFalse(table.receive_replica(record("k8"), 100.0, 0.0))
 
     def test_a_copy_reckons_its_deadline_on_the_receivers_clock_and_lingers_out(self):
-        table = Table(SETTINGS)
-        self.assertTrue(table.receive(record(deadline_ms=1e12), left=300.0, now=50.0))
+        table = RecordTable(SETTINGS)
+        self.assertTrue(table.receive_replica(record(deadline_ms=1e12), remaining_ms=300.0, now=50.0))
         self.assertEqual(table.get("k").deadline_ms, 350.0)
         self.assertEqual(table.expire(449.0), [])
         self.assertEqual(table.expire(451.0), ["k"])
         self.assertFalse(table.lookup("k", record().request_digest).known)
 
     def test_what_is_held_is_bounded_in_bytes_and_counted_back(self):
-        table = Table(replace(SETTINGS, max_bytes=100))
-        table.take(record("a"), b"x" * 60)
+        table = RecordTable(replace(SETTINGS, max_bytes=100))
+        table.add(record("a"), b"x" * 60)
         with self.assertRaises(RecordLimitError):
-            table.take(record("b"), b"x" * 60)
+            table.add(record("b"), b"x" * 60)
         table.write(
             record("a").with_attempt("e").with_answer(Outcome.SERVED, b"y" * 10, 100)
         )  # the request itself goes
-        self.assertEqual((table.held, table.body("a")), (10, None))
-        table.take(record("b"), b"x" * 60)
-        table.drop("a")
-        self.assertEqual(table.held, 60)
+        self.assertEqual((table.bytes_retained, table.body("a")), (10, None))
+        table.add(record("b"), b"x" * 60)
+        table.remove("a")
+        self.assertEqual(table.bytes_retained, 60)
         table.expire(1e9)
-        self.assertEqual((table.held, len(table)), (0, 0))
+        self.assertEqual((table.bytes_retained, len(table)), (0, 0))
 
     def test_a_copy_of_a_term_a_claim_has_passed_is_not_acknowledged(self):
-        table = Table(SETTINGS)
-        self.assertTrue(table.receive(record(), 1000.0, 0.0))
-        self.assertTrue(table.promises.grant("k", (2, "s1")))
-        self.assertFalse(table.receive(record().with_attempt("e1"), 1000.0, 0.0))  # arrives after the takeover
-        self.assertTrue(table.receive(record().transferred_to("s1", 2).with_attempt("e2"), 1000.0, 0.0))
-        self.assertEqual(table.lookup("k", record().request_digest).owner, "s1")
+        table = RecordTable(SETTINGS)
+        self.assertTrue(table.receive_replica(record(), 1000.0, 0.0))
+        self.assertTrue(table.ballots.grant("k", (2, "s1")))
+        self.assertFalse(table.receive_replica(record().with_attempt("e1"), 1000.0, 0.0))  # arrives after the takeover
+        self.assertTrue(table.receive_replica(record().transferred_to("s1", 2).with_attempt("e2"), 1000.0, 0.0))
+        self.assertEqual(table.lookup("k", record().request_digest).holder, "s1")
 
     def test_a_client_that_comes_back_gets_the_answer_held(self):
-        table = Table(SETTINGS)
-        table.receive(record().with_attempt("e1").with_answer(Outcome.SERVED, b"rows", 100), 1000.0, 0.0)
+        table = RecordTable(SETTINGS)
+        table.receive_replica(record().with_attempt("e1").with_answer(Outcome.SERVED, b"rows", 100), 1000.0, 0.0)
         found = table.lookup("k", record().request_digest)
         self.assertEqual((found.outcome, found.answer), (Outcome.SERVED, b"rows"))
 
 
 class Takeovers(unittest.TestCase):
-    CASES = [  # stage, effect, now, step, reason
-        (Stage.QUEUED, Effect.UNSAFE, 0.0, Step.SEND, "never-ran"),
-        (Stage.SENT, Effect.SAFE, 0.0, Step.SEND, "repeatable"),
-        (Stage.SENT, Effect.KEYED, 0.0, Step.SEND_KEYED, "deduplicated"),
-        (Stage.SENT, Effect.UNSAFE, 0.0, Step.FAIL, "in-doubt"),
-        (Stage.SENT, Effect.SAFE, 6000.0, Step.FAIL, "deadline"),
-        (Stage.ANSWERED, Effect.UNSAFE, 6000.0, Step.HOLD, "answered"),
+    CASES = [  # stage, effect, now, action, reason
+        (Stage.QUEUED, Effect.UNSAFE, 0.0, TakeoverAction.SEND, "never-ran"),
+        (Stage.SENT, Effect.SAFE, 0.0, TakeoverAction.SEND, "repeatable"),
+        (Stage.SENT, Effect.KEYED, 0.0, TakeoverAction.SEND_WITH_KEY, "deduplicated"),
+        (Stage.SENT, Effect.UNSAFE, 0.0, TakeoverAction.FAIL, "in-doubt"),
+        (Stage.SENT, Effect.SAFE, 6000.0, TakeoverAction.FAIL, "deadline"),
+        (Stage.ANSWERED, Effect.UNSAFE, 6000.0, TakeoverAction.RETURN_ANSWER, "answered"),
     ]
 
     def test_what_is_sent_again_follows_what_is_proven(self):
-        for stage, effect, now, step, reason in self.CASES:
+        for stage, effect, now, action, reason in self.CASES:
             with self.subTest(stage=stage, effect=effect):
-                made = decide(record(effect=effect, stage=stage), now, SETTINGS)
-                self.assertEqual((made.step, made.reason), (step, reason))
-                if step is Step.FAIL:
+                made = decide_takeover(record(effect=effect, stage=stage), now, SETTINGS)
+                self.assertEqual((made.action, made.reason), (action, reason))
+                if action is TakeoverAction.FAIL:
                     self.assertEqual(made.record.outcome, Outcome.FAILED)
 
     def test_a_bounced_attempt_may_be_sent_by_anyone(self):
         bounced = record(effect=Effect.UNSAFE).with_attempt("e1").with_attempt_rejected()
-        self.assertEqual(decide(bounced, 0.0, SETTINGS).step, Step.SEND)
+        self.assertEqual(decide_takeover(bounced, 0.0, SETTINGS).action, TakeoverAction.SEND)
 
     def test_voters_claim_in_turns_and_none_while_the_owner_lives_in_its_run(self):
         held = record(holder_incarnation=7)
-        self.assertEqual([turn(held, v, {"s2": 1, "s3": 1}) for v in VOTERS], [None, 0, 1])
-        self.assertEqual(turn(held, "s1", {"o": 7, "s1": 1}), None)
-        self.assertEqual(turn(held, "s1", {"o": 8, "s1": 1}), 0)  # it came back, and knows nothing
-        self.assertEqual(turn(held, "o", {"o": 8, "s1": 1}), None)  # it is no voter
-        self.assertEqual(turn(record(holder_incarnation=7, voters=("o", "s1")), "o", {"o": 8, "s1": 1}), 1)
+        self.assertEqual([claim_rank(held, v, {"s2": 1, "s3": 1}) for v in VOTERS], [None, 0, 1])
+        self.assertEqual(claim_rank(held, "s1", {"o": 7, "s1": 1}), None)
+        self.assertEqual(claim_rank(held, "s1", {"o": 8, "s1": 1}), 0)  # it came back, and knows nothing
+        self.assertEqual(claim_rank(held, "o", {"o": 8, "s1": 1}), None)  # it is no voter
+        self.assertEqual(claim_rank(record(holder_incarnation=7, voters=("o", "s1")), "o", {"o": 8, "s1": 1}), 1)
 
     def test_an_answer_that_was_not_kept_is_sought_again_only_where_that_is_harmless(self):
-        for effect, step in ((Effect.SAFE, Step.SEND), (Effect.UNSAFE, Step.HOLD)):
+        for effect, action in ((Effect.SAFE, TakeoverAction.SEND), (Effect.UNSAFE, TakeoverAction.RETURN_ANSWER)):
             large = record(effect=effect).with_attempt("e1").with_answer(Outcome.SERVED, b"xx", 1)
-            self.assertEqual(decide(large, 0.0, SETTINGS).step, step)
+            self.assertEqual(decide_takeover(large, 0.0, SETTINGS).action, action)
 
     def test_of_two_claims_at_once_only_the_higher_is_admitted_by_a_quorum(self):
-        tables = {v: Table(SETTINGS) for v in VOTERS}
+        tables = {v: RecordTable(SETTINGS) for v in VOTERS}
         for table in tables.values():
-            table.receive(record(), 1000.0, 0.0)
-        first, second = tables["s1"].claim("k", "s1"), tables["s2"].claim("k", "s2")
+            table.receive_replica(record(), 1000.0, 0.0)
+        first, second = tables["s1"].start_claim("k", "s1"), tables["s2"].start_claim("k", "s2")
         for claim, voter in ((second, "s3"), (first, "s3"), (first, "s2")):
-            if tables[voter].promises.grant("k", claim.ballot):
-                claim.grant(voter, record(), 0.0)
+            if tables[voter].ballots.grant("k", claim.ballot):
+                claim.add_grant(voter, record(), 0.0)
             else:
-                claim.refuse(voter)
-        self.assertEqual(first.refused, {"s3"})  # which had granted the higher one
+                claim.add_rejection(voter)
+        self.assertEqual(first.rejections, {"s3"})  # which had granted the higher one
         for claim, me in ((first, "s1"), (second, "s2")):  # a claimer's own grant comes last
-            self.assertTrue(claim.wants_own() and tables[me].promises.grant("k", claim.ballot))
-            claim.grant(me, record(), 0.0)
-        admitted = [[v for v in VOTERS if tables[v].promises.admits(claim.newest())] for claim in (first, second)]
+            self.assertTrue(claim.needs_own_grant() and tables[me].ballots.grant("k", claim.ballot))
+            claim.add_grant(me, record(), 0.0)
+        admitted = [
+            [v for v in VOTERS if tables[v].ballots.admits(claim.claimed_record())] for claim in (first, second)
+        ]
         self.assertEqual(admitted, [["s1"], ["s2", "s3"]])
 
     def test_the_claimer_takes_the_newest_record_a_grant_brings(self):
         claim = Claim.start(record(), "s1", SETTINGS)
-        claim.grant("s2", record().with_attempt("e1"), now=10.0)
-        claim.grant("s1", record(), now=10.0)
-        self.assertEqual((claim.newest().stage, claim.newest().term, claim.newest().holder), (Stage.SENT, 2, "s1"))
-        self.assertEqual(claim.acts_from(), 1010.0)
+        claim.add_grant("s2", record().with_attempt("e1"), now=10.0)
+        claim.add_grant("s1", record(), now=10.0)
+        self.assertEqual(
+            (claim.claimed_record().stage, claim.claimed_record().term, claim.claimed_record().holder),
+            (Stage.SENT, 2, "s1"),
+        )
+        self.assertEqual(claim.effective_from(), 1010.0)
 
 
 class Voteless(Keeper):
--- a/tests/test_handoff_store.py
+++ b/tests/test_handoff_store.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from decklb.handoff.errors import StoreError
-from decklb.handoff.record_table import Table
+from decklb.handoff.record_table import RecordTable
 from decklb.handoff.records import Outcome
 from decklb.handoff.settings import HandoffSettings
 from decklb.handoff.store import Kept, Store
@@ -62,18 +62,18 @@
 
     def test_a_table_restored_grants_and_admits_as_before(self):
         settings = HandoffSettings()
-        table = Table(settings)
-        table.receive(record(), 1e4, 0.0, b"body")
+        table = RecordTable(settings)
+        table.receive_replica(record(), 1e4, 0.0, b"body")
         table.grant("k", (3, "s2"), 0.0)
         answered = replace(record("a"), deadline_ms=1e4).with_attempt("e").with_answer(Outcome.SERVED, b"rows", 100)
         table.write(answered)
-        self.assertEqual(list(table.touched), ["k", "a"])
-        again = Table(settings)
-        for key in table.touched:
-            again.restore(key, table.get(key), table.body(key), table.promises.granted(key), 0.0)
+        self.assertEqual(list(table.changed_keys), ["k", "a"])
+        again = RecordTable(settings)
+        for key in table.changed_keys:
+            again.restore(key, table.get(key), table.body(key), table.ballots.granted(key), 0.0)
         self.assertFalse(again.grant("k", (3, "s1"), 0.0))
-        self.assertFalse(again.promises.admits(record()))
-        self.assertEqual((again.body("k"), again.held), (b"body", table.held))
+        self.assertFalse(again.ballots.admits(record()))
+        self.assertEqual((again.body("k"), again.bytes_retained), (b"body", table.bytes_retained))
         self.assertEqual(again.lookup("a", answered.request_digest).answer, b"rows")
 
 
