--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -129,7 +129,7 @@
         return [] if self.cluster is None else self.cluster.duties()
 
     def _handoff(self) -> dict[str, Any]:
-        return {} if self.handoff is None else self.handoff.keeper.health()
+        return {} if self.handoff is None else self.handoff.coordinator.figures()
 
     def _zones(self) -> dict[str, Any]:
         return {} if self.locality is None else self.locality.rows()
--- a/decklb/handoff/guard.py
+++ b/decklb/handoff/guard.py
@@ -15,7 +15,8 @@
 
 from decklb.core.dispatcher import Attempt, Dispatcher, Request
 from decklb.core.ports import AnswerSink, Clock, EngineClient, Work
-from decklb.handoff.keeper import Keeper, Taken
+from decklb.handoff.admission_result import AdmissionResult, AdmissionState
+from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
 from decklb.interface import Outcome as End
 
@@ -91,7 +92,7 @@
         """It has gone out on a connection by which it can be called off, also by whoever takes it over."""
         guard = self.owner.guard
         if self.state == "out" and trace != self.trace:
-            guard.keeper.traced(guard.clock.now(), self.owner.key, self.attempt.engine, trace)
+            guard.coordinator.set_cancel_token(guard.clock.now(), self.owner.key, self.attempt.engine, trace)
             guard.pump()
 
     def end(self, outcome: End, result: bytes = b"") -> None:
@@ -99,7 +100,7 @@
         guard = self.owner.guard
         guard.say(self.owner, f"attempt ended {outcome.value}")
         if outcome in (End.FULL, End.NOCONN, End.NOP):  # it provably never ran
-            guard.keeper.bounced(guard.clock.now(), self.owner.key)
+            guard.coordinator.attempt_rejected(guard.clock.now(), self.owner.key)
             guard.pump()
         guard.ended(self)
         self.attempt.end(outcome, result)
@@ -121,7 +122,7 @@
         reserve = getattr(self.inner, "reserve", None)
         if reserve is not None:  # so that the record can say how to call it off
             carried.trace = reserve(carried)
-        self.guard.keeper.sending(
+        self.guard.coordinator.begin_attempt(
             self.guard.clock.now(), owner.key, attempt.engine, lambda ok: self._go(carried, ok), carried.trace
         )
         self.guard.pump()
@@ -157,7 +158,7 @@
 
     def __init__(self, dispatcher: Dispatcher, clock: Clock, codec: Codec, name: str) -> None:
         self.dispatcher, self.clock, self.codec, self.name = dispatcher, clock, codec, name
-        self.keeper: Keeper  # given by whoever runs it, whose hooks we are
+        self.coordinator: HandoffCoordinator  # given by whoever runs it, whose hooks we are
         self.pump: Callable[[], None] = lambda: None
         self.running: dict[str, Protected] = {}  # by the core's name of the request
         self.by_key: dict[str, Protected] = {}
@@ -174,8 +175,8 @@
         made = work.once == MADE
         if made:
             self._made += 1
-            work.once = f"{self.name}.{self.keeper.run:x}.{self._made}"
-        work.budget = min(work.budget, self.keeper.s.max_budget_ms)
+            work.once = f"{self.name}.{self.coordinator.incarnation:x}.{self._made}"
+        work.budget = min(work.budget, self.coordinator.settings.max_budget_ms)
         body, now = self.codec.encode(work), self.clock.now()
         p = Protected(self, work.once, sink)
         record = Record(
@@ -190,7 +191,7 @@
             fingerprint(body),
             key_generated=made,
         )
-        self.keeper.take(now, record, body, lambda taken: self._taken(p, work, taken, now))
+        self.coordinator.admit(now, record, body, lambda result: self._admitted(p, work, result, now))
         self.pump()
         return p
 
@@ -209,10 +210,10 @@
         if taken.request is not None and not taken.request.answered:
             self.dispatcher.abandon(taken.request)
             self._forget(taken)
-            self.keeper.answered(self.clock.now(), taken.key, Outcome.FAILED, b"", "cancelled", lambda ok: None)
+            self.coordinator.complete(self.clock.now(), taken.key, Outcome.FAILED, b"", "cancelled", lambda ok: None)
             self.pump()
 
-    # What the keeper calls.
+    # What the coordinator calls.
 
     def adopt(self, record: Record, body: bytes) -> None:
         """A request taken over, or taken up again, is run here."""
@@ -220,7 +221,7 @@
         if earlier is not None and earlier.carried is not None:  # what was called off is not out of the engine yet
             earlier.after.append(lambda: self.adopt(record, body))
             return
-        if record.key not in self.keeper.holds or record.key in self._called:
+        if self.coordinator.held(record.key) is None or record.key in self._called:
             return
         call_off = getattr(self.engines.inner, "call_off", None)
         if not record.cancel_token or call_off is None:
@@ -236,13 +237,13 @@
 
     def _called_off(self, record: Record, body: bytes) -> None:
         self._called.discard(record.key)
-        hold = self.keeper.holds.get(record.key)
+        held = self.coordinator.held(record.key)
         # Where it may not be acted on now, it is taken up again, and comes here once more.
-        if hold is not None and not hold.stalled and hold.record.stage < Stage.ANSWERED:
-            if hold.record.term == record.term:
+        if held is not None and not held.suspended and held.record.stage < Stage.ANSWERED:
+            if held.record.term == record.term:
                 self._again(record, body)
             else:
-                self.adopt(hold.record, body)  # lost and won again meanwhile
+                self.adopt(held.record, body)  # lost and won again meanwhile
 
     def _again(self, record: Record, body: bytes) -> None:
         now = self.clock.now()
@@ -288,14 +289,14 @@
 
         self.say(p, f"final: {outcome.name}")
         self._forget(p)
-        self.keeper.answered(self.clock.now(), p.key, outcome, answer, "", told)
+        self.coordinator.complete(self.clock.now(), p.key, outcome, answer, "", told)
         self.pump()
 
     def turned_away(self, p: Protected, backoff: float) -> None:
         """The core turned it away."""
         self.say(p, "turned away")
         self._forget(p)
-        self.keeper.release(self.clock.now(), p.key)
+        self.coordinator.release(p.key)
         self.pump()
         p.tell(lambda sink: sink.refused(backoff))
 
@@ -305,20 +306,22 @@
 
     # Inside.
 
-    def _taken(self, p: Protected, work: Work, taken: Taken, since: float) -> None:
-        self.say(p, f"{taken.state} {taken.reason}")
-        if taken.state == "taken" and p.unwanted:
-            return self.keeper.release(self.clock.now(), p.key)
-        if taken.state == "taken":
-            work.budget = max(1.0, work.budget - (self.clock.now() - since))
-            return self._run(p, work)
-        if taken.state == "done" and taken.outcome is Outcome.SERVED:
-            return p.tell(lambda sink: sink.served(taken.answer))
-        if taken.state == "done":
-            return p.tell(lambda sink: sink.failed())
-        if taken.state == "reused":
-            return p.tell(lambda sink: getattr(sink, "conflict", sink.failed)())
-        p.tell(lambda sink: sink.refused(BACK))
+    def _admitted(self, p: Protected, work: Work, result: AdmissionResult, since: float) -> None:
+        self.say(p, f"{result.state.value} {result.reason}")
+        match result.state:
+            case AdmissionState.ADMITTED if p.unwanted:
+                self.coordinator.release(p.key)
+            case AdmissionState.ADMITTED:
+                work.budget = max(1.0, work.budget - (self.clock.now() - since))
+                self._run(p, work)
+            case AdmissionState.ANSWERED if result.outcome is Outcome.SERVED:
+                p.tell(lambda sink: sink.served(result.answer))
+            case AdmissionState.ANSWERED:
+                p.tell(lambda sink: sink.failed())
+            case AdmissionState.KEY_REUSED:
+                p.tell(lambda sink: getattr(sink, "conflict", sink.failed)())
+            case AdmissionState.RUNNING | AdmissionState.REJECTED:
+                p.tell(lambda sink: sink.refused(BACK))
 
     def _run(self, p: Protected, work: Work) -> None:
         self.by_key[p.key] = p
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -1,4 +1,4 @@
-"""The keeper on real connections and a clock: carries out what it decides, and logs what it notices.
+"""The coordinator on real connections and a clock: carries out what it decides, and logs what it notices.
 
 Each pair of members shares one connection, on which all words pass in order: leases rest on that. The member whose
 name sorts first opens it, from the address it binds, to where membership says the other is.
@@ -22,9 +22,10 @@
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.core.ports import Clock, Timer
 from decklb.handoff import messages as m
+from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.handoff.errors import FrameError, StoreError
 from decklb.handoff.guard import Guard
-from decklb.handoff.keeper import Hooks, Keeper
+from decklb.handoff.member_state import FrontCallbacks
 from decklb.handoff.settings import HandoffSettings
 
 if TYPE_CHECKING:
@@ -59,10 +60,19 @@
         self.service.links.add(self)
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        k = self.service.keeper
+        coordinator = self.service.coordinator
         now = self.service.clock.now()
         self._frame(
-            m.encode_message(m.Greeting(m.PROTOCOL_VERSION, k.me, k.run, k.memory, min(1e12, now - k.born), self.nonce))
+            m.encode_message(
+                m.Greeting(
+                    m.PROTOCOL_VERSION,
+                    coordinator.member,
+                    coordinator.incarnation,
+                    coordinator.memory.memory_id,
+                    min(1e12, now - coordinator.memory.since_ms),
+                    self.nonce,
+                )
+            )
         )
 
     def pauseProducing(self) -> None:
@@ -107,7 +117,7 @@
         self.service.heard(self, found.messages)
 
     def _greeted(self, hello: m.Greeting) -> None:
-        if hello.member == self.service.keeper.me or self.peer and hello.member != self.peer:
+        if hello.member == self.service.coordinator.member or self.peer and hello.member != self.peer:
             return self.end(f"other-member: {hello.member}")
         self.hello, self.peer = hello, hello.member
         self.say([])  # proves that we read the greeting, which could be an old one
@@ -162,7 +172,7 @@
 
             self.store = Store(settings.store_folder, settings.max_bytes)
             memory, born, kept = self.store.open(me.name, me.boot, now, boot_id())
-        self.keeper = Keeper(
+        self.coordinator = HandoffCoordinator(
             settings,
             me.name,
             me.boot,
@@ -170,12 +180,12 @@
             now - born,
             random.Random(os.urandom(16)),
             now,
-            Hooks(guard.adopt, guard.stop),
+            FrontCallbacks(guard.adopt, guard.stop),
         )
         for k in kept:
-            self.keeper.table.restore(k.key, k.record, k.body, k.granted, now)
+            self.coordinator.restore(k.key, k.record, k.body, k.granted, now)
         self.kept = len(kept)
-        guard.keeper, guard.pump = self.keeper, self.pump
+        guard.coordinator, guard.pump = self.coordinator, self.pump
         self.sealer = self._sealer()
         self.links: set[Link] = set()
         self.peers: dict[str, Link] = {}
@@ -220,7 +230,9 @@
         self.timer = self.clock.call_later(TICK, self._tick)
         now, view = self.clock.now(), self.cluster.node.membership
         live = {n: view.members[n].boot for n in view.live.items}
-        self.keeper.members(now, live | {self.keeper.me: self.keeper.run}, view.members.keys())
+        self.coordinator.update_members(
+            now, live | {self.coordinator.member: self.coordinator.incarnation}, view.members.keys()
+        )
         if self.sealer.spent:
             self.reload()
         for link in list(self.links):
@@ -228,9 +240,9 @@
             if silent or link.stuck and len(link.transport.dataBuffer) > MOST_UNREAD:
                 link.end("silent" if silent else "slow-reader")
         for name in live:
-            if self.keeper.me < name and name not in self.peers:
+            if self.coordinator.member < name and name not in self.peers:
                 self._dial(now, name, view.members[name].address)
-        self.keeper.tick(now)
+        self.coordinator.tick(now)
         self.pump()
 
     def _dial(self, now: float, name: str, address: tuple[str, int]) -> None:
@@ -265,11 +277,11 @@
         assert link.hello is not None
         before = self.peers.get(link.peer)
         if before is not None:
-            self.keeper.unlinked(self.clock.now(), link.peer)
+            self.coordinator.disconnected(link.peer)
             before.end("replaced")
         self.peers[link.peer] = link
         self.dials.pop(link.peer, None)
-        self.keeper.linked(self.clock.now(), link.peer, link.hello.memory_id, link.hello.incarnation)
+        self.coordinator.connected(self.clock.now(), link.peer, link.hello.memory_id, link.hello.incarnation)
         self.pump()
 
     def heard(self, link: Link, words: list[m.Message]) -> None:
@@ -277,7 +289,7 @@
         now = self.clock.now()
         for word in words:
             if self.peers.get(link.peer) is link:
-                self.keeper.receive(now, link.peer, word)
+                self.coordinator.receive(now, link.peer, word)
         self.pump()
 
     def left(self, link: Link) -> None:
@@ -285,16 +297,15 @@
         self.links.discard(link)
         if self.peers.get(link.peer) is link:
             del self.peers[link.peer]
-            self.keeper.unlinked(self.clock.now(), link.peer)
+            self.coordinator.disconnected(link.peer)
 
     def pump(self) -> None:
-        """Carry out what the keeper has put out."""
+        """Carry out what the coordinator has put out."""
         if self.pumping:  # what is told to the front comes back here
             return
         self.pumping = True
-        keeper = self.keeper
-        while keeper.out or keeper.notices:
-            out, keeper.out = keeper.out, []
+        while self.coordinator.has_output:
+            out = self.coordinator.take_outbox()
             if not self._written():
                 break
             words: dict[str, list[bytes]] = {}
@@ -303,13 +314,12 @@
                     words.setdefault(peer, []).append(m.encode_message(message))
             for peer, packed in words.items():
                 self.peers[peer].say(packed)
-            notices, keeper.notices = keeper.notices, []
-            for notice in notices:
+            for notice in self.coordinator.take_events():
                 text = " ".join(f"{k}={v}" for k, v in notice.fields.items())
                 logger.info(
                     "{what} key={key} {text}",
-                    event=notice.event,
-                    what=notice.event,
+                    event=notice.code,
+                    what=notice.code,
                     key=notice.key,
                     text=text,
                     **notice.fields,
@@ -318,7 +328,8 @@
 
     def _written(self) -> bool:
         """What changed is on disk, so that words that rest on it may leave."""
-        touched, table = self.keeper.table.changed_keys, self.keeper.table
+        table = self.coordinator.table
+        touched = table.changed_keys
         if self.store is not None and touched:
             from decklb.handoff.store import Kept
 
@@ -335,7 +346,7 @@
                     event="handoff-store-failed",
                     error=str(error),
                 )
-                self.keeper.out.clear()
+                self.coordinator.take_outbox()
                 self.close()
                 return False
         touched.clear()
@@ -352,7 +363,7 @@
             self.port.stopListening()
         for link in list(self.links):
             link.end("stopping")
-        self.keeper.close()
+        self.coordinator.close()
         if self.store is not None:
             self.store.close()
             self.store = None
--- a/decklb/lab/handoff.py
+++ b/decklb/lab/handoff.py
@@ -1,4 +1,4 @@
-"""The handoff's keepers on a simulated network: members that die, return without memory, or are cut off, and clients
+"""The handoff's coordinators on a simulated network: members that die, return without memory, or are cut off, and clients
 that come back with their keys. Seeded: the same seed, the same run. It counts what happened and judges nothing.
 
 Words between two members come in order on a connection, late by chance; a broken connection loses what is under way.
@@ -18,13 +18,15 @@
 from functools import partial
 from typing import Any
 
-from decklb.handoff.keeper import Hooks, Keeper, Taken
+from decklb.handoff.admission_result import AdmissionResult, AdmissionState
+from decklb.handoff.coordinator import HandoffCoordinator
+from decklb.handoff.member_state import FrontCallbacks
 from decklb.handoff.records import Outcome, Record, fingerprint
 from decklb.handoff.settings import HandoffSettings
 from decklb.interface import Effect
 from decklb.lab.verdict import Line, Story, Verdict, judge
 
-TICK, LOOK = 25.0, 100.0  # ms between ticks of a keeper, and between looks of a member at who is alive
+TICK, LOOK = 25.0, 100.0  # ms between ticks of a coordinator, and between looks of a member at who is alive
 LATE = (300.0, 900.0)  # ms by which a member sees late that another has gone
 GRACE = 60.0  # ms for an engine to heed that a run is called off
 ERRS = 0.01  # chance, at a look, that a member takes a living one for dead
@@ -51,10 +53,10 @@
         span: float = 8000.0,
         rate: float = 10.0,
         settings: HandoffSettings = SETTINGS,
-        keeper: type[Keeper] = Keeper,
+        coordinator: type[HandoffCoordinator] = HandoffCoordinator,
         harsh: bool = False,
     ) -> None:
-        self.rng, self.settings, self.make = random.Random(seed), settings, keeper
+        self.rng, self.settings, self.make = random.Random(seed), settings, coordinator
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -133,7 +135,7 @@
         """The connection of two members breaks."""
         for x, y in ((a, b), (b, a)):
             if self.nodes[x].peers.pop(y, None) is not None:
-                self.nodes[x].keeper.unlinked(self.nodes[x].clock(), y)
+                self.nodes[x].coordinator.disconnected(y)
 
     # Clients and engines.
 
@@ -204,7 +206,7 @@
 
 
 class Node:
-    """One member's keeper, its view of the others, and a front that runs one attempt at a time."""
+    """One member's coordinator, its view of the others, and a front that runs one attempt at a time."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
@@ -213,7 +215,7 @@
         self.peers: dict[str, float] = {}  # when the last word to each arrives
         self.run = 1 + world.rng.getrandbits(40)
         self.front: dict[str, Running] = {}
-        self.keeper = world.make(
+        self.coordinator = world.make(
             world.settings,
             name,
             self.run,
@@ -221,7 +223,7 @@
             0.0,
             random.Random(world.rng.random()),
             self.clock(),
-            Hooks(self.adopt, self.stop),
+            FrontCallbacks(self.adopt, self.stop),
         )
         world.at(world.now, self.look)
         world.at(world.now + world.rng.uniform(0, TICK), self.tick)
@@ -236,7 +238,7 @@
             return
         self.world.at(max(self.held, self.world.now + TICK), self.tick)
         if self.world.now >= self.held:
-            self.keeper.tick(self.clock())
+            self.coordinator.tick(self.clock())
             self.pump()
 
     def look(self) -> None:
@@ -251,24 +253,23 @@
             if not (unseen or w.rng.random() < ERRS):
                 alive[name] = node.run
         alive[self.name] = self.run
-        self.keeper.members(self.clock(), alive, w.names)
+        self.coordinator.update_members(self.clock(), alive, w.names)
         for name, node in w.nodes.items():
             if self.name < name and name not in self.peers and not node.dead and (self.name, name) not in w.cut:
                 for a, b in ((self, node), (node, self)):
                     a.peers[b.name] = w.now
-                    a.keeper.linked(a.clock(), b.name, b.run, b.run)
+                    a.coordinator.connected(a.clock(), b.name, b.run, b.run)
                     a.pump()
         self.pump()
 
     def pump(self) -> None:
-        """Send what the keeper has to say to its peers."""
-        w, out = self.world, self.keeper.out
-        self.keeper.out = []
+        """Send what the coordinator has to say to its peers."""
+        w, out = self.world, self.coordinator.take_outbox()
         for peer, word in out:
             if peer in self.peers:
                 arrives = self.peers[peer] = max(self.peers[peer], w.now + w.rng.expovariate(1 / 4.0))
                 w.at(arrives, partial(self._deliver, peer, w.nodes[peer], word, (self.run, w.nodes[peer].run)))
-        self.keeper.notices.clear()
+        self.coordinator.take_events()
 
     def _deliver(self, peer: str, node: Node, word: Any, runs: tuple[int, int]) -> None:
         w = self.world
@@ -276,7 +277,7 @@
             return  # the connection has broken meanwhile
         if w.now < node.held:  # it lies in the buffer; order is kept, since all that comes lies there
             return w.at(node.held, partial(self._deliver, peer, node, word, runs))
-        node.keeper.receive(node.clock(), self.name, word)
+        node.coordinator.receive(node.clock(), self.name, word)
         node.pump()
 
     # The front.
@@ -286,15 +287,15 @@
         effect = Effect.UNSAFE if lane == ONCE else Effect.SAFE
         record = Record(key, "", 0, 0, "t", lane, effect, self.clock() + budget, fingerprint(key.encode()))
 
-        def done(taken: Taken) -> None:
-            if taken.state == "taken":
+        def done(result: AdmissionResult) -> None:
+            if result.state is AdmissionState.ADMITTED:
                 self._run(key, Running(work, said))
-            elif taken.state == "done":
-                said("served" if taken.outcome is Outcome.SERVED else "failed", taken.answer.decode())
+            elif result.state is AdmissionState.ANSWERED:
+                said("served" if result.outcome is Outcome.SERVED else "failed", result.answer.decode())
             else:
-                said(taken.state, "")
+                said(result.state.value, "")
 
-        self.keeper.take(self.clock(), record, str(work).encode(), done)
+        self.coordinator.admit(self.clock(), record, str(work).encode(), done)
         self.pump()
 
     def adopt(self, record: Record, body: bytes) -> None:
@@ -302,7 +303,7 @@
         if self.clock() < record.deadline_ms:
             self._run(record.key, Running(float(body)))
         else:
-            self.keeper.answered(self.clock(), record.key, Outcome.FAILED, b"", "deadline", lambda ok: None)
+            self.coordinator.complete(self.clock(), record.key, Outcome.FAILED, b"", "deadline", lambda ok: None)
 
     def stop(self, key: str) -> None:
         """Give up a request that this member may not act on."""
@@ -313,7 +314,7 @@
 
     def _run(self, key: str, r: Running) -> None:
         self.front[key] = r
-        record = self.keeper.table.get(key)
+        record = self.coordinator.table.get(key)
         if record is not None:
             self.world.at(self.world.now + record.deadline_ms - self.clock(), partial(self._over, key, r))
 
@@ -323,7 +324,7 @@
             elif not r.off:
                 r.said("running", "")
 
-        self.keeper.sending(self.clock(), key, "e", may)
+        self.coordinator.begin_attempt(self.clock(), key, "e", may)
         self.pump()
 
     def _over(self, key: str, r: Running) -> None:
@@ -335,7 +336,7 @@
         del self.front[key]
         r.off = True
         r.end()
-        self.keeper.answered(
+        self.coordinator.complete(
             self.clock(), key, Outcome.FAILED, b"", "deadline", lambda ok: r.said("failed" if ok else "running", "")
         )
         self.pump()
@@ -347,7 +348,7 @@
             return self.world.at(self.held, partial(self._answered, key, r, row))
         if self.front.get(key) is r:
             del self.front[key]
-        self.keeper.answered(
+        self.coordinator.complete(
             self.clock(),
             key,
             Outcome.SERVED,
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -6,8 +6,8 @@
 import msgspec.structs
 
 from decklb.handoff.claims import Claim
+from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.handoff.errors import KeyReusedError, RecordLimitError
-from decklb.handoff.keeper import Keeper
 from decklb.handoff.placement import Placement
 from decklb.handoff.record_table import RecordTable
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
@@ -181,31 +181,32 @@
         self.assertEqual(claim.effective_from(), 1010.0)
 
 
-class Voteless(Keeper):
+class Voteless(HandoffCoordinator):
     """Grants and acknowledges whatever it may have forgotten."""
 
-    def _fit(self, now, made, age):
-        return True
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.memory.covers = lambda now, key_generated, age_ms: True
 
 
-class Hasty(Keeper):
+class Hasty(HandoffCoordinator):
     """Sends without waiting for a quorum to know."""
 
-    def sending(self, now, key, engine, call):
-        super().sending(now, key, engine, lambda ok: None)
-        call(key in self.holds)
+    def begin_attempt(self, now, key, engine, on_quorum):
+        super().begin_attempt(now, key, engine, lambda reached: None)
+        on_quorum(self.held(key) is not None)
 
 
-class Forgiving(Keeper):
+class Forgiving(HandoffCoordinator):
     """Gives an answer before a quorum has it."""
 
-    def answered(self, now, key, outcome, answer, reason, call):
-        super().answered(now, key, outcome, answer, reason, lambda ok: None)
-        call(True)
+    def complete(self, now, key, outcome, answer, reason, on_quorum):
+        super().complete(now, key, outcome, answer, reason, lambda reached: None)
+        on_quorum(True)
 
 
 class Networks(unittest.TestCase):
-    """Seeded runs of whole keepers with losses, cuts, deaths, returns without memory and wrong suspicions."""
+    """Seeded runs of whole coordinators with losses, cuts, deaths, returns without memory and wrong suspicions."""
 
     def test_nothing_is_lost_or_doubled_where_faults_come_one_at_a_time(self):
         for members in (3, 5):
@@ -216,16 +217,16 @@
             self.assertGreater(sum(v.came_back for v in played), 100)  # clients do come back for their answers
 
     def test_nothing_is_doubled_whatever_strikes(self):
-        self.assertEqual(list(self.doubled(Keeper, 80)), [])
+        self.assertEqual(list(self.doubled(HandoffCoordinator, 80)), [])
 
     def test_a_rule_left_out_is_seen(self):
-        for keeper in (Voteless, Hasty, Forgiving):
-            with self.subTest(keeper.__name__):
-                self.assertTrue(any(self.doubled(keeper, 80)))  # up to the first seed that shows it
+        for coordinator in (Voteless, Hasty, Forgiving):
+            with self.subTest(coordinator.__name__):
+                self.assertTrue(any(self.doubled(coordinator, 80)))  # up to the first seed that shows it
 
     @staticmethod
-    def doubled(keeper, seeds):
+    def doubled(coordinator, seeds):
         for seed in range(seeds):
-            v = play(seed, harsh=True, keeper=keeper)
+            v = play(seed, harsh=True, coordinator=coordinator)
             if v.doubled or v.repeated or v.overlapping:
                 yield seed, v.doubled, v.repeated, v.overlapping
--- a/tests/test_handoff_message_trace.py
+++ b/tests/test_handoff_message_trace.py
@@ -13,7 +13,7 @@
 import pytest
 
 from decklb.handoff import messages
-from decklb.handoff.keeper import Keeper
+from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.lab.handoff import World
 
 GOLDEN = json.loads((Path(__file__).parent / "golden/handoff/message_traces.json").read_text())
@@ -36,14 +36,14 @@
 def traced_member_class(trace):
     """A member whose received messages and final counters go into `trace`."""
 
-    class TracedMember(Keeper):
+    class TracedMember(HandoffCoordinator):
         def __init__(self, *args):
             super().__init__(*args)
             trace.members.append(self)
 
         def receive(self, now, peer, message):
             trace.messages_by_tag[messages.Message.__args__.index(type(message)) + 1] += 1
-            trace.add(now, peer, self.me, messages.encode_message(message))
+            trace.add(now, peer, self.member, messages.encode_message(message))
             super().receive(now, peer, message)
 
     return TracedMember
@@ -52,9 +52,9 @@
 def traced_run(seed, members, harsh):
     """The digest and the messages of each tag in one run."""
     trace = Trace()
-    verdict = World(seed, members, keeper=traced_member_class(trace), harsh=harsh).run()
+    verdict = World(seed, members, coordinator=traced_member_class(trace), harsh=harsh).run()
     for member in trace.members:
-        figures = member.health()
+        figures = member.figures()
         trace.add(sorted(figures.pop("counts").items()), sorted(figures.items()))
     trace.add(astuple(verdict))
     return {
--- a/tests/test_handoff_stored_records.py
+++ b/tests/test_handoff_stored_records.py
@@ -8,7 +8,8 @@
 from msgspec.structs import replace
 
 from decklb.handoff import messages
-from decklb.handoff.keeper import Hooks, Keeper
+from decklb.handoff.coordinator import HandoffCoordinator
+from decklb.handoff.member_state import FrontCallbacks
 from decklb.handoff.records import Outcome, Stage
 from decklb.handoff.settings import HandoffSettings
 from decklb.handoff.store import Kept, Store
@@ -53,11 +54,18 @@
     """The member that comes back with what the earlier version kept."""
     settings = HandoffSettings()
     memory, born, kept = store.open("m0", 12, NOW, "boot-1")
-    member = Keeper(
-        settings, "m0", 6, memory, NOW - born, random.Random(1), NOW, Hooks(lambda record, body: None, lambda key: None)
+    member = HandoffCoordinator(
+        settings,
+        "m0",
+        6,
+        memory,
+        NOW - born,
+        random.Random(1),
+        NOW,
+        FrontCallbacks(lambda record, body: None, lambda key: None),
     )
     for entry in kept:
-        member.table.restore(entry.key, entry.record, entry.body, entry.granted, NOW)
+        member.restore(entry.key, entry.record, entry.body, entry.granted, NOW)
     return member
 
 
@@ -69,28 +77,21 @@
 
 def test_restored_member_answers_votes_and_takes_over_by_what_was_stored(store):
     member = restored(store)
-    sent = []
-
-    def drain():
-        nonlocal sent
-        sent, member.out = member.out, []
-        return sent
-
     kinds = dict(zip([*range(1, 13)], messages.Message.__args__, strict=True))
     copy, ack, claim, grant, refusal = kinds[1], kinds[2], kinds[7], kinds[8], kinds[9]
-    member.members(NOW, {"m0": 6, "m1": 1}, MEMBERS)
-    member.linked(NOW, "m1", 1, 1)
-    drain()
+    member.update_members(NOW, {"m0": 6, "m1": 1}, MEMBERS)
+    member.connected(NOW, "m1", 1, 1)
+    member.take_outbox()
     # A claim below the stored grant is refused, one above it granted with nothing.
     member.receive(NOW, "m1", claim("key-granted", 9))
-    assert drain() == [("m1", refusal("key-granted", 9, 8, 9))]
+    assert member.take_outbox() == [("m1", refusal("key-granted", 9, 8, 9))]
     member.receive(NOW, "m1", claim("key-granted", 10))
-    assert drain() == [("m1", grant("key-granted", 10))]
+    assert member.take_outbox() == [("m1", grant("key-granted", 10))]
     # The records of the lost member are claimed, also its own of an earlier run, and taken over.
     for tick in range(1, 160):
         now = NOW + tick * 25.0
         member.tick(now)
-        for peer, message in drain():
+        for peer, message in member.take_outbox():
             if isinstance(message, claim):
                 member.receive(now, peer, grant(message.key, message.term))
             elif isinstance(message, copy):
@@ -98,7 +99,7 @@
                 member.receive(now, peer, ack(record.key, record.term, record.version, now))
             elif isinstance(message, kinds[4]):
                 member.receive(now, peer, kinds[5](now))
-    terms = {key: member.table.get(key).term for key in sorted(member.holds)}
+    terms = {key: member.table.get(key).term for key in sorted(member.state.held)}
     assert terms == {"key-1": 4, "key-answered": 4, "key-own": 5}  # the last above the grant that was stored
     held = member.table.get("key-1")
     assert (held.holder, held.holder_incarnation, held.term, held.stage) == ("m0", 6, 4, Stage.SENT)
