--- a/decklb/lab/handoff.py
+++ b/decklb/lab/handoff.py
@@ -1,5 +1,5 @@
-"""The handoff's coordinators on a simulated network: members that die, return without memory, or are cut off, and clients
-that come back with their keys. Seeded: the same seed, the same run. It counts what happened and judges nothing.
+"""The handoff's coordinators on a simulated network: members that die, return without memory, or are cut off, and
+clients that come back with their keys. Seeded: the same seed, the same run. It counts what happened and judges nothing.
 
 Words between two members come in order on a connection, late by chance; a broken connection loses what is under way.
 What a member believes of the others lags behind the truth, and is wrong now and then. Each clock starts elsewhere.
