--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -1,213 +1,125 @@
-"""The coordinator on real connections and a clock: carries out what it decides, and logs what it notices.
+"""The handoff's I/O: connections to other members, the timer, the store, and the log.
 
-Each pair of members shares one connection, on which all words pass in order: leases rest on that. The member whose
-name sorts first opens it, from the address it binds, to where membership says the other is.
+`HandoffService` drives one `HandoffCoordinator` and carries out what it decides. Each pair of members shares one
+connection, on which all messages pass in order, since leases rest on that: the member whose name sorts first opens it,
+from the address it binds, to where membership says that the other is. Whatever changed is in the store, where there is
+one, before a message leaves. Made by `daemon/assembly.py`, or by `middleware/members.py` for an application.
 """
 
 from __future__ import annotations
 
 import os
 import random
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 from loguru import logger
 from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.protocol import ClientFactory, Factory
-from twisted.protocols.basic import Int32StringReceiver
-from twisted.python.failure import Failure
+from twisted.internet.protocol import ClientFactory
 
 from decklb.cluster import keyfile
-from decklb.cluster.messages import WireError
 from decklb.cluster.runtime import ClusterService
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.core.ports import Clock, Timer
-from decklb.handoff import messages as m
 from decklb.handoff.coordinator import HandoffCoordinator
-from decklb.handoff.errors import FrameError, StoreError
+from decklb.handoff.errors import StoreError
 from decklb.handoff.guard import Guard
-from decklb.handoff.member_state import FrontCallbacks
+from decklb.handoff.member_state import FrontCallbacks, HandoffEvent
+from decklb.handoff.messages import MAX_FRAME_BYTES, Message, encode_message
+from decklb.handoff.peer_connection import PeerConnection, PeerConnectionFactory
 from decklb.handoff.settings import HandoffSettings
 
 if TYPE_CHECKING:
-    from decklb.handoff.store import Store
-
-TICK = 25.0  # ms
-CONNECT = 1000.0  # ms for a connection to come up
-DIAL = (100.0, 2000.0)  # ms before another try at a member, doubled from the first to the second
-GREET = 2000.0  # ms for a greeting and the first frame after it
-SILENT = 2.0  # leases without a word after which a connection is taken for dead
-MOST_UNREAD = 64 << 20  # bytes that a member may leave unread
-
-
-class Link(Int32StringReceiver):
-    """A connection to one member."""
-
-    MAX_LENGTH = m.MAX_FRAME_BYTES
-    transport: Any
-
-    def __init__(self, service: HandoffService) -> None:
-        self.service = service
-        self.nonce = os.urandom(16)
-        self.hello: m.Greeting | None = None
-        self.up = self.closed = self.stuck = False
-        self.sent_seq = self.seen_seq = 0
-        self.heard = service.clock.now()
-        self.reason = "peer-closed"
-        self.peer = ""  # as expected, or as it said
-
-    def connectionMade(self) -> None:
-        """Both sides greet at once."""
-        self.service.links.add(self)
-        self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)
-        coordinator = self.service.coordinator
-        now = self.service.clock.now()
-        self._frame(
-            m.encode_message(
-                m.Greeting(
-                    m.PROTOCOL_VERSION,
-                    coordinator.member,
-                    coordinator.incarnation,
-                    coordinator.memory.memory_id,
-                    min(1e12, now - coordinator.memory.since_ms),
-                    self.nonce,
-                )
-            )
-        )
-
-    def pauseProducing(self) -> None:
-        """The member reads slowly."""
-        self.stuck = True
-
-    def resumeProducing(self) -> None:
-        """All that was written has gone."""
-        self.stuck = False
-
-    def stopProducing(self) -> None:
-        """The connection is ending."""
-
-    def _frame(self, plain: bytes) -> None:
-        self.sendString(self.service.sealer.seal(plain))  # type: ignore[no-untyped-call]
-
-    def say(self, words: list[bytes]) -> None:
-        """Words to the member, in order."""
-        assert self.hello is not None
-        for at in range(0, max(1, len(words)), m.MAX_MESSAGES):
-            self.sent_seq += 1
-            self._frame(m.encode_envelope(self.hello.nonce, self.sent_seq, words[at : at + m.MAX_MESSAGES]))
-
-    def stringReceived(self, data: bytes) -> None:
-        """One frame."""
-        if self.closed:
-            return
-        try:
-            plain = self.service.sealer.open(data)
-            if self.hello is None:
-                return self._greeted(m.decode_greeting(plain))
-            found = m.decode_envelope(plain)
-            self.seen_seq += 1
-            if found.nonce != self.nonce or found.sequence != self.seen_seq:
-                raise FrameError("replay")
-        except (FrameError, WireError) as error:
-            return self.end(f"bad-frame: {error}")
-        self.heard = self.service.clock.now()
-        if not self.up:
-            self.up = True
-            self.service.joined(self)
-        self.service.heard(self, found.messages)
-
-    def _greeted(self, hello: m.Greeting) -> None:
-        if hello.member == self.service.coordinator.member or self.peer and hello.member != self.peer:
-            return self.end(f"other-member: {hello.member}")
-        self.hello, self.peer = hello, hello.member
-        self.say([])  # proves that we read the greeting, which could be an old one
-
-    def lengthLimitExceeded(self, length: int) -> None:
-        """No frame is so long."""
-        self.end("too-long")
-
-    def end(self, reason: str) -> None:
-        """End it at once."""
-        if not self.closed:
-            self.closed, self.reason = True, reason
-            self.transport.abortConnection()
-
-    def connectionLost(self, reason: Failure | None = None) -> None:
-        """One line in the log."""
-        self.closed = True
-        self.service.left(self)
-        logger.info(
-            "handoff connection ended: {reason} member={member}",
-            event="handoff-connection-ended",
-            reason=self.reason,
-            member=self.peer or "?",
-        )
+    from decklb.handoff.store import Store, StoredMemory
 
+TICK_MS = 25.0
+CONNECT_TIMEOUT_S = 1.0
+DIAL_BACKOFF_MIN_MS = 100.0  # before another try to connect to a member, doubled up to the next line's
+DIAL_BACKOFF_MAX_MS = 2000.0
+GREETING_TIMEOUT_MS = 2000.0  # for a greeting and the first frame after it
+SILENT_LEASES = 2.0  # leases without a frame after which a connection is taken for dead
+MAX_UNSENT_BYTES = 64 << 20  # that a member may leave unread
 
-class Door(Factory):
-    """Members that come to us."""
 
-    noisy = False
+@dataclass(slots=True)
+class _DialBackoff:
+    """When to try next to connect to a member, and the wait after that."""
 
-    def __init__(self, service: HandoffService) -> None:
-        self.service = service
+    due_ms: float = 0.0
+    wait_ms: float = DIAL_BACKOFF_MIN_MS
 
-    def buildProtocol(self, addr: Any) -> Link:
-        """A connection."""
-        return Link(self.service)
+    def advance(self, now: float) -> None:
+        """A try was made."""
+        self.due_ms, self.wait_ms = now + self.wait_ms, min(DIAL_BACKOFF_MAX_MS, 2 * self.wait_ms)
 
 
 class HandoffService:
-    """One member's records, on the connections to the others."""
+    """One member's handoff on real connections, a clock and a disk."""
 
     def __init__(
         self, reactor: Any, clock: Clock, settings: HandoffSettings, cluster: ClusterService, guard: Guard
     ) -> None:
-        self.reactor, self.clock, self.settings, self.cluster, self.guard = reactor, clock, settings, cluster, guard
-        me, now = cluster.node.membership.me, clock.now()
+        """Read the store and wire the coordinator to the front's guard.
+
+        Raises:
+            StoreError: The store's folder can't be used.
+        """
+        self.reactor, self.clock, self.settings, self.cluster = reactor, clock, settings, cluster
+        self.connections: set[PeerConnection] = set()
+        self._established: dict[str, PeerConnection] = {}  # by peer
+        self._dial_backoffs: dict[str, _DialBackoff] = {}  # by peer
+        self._port: Any = None
+        self._timer: Timer | None = None
+        self._flushing = False
+        self._closed = False
         self.store: Store | None = None
-        memory, born, kept = me.boot, now, list[Any]()
-        if settings.store_folder:
-            from decklb.handoff.store import Store, boot_id
-
-            self.store = Store(settings.store_folder, settings.max_bytes)
-            memory, born, kept = self.store.open(me.name, me.boot, now, boot_id())
-        self.coordinator = HandoffCoordinator(
-            settings,
-            me.name,
-            me.boot,
-            memory,
-            now - born,
+        now = clock.now()
+        memory = self._open_store(now)
+        self.coordinator = self._make_coordinator(now, memory, guard)
+        self._restored_keys = len(memory.entries) if memory is not None else 0
+        guard.coordinator, guard.pump = self.coordinator, self.flush
+        self.sealer = self._make_sealer()
+
+    def _open_store(self, now: float) -> StoredMemory | None:
+        """What an earlier process of this member remembered; None without a store."""
+        if not self.settings.store_folder:
+            return None
+        from decklb.handoff.store import Store, boot_id  # LMDB is loaded only where it is used
+
+        member = self.cluster.node.membership.me
+        self.store = Store(self.settings.store_folder, self.settings.max_bytes)
+        return self.store.open(member.name, member.boot, now, boot_id())
+
+    def _make_coordinator(self, now: float, memory: StoredMemory | None, guard: Guard) -> HandoffCoordinator:
+        member = self.cluster.node.membership.me
+        coordinator = HandoffCoordinator(
+            self.settings,
+            member.name,
+            member.boot,
+            memory.memory_id if memory is not None else member.boot,
+            now - memory.since_ms if memory is not None else 0.0,
             random.Random(os.urandom(16)),
             now,
             FrontCallbacks(guard.adopt, guard.stop),
         )
-        for k in kept:
-            self.coordinator.restore(k.key, k.record, k.body, k.granted, now)
-        self.kept = len(kept)
-        guard.coordinator, guard.pump = self.coordinator, self.pump
-        self.sealer = self._sealer()
-        self.links: set[Link] = set()
-        self.peers: dict[str, Link] = {}
-        self.dials: dict[str, tuple[float, float]] = {}  # when to try next, and the wait after that
-        self.port: Any = None
-        self.timer: Timer | None = None
-        self.pumping = self.closed = False
-
-    def _sealer(self) -> Sealer:
+        for entry in memory.entries if memory is not None else ():
+            coordinator.restore(entry.key, entry.record, entry.body, entry.granted, now)
+        return coordinator
+
+    def _make_sealer(self) -> Sealer:
         keys = keyfile.read(self.cluster.settings.keys)
         # Another name than the datagrams': what is sealed for one is no use for the other.
         return Sealer(
             f"{self.cluster.settings.membership.cluster}/handoff",
-            [k.secret for k in keys],
+            [key.secret for key in keys],
             os.urandom(SALT_BYTES),
-            m.MAX_FRAME_BYTES,
+            MAX_FRAME_BYTES,
         )
 
     def start(self) -> None:
-        """Open the socket. Raises what Twisted raises when the address can't be had."""
+        """Listen, and start the timer. Raises what Twisted raises when the address can't be bound."""
         host, port = self.cluster.settings.bind
-        self.port = self.reactor.listenTCP(port, Door(self), interface=host)
+        self._port = self.reactor.listenTCP(port, PeerConnectionFactory(self), interface=host)
         logger.info(
             "handoff on {host}:{port}, {copies} voters a key, {members} members, {kept} keys kept on disk",
             event="handoff-listening",
@@ -215,130 +127,110 @@
             port=port,
             copies=self.settings.voter_count,
             members=self.settings.fleet_size,
-            kept=self.kept,
+            kept=self._restored_keys,
         )
         self._tick()
 
     def reload(self) -> None:
         """Read the keys anew; the cluster has logged what was wrong with them."""
         try:
-            self.sealer = self._sealer()
+            self.sealer = self._make_sealer()
         except keyfile.KeyFileError:
             return
 
     def _tick(self) -> None:
-        self.timer = self.clock.call_later(TICK, self._tick)
-        now, view = self.clock.now(), self.cluster.node.membership
-        live = {n: view.members[n].boot for n in view.live.items}
-        self.coordinator.update_members(
-            now, live | {self.coordinator.member: self.coordinator.incarnation}, view.members.keys()
-        )
+        self._timer = self.clock.call_later(TICK_MS, self._tick)
+        now, membership = self.clock.now(), self.cluster.node.membership
+        alive = {name: membership.members[name].boot for name in membership.live.items}
+        own = {self.coordinator.member: self.coordinator.incarnation}
+        self.coordinator.update_members(now, alive | own, membership.members.keys())
         if self.sealer.spent:
             self.reload()
-        for link in list(self.links):
-            silent = now - link.heard > (SILENT * self.settings.lease_ms if link.up else GREET)
-            if silent or link.stuck and len(link.transport.dataBuffer) > MOST_UNREAD:
-                link.end("silent" if silent else "slow-reader")
-        for name in live:
-            if self.coordinator.member < name and name not in self.peers:
-                self._dial(now, name, view.members[name].address)
+        self._abort_dead_connections(now)
+        for name in alive:
+            if self.coordinator.member < name and name not in self._established:
+                self._dial(now, name, membership.members[name].address)
         self.coordinator.tick(now)
-        self.pump()
+        self.flush()
+
+    def _abort_dead_connections(self, now: float) -> None:
+        for connection in list(self.connections):
+            timeout_ms = SILENT_LEASES * self.settings.lease_ms if connection.established else GREETING_TIMEOUT_MS
+            if now - connection.last_received_ms > timeout_ms:
+                connection.abort("silent")
+            elif connection.unsent_bytes > MAX_UNSENT_BYTES:
+                connection.abort("slow-reader")
 
     def _dial(self, now: float, name: str, address: tuple[str, int]) -> None:
-        due, wait = self.dials.get(name, (0.0, DIAL[0]))
-        if now < due or any(x.peer == name for x in self.links):
+        backoff = self._dial_backoffs.setdefault(name, _DialBackoff())
+        if now < backoff.due_ms or any(connection.peer == name for connection in self.connections):
             return
-        self.dials[name] = (now + wait, min(DIAL[1], 2 * wait))
-
-        def make() -> Link:
-            link = Link(self)
-            link.peer = name
-            return link
-
-        factory: Any = ClientFactory.forProtocol(make)
+        backoff.advance(now)
+        factory: Any = ClientFactory.forProtocol(lambda: PeerConnection(self, expected_peer=name))
         factory.noisy = False
-        dialled: Any = TCP4ClientEndpoint(
-            self.reactor, *address, timeout=CONNECT / 1000, bindAddress=(self.cluster.settings.bind[0], 0)
-        ).connect(factory)
-        dialled.addErrback(
-            lambda why: logger.debug(
+        endpoint: Any = TCP4ClientEndpoint(
+            self.reactor, *address, timeout=CONNECT_TIMEOUT_S, bindAddress=(self.cluster.settings.bind[0], 0)
+        )
+        endpoint.connect(factory).addErrback(
+            lambda failure: logger.debug(
                 "member {member} can't be reached: {why}",
                 event="handoff-no-connection",
                 member=name,
-                why=why.type.__name__,
+                why=failure.type.__name__,
             )
         )
 
     # What connections call.
 
-    def joined(self, link: Link) -> None:
+    def on_established(self, connection: PeerConnection) -> None:
         """A member has proved who it is. A second connection replaces the first."""
-        assert link.hello is not None
-        before = self.peers.get(link.peer)
-        if before is not None:
-            self.coordinator.disconnected(link.peer)
-            before.end("replaced")
-        self.peers[link.peer] = link
-        self.dials.pop(link.peer, None)
-        self.coordinator.connected(self.clock.now(), link.peer, link.hello.memory_id, link.hello.incarnation)
-        self.pump()
-
-    def heard(self, link: Link, words: list[m.Message]) -> None:
-        """Words of a member, in order."""
+        peer, greeting = connection.peer, connection.greeting
+        earlier = self._established.get(peer)
+        if earlier is not None:
+            self.coordinator.disconnected(peer)
+            earlier.abort("replaced")
+        self._established[peer] = connection
+        self._dial_backoffs.pop(peer, None)
+        self.coordinator.connected(self.clock.now(), peer, greeting.memory_id, greeting.incarnation)
+        self.flush()
+
+    def on_messages(self, connection: PeerConnection, received: list[Message]) -> None:
+        """Messages of a member, in order."""
         now = self.clock.now()
-        for word in words:
-            if self.peers.get(link.peer) is link:
-                self.coordinator.receive(now, link.peer, word)
-        self.pump()
+        for message in received:
+            if self._established.get(connection.peer) is connection:
+                self.coordinator.receive(now, connection.peer, message)
+        self.flush()
 
-    def left(self, link: Link) -> None:
+    def on_closed(self, connection: PeerConnection) -> None:
         """A connection has ended."""
-        self.links.discard(link)
-        if self.peers.get(link.peer) is link:
-            del self.peers[link.peer]
-            self.coordinator.disconnected(link.peer)
-
-    def pump(self) -> None:
-        """Carry out what the coordinator has put out."""
-        if self.pumping:  # what is told to the front comes back here
+        self.connections.discard(connection)
+        if self._established.get(connection.peer) is connection:
+            del self._established[connection.peer]
+            self.coordinator.disconnected(connection.peer)
+
+    # What the coordinator decided.
+
+    def flush(self) -> None:
+        """Store, send and log what the coordinator has put out."""
+        if self._flushing:  # what the front is told comes back here
             return
-        self.pumping = True
+        self._flushing = True
         while self.coordinator.has_output:
-            out = self.coordinator.take_outbox()
-            if not self._written():
+            outbox = self.coordinator.take_outbox()
+            if not self._store_changes():
                 break
-            words: dict[str, list[bytes]] = {}
-            for peer, message in out:
-                if peer in self.peers:
-                    words.setdefault(peer, []).append(m.encode_message(message))
-            for peer, packed in words.items():
-                self.peers[peer].say(packed)
-            for notice in self.coordinator.take_events():
-                text = " ".join(f"{k}={v}" for k, v in notice.fields.items())
-                logger.info(
-                    "{what} key={key} {text}",
-                    event=notice.code,
-                    what=notice.code,
-                    key=notice.key,
-                    text=text,
-                    **notice.fields,
-                )
-        self.pumping = False
+            self._send(outbox)
+            for event in self.coordinator.take_events():
+                self._log(event)
+        self._flushing = False
 
-    def _written(self) -> bool:
-        """What changed is on disk, so that words that rest on it may leave."""
+    def _store_changes(self) -> bool:
+        """Write what changed to the store; whether messages that rest on it may leave."""
         table = self.coordinator.table
-        touched = table.changed_keys
-        if self.store is not None and touched:
-            from decklb.handoff.store import Kept
-
-            changes = {}
-            for key in touched:
-                record, granted = table.get(key), table.ballots.granted(key)
-                changes[key] = Kept(key, record, table.body(key), granted) if record or granted else None
+        if self.store is not None and table.changed_keys:
             try:
-                self.store.write(changes)
+                self.store.write_changes(table)
             except StoreError as error:
                 # Votes that may be forgotten are none: others take over what is held here.
                 logger.error(
@@ -349,20 +241,34 @@
                 self.coordinator.take_outbox()
                 self.close()
                 return False
-        touched.clear()
+        table.changed_keys.clear()
         return True
 
+    def _send(self, outbox: list[tuple[str, Message]]) -> None:
+        encoded: dict[str, list[bytes]] = {}
+        for peer, message in outbox:
+            if peer in self._established:
+                encoded.setdefault(peer, []).append(encode_message(message))
+        for peer, chunk in encoded.items():
+            self._established[peer].send_messages(chunk)
+
+    def _log(self, event: HandoffEvent) -> None:
+        text = " ".join(f"{name}={value}" for name, value in event.fields.items())
+        logger.info(
+            "{what} key={key} {text}", event=event.code, what=event.code, key=event.key, text=text, **event.fields
+        )
+
     def close(self) -> None:
         """The process ends; others take over what is held here once membership tells them."""
-        if self.closed:
+        if self._closed:
             return
-        self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.port is not None:
-            self.port.stopListening()
-        for link in list(self.links):
-            link.end("stopping")
+        self._closed = True
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._port is not None:
+            self._port.stopListening()
+        for connection in list(self.connections):
+            connection.abort("stopping")
         self.coordinator.close()
         if self.store is not None:
             self.store.close()
--- a/decklb/handoff/store.py
+++ b/decklb/handoff/store.py
@@ -1,99 +1,155 @@
-"""What a member remembers, kept on disk so that it outlives its process.
+"""What a member remembers, on disk (LMDB), so that it outlives its process.
 
-Everything is written before a word that rests on it leaves, without a sync: it outlives the process, not the machine.
-After the machine's own restart it counts as forgotten, which is told by the kernel's boot id. Deadlines are on the
-monotonic clock, which goes on from one process to the next until then.
+Everything is written before a message that rests on it leaves, without a sync: it outlives the process, not the
+machine. After the machine's own restart, which the kernel's boot id tells, it counts as forgotten. Deadlines are on the
+monotonic clock, which goes on from one process to the next until then. The names of LMDB's keys, the order of the
+fields and the version are the stored form. `runtime.py` owns the one store of a member.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import dataclass
 from hashlib import blake2b
 from pathlib import Path
 
 import lmdb
 import msgspec
 
+from decklb.handoff.ballots import Ballot
 from decklb.handoff.errors import StoreError
+from decklb.handoff.record_table import RecordTable
 from decklb.handoff.records import Record
 
-VERSION = 1
-BOOT = Path("/proc/sys/kernel/random/boot_id")
-_HEAD = b"\0head"  # no key's name, which are 32 bytes
+STORE_VERSION = 1
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
+MAP_FACTOR = 8  # LMDB's map to bytes of records: it copies on write, and its pages are larger than most records
+MIN_MAP_BYTES = 64 << 20
+ENTRY_KEY_BYTES = 32  # of the digest under which a key's entry stands
+_HEADER_KEY = b"\0head"  # shorter than any entry's
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True):
-    """What is held of one key."""
+class StoredEntry(msgspec.Struct, array_like=True, frozen=True):
+    """What is kept of one key."""
 
     key: str
     record: Record | None
-    body: bytes | None
-    granted: tuple[int, str] | None
+    body: bytes | None  # the request itself
+    granted: Ballot | None  # the highest ballot granted
 
 
-class Head(msgspec.Struct, array_like=True, frozen=True):
-    """Whose memory it is, and since when it reaches back."""
+class _Header(msgspec.Struct, array_like=True, frozen=True):
+    """Whose memory the store is."""
 
     version: int
     member: str
-    boot: str
-    memory: int
-    born: float
+    boot_id: str
+    memory_id: int
+    since_ms: float
+
+    def is_of(self, member: str, boot: str) -> bool:
+        """Whether it was written by this member, since the machine's start."""
+        return bool(boot) and (self.version, self.member, self.boot_id) == (STORE_VERSION, member, boot)
+
+
+@dataclass(frozen=True, slots=True)
+class StoredMemory:
+    """What a member remembers at its start."""
+
+    memory_id: int
+    since_ms: float  # on the monotonic clock
+    entries: list[StoredEntry]
 
 
 _encoder = msgspec.msgpack.Encoder()
-_kept, _head = msgspec.msgpack.Decoder(Kept), msgspec.msgpack.Decoder(Head)
+_entry_decoder = msgspec.msgpack.Decoder(StoredEntry)
+_header_decoder = msgspec.msgpack.Decoder(_Header)
 
 
 def boot_id() -> str:
-    """Another after each start of the machine; "" where the kernel does not say, and then nothing is trusted."""
+    """Names the machine's run since its start; "" where the kernel does not say, and then nothing is trusted."""
     try:
-        return BOOT.read_text().strip()
+        return BOOT_ID_FILE.read_text().strip()
     except OSError:
         return ""
 
 
 class Store:
-    """One member's folder."""
+    """The folder of one member."""
+
+    def __init__(self, folder: str, max_bytes: int) -> None:
+        """Open or make the folder.
 
-    def __init__(self, folder: str, room: int) -> None:
-        """`room`: bytes of records it holds at most. Raises StoreError."""
+        Args:
+            folder: Where LMDB's files stand.
+            max_bytes: Of records and requests that it holds.
+
+        Raises:
+            StoreError: The folder can't be used.
+        """
         self.folder = folder
         try:
             Path(folder).mkdir(parents=True, exist_ok=True)
-            # Copy on write, and pages of 4 KiB for values of a few hundred bytes: several times what is held.
-            self._env = lmdb.open(folder, map_size=8 * room + (64 << 20), sync=False, metasync=False, mode=0o600)
+            map_bytes = MAP_FACTOR * max_bytes + MIN_MAP_BYTES
+            self._env = lmdb.open(folder, map_size=map_bytes, sync=False, metasync=False, mode=0o600)
         except (OSError, lmdb.Error) as error:
             raise StoreError(f"{folder}: {error}") from error
 
-    def open(self, member: str, memory: int, now: float, boot: str) -> tuple[int, float, list[Kept]]:
-        """The name of the memory, since when it reaches back, and what it holds. `memory` names a new one, which
-        begins where none of this member and this start of the machine is found. Raises StoreError."""
+    def open(self, member: str, new_memory_id: int, now: float, boot: str) -> StoredMemory:
+        """Read what this member wrote since the machine's start, or begin an empty memory.
+
+        Args:
+            member: This member's name.
+            new_memory_id: Names the memory that begins where none is found.
+            now: When it then begins, on the monotonic clock in ms.
+            boot: The machine's `boot_id`.
+
+        Raises:
+            StoreError: The folder can't be read or written.
+        """
         try:
             with self._env.begin(write=True) as txn:
-                raw = txn.get(_HEAD)
-                head = _head.decode(raw) if raw is not None else None
-                if head is not None and (head.version, head.member, head.boot) == (VERSION, member, boot) and boot:
-                    return head.memory, head.born, [_kept.decode(v) for k, v in txn.cursor() if k != _HEAD]
+                raw = txn.get(_HEADER_KEY)
+                header = _header_decoder.decode(raw) if raw is not None else None
+                if header is not None and header.is_of(member, boot):
+                    entries = [_entry_decoder.decode(value) for key, value in txn.cursor() if key != _HEADER_KEY]
+                    return StoredMemory(header.memory_id, header.since_ms, entries)
                 txn.drop(self._env.open_db(txn=txn), delete=False)
-                txn.put(_HEAD, _encoder.encode(Head(VERSION, member, boot, memory, now)))
-                return memory, now, []
+                txn.put(_HEADER_KEY, _encoder.encode(_Header(STORE_VERSION, member, boot, new_memory_id, now)))
+                return StoredMemory(new_memory_id, now, [])
         except (lmdb.Error, msgspec.DecodeError, msgspec.ValidationError) as error:
             raise StoreError(f"{self.folder}: {error}") from error
 
-    def write(self, changes: Mapping[str, Kept | None]) -> None:
-        """All of these or none; None: nothing is held of the key any more. Raises StoreError."""
+    def write(self, changes: Mapping[str, StoredEntry | None]) -> None:
+        """Write all of these entries or none; None deletes a key's entry.
+
+        Raises:
+            StoreError: The folder can't be written.
+        """
         try:
             with self._env.begin(write=True) as txn:
-                for key, kept in changes.items():
-                    name = blake2b(key.encode(), digest_size=32).digest()
-                    if kept is None:
-                        txn.delete(name)
+                for key, entry in changes.items():
+                    entry_key = blake2b(key.encode(), digest_size=ENTRY_KEY_BYTES).digest()
+                    if entry is None:
+                        txn.delete(entry_key)
                     else:
-                        txn.put(name, _encoder.encode(kept))
+                        txn.put(entry_key, _encoder.encode(entry))
         except lmdb.Error as error:
             raise StoreError(f"{self.folder}: {error}") from error
 
+    def write_changes(self, table: RecordTable) -> None:
+        """Write what a table has of the keys that changed.
+
+        Raises:
+            StoreError: The folder can't be written.
+        """
+        changes: dict[str, StoredEntry | None] = {}
+        for key in table.changed_keys:
+            record, granted = table.get(key), table.ballots.granted(key)
+            known = record is not None or granted is not None
+            changes[key] = StoredEntry(key, record, table.body(key), granted) if known else None
+        self.write(changes)
+
     def close(self) -> None:
         """Nothing is written after this."""
         self._env.close()
--- a/tests/test_handoff_store.py
+++ b/tests/test_handoff_store.py
@@ -12,7 +12,7 @@
 from decklb.handoff.record_table import RecordTable
 from decklb.handoff.records import Outcome
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.store import Kept, Store
+from decklb.handoff.store import Store, StoredEntry, StoredMemory
 from decklb.lab.outage import Fleet, Setup
 from decklb.lab.verdict import judge
 from tests.test_handoff import record
@@ -36,17 +36,20 @@
             store.close()
 
     def test_what_was_written_is_found_by_the_next_process(self):
-        kept = Kept("k", record().with_attempt("e1"), b"body", (2, "s1"))
-        gone = Kept("g", record("g"), b"body", None)
-        self.assertEqual(self.opened(writes={"k": kept, "g": gone}), (7, 1000.0, []))
-        self.assertEqual(self.opened(memory=8, now=2000.0, writes={"g": None})[:2], (7, 1000.0))
-        self.assertEqual(self.opened(memory=9, now=3000.0), (7, 1000.0, [kept]))
+        kept = StoredEntry("k", record().with_attempt("e1"), b"body", (2, "s1"))
+        gone = StoredEntry("g", record("g"), b"body", None)
+        self.assertEqual(self.opened(writes={"k": kept, "g": gone}), StoredMemory(7, 1000.0, []))
+        reopened = self.opened(memory=8, now=2000.0, writes={"g": None})
+        self.assertEqual((reopened.memory_id, reopened.since_ms), (7, 1000.0))
+        self.assertEqual(self.opened(memory=9, now=3000.0), StoredMemory(7, 1000.0, [kept]))
 
     def test_another_member_or_start_of_the_machine_begins_without_memory(self):
-        self.opened(writes={"k": Kept("k", record(), b"body", None)})
-        self.assertEqual(self.opened(boot="b2", memory=8, now=5.0), (8, 5.0, []))
-        self.assertEqual(self.opened(member="m1", boot="b2", memory=9, now=6.0), (9, 6.0, []))
-        self.assertEqual(self.opened(member="m1", boot="", memory=10, now=7.0), (10, 7.0, []))  # nobody can say
+        self.opened(writes={"k": StoredEntry("k", record(), b"body", None)})
+        self.assertEqual(self.opened(boot="b2", memory=8, now=5.0), StoredMemory(8, 5.0, []))
+        self.assertEqual(self.opened(member="m1", boot="b2", memory=9, now=6.0), StoredMemory(9, 6.0, []))
+        self.assertEqual(
+            self.opened(member="m1", boot="", memory=10, now=7.0), StoredMemory(10, 7.0, [])
+        )  # nobody can say
 
     def test_a_folder_that_can_t_be_used_or_is_full_says_so(self):
         with open(self.path, "w"):
@@ -58,7 +61,7 @@
         self.addCleanup(store.close)
         store.open("m0", 1, 0.0, "b")
         with self.assertRaisesRegex(StoreError, "(?i)full"):
-            store.write({f"k{i}": Kept(f"k{i}", None, b"x" * (1 << 20), None) for i in range(100)})
+            store.write({f"k{i}": StoredEntry(f"k{i}", None, b"x" * (1 << 20), None) for i in range(100)})
 
     def test_a_table_restored_grants_and_admits_as_before(self):
         settings = HandoffSettings()
--- a/tests/test_handoff_stored_records.py
+++ b/tests/test_handoff_stored_records.py
@@ -12,7 +12,7 @@
 from decklb.handoff.member_state import FrontCallbacks
 from decklb.handoff.records import Outcome, Stage
 from decklb.handoff.settings import HandoffSettings
-from decklb.handoff.store import Kept, Store
+from decklb.handoff.store import Store, StoredEntry, StoredMemory
 from tests.handoff_samples import BODY, MEMBERS, new_record, records
 
 ARCHIVE = Path(__file__).parent / "golden/handoff/store.zip"  # written as member m0, boot "boot-1", memory 4711
@@ -29,10 +29,10 @@
     )
     answered = replace(new_record("key-answered"), deadline_ms=DEADLINE).with_answer(Outcome.SERVED, b"rows", 9)
     return {
-        "key-1": Kept("key-1", lost, BODY, None),
-        "key-own": Kept("key-own", own, BODY, (4, "m1")),
-        "key-answered": Kept("key-answered", answered, None, None),
-        "key-granted": Kept("key-granted", None, None, (9, "m2")),
+        "key-1": StoredEntry("key-1", lost, BODY, None),
+        "key-own": StoredEntry("key-own", own, BODY, (4, "m1")),
+        "key-answered": StoredEntry("key-answered", answered, None, None),
+        "key-granted": StoredEntry("key-granted", None, None, (9, "m2")),
     }
 
 
@@ -53,26 +53,26 @@
 def restored(store):
     """The member that comes back with what the earlier version kept."""
     settings = HandoffSettings()
-    memory, born, kept = store.open("m0", 12, NOW, "boot-1")
+    memory = store.open("m0", 12, NOW, "boot-1")
     member = HandoffCoordinator(
         settings,
         "m0",
         6,
-        memory,
-        NOW - born,
+        memory.memory_id,
+        NOW - memory.since_ms,
         random.Random(1),
         NOW,
         FrontCallbacks(lambda record, body: None, lambda key: None),
     )
-    for entry in kept:
+    for entry in memory.entries:
         member.restore(entry.key, entry.record, entry.body, entry.granted, NOW)
     return member
 
 
 def test_entries_of_an_earlier_version_are_read(store):
-    memory, born, kept = store.open("m0", 12, NOW, "boot-1")
-    assert (memory, born) == (4711, WRITTEN_AT)
-    assert {entry.key: entry for entry in kept} == written_entries()
+    memory = store.open("m0", 12, NOW, "boot-1")
+    assert (memory.memory_id, memory.since_ms) == (4711, WRITTEN_AT)
+    assert {entry.key: entry for entry in memory.entries} == written_entries()
 
 
 def test_restored_member_answers_votes_and_takes_over_by_what_was_stored(store):
@@ -105,9 +105,9 @@
     assert (held.holder, held.holder_incarnation, held.term, held.stage) == ("m0", 6, 4, Stage.SENT)
     assert member.table.body("key-1") == BODY
     # What it knows now is written on, and found again.
-    store.write({"key-1": Kept("key-1", held, BODY, (4, "m0")), "key-granted": None})
-    _, _, kept = store.open("m0", 13, NOW, "boot-1")
-    assert {entry.key: entry.record for entry in kept} == {
+    store.write({"key-1": StoredEntry("key-1", held, BODY, (4, "m0")), "key-granted": None})
+    memory = store.open("m0", 13, NOW, "boot-1")
+    assert {entry.key: entry.record for entry in memory.entries} == {
         "key-1": held,
         "key-own": written_entries()["key-own"].record,
         "key-answered": written_entries()["key-answered"].record,
@@ -115,4 +115,4 @@
 
 
 def test_another_boot_of_the_machine_forgets_what_was_stored(store):
-    assert store.open("m0", 12, NOW, "boot-2") == (12, NOW, [])
+    assert store.open("m0", 12, NOW, "boot-2") == StoredMemory(12, NOW, [])
--- a/tests/test_handoff_wire_format.py
+++ b/tests/test_handoff_wire_format.py
@@ -12,7 +12,7 @@
 from decklb.handoff import messages
 from decklb.handoff.errors import FrameError
 from decklb.handoff.records import Record
-from decklb.handoff.store import Kept
+from decklb.handoff.store import StoredEntry
 from tests.handoff_samples import BODY, greeting, messages_by_tag, records
 
 GOLDEN = json.loads((Path(__file__).parent / "golden/handoff/wire_format.json").read_text())
@@ -82,14 +82,14 @@
     entry = stored_entries()[name]
     packed = bytes.fromhex(GOLDEN["stored"][name])
     assert ENCODER.encode(entry) == packed
-    assert msgspec.msgpack.decode(packed, type=Kept) == entry
+    assert msgspec.msgpack.decode(packed, type=StoredEntry) == entry
 
 
 def stored_entries():
     return {
-        "record-and-grant": Kept("key-1", records()["attempted"], BODY, (9, "m2")),
-        "grant-alone": Kept("key-1", None, None, (9, "m2")),
-        "answer": Kept("key-1", records()["answered"], None, None),
+        "record-and-grant": StoredEntry("key-1", records()["attempted"], BODY, (9, "m2")),
+        "grant-alone": StoredEntry("key-1", None, None, (9, "m2")),
+        "answer": StoredEntry("key-1", records()["answered"], None, None),
     }
 
 
