--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 
 FLEETS = {
     "test_handoff_program": "fleets-1",
-    "test_handoff_store": "fleets-1",
+    "test_handoff_restarts": "fleets-1",
     "test_upkeep": "fleets-2",
     "test_regions": "fleets-2",
     "test_middleware_fleet": "fleets-2",
--- a/tests/handoff_samples.py
+++ b/tests/handoff_samples.py
@@ -1,11 +1,19 @@
-"""Messages and records of every kind whose bytes `tests/golden/handoff/` keeps; built by position, as on the wire."""
+"""Builders of the handoff's tests, and messages and records of every kind, whose bytes `tests/golden/handoff/` keeps.
+
+Messages are built by position, as they are on the wire.
+"""
 
 from msgspec.structs import replace
 
 from decklb.handoff import messages
 from decklb.handoff.records import Outcome, Record, fingerprint
+from decklb.handoff.settings import HandoffSettings
 from decklb.interface import Effect
 
+SMALL_SETTINGS = HandoffSettings(
+    max_records=4, lease_ms=1000.0, max_clock_drift=0.0, answer_retention_ms=100.0, deadline_grace_ms=0.0
+)
+VOTERS = ("s1", "s2", "s3")
 BODY = b"select 1 -- a request"
 MEMBERS = ("m0", "m1", "m2")
 
@@ -17,6 +25,12 @@
     )
 
 
+def small_record(key="k", effect=Effect.SAFE, **changes):
+    """A request of the member o, which is no voter of it."""
+    made = Record(key, "o", 1, 0, "cusco", "consulta", effect, 5000.0, fingerprint(key.encode()), voters=VOTERS)
+    return replace(made, **changes)
+
+
 def records():
     """One record for each stage and transition."""
     first = new_record()
