--- a/decklb/handoff/admission.py
+++ b/decklb/handoff/admission.py
@@ -110,7 +110,7 @@
         if message.reason == RejectReason.KEY_REUSED:
             on_result(AdmissionResult(AdmissionState.KEY_REUSED))
         else:
-            self._lookups.ask(now, message.holder, message.key, held.record.request_digest, on_result)
+            self._lookups.ask_holder(now, message.holder, message.key, held.record.request_digest, on_result)
 
     def cancel(self, held: HeldRequest, reason: str) -> None:
         """Reject a request whose admission is still to be decided."""
--- a/decklb/handoff/coordinator.py
+++ b/decklb/handoff/coordinator.py
@@ -22,7 +22,7 @@
 from decklb.handoff.held_request import HeldRequest, QuorumCallback
 from decklb.handoff.leases import LeaseSupervisor
 from decklb.handoff.lookups import Lookups
-from decklb.handoff.member_state import REJECT_COUNTERS, FrontCallbacks, HandoffEvent, MemberState
+from decklb.handoff.member_state import REJECT_COUNTERS, HandoffEvent, MemberState, RequestRunner
 from decklb.handoff.messages import Message, RejectReason
 from decklb.handoff.record_table import RecordTable
 from decklb.handoff.records import Outcome, Record, Stage
@@ -47,7 +47,7 @@
         memory_age_ms: float,
         rng: random.Random,
         now: float,
-        front: FrontCallbacks,
+        runner: RequestRunner,
     ) -> None:
         """Wire the mechanisms of one member.
 
@@ -59,10 +59,10 @@
             memory_age_ms: How far that reaches back: 0 at a start without a store.
             rng: Spreads claims that are repeated.
             now: This member's clock.
-            front: Runs and stops requests.
+            runner: Runs and stops requests.
         """
         self.settings, self.member, self.incarnation = settings, member, incarnation
-        self.state = state = MemberState(settings, member, incarnation, rng, front)
+        self.state = state = MemberState(settings, member, incarnation, rng, runner)
         self.memory = VoterMemory(settings, memory_id, now - memory_age_ms)
         self._replicator = Replicator(state)
         self._attempts = Attempts(state, self._replicator)
--- a/decklb/handoff/leases.py
+++ b/decklb/handoff/leases.py
@@ -40,7 +40,7 @@
     def stop(self, held: HeldRequest) -> None:
         """Cancel what waits and what runs of a request here."""
         held.fail_pending()
-        self._state.front.stop(held.key)
+        self._state.runner.stop(held.key)
 
     def resume(self, now: float, held: HeldRequest) -> None:
         """This member may act on what it took over, or on what it had suspended."""
@@ -64,7 +64,7 @@
         if body is None:  # an answer too large to replicate: only its holder had the request by then
             self._replicator.release(held)
         else:
-            self._state.front.run(held.record, body)
+            self._state.runner.run(held.record, body)
 
     def on_fenced(self, voter: str, key: str, ballot: Ballot) -> None:
         """A voter granted a higher claim of a key: it counts for the record held here no more."""
--- a/decklb/handoff/lookups.py
+++ b/decklb/handoff/lookups.py
@@ -39,7 +39,7 @@
             return
         record = self._state.table.get(key)
         assert record is not None
-        self.ask(now, record.holder, key, request_digest, on_result)
+        self.ask_holder(now, record.holder, key, request_digest, on_result)
 
     def _find_held(self, now: float, held: HeldRequest, on_result: ResultCallback) -> None:
         record = held.record
@@ -58,7 +58,7 @@
         outcome = record.outcome if record.answer_retained else Outcome.FAILED
         on_result(AdmissionResult(AdmissionState.ANSWERED, outcome, record.answer, record.reason))
 
-    def ask(self, now: float, holder: str, key: str, request_digest: str, on_result: ResultCallback) -> None:
+    def ask_holder(self, now: float, holder: str, key: str, request_digest: str, on_result: ResultCallback) -> None:
         """Ask the holder of a key."""
         fleet = self._state.fleet
         if holder not in fleet.connected or holder not in fleet.alive:
--- a/decklb/handoff/member_state.py
+++ b/decklb/handoff/member_state.py
@@ -43,8 +43,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontCallbacks:
-    """What the handoff asks of the front.
+class RequestRunner:
+    """Callbacks by which the handoff runs and stops requests at the front.
 
     Attributes:
         run: Run a request that was taken over, or taken up again; its body is the request as the front encoded it.
@@ -59,10 +59,10 @@
     """State of one member that more than one mechanism uses."""
 
     def __init__(
-        self, settings: HandoffSettings, member: str, incarnation: int, rng: random.Random, front: FrontCallbacks
+        self, settings: HandoffSettings, member: str, incarnation: int, rng: random.Random, runner: RequestRunner
     ) -> None:
         """`member` and `incarnation` name this process, as membership does; `rng` spreads claims that are repeated."""
-        self.settings, self.member, self.incarnation, self.rng, self.front = settings, member, incarnation, rng, front
+        self.settings, self.member, self.incarnation, self.rng, self.runner = settings, member, incarnation, rng, runner
         self.table = RecordTable(settings)
         self.leases = LeaseTracker(settings, member)
         self.fleet = FleetView(settings, member, incarnation, self.leases)
--- a/decklb/handoff/record_table.py
+++ b/decklb/handoff/record_table.py
@@ -72,14 +72,14 @@
         Raises:
             KeyReusedError: The key was given to another request.
         """
-        kept = self._records.get(key)
-        if kept is None:
+        existing = self._records.get(key)
+        if existing is None:
             return UNKNOWN_KEY
-        if kept.request_digest != request_digest:
+        if existing.request_digest != request_digest:
             raise KeyReusedError(key)
-        if kept.stage >= Stage.ANSWERED:
-            return TableEntry(outcome=kept.outcome, answer=kept.answer, reason=kept.reason)
-        return TableEntry(holder=kept.holder)
+        if existing.stage >= Stage.ANSWERED:
+            return TableEntry(outcome=existing.outcome, answer=existing.answer, reason=existing.reason)
+        return TableEntry(holder=existing.holder)
 
     def add(self, record: Record, body: bytes = b"") -> Record:
         """Keep a request that this member admits; the same request again gets the record it has.
@@ -88,11 +88,11 @@
             KeyReusedError: The key was given to another request.
             RecordLimitError: There is no capacity for it.
         """
-        kept = self._records.get(record.key)
-        if kept is not None:
-            if kept.request_digest != record.request_digest:
+        existing = self._records.get(record.key)
+        if existing is not None:
+            if existing.request_digest != record.request_digest:
                 raise KeyReusedError(record.key)
-            return kept
+            return existing
         if self._is_full(len(body)):
             raise RecordLimitError(self._settings.max_records)
         self._put(record, body)
@@ -111,22 +111,22 @@
         """
         if not self.ballots.admits(record):
             return False
-        kept = self._records.get(record.key)
-        if kept is not None:
-            same_request = kept.request_digest == record.request_digest
-            if not same_request or not record.supersedes(kept):
-                return same_request and kept.precedence() == record.precedence()  # the same version twice
-        if self._is_full(len(body or b"") + len(record.answer), new_record=kept is None):
+        existing = self._records.get(record.key)
+        if existing is not None:
+            same_request = existing.request_digest == record.request_digest
+            if not same_request or not record.supersedes(existing):
+                return same_request and existing.precedence() == record.precedence()  # the same version twice
+        if self._is_full(len(body or b"") + len(record.answer), new_record=existing is None):
             return False
         self._put(replace(record, deadline_ms=now + remaining_ms), body)
         return True
 
     def start_claim(self, key: str, claimer: str, min_term: int = 0) -> Claim | None:
         """A claim of a record kept here, above any term granted here; None where none is kept."""
-        kept = self._records.get(key)
-        if kept is None:
+        existing = self._records.get(key)
+        if existing is None:
             return None
-        return Claim.start(kept, claimer, self._settings, max(min_term, self.ballots.highest_term(key)))
+        return Claim.start(existing, claimer, self._settings, max(min_term, self.ballots.highest_term(key)))
 
     def grant(self, key: str, ballot: Ballot, now: float) -> bool:
         """Grant another member's claim if its ballot is the highest; whether it was.
@@ -145,13 +145,13 @@
         If the record was admitted, its term is remembered until the record would have expired: another voter may have
         missed the release, and its stale replica must not supersede what is admitted next.
         """
-        kept = self._records.pop(key, None)
-        if kept is not None:
+        existing = self._records.pop(key, None)
+        if existing is not None:
             self.changed_keys[key] = None
-            self.bytes_retained -= len(kept.answer)
+            self.bytes_retained -= len(existing.answer)
             self._drop_body(key)
-            if kept.admitted:
-                self.ballots.require_above(key, kept.term)
+            if existing.admitted:
+                self.ballots.require_above(key, existing.term)
 
     def restore(self, key: str, record: Record | None, body: bytes | None, granted: Ballot | None, now: float) -> None:
         """Take back what an earlier process of this member stored of a key."""
@@ -165,10 +165,10 @@
         dropped = []
         while self._expiries and self._expiries[0][0] < now:
             _, key = heapq.heappop(self._expiries)
-            kept = self._records.get(key)
-            if kept is None:
+            existing = self._records.get(key)
+            if existing is None:
                 self.ballots.forget(key)
-            elif now > self._expiry_of(kept):
+            elif now > self._expiry_of(existing):
                 self.remove(key)
                 self.ballots.forget(key)
                 dropped.append(key)
@@ -183,17 +183,17 @@
         return new_record and len(self._records) >= self._settings.max_records
 
     def _put(self, record: Record, body: bytes | None) -> None:
-        key, kept = record.key, self._records.get(record.key)
+        key, existing = record.key, self._records.get(record.key)
         self.changed_keys[key] = None
         self._records[key] = record
-        self.bytes_retained += len(record.answer) - (len(kept.answer) if kept is not None else 0)
+        self.bytes_retained += len(record.answer) - (len(existing.answer) if existing is not None else 0)
         if record.stage >= Stage.ANSWERED:
             self._drop_body(key)
         elif body is not None:
             self._drop_body(key)
             self._bodies[key] = body
             self.bytes_retained += len(body)
-        if kept is None or kept.deadline_ms != record.deadline_ms:
+        if existing is None or existing.deadline_ms != record.deadline_ms:
             heapq.heappush(self._expiries, (self._expiry_of(record), key))
 
     def _drop_body(self, key: str) -> None:
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -24,7 +24,7 @@
 from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.handoff.errors import StoreError
 from decklb.handoff.guard import Guard
-from decklb.handoff.member_state import FrontCallbacks, HandoffEvent
+from decklb.handoff.member_state import HandoffEvent, RequestRunner
 from decklb.handoff.messages import MAX_FRAME_BYTES, Message, encode_message
 from decklb.handoff.peer_connection import PeerConnection, PeerConnectionFactory
 from decklb.handoff.settings import HandoffSettings
@@ -100,7 +100,7 @@
             now - memory.since_ms if memory is not None else 0.0,
             random.Random(os.urandom(16)),
             now,
-            FrontCallbacks(guard.adopt, guard.stop),
+            RequestRunner(guard.adopt, guard.stop),
         )
         for entry in memory.entries if memory is not None else ():
             coordinator.restore(entry.key, entry.record, entry.body, entry.granted, now)
--- a/decklb/handoff/takeover.py
+++ b/decklb/handoff/takeover.py
@@ -200,8 +200,8 @@
         """The lease of whoever held the record has ended: it is held here from now on."""
         del self._active[key]
         state, claimed = self._state, active.claim.record
-        kept = state.table.get(key)
-        if kept is None or _tenure(kept) != _tenure(claimed):
+        existing = state.table.get(key)
+        if existing is None or _tenure(existing) != _tenure(claimed):
             return  # its holder released it, and the key may have been admitted anew
         record = active.claim.claimed_record(state.incarnation)
         if not state.table.ballots.admits(record):  # a higher claim was granted meanwhile
--- a/decklb/handoff/voting.py
+++ b/decklb/handoff/voting.py
@@ -45,14 +45,18 @@
         state, record = self._state, message.record
         if record.holder != peer or state.member not in record.voters:
             return
-        kept = state.table.get(record.key)
-        reason = self._reject_reason(now, message, kept)
+        existing = state.table.get(record.key)
+        reason = self._reject_reason(now, message, existing)
         if reason is None and not state.table.receive_replica(record, message.remaining_ms, now, message.body):
-            if kept is not None and kept.holder == record.holder and kept.precedence() > record.precedence():
+            if (
+                existing is not None
+                and existing.holder == record.holder
+                and existing.precedence() > record.precedence()
+            ):
                 return  # an older version, late: the newer one was acknowledged
             reason = RejectReason.OUT_OF_CAPACITY
         if reason is not None:
-            self._reject(message, reason, kept)
+            self._reject(message, reason, existing)
             return
         held = state.held.get(record.key)
         if held is not None and held.record.holder != record.holder:
@@ -60,16 +64,16 @@
         self._takeover.unschedule(record.key)
         state.send(peer, ReplicateAck(record.key, record.term, record.version, message.sent_at_ms))
 
-    def _reject_reason(self, now: float, message: Replicate, kept: Record | None) -> RejectReason | None:
-        """Why a version must not be kept; None where only the capacity may be lacking."""
+    def _reject_reason(self, now: float, message: Replicate, existing: Record | None) -> RejectReason | None:
+        """Why a version must not be existing; None where only the capacity may be lacking."""
         record = message.record
-        if kept is None:
+        if existing is None:
             if not self._memory.covers(now, record.key_generated and not record.admitted, message.age_ms):
                 return RejectReason.MEMORY_TOO_SHORT
-        elif (kept.holder, kept.holder_incarnation) != (record.holder, record.holder_incarnation) and (
-            message.new_key or record.term <= kept.term
+        elif (existing.holder, existing.holder_incarnation) != (record.holder, record.holder_incarnation) and (
+            message.new_key or record.term <= existing.term
         ):
-            same_request = kept.request_digest == record.request_digest
+            same_request = existing.request_digest == record.request_digest
             return RejectReason.KEY_HELD if same_request else RejectReason.KEY_REUSED
         if not self._state.table.ballots.admits(record):
             return RejectReason.FENCED
@@ -77,10 +81,10 @@
             return RejectReason.BODY_MISSING
         return None
 
-    def _reject(self, message: Replicate, reason: RejectReason, kept: Record | None) -> None:
+    def _reject(self, message: Replicate, reason: RejectReason, existing: Record | None) -> None:
         record = message.record
         held_elsewhere = reason in (RejectReason.KEY_HELD, RejectReason.KEY_REUSED)
-        holder = kept.holder if kept is not None and held_elsewhere else ""
+        holder = existing.holder if existing is not None and held_elsewhere else ""
         highest_term = self._state.table.ballots.highest_term(record.key)
         self._state.send(
             record.holder,
@@ -90,39 +94,39 @@
     def on_claim(self, now: float, peer: str, message: ClaimRequest) -> None:
         """A member claims a key, since its holder is lost in its view."""
         state, key, ballot = self._state, message.key, (message.term, peer)
-        kept = state.table.get(key)
+        existing = state.table.get(key)
         highest_term = state.table.ballots.highest_term(key)
-        if kept is None and not self._memory.covers(now, False, 0.0):
+        if existing is None and not self._memory.covers(now, False, 0.0):
             state.send(peer, ClaimReject(key, message.term, RejectReason.MEMORY_TOO_SHORT, highest_term))
             return
-        if kept is not None and kept.holder != peer and state.fleet.holder_alive(kept):
+        if existing is not None and existing.holder != peer and state.fleet.holder_alive(existing):
             state.send(peer, ClaimReject(key, message.term, RejectReason.HOLDER_ALIVE, highest_term))
             return
-        if (kept is not None and message.term <= kept.term) or not state.table.grant(key, ballot, now):
-            highest_term = max(highest_term, kept.term if kept is not None else 0)
+        if (existing is not None and message.term <= existing.term) or not state.table.grant(key, ballot, now):
+            highest_term = max(highest_term, existing.term if existing is not None else 0)
             state.send(peer, ClaimReject(key, message.term, RejectReason.TERM_TOO_LOW, highest_term))
             return
-        if kept is not None:
-            self._fencing.fence(kept, ballot)
+        if existing is not None:
+            self._fencing.fence(existing, ballot)
         held = state.held.get(key)
         if held is not None and held.record.term < message.term:
             self._leases.give_up(held)
         self._takeover.yield_to(now, key, ballot)
-        self._send_grant(now, peer, message, kept)
+        self._send_grant(now, peer, message, existing)
 
-    def _send_grant(self, now: float, peer: str, message: ClaimRequest, kept: Record | None) -> None:
+    def _send_grant(self, now: float, peer: str, message: ClaimRequest, existing: Record | None) -> None:
         record, remaining_ms = None, 0.0
-        if kept is not None:
-            record, remaining_ms = replace(kept, deadline_ms=0.0), kept.deadline_ms - now
+        if existing is not None:
+            record, remaining_ms = replace(existing, deadline_ms=0.0), existing.deadline_ms - now
         body = self._state.table.body(message.key)
         self._state.send(peer, ClaimGrant(message.key, message.term, record, remaining_ms, body))
 
     def on_release(self, peer: str, message: Release) -> None:
         """A holder released a key."""
-        kept = self._state.table.get(message.key)
+        existing = self._state.table.get(message.key)
         if (
-            kept is not None
-            and (kept.holder, kept.holder_incarnation) == (peer, message.holder_incarnation)
-            and self._state.table.ballots.admits(kept)
+            existing is not None
+            and (existing.holder, existing.holder_incarnation) == (peer, message.holder_incarnation)
+            and self._state.table.ballots.admits(existing)
         ):
             self._state.table.remove(message.key)
--- a/decklb/lab/handoff.py
+++ b/decklb/lab/handoff.py
@@ -20,7 +20,7 @@
 
 from decklb.handoff.admission_result import AdmissionResult, AdmissionState
 from decklb.handoff.coordinator import HandoffCoordinator
-from decklb.handoff.member_state import FrontCallbacks
+from decklb.handoff.member_state import RequestRunner
 from decklb.handoff.records import Outcome, Record, fingerprint
 from decklb.handoff.settings import HandoffSettings
 from decklb.interface import Effect
@@ -223,7 +223,7 @@
             0.0,
             random.Random(world.rng.random()),
             self.clock(),
-            FrontCallbacks(self.adopt, self.stop),
+            RequestRunner(self.adopt, self.stop),
         )
         world.at(world.now, self.look)
         world.at(world.now + world.rng.uniform(0, TICK), self.tick)
--- a/tests/test_handoff_stored_records.py
+++ b/tests/test_handoff_stored_records.py
@@ -9,7 +9,7 @@
 
 from decklb.handoff import messages
 from decklb.handoff.coordinator import HandoffCoordinator
-from decklb.handoff.member_state import FrontCallbacks
+from decklb.handoff.member_state import RequestRunner
 from decklb.handoff.records import Outcome, Stage
 from decklb.handoff.settings import HandoffSettings
 from decklb.handoff.store import Store, StoredEntry, StoredMemory
@@ -62,7 +62,7 @@
         NOW - memory.since_ms,
         random.Random(1),
         NOW,
-        FrontCallbacks(lambda record, body: None, lambda key: None),
+        RequestRunner(lambda record, body: None, lambda key: None),
     )
     for entry in memory.entries:
         member.restore(entry.key, entry.record, entry.body, entry.granted, NOW)
