--- a/decklb/handoff/admission.py
+++ b/decklb/handoff/admission.py
@@ -64,7 +64,7 @@
             return
         self._takeover.cancel(key)
         held = state.held[key] = HeldRequest(record, now, on_admission=on_result)
-        if not self._memory.covers(now, record.key_generated, 0.0):
+        if not self._memory.covers(now, record.key_generated, age_ms=0.0):
             held.ineligible_voters.add(state.member)
         self._replicator.await_quorum(now, held, lambda reached: self._decided(held, reached))
         self._replicator.replicate(now, held)
--- a/decklb/handoff/leases.py
+++ b/decklb/handoff/leases.py
@@ -45,7 +45,7 @@
     def resume(self, now: float, held: HeldRequest) -> None:
         """This member may act on what it took over, or on what it had suspended."""
         held.suspended = False
-        decision = decide_takeover(held.record, now, self._state.settings)
+        decision = decide_takeover(held.record, now)
         self._state.counters[f"resumed-{decision.reason}"] += 1
         self._state.log(
             "handoff-resumed",
--- a/decklb/handoff/takeover_policy.py
+++ b/decklb/handoff/takeover_policy.py
@@ -12,7 +12,6 @@
 from enum import Enum
 
 from decklb.handoff.records import Outcome, Record, Stage
-from decklb.handoff.settings import HandoffSettings
 from decklb.interface import Effect
 
 
@@ -34,8 +33,8 @@
     reason: str  # a stable code for the log
 
 
-def decide_takeover(record: Record, now: float, settings: HandoffSettings) -> TakeoverDecision:
-    """What the new holder does with a record."""
+def decide_takeover(record: Record, now: float) -> TakeoverDecision:
+    """What the new holder does with a record; `now` is on the clock of its deadline, in ms."""
     answered = record.stage is Stage.ANSWERED
     if answered and (record.answer_retained or record.effect is not Effect.SAFE or now > record.deadline_ms):
         return TakeoverDecision(TakeoverAction.RETURN_ANSWER, record, "answered")
--- a/decklb/handoff/voting.py
+++ b/decklb/handoff/voting.py
@@ -65,7 +65,7 @@
         state.send(peer, ReplicateAck(record.key, record.term, record.version, message.sent_at_ms))
 
     def _reject_reason(self, now: float, message: Replicate, existing: Record | None) -> RejectReason | None:
-        """Why a version must not be existing; None where only the capacity may be lacking."""
+        """Why a version must not be kept; None where only the capacity may be lacking."""
         record = message.record
         if existing is None:
             if not self._memory.covers(now, record.key_generated and not record.admitted, message.age_ms):
@@ -96,7 +96,7 @@
         state, key, ballot = self._state, message.key, (message.term, peer)
         existing = state.table.get(key)
         highest_term = state.table.ballots.highest_term(key)
-        if existing is None and not self._memory.covers(now, False, 0.0):
+        if existing is None and not self._memory.covers(now, key_generated=False, age_ms=0.0):
             state.send(peer, ClaimReject(key, message.term, RejectReason.MEMORY_TOO_SHORT, highest_term))
             return
         if existing is not None and existing.holder != peer and state.fleet.holder_alive(existing):
--- a/tests/test_handoff_takeover_policy.py
+++ b/tests/test_handoff_takeover_policy.py
@@ -5,7 +5,6 @@
 from decklb.handoff.records import Outcome, Stage
 from decklb.handoff.takeover_policy import TakeoverAction, claim_rank, decide_takeover
 from decklb.interface import Effect
-from tests.handoff_samples import SMALL_SETTINGS as SETTINGS
 from tests.handoff_samples import VOTERS
 from tests.handoff_samples import small_record as record
 
@@ -23,14 +22,14 @@
     def test_takeover_sends_again_only_what_may_be_repeated(self):
         for stage, effect, now, action, reason in self.CASES:
             with self.subTest(stage=stage, effect=effect):
-                made = decide_takeover(record(effect=effect, stage=stage), now, SETTINGS)
+                made = decide_takeover(record(effect=effect, stage=stage), now)
                 self.assertEqual((made.action, made.reason), (action, reason))
                 if action is TakeoverAction.FAIL:
                     self.assertEqual(made.record.outcome, Outcome.FAILED)
 
     def test_request_whose_attempt_was_rejected_is_sent_by_any_member(self):
         bounced = record(effect=Effect.UNSAFE).with_attempt("e1").with_attempt_rejected()
-        self.assertEqual(decide_takeover(bounced, 0.0, SETTINGS).action, TakeoverAction.SEND)
+        self.assertEqual(decide_takeover(bounced, 0.0).action, TakeoverAction.SEND)
 
     def test_voters_claim_in_turns_and_none_while_the_holder_is_alive_in_its_incarnation(self):
         held = record(holder_incarnation=7)
@@ -43,4 +42,4 @@
     def test_answer_that_was_not_retained_is_sought_again_only_where_that_is_harmless(self):
         for effect, action in ((Effect.SAFE, TakeoverAction.SEND), (Effect.UNSAFE, TakeoverAction.RETURN_ANSWER)):
             large = record(effect=effect).with_attempt("e1").with_answer(Outcome.SERVED, b"xx", 1)
-            self.assertEqual(decide_takeover(large, 0.0, SETTINGS).action, action)
+            self.assertEqual(decide_takeover(large, 0.0).action, action)
