--- a/tests/test_handoff_simulated_network.py
+++ b/tests/test_handoff_simulated_network.py
@@ -1,6 +1,9 @@
-"""Seeded runs of whole coordinators on a simulated network, and of coordinators that break one rule."""
+"""Seeded runs on a simulated network of whole coordinators, and of ones that break one rule.
 
-import unittest
+Faults are losses, partitions, deaths, returns without memory and wrong suspicions.
+"""
+
+import pytest
 
 from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.lab.handoff import play
@@ -30,28 +33,25 @@
         on_quorum(True)
 
 
-class SimulatedNetworkTest(unittest.TestCase):
-    """Seeded runs of whole coordinators with losses, cuts, deaths, returns without memory and wrong suspicions."""
+def doubled(coordinator, seeds):
+    """What is run or answered twice in harsh runs, seed by seed."""
+    for seed in range(seeds):
+        verdict = play(seed, harsh=True, coordinator=coordinator)
+        if verdict.doubled or verdict.repeated or verdict.overlapping:
+            yield seed, verdict.doubled, verdict.repeated, verdict.overlapping
+
+
+def test_nothing_is_lost_or_doubled_under_one_fault_at_a_time():
+    for members in (3, 5):
+        played = [play(seed, members) for seed in range(40)]
+        assert [(i, v.lost, v.doubled, v.repeated, v.overlapping) for i, v in enumerate(played) if not v.clean] == []
+        assert sum(v.came_back for v in played) > 100  # clients do come back for their answers
 
-    def test_nothing_is_lost_or_doubled_under_one_fault_at_a_time(self):
-        for members in (3, 5):
-            played = [play(seed, members) for seed in range(40)]
-            self.assertEqual(
-                [(i, v.lost, v.doubled, v.repeated, v.overlapping) for i, v in enumerate(played) if not v.clean], []
-            )
-            self.assertGreater(sum(v.came_back for v in played), 100)  # clients do come back for their answers
 
-    def test_nothing_is_doubled_under_any_faults(self):
-        self.assertEqual(list(self.doubled(HandoffCoordinator, 80)), [])
+def test_nothing_is_doubled_under_any_faults():
+    assert list(doubled(HandoffCoordinator, 80)) == []
 
-    def test_coordinator_without_one_of_the_rules_is_found_out(self):
-        for coordinator in (VotesWithoutMemory, SendsWithoutQuorum, AnswersWithoutQuorum):
-            with self.subTest(coordinator.__name__):
-                self.assertTrue(any(self.doubled(coordinator, 80)))  # up to the first seed that shows it
 
-    @staticmethod
-    def doubled(coordinator, seeds):
-        for seed in range(seeds):
-            v = play(seed, harsh=True, coordinator=coordinator)
-            if v.doubled or v.repeated or v.overlapping:
-                yield seed, v.doubled, v.repeated, v.overlapping
+@pytest.mark.parametrize("coordinator", [VotesWithoutMemory, SendsWithoutQuorum, AnswersWithoutQuorum])
+def test_coordinator_without_one_of_the_rules_is_found_out(coordinator):
+    assert any(doubled(coordinator, 80))  # up to the first seed that shows it
