--- a/decklb/lab/zonal.py
+++ b/decklb/lab/checks/zone_verdict.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from decklb.lab.verdict import Line
+from decklb.lab.checks.execution_verdict import Line
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.spillover import ZoneStatus, usable_capacity
 from decklb.locality.zone_state import ZoneState
--- a/decklb/lab/probing.py
+++ b/decklb/lab/emulation/shared_health_checks.py
@@ -6,16 +6,16 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from decklb.cluster.duties import Start
+from decklb.cluster.duty import DutyRun
 from decklb.cluster.node import Node
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.interface import Outcome, Phase
-from decklb.lab import network
-from decklb.lab.network import EPOCH, Faults, Host
+from decklb.lab.emulation import simulated_network as network
+from decklb.lab.emulation.simulated_network import EPOCH, Faults, Host
 
 if TYPE_CHECKING:
-    from decklb.lab.emulator import Manager, Run
+    from decklb.lab.emulation.emulator import Manager, Run
 
 SEEDS = 3
 
@@ -32,7 +32,9 @@
             run.loop,
         )
         self.membership = MembershipSettings()
-        self.duty = DutySettings(period=period, timeout=min(1000.0, period / 4), hand_on=2, refresh=2 * period)
+        self.duty = DutySettings(
+            period_ms=period, timeout_ms=min(1000.0, period / 4), failures_to_decline=2, repeat_interval_ms=2 * period
+        )
         self.hosts: dict[int, Host] = {}
         self.probes = 0
         self.world.run_duty, self.world.on_probed = self._run, self._probed
@@ -45,7 +47,7 @@
         """A manager's node, from nothing."""
         number = manager.number
         rng = random.Random(self.run.streams.number(f"node {number} life {manager.life}"))
-        sealer = Sealer(self.membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
+        sealer = Sealer(self.membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         host = Host(
             self.world,
             f"m{number}",
@@ -63,15 +65,15 @@
         """The list as that manager has it."""
         host = self.hosts[manager.number]
         cold = {name: EPOCH + at + self.run.world.engine.cold if at > 0 else 0.0 for name, at in born if name in phases}
-        host.node.subjects(host.now(), self.duty.kind, cold, {n for n, p in phases.items() if p is Phase.UP})
+        host.node.set_subjects(host.now(), self.duty.kind, cold, {n for n, p in phases.items() if p is Phase.UP})
         self.world.pump(host)
 
-    def _run(self, host: Host, start: Start) -> tuple[float, bool]:
+    def _run(self, host: Host, start: DutyRun) -> tuple[float, bool]:
         self.probes += 1
         engine = self.run.engines[start.subject]
         way = 2 * self.run.world.delay
         if engine.silent:
-            return self.duty.timeout, False
+            return self.duty.timeout_ms, False
         return way, engine.up
 
     def _probed(self, host: Host, subject: str, up: bool) -> None:
--- a/decklb/locality/coordinator.py
+++ b/decklb/locality/coordinator.py
@@ -11,8 +11,8 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from decklb.cluster.messages import WireError
-from decklb.cluster.node import Notice
+from decklb.cluster.errors import WireError
+from decklb.cluster.notices import Notice
 from decklb.locality import messages
 from decklb.locality.consensus import ZoneConsensus
 from decklb.locality.settings import DecisionMode, LocalitySettings
--- a/decklb/locality/messages.py
+++ b/decklb/locality/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.locality.zone_state import Decision, Vote, ZoneState
 
 VERSION = 1
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -55,7 +55,7 @@
 
     def start(self) -> None:
         """Take datagrams, route requests, and tick from now on."""
-        self.cluster.topics[TOPIC] = self._receive
+        self.cluster.subscribe(TOPIC, self._receive)
         self.dispatcher.places = self
         self._schedule_tick()
 
@@ -75,9 +75,9 @@
     def place(self, lane: str) -> tuple[str, Collection[str] | None]:
         """For one request of a class: the zone to use first, and all that it may use; see `core.ports`."""
         self._request_counts[lane] += 1
-        usual, spec = self.dispatcher.gateway.usual.get(lane), self.dispatcher.settings.classes.get(lane)
+        statistics, spec = self.dispatcher.gateway.statistics.get(lane), self.dispatcher.settings.classes.get(lane)
         # The mean, not the least that a request takes, by which a budget would be overdrawn.
-        work_ms = usual.hold * spec.threads if usual is not None and spec is not None else 0.0
+        work_ms = statistics.run_ms * spec.threads if statistics is not None and spec is not None else 0.0
         return self.selector.select(self.clock.now(), lane, work_ms, self.coordinator)
 
     def ended(self, engine: str, lane: str, outcome: Outcome, took: float) -> None:
@@ -101,7 +101,7 @@
         """End with the program; requests that still come go anywhere."""
         self.closed = True
         self.dispatcher.places = None
-        self.cluster.topics.pop(TOPIC, None)
+        self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
             self.timer.cancel()
         self.prober.close()
@@ -117,7 +117,7 @@
     def _tick(self) -> None:
         self.timer = None
         now = self.clock.now()
-        self.coordinator.update_members(self.cluster.node.known())
+        self.coordinator.update_members(self.cluster.node.known_members())
         for zone in self.coordinator.consensus.zones:
             observation = self.observer.observation(zone, now)
             if observation is not None:
@@ -132,7 +132,7 @@
     def _send_and_log(self) -> None:
         datagrams, self.coordinator.outgoing = self.coordinator.outgoing, []
         for datagram in datagrams:
-            self.cluster.carry(TOPIC, datagram)
+            self.cluster.send_user_message(TOPIC, datagram)
         notices, self.coordinator.notices = self.coordinator.notices, []
         log_notices("locality", notices)
 
@@ -140,11 +140,11 @@
         """Cores that this member's own callers ask for, by the policy's estimate of each class's work."""
         elapsed_ms, self._load_estimated_at = max(1.0, now - self._load_estimated_at), now
         weight, load_cores = 1 - math.exp(-elapsed_ms / RATE_TIME_CONSTANT_MS), 0.0
-        for name, usual in self.dispatcher.gateway.usual.items():
+        for name, statistics in self.dispatcher.gateway.statistics.items():
             rate = self._request_rates.get(name, 0.0)
             rate += weight * (MS_PER_SECOND * self._request_counts[name] / elapsed_ms - rate)
             self._request_rates[name] = rate
-            load_cores += rate * usual.work / MS_PER_SECOND if usual.n >= MIN_ANSWERS else 0.0
+            load_cores += rate * statistics.work_ms / MS_PER_SECOND if statistics.answers >= MIN_ANSWERS else 0.0
         self._request_counts.clear()
         return load_cores
 
--- a/decklb/maintenance/messages.py
+++ b/decklb/maintenance/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.maintenance.errors import PlanTooLargeError
 from decklb.maintenance.paxos_messages import RegisterMessage
 from decklb.maintenance.plan import Plan
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -16,8 +16,8 @@
 from typing import Any
 from zlib import crc32
 
-from decklb.cluster.messages import WireError
-from decklb.cluster.node import Notice
+from decklb.cluster.errors import WireError
+from decklb.cluster.notices import Notice
 from decklb.maintenance.errors import PlanTooLargeError
 from decklb.maintenance.fleet_observer import FleetObserver, LocalObservation, manager_machine
 from decklb.maintenance.fleet_status import FleetStatus, MachineStatus
--- a/decklb/maintenance/plan_events.py
+++ b/decklb/maintenance/plan_events.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from decklb.cluster.node import Notice
+from decklb.cluster.notices import Notice
 from decklb.maintenance.plan import Plan, overdue_machines
 
 
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -93,7 +93,7 @@
 
     def start(self) -> None:
         """Take datagrams, and tick from now on."""
-        self.cluster.topics[TOPIC] = self._receive
+        self.cluster.subscribe(TOPIC, self._receive)
         self._schedule_tick()
 
     def apply_plan(self, entries: list[Entry], addresses: Mapping[str, Address]) -> list[Entry]:
@@ -141,7 +141,7 @@
     def close(self) -> None:
         """End with the program."""
         self.closed = True
-        self.cluster.topics.pop(TOPIC, None)
+        self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
             self.timer.cancel()
         self.prober.close()
@@ -192,7 +192,9 @@
     def _tick(self) -> None:
         self.timer = None
         now = self.clock.now()
-        self.orchestrator.update_members(now, self.cluster.node.membership.live.items, self.cluster.node.known())
+        self.orchestrator.update_members(
+            now, self.cluster.node.membership.live_names(), self.cluster.node.known_members()
+        )
         checked = self.orchestrator.checked_engines()
         self.orchestrator.tick(now, wall(), self._observe(now, checked))
         self._check_health(checked)
@@ -203,8 +205,8 @@
 
     def _observe(self, now: float, checked: frozenset[str]) -> LocalObservation:
         """What this member sees by itself. Engines in the plan are checked here, the others by locality."""
-        engines = self.dispatcher.gateway.fleet.engines
-        in_flight = {name: len(engine.out) for name, engine in engines.items() if engine.out}
+        engines = self.dispatcher.gateway.engines.by_id
+        in_flight = {name: len(engine.attempts) for name, engine in engines.items() if engine.attempts}
         self._health_checks.retain(checked)
         unreachable = self._health_checks.unreachable()
         unreachable |= {name for name in self.locality.observer.unreachable_engines() if name not in checked}
@@ -236,6 +238,6 @@
     def _send_and_log(self) -> None:
         datagrams, self.orchestrator.outgoing = self.orchestrator.outgoing, []
         for member, datagram in datagrams:
-            self.cluster.carry(TOPIC, datagram, member)
+            self.cluster.send_user_message(TOPIC, datagram, member)
         notices, self.orchestrator.notices = self.orchestrator.notices, []
         log_notices("maintenance", notices)
--- /dev/null
+++ b/tests/test_handoff_placement.py
@@ -0,0 +1,17 @@
+"""Placement of keys on their voters."""
+
+from decklb.handoff.placement import Placement
+
+
+def test_member_that_leaves_moves_only_the_keys_it_voted_on():
+    placement = Placement(64)
+    members = [f"m{i}" for i in range(12)]
+    placement.set_members(members)
+    keys = [f"key-{i}" for i in range(300)]
+    before = {k: placement.voters(k, 3) for k in keys}
+    placement.set_members(members[:-1])
+    after = {k: placement.voters(k, 3) for k in keys}
+    moved = [k for k in keys if before[k] != after[k]]
+    assert moved
+    assert all("m11" in before[k] for k in moved)
+    assert all(len(v) == 3 for v in after.values())
--- a/tests/test_locality_simulation.py
+++ b/tests/test_locality_simulation.py
@@ -1,6 +1,6 @@
 """Zones decided in common and alone on the laboratory's simulated network."""
 
-from decklb.lab.locality import play
+from decklb.lab.experiments.zone_agreement import play
 from decklb.locality.settings import LocalitySettings
 
 SETTINGS = LocalitySettings()
--- a/tests/test_locality_wire_format.py
+++ b/tests/test_locality_wire_format.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from decklb.lab.locality import CASES, play
+from decklb.lab.experiments.zone_agreement import CASES, play
 from decklb.locality import messages
 from decklb.locality.zone_state import Decision, Vote, ZoneState
 
--- a/tests/test_maintenance_messages.py
+++ b/tests/test_maintenance_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.maintenance import messages
 from decklb.maintenance.errors import PlanTooLargeError
 from decklb.maintenance.fleet_status import MachineStatus
--- a/tests/test_maintenance_register.py
+++ b/tests/test_maintenance_register.py
@@ -2,7 +2,7 @@
 
 import random
 
-from decklb.lab.register import World
+from decklb.lab.emulation.simulated_quorum_register import World
 from decklb.maintenance.errors import QuorumUnavailableError
 from decklb.maintenance.paxos_messages import (
     Accept,
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from decklb.lab.register import World
+from decklb.lab.emulation.simulated_quorum_register import World
 from decklb.maintenance import messages
 from decklb.maintenance.messages import Report
 from decklb.maintenance.operator_requests import cancel_job, mark_returned
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -9,9 +9,9 @@
 
 from decklb.cluster import keyfile
 from decklb.daemon.control import ask
-from decklb.lab import ports
-from decklb.lab.faults import Link
-from decklb.lab.rig import Rig
+from decklb.lab.faults import free_ports as ports
+from decklb.lab.faults.fault_schedule import Link
+from decklb.lab.faults.network_proxy import Rig
 from tests.standins import Loop, Program, known, wait_for
 
 NAMES = ["m0", "m1", "m2"]
@@ -28,7 +28,7 @@
         self.loop.run(self.rig.open())
         self.addCleanup(lambda: self.act(self.rig.close))
         keys = str(self.folder / "keys.json")
-        keyfile.write(keys, [keyfile.make()])
+        keyfile.write(keys, [keyfile.generate()])
         seeds = "".join(f"<seed>{h}:{p}</seed>" for h, p in self.rig.told.values())
         self.programs = {}
         for name, (host, port) in binds.items():
--- a/tests/test_upkeep_checks.py
+++ b/tests/test_upkeep_checks.py
@@ -1,6 +1,6 @@
 """Checks of the maintenance fault runs on steps logged by managers."""
 
-from decklb.lab.upkeep import Step, budget, doubled
+from decklb.lab.fault_runs.maintenance_run import Step, budget, doubled
 
 
 def test_steps_done_twice_or_left_out_and_a_broken_budget_are_found():
