--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -11,7 +11,7 @@
 
 from decklb.daemon.control import ask
 from decklb.lab.fault_runs.handoff_run import Fleet, Setup, campaign
-from decklb.lab.faults import Fault, Kind, Link
+from decklb.lab.faults.fault_schedule import Fault, Kind, Link
 from tests.handoff_clients import Session, final
 from tests.standins import wait_for
 
