--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -1,13 +1,14 @@
-"""Scripted exchanges of an engine client with engines: dialing, sending, replies and ends, on a clock of their own.
+"""Scripted exchanges with engines and clients: connecting, sending, replies and ends, on a clock of their own.
 
-A script is a list of steps. Each step returns what the engine client did on it: bytes written, connections opened,
-closed or aborted, and what the owner of the attempts was told. Bytes are latin-1 text, so that a script and its record
-can be kept as JSON.
+A script is a list of steps. Each step returns what the code under test did on it: bytes written, connections opened,
+closed or aborted, and what the owner of the attempts was told. Bytes are latin-1 text towards engines and hex towards
+clients, so that a script and its record can be kept as JSON.
 """
 
 from __future__ import annotations
 
 import errno
+import zlib
 
 from loguru import logger
 from test_dispatcher import Sink, TestClock
@@ -15,15 +16,22 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import Attempt, Request
+from decklb import interface as api
+from decklb.core.dispatcher import Attempt, Dispatcher, Request
 from decklb.core.ports import Work
+from decklb.interface import Outcome
 from decklb.net.engines import RespEngines
+from decklb.net.front import Front
+from decklb.net.prober import RespProbe
 from decklb.pg.engines import PgEngines, PgWork
+from decklb.pg.prober import links as pg_links
 from decklb.pg.settings import PgSettings
 from decklb.settings import settings_from
+from decklb.wire.prober import Prober
 from tests.standins import SETTINGS
 
 POSTGRES = {"user": "u", "database": "db", "connections": 2, "most_result": 200}
+LONGEST_SHOWN = 100  # bytes of one write that are kept as they are; of longer ones the beginning and a checksum
 BUDGET = 5000.0  # ms that each request of a script may take
 
 
@@ -163,3 +171,152 @@
 
     def step_close(self):
         self.engines.close()
+
+
+class ClientHandle:
+    """The socket of a client's connection, as far as the frame listener looks at it."""
+
+    def __init__(self, record, number):
+        self.record, self.number, self.unread = record, number, False
+
+    def recv(self, size, flags):
+        if self.unread:
+            return b"x"
+        raise BlockingIOError(errno.EAGAIN, "nothing to read")
+
+    def shutdown(self, how):
+        self.record(["shutdown", self.number, int(how)])
+
+
+class ClientTransport(EngineTransport):
+    """A connection of a client; what is written leaves when the script says so."""
+
+    def __init__(self, record, number):
+        super().__init__(record, number)
+        self.handle = ClientHandle(record, number)
+
+    def getHandle(self):
+        return self.handle
+
+    def write(self, data):
+        shown = data.hex() if len(data) <= LONGEST_SHOWN else f"{data[:LONGEST_SHOWN].hex()}... {zlib.crc32(data)}"
+        self.record(["write", self.number, len(data), shown])
+
+
+class ListeningPort:
+    """Where clients come in."""
+
+    def __init__(self, record):
+        self.record, self.numberAccepts = record, 0
+
+    def pauseProducing(self):
+        self.record(["pause"])
+
+    def resumeProducing(self):
+        self.record(["resume"])
+
+
+class ClientExchange:
+    """Plays a script of clients' bytes and engines' results against one frame listener and keeps what it did."""
+
+    PLACES, SPARE = 2, 1
+
+    def __init__(self, most_buffered):
+        self.clock, self.done, self.connections, self.attempts = TestClock(), [], [], []
+        core = Dispatcher(settings_from(SETTINGS), 1, self.clock, self)
+        core.members([api.Entry("e1", "z", "k", 0, api.Phase.UP)])
+        self.front = Front(core, lambda: True, self.PLACES, self.SPARE, most_buffered)
+        self.front.listens(ListeningPort(lambda what: self.done.append(what)))
+
+    def play(self, script):
+        """The steps, each with what it led to."""
+        sink = logger.add(self._logged, level="INFO", format="{message}")
+        try:
+            return [[step, self._step(*step)] for step in script]
+        finally:
+            logger.remove(sink)
+
+    def _logged(self, message):
+        extra = message.record["extra"]
+        if "abandoned" in extra:
+            self.done.append(["ended", extra["requests"], extra["abandoned"]])
+
+    def _step(self, name, *arguments):
+        self.done = []
+        getattr(self, "step_" + name)(*arguments)
+        return self.done
+
+    # The engine client.
+
+    def start(self, attempt):
+        self.attempts.append(attempt)
+        self.done.append(["start", attempt.request.work.rid, attempt.request.work.statement.decode()])
+
+    def give_up(self, attempt, freed):
+        self.done.append(["give-up", attempt.request.work.rid])
+        freed()
+
+    # Steps.
+
+    def step_connect(self):
+        number = len(self.connections)
+        client = self.front.buildProtocol(None)
+        self.connections.append(client)
+        client.makeConnection(ClientTransport(lambda what: self.done.append(what), number))
+
+    def step_receive(self, number, data):
+        self.connections[number].dataReceived(bytes.fromhex(data))
+
+    def step_unread(self, number, unread):
+        """Whether bytes of the client lie unread in its socket."""
+        self.connections[number].transport.handle.unread = unread
+
+    def step_drained(self, number):
+        """All that was written has left."""
+        self.connections[number].transport.producer.resumeProducing()
+
+    def step_lose(self, number, how):
+        reason = ConnectionLost() if how == "reset" else ConnectionDone()
+        self.connections[number].connectionLost(Failure(reason))
+
+    def step_end(self, number, outcome, size):
+        self.attempts[number].end(Outcome(outcome), b"x" * size)
+
+    def step_wait(self, ms):
+        self.clock.go(ms)
+
+    def step_announce(self):
+        self.front.announce()
+        self.done.sort()  # clients are told in no certain order
+
+    def step_close(self):
+        self.front.close()
+        self.done.sort()
+
+    def step_owing(self):
+        self.done.append(self.front.owing)
+
+
+class ProbeExchange(EngineExchange):
+    """Plays a script of probes of one engine over one wire."""
+
+    def __init__(self, front):
+        self.reactor, self.clock, self.connections, self.done, self.attempts = (
+            MemoryReactorClock(),
+            TestClock(),
+            [],
+            [],
+            {},
+        )
+        link = pg_links({"user": "u"}) if front == "postgres" else RespProbe
+        self.prober = Prober(self.reactor, self.clock, link, 1000.0)
+
+    def _logged(self, message):
+        if "address" in message.record["extra"]:
+            self.done.append(["ended"])
+
+    def step_probe(self, name, port):
+        self.prober.probe("e1", ("127.0.0.1", port), 100.0, lambda ok: self.done.append(["probed", name, ok]))
+
+    def step_close(self):
+        self.prober.close()
--- a/tests/test_net_wire_format.py
+++ b/tests/test_net_wire_format.py
@@ -1,4 +1,4 @@
-"""Bytes of the platform's wires against recorded ones: frames, RESP, DNS, and whole exchanges with engines.
+"""Bytes of the platform's wires against recorded ones: frames, RESP, DNS, and whole exchanges with clients and engines.
 
 Each file under tests/golden/ is a list of cases: what goes in, and what came out of the code that wrote the file. Bytes
 are hex, in exchanges latin-1 text.
@@ -16,7 +16,7 @@
 from decklb.net import dns, frames, resp
 from decklb.net.directory import rows_from
 from decklb.settings import settings_from
-from tests.exchanges import EngineExchange
+from tests.exchanges import ClientExchange, EngineExchange, ProbeExchange
 from tests.standins import SETTINGS
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -141,3 +141,15 @@
     exchange = EngineExchange(case["front"])
     for step, done in exchange.play([step for step, _ in case["steps"]]):
         assert [step, done] == case["steps"].pop(0)
+
+
+@pytest.mark.parametrize("case", cases("client_exchanges"))
+def test_exchanges_with_clients_run_as_recorded(case):
+    for step, done in ClientExchange(case["most_buffered"]).play([step for step, _ in case["steps"]]):
+        assert [step, done] == case["steps"].pop(0)
+
+
+@pytest.mark.parametrize("case", cases("probes"))
+def test_probes_of_engines_run_as_recorded(case):
+    for step, done in ProbeExchange(case["front"]).play([step for step, _ in case["steps"]]):
+        assert [step, done] == case["steps"].pop(0)
