--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -16,7 +16,7 @@
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.cluster.settings import ClusterSettings
 from decklb.core.ports import Clock, Timer
-from decklb.wire.prober import Address, Prober
+from decklb.wire.health_check import Address, Prober
 
 FAREWELL = 100.0  # ms between what is said at the end and the socket's end
 
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -17,10 +17,10 @@
     from decklb.locality.runtime import LocalityService
     from decklb.maintenance.runtime import MaintenanceService
     from decklb.net.engines import RespEngines
-    from decklb.net.front import Front
+    from decklb.net.listener import Front
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
-    from decklb.wire.prober import Prober
+    from decklb.wire.health_check import Prober
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     """The platform's front, or that of PostgreSQL where its section is given."""
     if config.postgres is None:
         from decklb.net.engines import RespEngines
-        from decklb.net.front import Front
+        from decklb.net.listener import Front
 
         resp = RespEngines(reactor, clock, config.limits)
         core = Dispatcher(config.settings, config.seed, clock, resp)
@@ -81,15 +81,15 @@
 
 def prober(reactor: Any, clock: Clock, config: Config, idle: float) -> Prober:
     """Probes that speak as the engines do; `idle`: ms without one after which a connection closes."""
-    from decklb.wire.prober import ProbeLink, Prober
+    from decklb.wire.health_check import ProbeLink, Prober
 
     link: type[ProbeLink]
     if config.postgres is None:
-        from decklb.net.prober import RespProbe
+        from decklb.net.health_check import RespProbe
 
         link = RespProbe
     else:
-        from decklb.pg.prober import links
+        from decklb.pg.health_check import links
 
         link = links(config.postgres.startup)
     return Prober(reactor, clock, link, idle)
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -18,7 +18,7 @@
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.sight import Sight, in_use
 from decklb.locality.steering import Steering
-from decklb.wire.prober import Address, Prober
+from decklb.wire.health_check import Address, Prober
 
 LARGE = 50  # members from which on words are told more rarely, so that each bears no more of them
 PACE = 3000.0  # ms over which the rate of requests is taken
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -24,7 +24,7 @@
 from decklb.maintenance.plan import Plan, Stage
 from decklb.maintenance.register import Memory
 from decklb.maintenance.settings import MaintenanceSettings
-from decklb.wire.prober import Address, Prober
+from decklb.wire.health_check import Address, Prober
 
 if TYPE_CHECKING:
     from decklb.maintenance.store import PlanStore
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -18,7 +18,7 @@
 from decklb.handoff.runtime import HandoffService
 from decklb.middleware.codec import AsgiCodec
 from decklb.wire.clock import steady
-from decklb.wire.prober import Prober
+from decklb.wire.health_check import Prober
 
 # Headers that proxies, tracing and clients' tries set anew each time: they don't make another request of it.
 PASSING = frozenset(
--- a/decklb/net/directory.py
+++ b/decklb/net/directory.py
@@ -13,7 +13,7 @@
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Entry, Phase
 from decklb.net import dns
-from decklb.net.polling import Polling
+from decklb.net.poll_schedule import Polling
 from decklb.net.start_times import StartTimes
 
 NAME = "_api._tcp.svc.local"
--- a/decklb/net/engines.py
+++ b/decklb/net/engines.py
@@ -18,11 +18,11 @@
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Outcome
 from decklb.net import resp
-from decklb.wire.answered import AnsweredAttempts
-from decklb.wire.connections import end_reason
+from decklb.wire.connection_end import end_reason
 from decklb.wire.dialing import Dial
-from decklb.wire.local_faults import is_local
-from decklb.wire.pools import Pools
+from decklb.wire.engine_pools import Pools
+from decklb.wire.local_errors import is_local
+from decklb.wire.recent_answers import AnsweredAttempts
 
 MOST_RESULT = 48_000  # bytes of a whole result
 MOST_PAGES = 64
--- a/decklb/net/frames.py
+++ b/decklb/net/frames.py
@@ -9,7 +9,7 @@
 
 from decklb.core.ports import Work
 from decklb.interface import Settings
-from decklb.wire.tables import table_group
+from decklb.wire.table_group import table_group
 
 REQUEST, ANSWER, GONE, ASK_READY, READY, GO_AWAY = 1, 2, 3, 4, 5, 6
 REFUSED, SERVED, FAILED = 0, 1, 9
--- a/decklb/net/prober.py
+++ b/decklb/net/health_check.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from decklb.net import resp
-from decklb.wire.prober import Address, ProbeLink, Prober
+from decklb.wire.health_check import Address, ProbeLink, Prober
 
 
 class RespProbe(ProbeLink):
--- a/decklb/net/front.py
+++ b/decklb/net/listener.py
@@ -15,7 +15,7 @@
 from decklb.core.dispatcher import Dispatcher, Request
 from decklb.net import frames
 from decklb.net.frames import BadRequest, ProtocolError
-from decklb.wire.connections import FIRST, HALF, LINGER, unread
+from decklb.wire.connection_end import FIRST, HALF, LINGER, unread
 
 MOST_STREAMS = 32  # requests open on one connection
 MOST_UNREAD = 32 * 52_000  # bytes that one client may leave unread: as much as its open requests can bring
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -20,11 +20,11 @@
 from decklb.interface import Outcome
 from decklb.pg import messages as pg
 from decklb.pg.settings import PgSettings
-from decklb.wire.answered import AnsweredAttempts
-from decklb.wire.connections import end_reason
+from decklb.wire.connection_end import end_reason
 from decklb.wire.dialing import Dial
-from decklb.wire.local_faults import is_local
-from decklb.wire.pools import Pools
+from decklb.wire.engine_pools import Pools
+from decklb.wire.local_errors import is_local
+from decklb.wire.recent_answers import AnsweredAttempts
 
 CONNECT, CANCEL = 1000.0, 500.0  # ms for a connection to come up; for a cancelled engine to be ready again
 IDLE = 60_000.0  # ms after which an unused connection closes
--- a/decklb/pg/front.py
+++ b/decklb/pg/front.py
@@ -25,8 +25,8 @@
 from decklb.pg.messages import PgError
 from decklb.pg.settings import PREFIX, REPORTED, Parameters, PgSettings
 from decklb.pg.statements import Statement, classify
-from decklb.wire.connections import FIRST, HALF, LINGER, unread
-from decklb.wire.tables import table_group
+from decklb.wire.connection_end import FIRST, HALF, LINGER, unread
+from decklb.wire.table_group import table_group
 
 MOST_QUEUED = 1 << 20  # bytes of messages that wait for the one in hand
 MOST_NAMED = 1000  # statements and portals of one session
--- a/decklb/pg/prober.py
+++ b/decklb/pg/health_check.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from decklb.pg import messages as pg
-from decklb.wire.prober import Address, ProbeLink, Prober
+from decklb.wire.health_check import Address, ProbeLink, Prober
 
 MOST_MESSAGE = 1 << 16
 
--- a/decklb/pg/statements.py
+++ b/decklb/pg/statements.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from decklb.pg.messages import FEATURE_NOT_SUPPORTED, PgError
-from decklb.wire.tables import names
+from decklb.wire.table_group import names
 
 TRANSACTIONS = {b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release"}
 # Each of these leaves something behind in one engine's session, which the next statement may not meet.
--- a/decklb/wire/connections.py
+++ b/decklb/wire/connection_end.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from decklb.wire.local_faults import SHORTAGES
+from decklb.wire.local_errors import SHORTAGES
 
 # Whoever says nothing readable is owed an end within 3 s of connecting; both have to begin well before.
 FIRST, HALF = 2200.0, 2200.0  # ms from connecting to a first whole message, from a message's first byte to its last
--- a/decklb/wire/dialing.py
+++ b/decklb/wire/dialing.py
@@ -14,7 +14,7 @@
 
 from decklb.core.ports import Clock, Timer
 from decklb.core.timers import call_after_reading
-from decklb.wire.local_faults import is_local
+from decklb.wire.local_errors import is_local
 
 NEVER = 3600.0  # seconds: longer than any handshake here may take
 AGAIN = 20.0  # ms until a connection that failed for a fault of this machine is tried again
--- a/decklb/wire/reactor.py
+++ b/decklb/wire/reactor.py
@@ -23,7 +23,7 @@
 from twisted.python import log
 
 from decklb.core.timers import HELD
-from decklb.wire.local_faults import GONE_BEFORE_ACCEPT, RETRY, SHORTAGES
+from decklb.wire.local_errors import GONE_BEFORE_ACCEPT, RETRY, SHORTAGES
 
 LONGEST_WAIT = 0.1  # seconds of one wait for events
 PASSES = 3  # of reading after a standstill: a connection is accepted in the first and read in the second
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -21,13 +21,13 @@
 from decklb.core.ports import Work
 from decklb.interface import Outcome
 from decklb.net.engines import RespEngines
-from decklb.net.front import Front
-from decklb.net.prober import RespProbe
+from decklb.net.health_check import RespProbe
+from decklb.net.listener import Front
 from decklb.pg.engines import PgEngines, PgWork
-from decklb.pg.prober import links as pg_links
+from decklb.pg.health_check import links as pg_links
 from decklb.pg.settings import PgSettings
 from decklb.settings import settings_from
-from decklb.wire.prober import Prober
+from decklb.wire.health_check import Prober
 from tests.standins import SETTINGS
 
 POSTGRES = {"user": "u", "database": "db", "connections": 2, "most_result": 200}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,10 +25,10 @@
 from decklb.interface import Effect, Outcome
 from decklb.net import frames, resp
 from decklb.net.engines import OVERTAKE, STUCK, RespEngines
-from decklb.net.front import ACCEPTS, LINGER, Front
-from decklb.net.front import Client as Connection
+from decklb.net.listener import ACCEPTS, LINGER, Front
+from decklb.net.listener import Client as Connection
 from decklb.settings import settings_from
-from decklb.wire.answered import HOLD
+from decklb.wire.recent_answers import HOLD
 from tests.standins import Loop, Program, known, wait_for
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -10,7 +10,7 @@
 
 from decklb.net import dns
 from decklb.net.directory import Directory
-from decklb.net.polling import MOST, POLL, TIMEOUT, Polling
+from decklb.net.poll_schedule import MOST, POLL, TIMEOUT, Polling
 
 NEWS_BINDS = 1500.0  # ms after which news counts as told, heard or not (the platform's protocol)
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -30,8 +30,8 @@
     "decklb.daemon.control",
     "decklb.config.xml",
     "decklb.config.operators",
-    "decklb.wire.prober",
-    "decklb.net.prober",
+    "decklb.wire.health_check",
+    "decklb.net.health_check",
 )
 CODE = """
 import sys
@@ -50,7 +50,7 @@
 def test_serve_on_the_platform_imports_nothing_that_is_off():
     out = subprocess.run([sys.executable, "-c", CODE], cwd=ROOT, capture_output=True, text=True, check=True).stdout
     loaded = set(out.strip().split(","))
-    assert {"decklb.net.front", "decklb.rules"} <= loaded
+    assert {"decklb.net.listener", "decklb.rules"} <= loaded
     assert not [name for name in OFF if name in loaded]
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,7 +9,7 @@
 import unittest
 
 from decklb.net import frames, resp
-from decklb.net.front import MOST_FAULTS
+from decklb.net.listener import MOST_FAULTS
 from tests.standins import DEADLINE, Loop, Program, known, wait_for
 from tests.test_parsers import reply
 
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from decklb.wire.tables import table_group
+from decklb.wire.table_group import table_group
 
 
 class Groups(unittest.TestCase):
