--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -32,10 +32,11 @@
     reactor = install()  # before anything imports Twisted's default one
     log.take_over_twisted()
     from decklb.daemon.service import Service
-    from decklb.wire.clock import steady
+    from decklb.wire.clock import use_monotonic_time
 
     try:
-        service = Service(steady(reactor), _load(path, settings), lambda: configuration.load(path, settings))
+        use_monotonic_time(reactor)
+        service = Service(reactor, _load(path, settings), lambda: configuration.load(path, settings))
     except configuration.ConfigError as error:
         raise click.ClickException(str(error)) from error
     service.run()
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -39,7 +39,7 @@
         self.rng = random.Random(config.seed)
         parts = assemble(reactor, self.clock, config, self.rng.randrange, self.ready)
         self.dispatcher, self.front, self.engines = parts.dispatcher, parts.front, parts.engines
-        if (unread_for := getattr(reactor, "unread_for", None)) is not None:
+        if (unread_for := getattr(reactor, "unread_for_s", None)) is not None:
             self.dispatcher.unread_for = lambda: 1000.0 * unread_for()
         self.speaker = speaker(reactor, self.clock, config)
         self.cluster = cluster(reactor, self.clock, config, self._probed)
@@ -255,7 +255,7 @@
         self.listening = False
         # Whoever waits in the machine's queue has been told that it is connected, and may have sent a request: closing
         # would reset it.
-        self.port.empty_queue(BACKLOG, EMPTYING, self._close_port)
+        self.port.drain_accept_queue(BACKLOG, EMPTYING, self._close_port)
 
     def _close_port(self) -> None:
         self.port.stopListening()
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -17,7 +17,7 @@
 from decklb.handoff.guard import Guard
 from decklb.handoff.runtime import HandoffService
 from decklb.middleware.codec import AsgiCodec
-from decklb.wire.clock import steady
+from decklb.wire.clock import use_monotonic_time
 from decklb.wire.health_check import Prober
 
 # Headers that proxies, tracing and clients' tries set anew each time: they don't make another request of it.
@@ -50,7 +50,7 @@
 
     def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> Guard:
         """Open the sockets on the running loop, and stand before the dispatcher."""
-        reactor: Any = steady(AsyncioSelectorReactor(loop))
+        reactor: Any = use_monotonic_time(AsyncioSelectorReactor(loop))
         guard = Guard(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
             reactor, clock, self.cluster_settings, Prober(reactor, clock, _none, 0.0), lambda engine, up: None
--- a/decklb/net/engines.py
+++ b/decklb/net/engines.py
@@ -21,8 +21,8 @@
 from decklb.wire.connection_end import end_reason
 from decklb.wire.dialing import Dial
 from decklb.wire.engine_pools import Pools
-from decklb.wire.local_errors import is_local
-from decklb.wire.recent_answers import AnsweredAttempts
+from decklb.wire.local_errors import is_local_error
+from decklb.wire.recent_answers import RecentAnswers
 
 MOST_RESULT = 48_000  # bytes of a whole result
 MOST_PAGES = 64
@@ -95,7 +95,7 @@
         self.reason = ""  # why we end it
         self.idle: Timer | None = None
         self.dialing: Dial | None = None  # while the handshake goes on
-        self.answered = AnsweredAttempts(pool.client.clock)
+        self.answered = RecentAnswers(pool.client.clock)
         self.cut_off = self.in_doubt = 0  # attempts that the connection's end cut off; answers that it put in doubt
 
     def takes(self, ident: bytes) -> bool:
@@ -288,7 +288,7 @@
 
     def refused(self, reason: Failure) -> None:
         """It never came up, so nothing was sent. What only this machine is to blame for tells nothing of the engine."""
-        self.end(Outcome.NOP if is_local(reason.value) else Outcome.NOCONN)
+        self.end(Outcome.NOP if is_local_error(reason.value) else Outcome.NOCONN)
         self._ended(f"no-connection ({end_reason(reason)})")
 
     def _ended(self, reason: str) -> None:
--- a/decklb/net/listener.py
+++ b/decklb/net/listener.py
@@ -15,7 +15,8 @@
 from decklb.core.dispatcher import Dispatcher, Request
 from decklb.net import frames
 from decklb.net.frames import BadRequest, ProtocolError
-from decklb.wire.connection_end import FIRST, HALF, LINGER, unread
+from decklb.wire.client_timeouts import FIRST_MESSAGE_TIMEOUT_MS, LINGERING_CLOSE_TIMEOUT_MS, PARTIAL_MESSAGE_TIMEOUT_MS
+from decklb.wire.connection_end import has_unread_bytes
 
 MOST_STREAMS = 32  # requests open on one connection
 MOST_UNREAD = 32 * 52_000  # bytes that one client may leave unread: as much as its open requests can bring
@@ -231,7 +232,7 @@
 
     def heard(self) -> bool:
         """Whether something that it said lies unread."""
-        return unread(self.transport)
+        return has_unread_bytes(self.transport)
 
     @property
     def owed(self) -> bool:
@@ -425,11 +426,14 @@
     def _sweep(self) -> None:
         """End what is overdue."""
         now = self.dispatcher.clock.now()
-        for group, limit, reason in ((self.silent, FIRST, "no-message"), (self.half, HALF, "half-message")):
+        for group, limit, reason in (
+            (self.silent, FIRST_MESSAGE_TIMEOUT_MS, "no-message"),
+            (self.half, PARTIAL_MESSAGE_TIMEOUT_MS, "half-message"),
+        ):
             for client in [c for c, since in group.items() if now - since > limit]:
                 if not client.heard():
                     client.error(reason)
-        for client in [c for c, since in self.lingering.items() if now - since > LINGER]:
+        for client in [c for c, since in self.lingering.items() if now - since > LINGERING_CLOSE_TIMEOUT_MS]:
             self._drop(client)
         if self._crowd():
             self._make_room()
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -23,8 +23,8 @@
 from decklb.wire.connection_end import end_reason
 from decklb.wire.dialing import Dial
 from decklb.wire.engine_pools import Pools
-from decklb.wire.local_errors import is_local
-from decklb.wire.recent_answers import AnsweredAttempts
+from decklb.wire.local_errors import is_local_error
+from decklb.wire.recent_answers import RecentAnswers
 
 CONNECT, CANCEL = 1000.0, 500.0  # ms for a connection to come up; for a cancelled engine to be ready again
 IDLE = 60_000.0  # ms after which an unused connection closes
@@ -66,7 +66,7 @@
         self.timer: Timer | None = None
         self.dialing: Dial | None = None  # while the handshake goes on
         self._count = 0
-        self.answered = AnsweredAttempts(pool.client.clock)
+        self.answered = RecentAnswers(pool.client.clock)
 
     @property
     def free(self) -> bool:
@@ -256,7 +256,7 @@
     def refused(self, reason: Failure) -> None:
         """It never came up."""
         self.reason = "no-connection"
-        self.gone(Outcome.NOP if is_local(reason.value) else Outcome.NOCONN)
+        self.gone(Outcome.NOP if is_local_error(reason.value) else Outcome.NOCONN)
 
     def gone(self, outcome: Outcome) -> None:
         """Tell whoever waits."""
--- a/decklb/pg/front.py
+++ b/decklb/pg/front.py
@@ -25,7 +25,8 @@
 from decklb.pg.messages import PgError
 from decklb.pg.settings import PREFIX, REPORTED, Parameters, PgSettings
 from decklb.pg.statements import Statement, classify
-from decklb.wire.connection_end import FIRST, HALF, LINGER, unread
+from decklb.wire.client_timeouts import FIRST_MESSAGE_TIMEOUT_MS, LINGERING_CLOSE_TIMEOUT_MS, PARTIAL_MESSAGE_TIMEOUT_MS
+from decklb.wire.connection_end import has_unread_bytes
 from decklb.wire.table_group import table_group
 
 MOST_QUEUED = 1 << 20  # bytes of messages that wait for the one in hand
@@ -132,7 +133,7 @@
         """Nothing is said before the client's first message."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._wait(FIRST, self._overdue)
+        self._wait(FIRST_MESSAGE_TIMEOUT_MS, self._overdue)
         self.front.joined(self)
 
     def _wait(self, delay: float, call: Callable[[], None] | None) -> None:
@@ -185,7 +186,7 @@
         if not self.reader.buffer:
             self._wait(0.0, None)
         elif whole or self.timer is None:
-            self._wait(HALF, self._overdue)
+            self._wait(PARTIAL_MESSAGE_TIMEOUT_MS, self._overdue)
 
     # The start of a session.
 
@@ -518,7 +519,7 @@
         self.queue.clear()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
-        self._wait(LINGER, self._gone)
+        self._wait(LINGERING_CLOSE_TIMEOUT_MS, self._gone)
 
     def _write(self, data: bytes) -> None:
         self.transport.write(data)
@@ -533,7 +534,7 @@
         self.closed, self.reason = True, reason
         self.front.starting.pop(self, None)
         self._free()
-        self._wait(LINGER, self._gone)
+        self._wait(LINGERING_CLOSE_TIMEOUT_MS, self._gone)
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
@@ -590,7 +591,7 @@
     def joined(self, session: Session) -> None:
         """A new connection. Where places run out, one that began no session yet goes first."""
         if len(self.sessions) >= self.most_clients:
-            silent = next((s for s in self.starting if not unread(s.transport)), None)
+            silent = next((s for s in self.starting if not has_unread_bytes(s.transport)), None)
             if silent is not None:
                 silent.close("evicted-silent")
                 self.sessions.discard(silent)
--- a/decklb/wire/clock.py
+++ b/decklb/wire/clock.py
@@ -1,4 +1,4 @@
-"""The reactor as the core's clock."""
+"""The reactor as the core's clock, on the system's monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 from decklb.core.ports import Timer
 
 
-def steady(reactor: Any) -> Any:
-    """The reactor with its calls on the monotonic clock. Twisted counts them on the wall clock: one that is set an hour
-    back holds every deadline, beat and time-out of the process back for that hour."""
+def use_monotonic_time(reactor: Any) -> Any:
+    """Make the reactor schedule its calls on the monotonic clock, and return it.
+
+    Twisted schedules on the wall clock: if that is set back by an hour, every deadline, heartbeat and time-out of the
+    process is an hour late.
+    """
     reactor.seconds = time.monotonic
     return reactor
 
 
 class ReactorClock:
-    """Time from the system's monotonic clock, calls from the reactor."""
+    """See `decklb.core.ports.Clock`. Time from the monotonic clock, timers from the reactor."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -27,6 +30,6 @@
         return time.monotonic() * 1000.0
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Make the call once, after that many milliseconds."""
+        """Make the call once, after `delay` ms."""
         timer: Timer = self._reactor.callLater(max(0.0, delay) / 1000.0, call)
         return timer
--- a/decklb/wire/dialing.py
+++ b/decklb/wire/dialing.py
@@ -1,4 +1,7 @@
-"""Opening a connection to an engine, in spite of passing faults of this machine."""
+"""Opening one TCP connection to an engine, in spite of passing errors of this machine.
+
+Used by the engine connections and their cancel requests. Owns the time-out and the retries of that one connection.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +17,16 @@
 
 from decklb.core.ports import Clock, Timer
 from decklb.core.timers import call_after_reading
-from decklb.wire.local_errors import is_local
+from decklb.wire.local_errors import is_local_error
 
-NEVER = 3600.0  # seconds: longer than any handshake here may take
-AGAIN = 20.0  # ms until a connection that failed for a fault of this machine is tried again
+ENDPOINT_TIMEOUT_S = 3600.0  # Twisted's own time-out, longer than any handshake here may take: see _time_out
+REDIAL_DELAY_MS = 20.0  # until a connection that failed for an error of this machine is tried again
 
 
 class Dial:
-    """One connection that comes up, or is refused once.
+    """One connection that comes up, or fails once.
 
-    While nothing but this machine's own faults stand in its way it is tried again, until `timeout` ms are over.
+    While nothing but this machine's own errors stand in its way it is tried again, until the time-out.
     """
 
     def __init__(
@@ -32,61 +35,73 @@
         clock: Clock,
         address: tuple[str, int],
         protocol: Any,
-        timeout: float,
-        refused: Callable[[Failure], None],
+        timeout_ms: float,
+        failed: Callable[[Failure], None],
     ) -> None:
-        """`protocol` gets the connection; `refused` is told why there is none."""
+        """Begin to connect.
+
+        Args:
+            reactor: opens the socket.
+            clock: measures the time-out.
+            address: host and port of the engine.
+            protocol: gets the connection.
+            timeout_ms: within which the connection has to come up.
+            failed: called once, with the reason, if it does not come up.
+        """
         self._reactor, self._clock, self._address, self._protocol = reactor, clock, address, protocol
-        self._refused = refused
-        self._until = clock.now() + timeout
-        self._attempt: Deferred[Any] | None = None
-        self._timer: Timer | None = None
-        self._tried = 0.0  # when the last try began
-        self._over = self._timed_out = False
-        self._local: Failure | None = None  # this machine's fault that the last try met
-        # Not Twisted's own time-out: after a standstill of the process it would fire before what has come up is read.
-        call_after_reading(clock, timeout, self._overdue)
+        self._failed = failed
+        self._deadline = clock.now() + timeout_ms
+        self._connecting: Deferred[Any] | None = None
+        self._redial_timer: Timer | None = None
+        self._last_try_at = 0.0  # ms, when the last try began
+        self._finished = False
+        self._timed_out = False
+        self._local_error: Failure | None = None  # this machine's error that the last try met
+        # Not Twisted's own time-out: after a stall of the process it would fire before what has come up is read.
+        call_after_reading(clock, timeout_ms, self._time_out)
         self._try()
 
     def _try(self) -> None:
-        self._timer, self._tried = None, self._clock.now()
+        self._redial_timer, self._last_try_at = None, self._clock.now()
         host, port = self._address
         factory: Any = Factory.forProtocol(lambda: self._protocol)
         factory.noisy = False
-        self._attempt = TCP4ClientEndpoint(self._reactor, host, port, NEVER).connect(factory)
-        self._attempt.addCallbacks(self._came_up, self._failed)
-
-    def _came_up(self, protocol: Any) -> None:
-        self._over = True
-
-    def _overdue(self) -> None:
-        if not self._over:
-            self._over = self._timed_out = True
-            if self._blind():
-                self._local = Failure(ConnectError(errno.ENOMEM, "its socket can't be watched"))  # type: ignore[no-untyped-call]
-            elif self._clock.now() - self._tried > AGAIN:
-                self._local = None  # what this machine was at fault for is over: it is the engine that is silent
+        self._connecting = TCP4ClientEndpoint(self._reactor, host, port, ENDPOINT_TIMEOUT_S).connect(factory)
+        self._connecting.addCallbacks(self._connected, self._try_failed)
+
+    def _connected(self, protocol: Any) -> None:
+        self._finished = True
+
+    def _time_out(self) -> None:
+        if not self._finished:
+            self._finished = self._timed_out = True
+            if self._socket_unwatched():
+                self._local_error = Failure(ConnectError(errno.ENOMEM, "its socket can't be watched"))  # type: ignore[no-untyped-call]
+            elif self._clock.now() - self._last_try_at > REDIAL_DELAY_MS:
+                self._local_error = None  # the local error is over: it is the engine that is silent
             self.cancel()
 
-    def _blind(self) -> bool:
-        unwatched = getattr(self._reactor, "unwatched", None)
-        return unwatched is not None and unwatched()
+    def _socket_unwatched(self) -> bool:
+        """Whether the reactor can't watch some descriptors just now, this one perhaps among them."""
+        has_unwatched = getattr(self._reactor, "has_unwatched_descriptors", None)
+        return has_unwatched is not None and has_unwatched()
 
-    def _failed(self, reason: Failure) -> None:
+    def _try_failed(self, reason: Failure) -> None:
         if self._timed_out:
-            reason = self._local or Failure(TimeoutError())  # type: ignore[no-untyped-call]
-        self._local = reason if is_local(reason.value) else None
-        if self._local is not None and not self._over and self._clock.now() + AGAIN < self._until:
-            self._timer = self._clock.call_later(AGAIN, self._try)
+            reason = self._local_error or Failure(TimeoutError())  # type: ignore[no-untyped-call]
+        self._local_error = reason if is_local_error(reason.value) else None
+        may_redial = not self._finished and self._clock.now() + REDIAL_DELAY_MS < self._deadline
+        if self._local_error is not None and may_redial:
+            self._redial_timer = self._clock.call_later(REDIAL_DELAY_MS, self._try)
         else:
-            self._over = True
-            self._refused(reason)
+            self._finished = True
+            self._failed(reason)
 
     def cancel(self) -> None:
-        """Give it up; it is refused, unless it is up."""
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-            self._failed(Failure(ConnectingCancelledError(self._address)))  # type: ignore[no-untyped-call]
-        elif self._attempt is not None:
-            self._attempt.cancel()
+        """Give the connection up; it counts as failed, unless it is up."""
+        if self._redial_timer is not None:
+            self._redial_timer.cancel()
+            self._redial_timer = None
+            self._try_failed(Failure(ConnectingCancelledError(self._address)))  # type: ignore[no-untyped-call]
+        elif self._connecting is not None:
+            self._connecting.cancel()
--- a/decklb/wire/local_errors.py
+++ b/decklb/wire/local_errors.py
@@ -1,4 +1,8 @@
-"""Errors of system calls that are this machine's own: they say nothing about whoever is at the other end."""
+"""Which errors of system calls are this machine's own and say nothing of the peer.
+
+Constants and one function, no state. Used by the reactor's sockets (`retrying_sockets`), by `dialing` and by the engine
+connections, which must not blame an engine for a local shortage.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +10,13 @@
 
 from twisted.internet.error import ConnectBindError, ConnectError
 
-# The kernel is short of something, or was interrupted: the same call may do a moment later. (Manual pages of
-# accept(2), connect(2), recv(2), send(2), socket(2).)
-SHORTAGES = frozenset(
+# The kernel is short of a resource, or the call was interrupted: the same call may succeed a moment later. (Manual
+# pages of accept(2), connect(2), recv(2), send(2), socket(2).)
+RETRYABLE_ERRNOS = frozenset(
     {errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC}
 )
-# connect(2) fails so before anything has left this machine.
-LOCAL_CONNECT = SHORTAGES | {
+# connect(2) fails with these before anything has left this machine.
+LOCAL_CONNECT_ERRNOS = RETRYABLE_ERRNOS | {
     errno.EACCES,
     errno.EADDRINUSE,
     errno.EADDRNOTAVAIL,
@@ -28,8 +32,8 @@
     errno.EPROTONOSUPPORT,
     errno.EPROTOTYPE,
 }
-# accept(2) hands out errors of the connection that it would have taken: it is gone, the listener is well.
-GONE_BEFORE_ACCEPT = frozenset(
+# accept(2) reports these for the connection that it would have returned: that one is gone, the listener is well.
+ABORTED_ACCEPT_ERRNOS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EHOSTDOWN,
@@ -44,11 +48,10 @@
         errno.ETIMEDOUT,
     }
 )
-RETRY = 0.01  # seconds until a call that failed for a shortage is made again
 
 
-def is_local(error: BaseException | None) -> bool:
-    """Whether a connection failed to come up for a reason of this machine, which is no word about the other end."""
+def is_local_error(error: BaseException | None) -> bool:
+    """Whether a connection failed to come up for a reason of this machine rather than of the peer."""
     if isinstance(error, ConnectBindError):  # socket(2) or bind(2) failed
         return True
-    return isinstance(error, ConnectError) and error.osError in LOCAL_CONNECT
+    return isinstance(error, ConnectError) and error.osError in LOCAL_CONNECT_ERRNOS
--- a/decklb/wire/recent_answers.py
+++ b/decklb/wire/recent_answers.py
@@ -1,8 +1,9 @@
-"""What a connection to an engine has answered of late, for as long as the connection's end puts the answers in doubt.
+"""Answers of one engine connection that its end would still put in doubt.
 
 A whole answer proves that its bytes came, not that the engine is done with the attempt. The connection may break right
-behind the last byte; the engine then counts the attempt as cut off, not as ended, while here it was read as an answer.
-Both happen within a millisecond of each other and are read in different passes of the event loop.
+behind the last byte; the engine then counts the attempt as cut off, while here it was read as an answer. Both happen
+within a millisecond of each other and are read in different passes of the event loop. So each engine connection owns a
+`RecentAnswers` and reports its attempts' ends through it (see docs/incidents/0001).
 """
 
 from __future__ import annotations
@@ -16,51 +17,58 @@
 from decklb.core.timers import call_after_reading
 from decklb.interface import Outcome
 
-# ms for which an answer that may lead to another attempt is held, so that the end of its connection is read first.
-HOLD = 20.0
-REMEMBERED = 1000.0  # ms after an answer in which the end of its connection is still told
+# An answer that may lead to a retry is held back for so long, so that the end of its connection is read first.
+RETRYABLE_ANSWER_DELAY_MS = 20.0
+# So long after an answer the end of its connection still makes the answer uncertain.
+UNCERTAINTY_WINDOW_MS = 1000.0
 
 
-class AnsweredAttempts:
-    """The attempts that one connection has answered of late."""
+class RecentAnswers:
+    """The attempts that one connection has answered within the last second."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._held: dict[Attempt, Outcome] = {}  # not told of yet
-        self._told: deque[tuple[float, Attempt]] = deque()
+        self._delayed: dict[Attempt, Outcome] = {}  # not reported yet
+        self._reported: deque[tuple[float, Attempt]] = deque()  # with the time (ms) of the report, oldest first
 
     def answered(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
-        """Pass on how an attempt ended by its engine's answer: a result at once, anything else after HOLD ms."""
+        """Report how an attempt ended by its engine's answer: a result at once, anything else after the delay."""
         if outcome is Outcome.GOOD:
-            return self._tell(attempt, outcome, result)
-        self._held[attempt] = outcome
-        call_after_reading(self._clock, HOLD, partial(self._release, attempt))
+            return self._report(attempt, outcome, result)
+        self._delayed[attempt] = outcome
+        call_after_reading(self._clock, RETRYABLE_ANSWER_DELAY_MS, partial(self._release, attempt))
 
-    def connection_lost(self, after: float = 0.0) -> int:
-        """The connection has ended and not by our orderly close; `after`: ms until the engine surely knows.
+    def connection_lost(self, delay_ms: float = 0.0) -> int:
+        """Turn delayed answers into resets, and doubt those reported of late: the connection has ended.
 
-        Returns the number of answers that this puts in doubt.
+        Not to be called where we closed it in an orderly way with nothing open on it.
+
+        Args:
+            delay_ms: time until the engine surely knows of the end; reports come after it.
+
+        Returns:
+            The number of answers that this makes uncertain.
         """
-        held, self._held = self._held, {}
-        told, self._told = self._told, deque()
-        since = self._clock.now() - REMEMBERED
-        calls: list[Callable[[], None]] = [partial(attempt.end, Outcome.RST) for attempt in held]
-        calls += [attempt.doubt for when, attempt in told if when >= since]
+        delayed, self._delayed = self._delayed, {}
+        reported, self._reported = self._reported, deque()
+        since = self._clock.now() - UNCERTAINTY_WINDOW_MS
+        calls: list[Callable[[], None]] = [partial(attempt.end, Outcome.RST) for attempt in delayed]
+        calls += [attempt.doubt for when, attempt in reported if when >= since]
         for call in calls:
-            if after:
-                self._clock.call_later(after, call)
+            if delay_ms:
+                self._clock.call_later(delay_ms, call)
             else:
                 call()
         return len(calls)
 
     def _release(self, attempt: Attempt) -> None:
-        outcome = self._held.pop(attempt, None)
+        outcome = self._delayed.pop(attempt, None)
         if outcome is not None:
-            self._tell(attempt, outcome)
+            self._report(attempt, outcome)
 
-    def _tell(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
+    def _report(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
         now = self._clock.now()
-        while self._told and now - self._told[0][0] > REMEMBERED:
-            self._told.popleft()
-        self._told.append((now, attempt))
+        while self._reported and now - self._reported[0][0] > UNCERTAINTY_WINDOW_MS:
+            self._reported.popleft()
+        self._reported.append((now, attempt))
         attempt.end(outcome, result)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,10 +25,11 @@
 from decklb.interface import Effect, Outcome
 from decklb.net import frames, resp
 from decklb.net.engines import OVERTAKE, STUCK, RespEngines
-from decklb.net.listener import ACCEPTS, LINGER, Front
+from decklb.net.listener import ACCEPTS, Front
 from decklb.net.listener import Client as Connection
 from decklb.settings import settings_from
-from decklb.wire.recent_answers import HOLD
+from decklb.wire.client_timeouts import LINGERING_CLOSE_TIMEOUT_MS
+from decklb.wire.recent_answers import RETRYABLE_ANSWER_DELAY_MS
 from tests.standins import Loop, Program, known, wait_for
 
 
@@ -291,11 +292,11 @@
                 self.answer(a, link, word)
                 lost = partial(link.connectionLost, Failure(ConnectionLost()))
                 if crossing == "standstill":
-                    self.clock.call_later(HOLD + HELD + 1, lost)
-                    self.clock.clock.advance((HOLD + HELD + 1) / 1000)
+                    self.clock.call_later(RETRYABLE_ANSWER_DELAY_MS + HELD + 1, lost)
+                    self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + HELD + 1) / 1000)
                 elif crossing == "reset":
                     lost()
-                self.clock.go(HOLD - 1)
+                self.clock.go(RETRYABLE_ANSWER_DELAY_MS - 1)
                 self.assertEqual(self.ends, [] if crossing == "nothing" else [(a, Outcome.RST)], (word, crossing))
                 self.clock.go(2)
                 self.assertEqual(self.ends, [(a, outcome if crossing == "nothing" else Outcome.RST)])
@@ -350,7 +351,7 @@
             link, _ = self.up()
             both = before + resp.pack(b"ID", word, b"-", b"")
             link.dataReceived(both.replace(b"$2\r\nID", b"$16\r\n" + a.request.work.rid.encode()))
-            self.clock.go(HOLD + 1)
+            self.clock.go(RETRYABLE_ANSWER_DELAY_MS + 1)
             self.assertEqual(self.ends, [(a, outcome)], (before, word))
 
 
@@ -468,13 +469,13 @@
         client, transport = self.idle()
         self.front.close()
         transport.flush()
-        self.clock.go(LINGER + 200)
+        self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertEqual((transport.closed, transport.aborted), (True, False))
 
     def test_who_reads_nothing_after_an_error_is_dropped(self):
         client, transport = self.idle()
         client.dataReceived(b"\xff" * 9)
-        self.clock.go(LINGER + 200)
+        self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertTrue(transport.aborted)
 
 
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from decklb.core.timers import HELD
-from decklb.wire.dialing import AGAIN, Dial
+from decklb.wire.dialing import REDIAL_DELAY_MS, Dial
 
 TIMEOUT = 250.0
 EMFILE = ConnectBindError(errno.EMFILE, "no descriptor")
@@ -48,7 +48,7 @@
 def test_a_fault_of_this_machine_is_tried_again_and_comes_up(error):
     d = Dialed()
     d.fail(error)
-    d.clock.go(AGAIN - 1)
+    d.clock.go(REDIAL_DELAY_MS - 1)
     assert (d.tries(), d.refused) == (0, [])
     d.clock.go(2)
     d.come_up()
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -10,7 +10,7 @@
 
 from decklb.core.timers import HELD
 from decklb.net import frames, resp
-from decklb.wire.reactor import PASSES, Standstill
+from decklb.wire.stall_detector import STALE_PASSES, StallDetector
 from tests.standins import Loop, Program, known, wait_for
 
 BUDGET, HELD_UP, SLACK = 3.0, 1.0, 0.15  # seconds; the slack is the operators' (standing page)
@@ -52,15 +52,15 @@
 
 def passes(*steps):
     """What `unread_for` gives in each pass; a step: seconds of work before the wait, longest wait, seconds waited."""
-    standstill, now, found = Standstill(), 10.0, []
-    standstill.waits(now, 0.1)
-    standstill.reads(now)
+    detector, now, found = StallDetector(), 10.0, []
+    detector.wait_begins(now, 0.1)
+    detector.reading_begins(now)
     for work, longest, waited in steps:
         now += work
-        standstill.waits(now, longest)
+        detector.wait_begins(now, longest)
         now += waited
-        standstill.reads(now)
-        found.append(round(standstill.unread_for(now), 3))
+        detector.reading_begins(now)
+        found.append(round(detector.unread_for(now), 3))
     return found
 
 
@@ -70,10 +70,11 @@
 
 @pytest.mark.parametrize(("step", "unread"), [((0.5, 0.0, 0.0), 0.5), ((0.5, 0.1, 0.0), 0.5), ((0.0, 0.1, 1.1), 1.1)])
 def test_what_was_not_read_for_long_is_as_old_as_that_for_some_passes(step, unread):
-    found = passes(step, *[(0.0, 0.1, 0.0)] * PASSES)
-    assert found == [unread] * PASSES + [0.0]
+    found = passes(step, *[(0.0, 0.1, 0.0)] * STALE_PASSES)
+    assert found == [unread] * STALE_PASSES + [0.0]
 
 
 def test_a_process_that_is_busy_for_long_counts_its_last_passes_alone():
     """Each further pass that took long kept the first one's moment: in a long flood all that was read looked old."""
-    assert passes(*[(0.05, 0.0, 0.0)] * 100)[PASSES - 1 :] == [round(0.05 * PASSES, 3)] * (101 - PASSES)
+    found = passes(*[(0.05, 0.0, 0.0)] * 100)[STALE_PASSES - 1 :]
+    assert found == [round(0.05 * STALE_PASSES, 3)] * (101 - STALE_PASSES)
