--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -16,7 +16,7 @@
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.cluster.settings import ClusterSettings
 from decklb.core.ports import Clock, Timer
-from decklb.wire.health_check import Address, Prober
+from decklb.wire.health_check import Address, HealthChecker
 
 FAREWELL = 100.0  # ms between what is said at the end and the socket's end
 
@@ -39,7 +39,12 @@
     transport: Any = None
 
     def __init__(
-        self, reactor: Any, clock: Clock, settings: ClusterSettings, prober: Prober, probed: Callable[[str, bool], None]
+        self,
+        reactor: Any,
+        clock: Clock,
+        settings: ClusterSettings,
+        prober: HealthChecker,
+        probed: Callable[[str, bool], None],
     ) -> None:
         """Raises KeyFileError where the keys can't be had."""
         self.reactor, self.clock, self.settings, self.prober, self.probed = reactor, clock, settings, prober, probed
@@ -159,7 +164,7 @@
         duty = self.settings.probing
         if address is None or duty is None:
             return self._ended(kind, engine, False)
-        self.prober.probe(engine, address, duty.timeout, lambda ok: self._ended(kind, engine, ok))
+        self.prober.check(engine, address, duty.timeout, lambda ok: self._ended(kind, engine, ok))
 
     def _ended(self, kind: str, engine: str, ok: bool) -> None:
         if not self.closed:
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from decklb.config import Config, ConfigError
@@ -20,7 +21,7 @@
     from decklb.net.listener import Front
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
-    from decklb.wire.health_check import Prober
+    from decklb.wire.health_check import HealthChecker
 
 
 @dataclass(slots=True)
@@ -79,20 +80,20 @@
         raise ConfigError(str(error)) from error
 
 
-def prober(reactor: Any, clock: Clock, config: Config, idle: float) -> Prober:
-    """Probes that speak as the engines do; `idle`: ms without one after which a connection closes."""
-    from decklb.wire.health_check import ProbeLink, Prober
+def prober(reactor: Any, clock: Clock, config: Config, idle: float) -> HealthChecker:
+    """Health checks that speak as the engines do; `idle`: ms without one after which a connection closes."""
+    from decklb.wire.health_check import HealthCheckConnection, HealthChecker
 
-    link: type[ProbeLink]
+    make_connection: Callable[..., HealthCheckConnection]
     if config.postgres is None:
-        from decklb.net.health_check import RespProbe
+        from decklb.net.health_check import RespHealthCheckConnection
 
-        link = RespProbe
+        make_connection = RespHealthCheckConnection
     else:
-        from decklb.pg.health_check import links
+        from decklb.pg.health_check import PgHealthCheckConnection
 
-        link = links(config.postgres.startup)
-    return Prober(reactor, clock, link, idle)
+        make_connection = partial(PgHealthCheckConnection, config.postgres.startup)
+    return HealthChecker(reactor, clock, make_connection, idle)
 
 
 def locality(
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -18,7 +18,7 @@
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.sight import Sight, in_use
 from decklb.locality.steering import Steering
-from decklb.wire.health_check import Address, Prober
+from decklb.wire.health_check import Address, HealthChecker
 
 LARGE = 50  # members from which on words are told more rarely, so that each bears no more of them
 PACE = 3000.0  # ms over which the rate of requests is taken
@@ -30,7 +30,12 @@
     """One member. It stands beside the dispatcher as its `places`."""
 
     def __init__(
-        self, clock: Clock, settings: LocalitySettings, cluster: ClusterService, dispatcher: Dispatcher, prober: Prober
+        self,
+        clock: Clock,
+        settings: LocalitySettings,
+        cluster: ClusterService,
+        dispatcher: Dispatcher,
+        prober: HealthChecker,
     ) -> None:
         self.clock, self.s, self.cluster, self.dispatcher, self.prober = clock, settings, cluster, dispatcher, prober
         me = cluster.settings.member
@@ -101,7 +106,7 @@
         log_notices("zones", notices)
         for engine in self.sight.due(now, len(self.council.common.known)):
             if (address := self.addresses.get(engine)) is not None:
-                self.prober.probe(engine, address, self.s.timeout, self._probed(engine, now))
+                self.prober.check(engine, address, self.s.timeout, self._probed(engine, now))
         self._tell(now)
         self._arm()
 
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -24,7 +24,7 @@
 from decklb.maintenance.plan import Plan, Stage
 from decklb.maintenance.register import Memory
 from decklb.maintenance.settings import MaintenanceSettings
-from decklb.wire.health_check import Address, Prober
+from decklb.wire.health_check import Address, HealthChecker
 
 if TYPE_CHECKING:
     from decklb.maintenance.store import PlanStore
@@ -44,7 +44,7 @@
         cluster: ClusterService,
         locality: LocalityService,
         dispatcher: Dispatcher,
-        prober: Prober,
+        prober: HealthChecker,
         changed: Callable[[], None],
         leave: Callable[[], None],
     ) -> None:
@@ -175,7 +175,7 @@
         for name in watched - self._asked:
             if (address := self.addresses.get(name)) is not None:
                 self._asked.add(name)
-                self.prober.probe(name, address, self.s.tick, self._probed(name))
+                self.prober.check(name, address, self.s.tick, self._probed(name))
         self._pump()
         self._obey(now)
         if not self.closed:  # it may have been this manager's turn
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -18,7 +18,7 @@
 from decklb.handoff.runtime import HandoffService
 from decklb.middleware.codec import AsgiCodec
 from decklb.wire.clock import use_monotonic_time
-from decklb.wire.health_check import Prober
+from decklb.wire.health_check import HealthChecker
 
 # Headers that proxies, tracing and clients' tries set anew each time: they don't make another request of it.
 PASSING = frozenset(
@@ -53,7 +53,7 @@
         reactor: Any = use_monotonic_time(AsyncioSelectorReactor(loop))
         guard = Guard(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
-            reactor, clock, self.cluster_settings, Prober(reactor, clock, _none, 0.0), lambda engine, up: None
+            reactor, clock, self.cluster_settings, HealthChecker(reactor, clock, _none, 0.0), lambda engine, up: None
         )
         self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, guard)
         self.cluster.start()
--- a/decklb/net/health_check.py
+++ b/decklb/net/health_check.py
@@ -1,29 +1,29 @@
-"""Probes over RESP: `ping TAG`, answered by `well` under the same tag."""
+"""Health checks over RESP: `ping TAG`, answered by `well` under the same tag. See `decklb.wire.health_check`."""
 
 from __future__ import annotations
 
 from decklb.net import resp
-from decklb.wire.health_check import Address, ProbeLink, Prober
+from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
 
-class RespProbe(ProbeLink):
-    """A connection to a RESP engine, for probes alone."""
+class RespHealthCheckConnection(HealthCheckConnection):
+    """A connection to a RESP engine, for health checks alone."""
 
-    def __init__(self, prober: Prober, engine: str, address: Address) -> None:
-        super().__init__(prober, engine, address)
-        self.reader = resp.RespReader()
-        self.tag = 0
+    def __init__(self, checker: HealthChecker, engine: str, address: Address) -> None:
+        super().__init__(checker, engine, address)
+        self._reader = resp.RespReader()
+        self._tag = 0  # of the last check; a new one each time, so that a late reply is not taken for the next one's
 
-    def ask(self) -> None:
-        """A new tag each time, so that a late answer is not taken for the next one's."""
-        self.tag += 1
-        self.transport.write(resp.pack(b"ping", b"%016x" % self.tag))
+    def send_check(self) -> None:
+        """Send a ping under a new tag."""
+        self._tag += 1
+        self.transport.write(resp.pack(b"ping", b"%016x" % self._tag))
 
     def dataReceived(self, data: bytes) -> None:
-        """Answers; what belongs to no probe is passed over."""
+        """Replies; what belongs to no check is ignored."""
         try:
-            for array in self.reader.feed(data):
-                if len(array) >= 2 and array[0] == b"%016x" % self.tag and array[1] == b"well" and self.done:
-                    self.answered()
+            for array in self._reader.feed(data):
+                if len(array) >= 2 and array[0] == b"%016x" % self._tag and array[1] == b"well" and self.check_pending:
+                    self.check_succeeded()
         except resp.RespError as error:
-            self.refuse(f"protocol: {error}")
+            self.fail(f"protocol: {error}")
--- a/decklb/pg/health_check.py
+++ b/decklb/pg/health_check.py
@@ -1,48 +1,50 @@
-"""Probes over PostgreSQL: Sync on a session of its own, answered by ReadyForQuery. No statement runs."""
+"""Health checks over PostgreSQL: Sync on a session of its own, answered by ReadyForQuery. No statement runs.
+
+See `decklb.wire.health_check`.
+"""
 
 from __future__ import annotations
 
 from decklb.pg import messages as pg
-from decklb.wire.health_check import Address, ProbeLink, Prober
-
-MOST_MESSAGE = 1 << 16
+from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
+MOST_MESSAGE = 1 << 16  # bytes of one message: an idle session sends parameters, notices and errors alone
+AUTHENTICATION_OK = b"\0\0\0\0"  # payload of the Authentication message that asks for nothing
 
-class PgProbe(ProbeLink):
-    """A session at an engine, for probes alone."""
 
-    startup: dict[str, str] = {}
+class PgHealthCheckConnection(HealthCheckConnection):
+    """A session at an engine, for health checks alone."""
 
-    def __init__(self, prober: Prober, engine: str, address: Address) -> None:
-        super().__init__(prober, engine, address)
-        self.reader = pg.MessageReader(MOST_MESSAGE, startup=False)
+    def __init__(self, startup: dict[str, str], checker: HealthChecker, engine: str, address: Address) -> None:
+        """`startup`: the session's parameters, user and database among them."""
+        super().__init__(checker, engine, address)
+        self._startup = startup
+        self._reader = pg.MessageReader(MOST_MESSAGE, startup=False)
 
-    def greet(self) -> None:
-        """Introduce ourselves; the session is usable at its first ReadyForQuery."""
-        self.transport.write(pg.pack_startup(self.startup | {"application_name": "decklb probe"}))
+    def start_session(self) -> None:
+        """Send the startup message; the session is usable at its first ReadyForQuery."""
+        self.transport.write(pg.pack_startup(self._startup | {"application_name": "decklb probe"}))
 
-    def ask(self) -> None:
-        """The least that an engine answers."""
+    def send_check(self) -> None:
+        """Send a Sync: the least that an engine answers."""
         self.transport.write(pg.SYNC)
 
     def dataReceived(self, data: bytes) -> None:
         """The engine's messages, split anywhere."""
         try:
-            for m in self.reader.feed(data):
+            for message in self._reader.feed(data):
                 if self.closed:
                     return
-                if m.type == b"Z" and not self.ready:
-                    self.usable()
-                elif m.type == b"Z":
-                    self.answered()
-                elif m.type == b"E":
-                    self.refuse(f"error-{pg.read_error(m.payload).get('C', '')}")
-                elif m.type == b"R" and m.payload != b"\0\0\0\0":
-                    self.refuse("authentication-asked")
+                self._handle(message)
         except pg.PgError as error:
-            self.refuse(f"protocol: {error}")
-
-
-def links(startup: dict[str, str]) -> type[PgProbe]:
-    """The kind of link for engines that are told this user and database."""
-    return type("PgProbe", (PgProbe,), {"startup": startup})
+            self.fail(f"protocol: {error}")
+
+    def _handle(self, message: pg.Message) -> None:
+        if message.type == b"Z" and not self.ready:
+            self.session_ready()
+        elif message.type == b"Z":
+            self.check_succeeded()
+        elif message.type == b"E":
+            self.fail(f"error-{pg.read_error(message.payload).get('C', '')}")
+        elif message.type == b"R" and message.payload != AUTHENTICATION_OK:
+            self.fail("authentication-requested")
--- a/decklb/wire/health_check.py
+++ b/decklb/wire/health_check.py
@@ -1,7 +1,10 @@
-"""Probing of engines: one connection of its own to each, kept between probes; the wires say how to ask.
+"""Active health checks of engines: one connection of its own to each engine, kept between checks.
 
-A probe ends once, by an answer, by the end of its connection or by its time-out. Connections that are no longer probed
-over close after a while, so that an engine whose duty moved on keeps none.
+The wires say how to ask (`net.health_check`, `pg.health_check`). A check ends once: by a reply, by the end of its
+connection or by its time-out. A connection that is no longer used closes after a while, so that an engine whose health
+checks moved on to another member keeps none.
+
+State: the connections by engine. Called by the members that own health checks (`cluster`, `locality`, `maintenance`).
 """
 
 from __future__ import annotations
@@ -16,146 +19,170 @@
 
 from decklb.core.ports import Clock, Timer
 
-Address = tuple[str, int]
-Done = Callable[[bool], None]
+Address = tuple[str, int]  # host and port of an engine
+CheckCallback = Callable[[bool], None]  # told once whether the engine replied
+
+PEER_CLOSED = "peer-closed"  # the reason code of an end that was not ours
 
 
-class ProbeLink(Protocol):
-    """One connection to one engine, for probes alone."""
+class HealthCheckConnection(Protocol):
+    """One connection to one engine, for health checks alone. A wire implements `send_check` and `dataReceived`."""
 
     transport: Any  # zope's interfaces say nothing to the type checker
 
-    def __init__(self, prober: Prober, engine: str, address: Address) -> None:
-        self.prober, self.engine, self.address = prober, engine, address
-        self.done: Done | None = None
-        self.timer: Timer | None = None  # of the probe that is out, or of the rest after it
-        self.ready = self.closed = False
-        self.reason = "peer-closed"
+    def __init__(self, checker: HealthChecker, engine: str, address: Address) -> None:
+        self.checker, self.engine, self.address = checker, engine, address
+        self.ready = False  # checks may be sent
+        self.closed = False
+        self._callback: CheckCallback | None = None  # of the check that is out
+        self._timer: Timer | None = None  # of the check that is out, or of the idle time after it
+        self._end_reason = PEER_CLOSED
 
-    # What a wire adds.
+    # What a wire implements.
 
-    def greet(self) -> None:
-        """The connection is up. By default nothing more is needed before a probe."""
-        self.usable()
+    def start_session(self) -> None:
+        """The connection is up. By default nothing more is needed before a check."""
+        self.session_ready()
 
-    def ask(self) -> None:
-        """Send one probe."""
+    def send_check(self) -> None:
+        """Send one check."""
         raise NotImplementedError
 
     # What a wire calls.
 
-    def usable(self) -> None:
-        """Probes may be sent from now on."""
+    @property
+    def check_pending(self) -> bool:
+        """Whether a check is out."""
+        return self._callback is not None
+
+    def session_ready(self) -> None:
+        """Checks may be sent from now on."""
         self.ready = True
-        if self.done is not None:
-            self.ask()
+        if self.check_pending:
+            self.send_check()
 
-    def answered(self) -> None:
-        """The engine is there."""
-        self._end(True)
+    def check_succeeded(self) -> None:
+        """The engine has replied."""
+        self._finish_check(True)
 
-    def refuse(self, reason: str) -> None:
-        """It said what no engine says, or turned us away."""
+    def fail(self, reason: str) -> None:
+        """The engine sent what no engine sends, or turned us away: end the connection and the check."""
         self._abort(reason)
 
-    # Inside.
+    # What the health checker calls.
 
-    def probe(self, timeout: float, done: Done) -> None:
-        """Ask, now or when the connection is usable."""
-        self._stop_timer()
-        self.done = done
-        self.timer = self.prober.clock.call_later(timeout, lambda: self._abort("probe-overdue"))
+    def check(self, timeout_ms: float, callback: CheckCallback) -> None:
+        """Check the engine now, or when the session is ready."""
+        self._cancel_timer()
+        self._callback = callback
+        self._timer = self.checker.clock.call_later(timeout_ms, lambda: self._abort("check-timeout"))
         if self.ready:
-            self.ask()
+            self.send_check()
+
+    def connect_failed(self, reason: Failure) -> None:
+        """The connection never came up."""
+        if self._end_reason == PEER_CLOSED:
+            self._end_reason = f"connect-failed ({reason.type.__name__ if reason.type else 'unknown'})"
+        self._ended()
+
+    def close(self) -> None:
+        """End the connection: the process ends, or the engine has moved."""
+        if not self.closed:
+            self._abort("stopping")
+
+    # What Twisted calls.
 
     def connectionMade(self) -> None:
         """The handshake is over."""
         self.transport.setTcpNoDelay(True)
-        self.greet()
+        self.start_session()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """The end, for whatever reason; one line in the log."""
-        self._gone()
+        self._ended()
 
-    def refused(self, reason: Failure) -> None:
-        """It never came up."""
-        if self.reason == "peer-closed":
-            self.reason = f"no-connection ({reason.type.__name__ if reason.type else 'unknown'})"
-        self._gone()
-
-    def _gone(self) -> None:
+    def _ended(self) -> None:
         self.closed = True  # also when it was ended here, and the reactor tells of it now
-        self.prober.forget(self)
+        self.checker.forget(self)
         logger.info(
-            "probe connection ended: {reason} engine={engine} address={address}",
-            event="probe-connection-ended",
-            reason=self.reason,
+            "health check connection ended: {reason} engine={engine} address={address}",
+            event="health-check-connection-ended",
+            reason=self._end_reason,
             engine=self.engine,
             address="{}:{}".format(*self.address),
         )
-        self._end(False)
+        self._finish_check(False)
 
-    def _end(self, ok: bool) -> None:
-        self._stop_timer()
-        done, self.done = self.done, None
-        if ok and not self.closed:
-            self.timer = self.prober.clock.call_later(self.prober.idle, lambda: self._abort("idle"))
-        if done is not None:
-            done(ok)
+    def _finish_check(self, healthy: bool) -> None:
+        self._cancel_timer()
+        callback, self._callback = self._callback, None
+        if healthy and not self.closed:
+            idle_ms = self.checker.idle_timeout_ms
+            self._timer = self.checker.clock.call_later(idle_ms, lambda: self._abort("idle-timeout"))
+        if callback is not None:
+            callback(healthy)
 
     def _abort(self, reason: str) -> None:
-        self.timer = None
-        self.closed, self.reason = True, reason
-        self.prober.forget(self)  # the next probe takes a new connection
+        self._timer = None
+        self.closed, self._end_reason = True, reason
+        self.checker.forget(self)  # the next check takes a new connection
         if self.transport is not None:
             self.transport.abortConnection()
-        self._end(False)
-
-    def _stop_timer(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        self._finish_check(False)
 
-    def close(self) -> None:
-        """The program ends."""
-        if not self.closed:
-            self._abort("stopping")
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
 
 
-class Prober:
-    """Probes of all engines that this instance owns."""
+class HealthChecker:
+    """Checks the engines that this process is asked to check, over one wire."""
 
     def __init__(
-        self, reactor: Any, clock: Clock, link: Callable[[Prober, str, Address], ProbeLink], idle: float
+        self,
+        reactor: Any,
+        clock: Clock,
+        make_connection: Callable[[HealthChecker, str, Address], HealthCheckConnection],
+        idle_timeout_ms: float,
     ) -> None:
-        """`idle`: ms without a probe after which a connection closes."""
-        self.reactor, self.clock, self.make, self.idle = reactor, clock, link, idle
-        self.links: dict[str, ProbeLink] = {}
-
-    def probe(self, engine: str, address: Address, timeout: float, done: Done) -> None:
-        """Ask one engine; `done` is called once, within the time-out (ms)."""
-        link = self.links.get(engine)
-        if link is not None and link.address != address:  # the id has moved
-            link.close()
-            link = None
-        if link is not None:
-            return link.probe(timeout, done)
-        link = self.links[engine] = self.make(self, engine, address)
-        link.probe(timeout, done)
-        self._connect(link, timeout)
-
-    def _connect(self, link: ProbeLink, timeout: float) -> None:
-        factory: Any = Factory.forProtocol(lambda: link)
+        """A checker without connections.
+
+        Args:
+            reactor: opens connections.
+            clock: measures time-outs.
+            make_connection: a connection of the wire, by checker, engine and address.
+            idle_timeout_ms: without a check, after which a connection closes.
+        """
+        self.reactor, self.clock, self.idle_timeout_ms = reactor, clock, idle_timeout_ms
+        self._make_connection = make_connection
+        self._connections: dict[str, HealthCheckConnection] = {}  # by engine id
+
+    def check(self, engine: str, address: Address, timeout_ms: float, callback: CheckCallback) -> None:
+        """Check one engine; `callback` is called once, within the time-out."""
+        connection = self._connections.get(engine)
+        if connection is not None and connection.address != address:  # the engine has moved
+            connection.close()
+            connection = None
+        if connection is not None:
+            return connection.check(timeout_ms, callback)
+        connection = self._connections[engine] = self._make_connection(self, engine, address)
+        connection.check(timeout_ms, callback)
+        self._connect(connection, timeout_ms)
+
+    def _connect(self, connection: HealthCheckConnection, timeout_ms: float) -> None:
+        factory: Any = Factory.forProtocol(lambda: connection)
         factory.noisy = False
-        host, port = link.address
-        TCP4ClientEndpoint(self.reactor, host, port, timeout / 1000).connect(factory).addErrback(link.refused)
+        host, port = connection.address
+        endpoint = TCP4ClientEndpoint(self.reactor, host, port, timeout_ms / 1000)
+        endpoint.connect(factory).addErrback(connection.connect_failed)
 
-    def forget(self, link: ProbeLink) -> None:
-        """Its connection is not to be used again."""
-        if self.links.get(link.engine) is link:
-            del self.links[link.engine]
+    def forget(self, connection: HealthCheckConnection) -> None:
+        """Use a connection no more."""
+        if self._connections.get(connection.engine) is connection:
+            del self._connections[connection.engine]
 
     def close(self) -> None:
-        """End all."""
-        for link in list(self.links.values()):
-            link.close()
+        """End all connections."""
+        for connection in list(self._connections.values()):
+            connection.close()
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -9,6 +9,7 @@
 
 import errno
 import zlib
+from functools import partial
 
 from loguru import logger
 from test_dispatcher import Sink, TestClock
@@ -21,13 +22,13 @@
 from decklb.core.ports import Work
 from decklb.interface import Outcome
 from decklb.net.engines import RespEngines
-from decklb.net.health_check import RespProbe
+from decklb.net.health_check import RespHealthCheckConnection
 from decklb.net.listener import Front
 from decklb.pg.engines import PgEngines, PgWork
-from decklb.pg.health_check import links as pg_links
+from decklb.pg.health_check import PgHealthCheckConnection
 from decklb.pg.settings import PgSettings
 from decklb.settings import settings_from
-from decklb.wire.health_check import Prober
+from decklb.wire.health_check import HealthChecker
 from tests.standins import SETTINGS
 
 POSTGRES = {"user": "u", "database": "db", "connections": 2, "most_result": 200}
@@ -308,15 +309,16 @@
             [],
             {},
         )
-        link = pg_links({"user": "u"}) if front == "postgres" else RespProbe
-        self.prober = Prober(self.reactor, self.clock, link, 1000.0)
+        postgres = partial(PgHealthCheckConnection, {"user": "u"})
+        connection = postgres if front == "postgres" else RespHealthCheckConnection
+        self.checker = HealthChecker(self.reactor, self.clock, connection, 1000.0)
 
     def _logged(self, message):
         if "address" in message.record["extra"]:
             self.done.append(["ended"])
 
     def step_probe(self, name, port):
-        self.prober.probe("e1", ("127.0.0.1", port), 100.0, lambda ok: self.done.append(["probed", name, ok]))
+        self.checker.check("e1", ("127.0.0.1", port), 100.0, lambda ok: self.done.append(["probed", name, ok]))
 
     def step_close(self):
-        self.prober.close()
+        self.checker.close()
