--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -209,7 +209,7 @@
         if self.maintenance is not None:
             entries = self.maintenance.over(entries, addresses)
         self.up = sum(e.phase is Phase.UP for e in entries)
-        self.engines.addresses(addresses)
+        self.engines.update_endpoints(addresses)
         self.dispatcher.members(entries)
         if self.cluster is not None:
             until = time.time() * 1000.0 - self.clock.now() + self.config.settings.cold
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from decklb.core.ports import Work
-from decklb.pg.engines import PgWork
+from decklb.pg.work import PgWork
 
 
 class _Written(msgspec.Struct, array_like=True, frozen=True):
--- a/decklb/pg/front.py
+++ b/decklb/pg/front.py
@@ -21,10 +21,10 @@
 from decklb.core.ports import Intake, Timer
 from decklb.interface import Effect
 from decklb.pg import messages as pg
-from decklb.pg.engines import PgWork
 from decklb.pg.messages import PgError
 from decklb.pg.settings import PREFIX, REPORTED, Parameters, PgSettings
 from decklb.pg.statements import Statement, classify
+from decklb.pg.work import PgWork
 from decklb.wire.client_timeouts import FIRST_MESSAGE_TIMEOUT_MS, LINGERING_CLOSE_TIMEOUT_MS, PARTIAL_MESSAGE_TIMEOUT_MS
 from decklb.wire.connection_end import has_unread_bytes
 from decklb.wire.table_group import table_group
--- a/decklb/pg/health_check.py
+++ b/decklb/pg/health_check.py
@@ -9,7 +9,6 @@
 from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
 MOST_MESSAGE = 1 << 16  # bytes of one message: an idle session sends parameters, notices and errors alone
-AUTHENTICATION_OK = b"\0\0\0\0"  # payload of the Authentication message that asks for nothing
 
 
 class PgHealthCheckConnection(HealthCheckConnection):
@@ -46,5 +45,5 @@
             self.check_succeeded()
         elif message.type == b"E":
             self.fail(f"error-{pg.read_error(message.payload).get('C', '')}")
-        elif message.type == b"R" and message.payload != AUTHENTICATION_OK:
+        elif message.type == b"R" and message.payload != pg.AUTHENTICATION_OK:
             self.fail("authentication-requested")
--- /dev/null
+++ b/decklb/pg/prepared_statements.py
@@ -0,0 +1,64 @@
+"""The prepared statements of one engine connection, and the messages that run a statement there. No I/O.
+
+A statement is parsed once on each connection and kept under a name of ours; the oldest is closed where there are too
+many. Owned by `pg.engine_connection`.
+"""
+
+from __future__ import annotations
+
+from decklb.pg import messages as pg
+from decklb.pg.work import PgWork
+
+MAX_PREPARED = 200  # statements kept on one connection
+
+
+class PreparedStatements:
+    """What the engine has prepared on one connection."""
+
+    __slots__ = ("_names", "_unconfirmed", "_count")
+
+    def __init__(self) -> None:
+        # Names of ours by (statement, parameter types), oldest first.
+        self._names: dict[tuple[bytes, bytes], bytes] = {}
+        self._unconfirmed: tuple[bytes, bytes] | None = None  # its ParseComplete has not come
+        self._count = 0  # names given so far
+
+    def encode(self, work: PgWork) -> bytes:
+        """The messages that run a statement, with a Parse if it is new to this connection."""
+        self._unconfirmed = None
+        if work.simple:
+            return pg.pack(b"Q", work.statement + b"\0")
+        out, name = self._prepare(work)
+        if work.bind is None:
+            out += pg.pack(b"D", b"S" + name + b"\0")
+        else:
+            out += pg.pack(b"B", b"\0" + name + b"\0" + work.bind)
+            out += pg.pack(b"D", b"P\0") if work.describe else b""
+            out += pg.EXECUTE_ALL if work.execute else b""
+        return out + pg.SYNC
+
+    def _prepare(self, work: PgWork) -> tuple[bytes, bytes]:
+        """The messages that prepare a statement, none if it is, and its name."""
+        statement = (work.statement, work.types)
+        name = self._names.get(statement)
+        if name is not None:
+            return b"", name
+        out = b""
+        if len(self._names) >= MAX_PREPARED:
+            out += pg.pack(b"C", b"S" + self._names.pop(next(iter(self._names))) + b"\0")
+        self._count += 1
+        name = b"d%d" % self._count
+        out += pg.pack(b"P", name + b"\0" + work.statement + b"\0" + work.types)
+        self._unconfirmed = statement
+        self._names[statement] = name
+        return out, name
+
+    def parse_complete(self) -> None:
+        """The engine has taken the Parse."""
+        self._unconfirmed = None
+
+    def statement_ended(self, failed: bool) -> None:
+        """ReadyForQuery has come. After an error the engine did not take the statement, or may not have."""
+        if failed and self._unconfirmed is not None:
+            self._names.pop(self._unconfirmed, None)
+        self._unconfirmed = None
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -24,9 +24,10 @@
 from decklb.net.engines import RespEngines
 from decklb.net.health_check import RespHealthCheckConnection
 from decklb.net.listener import Front
-from decklb.pg.engines import PgEngines, PgWork
+from decklb.pg.engines import PgEngines
 from decklb.pg.health_check import PgHealthCheckConnection
 from decklb.pg.settings import PgSettings
+from decklb.pg.work import PgWork
 from decklb.settings import settings_from
 from decklb.wire.health_check import HealthChecker
 from tests.standins import SETTINGS
@@ -82,8 +83,8 @@
 
     def _logged(self, message):
         extra = message.record["extra"]
-        if "cut_off" in extra:
-            self.done.append(["ended", extra["cut_off"], extra["in_doubt"]])
+        if "aborted_attempts" in extra:
+            self.done.append(["ended", extra["aborted_attempts"], extra["uncertain_answers"]])
 
     def _step(self, name, *arguments):
         self.done = []
@@ -109,7 +110,7 @@
     # Steps.
 
     def step_endpoints(self, engines):
-        self.engines.addresses({engine: ("127.0.0.1", port) for engine, port in engines.items()})
+        self.engines.update_endpoints({engine: ("127.0.0.1", port) for engine, port in engines.items()})
 
     def _attempt(self, name, statement, more):
         rid = f"{len(self.attempts) + 1:016x}"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,8 @@
 from decklb.daemon.service import Service
 from decklb.interface import Effect, Outcome
 from decklb.net import frames, resp
-from decklb.net.engines import OVERTAKE, STUCK, RespEngines
+from decklb.net.engine_connection import CANCEL_SETTLE_MS, WRITE_BLOCKED_LIMIT_MS
+from decklb.net.engines import RespEngines
 from decklb.net.listener import ACCEPTS, Front
 from decklb.net.listener import Client as Connection
 from decklb.settings import settings_from
@@ -185,7 +186,7 @@
     def setUp(self):
         self.reactor, self.clock = MemoryReactorClock(), TestClock()
         self.engines = RespEngines(self.reactor, self.clock, {"streams_per_conn": 100})
-        self.engines.addresses({"e1": ("127.0.0.1", 1)})
+        self.engines.update_endpoints({"e1": ("127.0.0.1", 1)})
         self.ends, self.doubted = [], []
         self.count = 0
 
@@ -235,14 +236,14 @@
 
     def test_what_waits_for_an_engine_that_goes_ends_at_once_and_is_not_sent_to_who_has_its_address_next(self):
         a = self.start()
-        self.engines.addresses({"e2": ("127.0.0.1", 1)})
+        self.engines.update_endpoints({"e2": ("127.0.0.1", 1)})
         self.assertEqual(self.ends, [(a, Outcome.NOCONN)])
         self.assertTrue(self.reactor.connectors[0].stoppedConnecting)
 
     def test_behind_bytes_that_an_engine_does_not_take_nothing_begins_until_it_does(self):
         first = self.start()
         link, transport = self.up()
-        self.clock.go(STUCK + 1)
+        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
         left, stays = self.start(), self.start()
         self.gone(left)
         self.assertEqual([p[1] for p in transport.flush()], [first.request.work.rid.encode()])
@@ -251,7 +252,7 @@
     def test_a_reset_proves_that_what_was_not_yet_given_to_the_transport_never_ran(self):
         sent = self.start()
         link, _ = self.up()
-        self.clock.go(STUCK + 1)
+        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
         waits = self.start()
         link.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(self.ends, [(sent, Outcome.RST), (waits, Outcome.NOCONN)])
@@ -261,7 +262,7 @@
         sent = self.start()
         link, _ = self.up()
         link.dataReceived(b"rubbish\r\n")
-        self.clock.go(OVERTAKE - 2)
+        self.clock.go(CANCEL_SETTLE_MS - 2)
         self.assertEqual(self.ends, [])
         self.clock.go(3)
         self.assertEqual(self.ends, [(sent, Outcome.RST)])
@@ -305,7 +306,7 @@
         a = self.start()
         link, transport = self.up()
         self.answer(a, link)
-        self.engines.addresses({})  # its engine has gone: unused connections close at once
+        self.engines.update_endpoints({})  # its engine has gone: unused connections close at once
         self.clock.go(1)
         link.connectionLost(Failure(ConnectionDone()))
         self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD)], []))
@@ -316,7 +317,7 @@
         self.answer(a, link)
         self.answer(b, link, b"failed")
         link.dataReceived(b"rubbish\r\n")
-        self.clock.go(OVERTAKE + 1)
+        self.clock.go(CANCEL_SETTLE_MS + 1)
         self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD), (b, Outcome.RST)], [a]))
 
     def test_an_answer_after_its_request_was_given_up_is_nobodys_and_its_id_is_not_used_there_again(self):
@@ -325,12 +326,12 @@
         self.gone(a)
         ident = a.request.work.rid.encode()
         link.dataReceived(resp.pack(ident, b"data", b"-", b"a\tb\tc\n") * 2)
-        self.assertEqual((self.ends, link.takes(ident), link.takes(b"0" * 16)), ([], False, True))
+        self.assertEqual((self.ends, link.accepts(ident), link.accepts(b"0" * 16)), ([], False, True))
 
     def test_an_answer_to_what_was_not_sent_yet_is_nobodys(self):
         self.start()
         link, _ = self.up()
-        self.clock.go(STUCK + 1)
+        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
         waits = self.start()
         link.dataReceived(resp.pack(waits.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
         self.assertEqual(self.ends, [])
