--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -18,7 +18,7 @@
     from decklb.locality.runtime import LocalityService
     from decklb.maintenance.runtime import MaintenanceService
     from decklb.net.engines import RespEngines
-    from decklb.net.listener import Front
+    from decklb.net.listener import FrameListener
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
     from decklb.wire.health_check import HealthChecker
@@ -29,7 +29,7 @@
     """One core between a front and its engines."""
 
     dispatcher: Dispatcher
-    front: Front | PgFront
+    front: FrameListener | PgFront
     engines: RespEngines | PgEngines
 
 
@@ -39,11 +39,12 @@
     """The platform's front, or that of PostgreSQL where its section is given."""
     if config.postgres is None:
         from decklb.net.engines import RespEngines
-        from decklb.net.listener import Front
+        from decklb.net.listener import FrameListener
 
         resp = RespEngines(reactor, clock, config.limits)
         core = Dispatcher(config.settings, config.seed, clock, resp)
-        return Parts(core, Front(core, ready, config.most_clients, config.spare_clients, config.most_held), resp)
+        listener = FrameListener(core, ready, config.most_clients, config.spare_clients, config.most_held)
+        return Parts(core, listener, resp)
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
 
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -23,7 +23,7 @@
 from decklb.interface import Outcome
 from decklb.net.engines import RespEngines
 from decklb.net.health_check import RespHealthCheckConnection
-from decklb.net.listener import Front
+from decklb.net.listener import FrameListener
 from decklb.pg.engines import PgEngines
 from decklb.pg.health_check import PgHealthCheckConnection
 from decklb.pg.settings import PgSettings
@@ -227,7 +227,7 @@
         self.clock, self.done, self.connections, self.attempts = TestClock(), [], [], []
         core = Dispatcher(settings_from(SETTINGS), 1, self.clock, self)
         core.members([api.Entry("e1", "z", "k", 0, api.Phase.UP)])
-        self.front = Front(core, lambda: True, self.PLACES, self.SPARE, most_buffered)
+        self.front = FrameListener(core, lambda: True, self.PLACES, self.SPARE, most_buffered)
         self.front.listens(ListeningPort(lambda what: self.done.append(what)))
 
     def play(self, script):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,10 +24,11 @@
 from decklb.daemon.service import Service
 from decklb.interface import Effect, Outcome
 from decklb.net import frames, resp
+from decklb.net.client_connection import ClientConnection
+from decklb.net.connection_limits import ACCEPT_BATCH
 from decklb.net.engine_connection import CANCEL_SETTLE_MS, WRITE_BLOCKED_LIMIT_MS
 from decklb.net.engines import RespEngines
-from decklb.net.listener import ACCEPTS, Front
-from decklb.net.listener import Client as Connection
+from decklb.net.listener import FrameListener
 from decklb.settings import settings_from
 from decklb.wire.client_timeouts import LINGERING_CLOSE_TIMEOUT_MS
 from decklb.wire.recent_answers import RETRYABLE_ANSWER_DELAY_MS
@@ -397,7 +398,7 @@
         self.clock = TestClock()
         self.taken = []
         core = Dispatcher(settings_from(SETTINGS), 1, self.clock, self)
-        self.front = Front(core, lambda: True, 1, 4, 1 << 20)
+        self.front = FrameListener(core, lambda: True, 1, 4, 1 << 20)
 
     def start(self, attempt):
         self.taken.append(attempt)
@@ -406,7 +407,7 @@
         freed()
 
     def connect(self):
-        client, transport = Connection(self.front), Half()
+        client, transport = ClientConnection(self.front), Half()
         client.makeConnection(transport)
         self.addCleanup(transport.ours.close)
         self.addCleanup(transport.theirs.close)
@@ -421,15 +422,15 @@
     def test_an_idle_connection_closes_at_once_with_nothing_read_in_between(self):
         client, transport = self.idle()
         self.idle()  # another has spoken, and there is one place
-        self.assertTrue(client.ending and transport.half_closed())
+        self.assertTrue(client.closing and transport.half_closed())
         client.dataReceived(request(1, b"rows 1"))  # it crossed: its client sends it once more elsewhere
-        self.assertEqual((self.taken, client.open), ([], {}))
+        self.assertEqual((self.taken, client.requests), ([], {}))
 
     def test_a_request_that_lies_unread_keeps_its_connection(self):
         client, transport = self.idle()
         transport.theirs.sendall(request(1, b"rows 1"))
         self.idle()  # another has spoken, and there is one place
-        self.assertFalse(client.ending or transport.half_closed())
+        self.assertFalse(client.closing or transport.half_closed())
 
     def test_where_the_machine_cannot_say_whether_something_lies_unread_a_connection_is_kept(self):
         client, transport = self.idle()
@@ -440,7 +441,7 @@
 
         transport.getHandle = Short
         self.idle()  # another has spoken, and there is one place
-        self.assertFalse(client.ending or transport.half_closed())
+        self.assertFalse(client.closing or transport.half_closed())
 
     def test_a_last_answer_leaves_whole_before_its_connection_closes(self):
         client, transport = self.idle()
@@ -456,15 +457,15 @@
         transport.theirs.sendall(b"x")  # something lies unread
         self.front.close()
         transport.flush()
-        self.assertFalse(client.ending)
+        self.assertFalse(client.closing)
         transport.ours.recv(1)
         whole = request(1, b"rows 1")
         client.dataReceived(whole[:-1])  # in the middle of a message
         transport.flush()
-        self.assertTrue(self.front.owing and not client.ending)
+        self.assertTrue(self.front.owing and not client.closing)
         client.dataReceived(whole[-1:])
         transport.flush()
-        self.assertTrue(client.ending and not self.front.owing)
+        self.assertTrue(client.closing and not self.front.owing)
 
     def test_a_client_that_does_not_close_its_half_is_dropped_without_a_reset(self):
         client, transport = self.idle()
@@ -539,7 +540,7 @@
         loop.stop()
 
 
-@pytest.mark.parametrize("newcomers", [0, 3 * ACCEPTS])
+@pytest.mark.parametrize("newcomers", [0, 3 * ACCEPT_BATCH])
 def test_who_came_while_a_draining_process_stood_still_is_answered_not_reset(newcomers):
     """On a resting connection, or on new ones in the machine's queue when the listener closes."""
     loop = Loop()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,7 +9,7 @@
 import unittest
 
 from decklb.net import frames, resp
-from decklb.net.listener import MOST_FAULTS
+from decklb.net.client_connection import MAX_INVALID_FRAMES
 from tests.standins import DEADLINE, Loop, Program, known, wait_for
 from tests.test_parsers import reply
 
@@ -212,7 +212,7 @@
         for raw, reason in (
             (b"\xff\xff\xff\xff", "bad-length"),
             (b"\0\0\0\4\1\0\0\0", "bad-length"),
-            (frames.pack(9, 1) * (MOST_FAULTS + 1), "unknown-type"),
+            (frames.pack(9, 1) * (MAX_INVALID_FRAMES + 1), "unknown-type"),
         ):
             client = Client(self.program.port)
             client.send(raw)
