--- a/decklb/lab/injection/matrix.py
+++ b/decklb/lab/injection/matrix.py
@@ -345,7 +345,7 @@
             size, kind, stream = struct.unpack(">IBI", await self.reader.readexactly(9))
             payload = await self.reader.readexactly(size - 5)
             if kind == frames.ANSWER and stream == self._stream:
-                return {frames.SERVED: "served", frames.REFUSED: "refused"}.get(payload[0], "failed")
+                return {frames.SERVED: "served", frames.REJECTED: "refused"}.get(payload[0], "failed")
 
 
 class PgClientLink(Link):
--- a/decklb/lab/load.py
+++ b/decklb/lab/load.py
@@ -86,7 +86,7 @@
         for frame in self.reader.feed(data):
             told = self.open.pop(frame.stream, None)
             if told is not None:
-                told({frames.SERVED: "served", frames.REFUSED: "refused"}.get(frame.payload[0], "failed"))
+                told({frames.SERVED: "served", frames.REJECTED: "refused"}.get(frame.payload[0], "failed"))
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """What is open has no answer."""
--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -18,7 +18,7 @@
 
 from decklb.core.dispatcher import Request
 from decklb.net import frames
-from decklb.net.frames import BadRequest, ProtocolError
+from decklb.net.frames import FrameError, InvalidRequest
 from decklb.wire.connection_end import has_unread_bytes
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
 
     def refused(self, backoff: float) -> None:
         """Rejected: a retry is harmless; it had better come after `backoff` ms."""
-        self.client.answer(self.stream, frames.REFUSED, {"backoff": str(round(backoff))} if backoff else {})
+        self.client.answer(self.stream, frames.REJECTED, {"backoff": str(round(backoff))} if backoff else {})
 
     def failed(self) -> None:
         """No promise about what was done."""
@@ -106,7 +106,7 @@
                 self._handle(frame)
                 if self.input_failed:
                     return
-        except ProtocolError as error:
+        except FrameError as error:
             return self.fail(error.reason)
         self.listener.limits.update(self, message_completed)
         self._count_buffered()
@@ -118,12 +118,12 @@
                 # An answer under a number in use would be a second answer to the first request.
                 return self._ignore_invalid("stream-in-use")
             self._submit(frame)
-        elif frame.type == frames.GONE:
+        elif frame.type == frames.CANCEL:
             if (request := self._release(frame.stream)) is not None:
                 self.listener.dispatcher.abandon(request)
             self._request_ended()
-        elif frame.type == frames.ASK_READY:
-            self._write(frames.pack(frames.READY, frame.stream, bytes([self.listener.ready()]) + b"\0"))
+        elif frame.type == frames.READINESS_QUERY:
+            self._write(frames.pack(frames.READINESS, frame.stream, bytes([self.listener.ready()]) + b"\0"))
         else:
             return self._ignore_invalid("unknown-type")
         self.has_sent_message = True
@@ -145,11 +145,11 @@
             work = frames.read_request(frame.payload, listener.dispatcher.settings)
             other = listener.requests.get(work.rid)
             if other is not None and other.work.statement != work.statement:
-                raise BadRequest("rid is open with another statement")  # engines know requests by their ids
-        except BadRequest as error:
+                raise InvalidRequest("rid is open with another statement")  # engines know requests by their ids
+        except InvalidRequest as error:
             return self.answer(stream, frames.FAILED, {"reason": str(error)})
         if len(self.requests) > MAX_STREAMS or listener.draining or self.over_limit:
-            return self.answer(stream, frames.REFUSED, listener.overload_fields)
+            return self.answer(stream, frames.REJECTED, listener.overload_fields)
         self._accepted_requests += 1
         request = listener.dispatcher.submit(work, StreamSink(self, stream))
         self.requests[stream] = listener.requests[work.rid] = request
--- a/decklb/net/frames.py
+++ b/decklb/net/frames.py
@@ -1,4 +1,8 @@
-"""The client protocol's frames: length:4 type:1 stream:4 payload, all big-endian."""
+"""The client protocol's frames: length:4 type:1 stream:4 payload, all big-endian. A codec without I/O.
+
+Used by `client_connection` and, as a client, by the laboratory. Types and codes are plain numbers, not enums: looking
+up a member of an enum would cost more than reading the frame's header.
+"""
 
 from __future__ import annotations
 
@@ -11,24 +15,37 @@
 from decklb.interface import Settings
 from decklb.wire.table_group import table_group
 
-REQUEST, ANSWER, GONE, ASK_READY, READY, GO_AWAY = 1, 2, 3, 4, 5, 6
-REFUSED, SERVED, FAILED = 0, 1, 9
-LEAST, MOST = 5, 262_144  # what a length may say
-LONGEST_BUDGET = 3_600_000
-HEAD = struct.Struct(">IBI")
-RID = re.compile(r"[0-9a-f]{16}")
+# Types of frames.
+REQUEST = 1  # from a client: fields, then the statement
+ANSWER = 2  # to a client: a code, fields, then the result
+CANCEL = 3  # from a client: it does not wait for this stream any more
+READINESS_QUERY = 4  # from a client
+READINESS = 5  # to a client: a byte that is 1 if the process is ready, then a zero byte
+GO_AWAY = 6  # to a client, on stream 0: send nothing new
+
+# Codes of answers.
+REJECTED = 0  # a retry is harmless
+SERVED = 1
+FAILED = 9  # no promise about what was done
+
+MIN_LENGTH = 5  # of what a frame's length may say: type and stream
+MAX_LENGTH = 262_144
+HEADER = struct.Struct(">IBI")  # length, type, stream
+LENGTH_SIZE = 4  # bytes of the length, which does not count itself
+LONGEST_BUDGET_MS = 3_600_000
+REQUEST_ID = re.compile(r"[0-9a-f]{16}")
 TOKEN = re.compile(r"[0-9A-Za-z_.:-]{1,64}")  # it becomes part of a list `name=value,name=value`
 
 
-class ProtocolError(Exception):
-    """What came is no frame; `reason` is a code for the log."""
+class FrameError(Exception):
+    """What came is no frame; `reason` is a code for the log and the client."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
         self.reason = reason
 
 
-class BadRequest(Exception):
+class InvalidRequest(Exception):
     """A whole frame whose request can't be taken; the connection goes on."""
 
 
@@ -48,75 +65,77 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """The frames that are whole now, one by one: what comes before a fault counts.
+        """The frames that are whole now, one by one: what comes before an error counts.
 
-        Raises ProtocolError; nothing can be read after that.
+        Raises FrameError; nothing can be read after that.
         """
         self.buffer += data
         at = 0
-        while len(self.buffer) - at >= 4:
-            length = int.from_bytes(self.buffer[at : at + 4], "big")
-            if not LEAST <= length <= MOST:  # checked before waiting for what it promises
-                raise ProtocolError("bad-length")
-            if len(self.buffer) - at < 4 + length:
+        while len(self.buffer) - at >= LENGTH_SIZE:
+            length = int.from_bytes(self.buffer[at : at + LENGTH_SIZE], "big")
+            if not MIN_LENGTH <= length <= MAX_LENGTH:  # checked before waiting for what it promises
+                raise FrameError("bad-length")
+            end = at + LENGTH_SIZE + length
+            if len(self.buffer) < end:
                 break
-            _, kind, stream = HEAD.unpack_from(self.buffer, at)
-            yield Frame(kind, stream, bytes(self.buffer[at + 9 : at + 4 + length]))
-            at += 4 + length
+            _, kind, stream = HEADER.unpack_from(self.buffer, at)
+            yield Frame(kind, stream, bytes(self.buffer[at + HEADER.size : end]))
+            at = end
         del self.buffer[:at]
 
 
 def pack(kind: int, stream: int, payload: bytes = b"") -> bytes:
     """One frame."""
-    return HEAD.pack(5 + len(payload), kind, stream) + payload
+    return HEADER.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
 
 def pack_fields(fields: dict[str, str]) -> bytes:
-    """count:1, then size:1 name size:2 value for each."""
+    """Fields as count:1, then size:1 name size:2 value for each."""
     out = bytearray([len(fields)])
     for name, value in fields.items():
-        n, v = name.encode(), value.encode()
-        out += bytes([len(n)]) + n + len(v).to_bytes(2, "big") + v
+        name_bytes, value_bytes = name.encode(), value.encode()
+        out += bytes([len(name_bytes)]) + name_bytes + len(value_bytes).to_bytes(2, "big") + value_bytes
     return bytes(out)
 
 
 def read_fields(payload: bytes) -> tuple[dict[str, str], bytes]:
-    """Fields and what follows them. Raises BadRequest."""
+    """Fields and what follows them. Raises InvalidRequest."""
     fields: dict[str, str] = {}
     try:
         at = 1
         for _ in range(payload[0]):
-            end = at + 1 + payload[at]
-            last = end + 2 + (payload[end] << 8 | payload[end + 1])
-            if last > len(payload):
-                raise BadRequest("fields run over the frame's end")
-            fields[payload[at + 1 : end].decode()] = payload[end + 2 : last].decode()
-            at = last
+            name_end = at + 1 + payload[at]
+            value_start = name_end + 2
+            value_end = value_start + (payload[name_end] << 8 | payload[name_end + 1])
+            if value_end > len(payload):
+                raise InvalidRequest("fields run over the frame's end")
+            fields[payload[at + 1 : name_end].decode()] = payload[value_start:value_end].decode()
+            at = value_end
     except IndexError:
-        raise BadRequest("fields run over the frame's end") from None
+        raise InvalidRequest("fields run over the frame's end") from None
     except UnicodeDecodeError:
-        raise BadRequest("fields are not text") from None
+        raise InvalidRequest("fields are not text") from None
     return fields, payload[at:]
 
 
 def read_request(payload: bytes, settings: Settings) -> Work:
-    """The request of a type 1 frame. Raises BadRequest."""
+    """The request of a type 1 frame. Raises InvalidRequest."""
     fields, body = read_fields(payload)
     spec = settings.classes.get(fields.get("method", ""))
     if spec is None:
-        raise BadRequest("unknown method")
+        raise InvalidRequest("unknown method")
     rid, token, key = fields.get("rid", ""), fields.get("token", ""), fields.get("obj") or None
-    if not RID.fullmatch(rid):
-        raise BadRequest("rid is not 16 hex digits")
+    if not REQUEST_ID.fullmatch(rid):
+        raise InvalidRequest("rid is not 16 hex digits")
     budget = fields.get("budget", "")
     if not (budget.isascii() and budget.isdigit() and 0 < len(budget) < 9):
-        raise BadRequest("budget is no number of milliseconds")
-    if not 0 < int(budget) <= LONGEST_BUDGET:
-        raise BadRequest("budget is out of bounds")
+        raise InvalidRequest("budget is no number of milliseconds")
+    if not 0 < int(budget) <= LONGEST_BUDGET_MS:
+        raise InvalidRequest("budget is out of bounds")
     if token and not TOKEN.fullmatch(token):
-        raise BadRequest("token can't be used")
+        raise InvalidRequest("token can't be used")
     if settings.tenants and fields.get("acct") not in settings.tenants:
-        raise BadRequest("unknown acct")
+        raise InvalidRequest("unknown acct")
     return Work(rid, spec.name, fields.get("acct", ""), float(budget), body, table_group(body), key, token)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -415,7 +415,7 @@
 
     def idle(self):
         client, transport = self.connect()
-        client.dataReceived(frames.pack(frames.ASK_READY, 1, b"\0"))
+        client.dataReceived(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
         transport.flush()
         return client, transport
 
@@ -531,7 +531,7 @@
             wait_for(lambda: program.logged("SIGTERM: draining"), "the drain")
         while (frame := client.next()).type != frames.ANSWER:
             pass
-        assert (frame.stream, frame.payload[0]) == (1, frames.REFUSED)
+        assert (frame.stream, frame.payload[0]) == (1, frames.REJECTED)
         assert program.process.wait(20) == 0
         assert sum("draining," in line for line in program.lines) == 1 and not program.logged("SIGHUP")
     finally:
@@ -548,7 +548,7 @@
     program = Program({"known": known(engine.port)})
     try:
         resting = Client(program.port)
-        resting.send(frames.pack(frames.ASK_READY, 1, b"\0"))
+        resting.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
         resting.next()
         program.process.terminate()
         wait_for(lambda: program.logged("SIGTERM: draining"), "the drain")
--- a/tests/test_net_wire_format.py
+++ b/tests/test_net_wire_format.py
@@ -49,7 +49,7 @@
         for piece in pieces(data, size):
             for frame in reader.feed(piece):
                 found.append([frame.type, frame.stream, frame.payload.hex()])
-    except frames.ProtocolError as raised:
+    except frames.FrameError as raised:
         error = raised.reason
     return {"frames": found, "error": error}
 
@@ -59,7 +59,7 @@
     payload = frames.pack_fields(case["fields"]) if "fields" in case else b""
     try:
         work = frames.read_request(payload + bytes.fromhex(case["body"]), settings_from(SETTINGS))
-    except frames.BadRequest as error:
+    except frames.InvalidRequest as error:
         return {"error": str(error)}
     return {"work": [v.hex() if isinstance(v, bytes) else v for v in dataclasses.astuple(work)]}
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -29,7 +29,7 @@
 
     def test_lengths_out_of_bounds_are_refused_at_once(self):
         for length in (0, 4, 262_145, 0xFFFFFFFF):
-            with self.assertRaises(frames.ProtocolError):
+            with self.assertRaises(frames.FrameError):
                 list(frames.FrameReader().feed(length.to_bytes(4, "big")))
         self.assertEqual(list(frames.FrameReader().feed((262_144).to_bytes(4, "big"))), [])
 
@@ -57,10 +57,10 @@
             {"token": "a,b=c"},
             {"token": "x" * 65},
         ):
-            with self.assertRaises(frames.BadRequest, msg=change):
+            with self.assertRaises(frames.InvalidRequest, msg=change):
                 frames.read_request(frames.pack_fields(GOOD | change), self.settings)
         for payload in (b"", b"\5", b"\1\3ab", b"\1\1a\xff\xff", b"\1\1\xff\0\1a", b"\1\1a\0"):
-            with self.assertRaises(frames.BadRequest, msg=payload):
+            with self.assertRaises(frames.InvalidRequest, msg=payload):
                 frames.read_request(payload, self.settings)
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -163,7 +163,7 @@
             self.both_serve()
             self.client.send(request(1, word))
             _, code, fields, _ = self.client.answer()
-            self.assertEqual(code, frames.REFUSED, word)
+            self.assertEqual(code, frames.REJECTED, word)
             self.assertGreater(int(fields["backoff"]), 0)
             self.assertTrue(all(e.said(b"do") for e in self.engines), word)
 
@@ -186,13 +186,13 @@
 
     def test_time_out_is_told_to_the_engine_and_answered(self):
         self.client.send(request(1, b"hang", budget="1500"))
-        self.assertEqual(self.client.answer()[1], frames.REFUSED)
+        self.assertEqual(self.client.answer()[1], frames.REJECTED)
         self.assertEqual(len(self.said(b"undo")), 1)
 
     def test_a_client_that_does_not_wait_frees_its_work(self):
         self.client.send(request(1, b"hang"))
         wait_for(lambda: self.said(b"do"), "do")
-        self.client.send(frames.pack(frames.GONE, 1), request(2, b"rows 1"))
+        self.client.send(frames.pack(frames.CANCEL, 1), request(2, b"rows 1"))
         self.assertEqual(self.client.answer()[:2], (2, frames.SERVED))
         wait_for(lambda: self.said(b"undo"), "undo")
 
@@ -232,7 +232,7 @@
             client.send(request(1, b"hang", budget="1500"), raw, request(2, b"rows 1"))
             found = [client.answer() for _ in range(3)]
             self.assertEqual(found[0][::2], (0, {"reason": reason}))
-            self.assertEqual([a[:2] for a in found[1:]], [(2, frames.SERVED), (1, frames.REFUSED)])
+            self.assertEqual([a[:2] for a in found[1:]], [(2, frames.SERVED), (1, frames.REJECTED)])
             client.socket.close()
 
     def test_what_never_becomes_a_message_ends_in_time_with_a_reason(self):
@@ -256,7 +256,7 @@
         """A request before a fault in one read was taken and never answered; later it was failed at once."""
         self.client.send(request(1, b"hang", budget="1500") + request(2, b"rows 3") + b"\xff\xff\xff\xff")
         self.assertEqual(self.client.answer()[::2], (0, {"reason": "bad-length"}))
-        self.assertEqual([self.client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REFUSED)])
+        self.assertEqual([self.client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
         self.assertIsNone(self.client.next())
 
     def test_an_open_id_with_another_statement_is_refused_alone(self):
@@ -265,17 +265,17 @@
         self.assertEqual(
             found, {2: (frames.FAILED, {"reason": "rid is open with another statement"}), 3: (frames.SERVED, {})}
         )
-        self.client.send(frames.pack(frames.GONE, 1), request(4, b"rows 1", rid=RID))  # the id is free
+        self.client.send(frames.pack(frames.CANCEL, 1), request(4, b"rows 1", rid=RID))  # the id is free
         self.assertEqual(self.client.answer()[:2], (4, frames.SERVED))
 
     def test_more_than_32_streams_are_refused(self):
         self.client.send(*[request(n, b"hang") for n in range(1, 34)])
-        self.assertEqual(self.client.answer()[:2], (33, frames.REFUSED))
+        self.assertEqual(self.client.answer()[:2], (33, frames.REJECTED))
 
     def test_ready_is_told(self):
-        self.client.send(frames.pack(frames.ASK_READY, 5, b"\0"))
+        self.client.send(frames.pack(frames.READINESS_QUERY, 5, b"\0"))
         frame = self.client.next()
-        self.assertEqual((frame.type, frame.stream, frame.payload[0]), (frames.READY, 5, 1))
+        self.assertEqual((frame.type, frame.stream, frame.payload[0]), (frames.READINESS, 5, 1))
 
 
 class Alone(unittest.TestCase):
@@ -317,7 +317,7 @@
         new.recvfrom(4096)
         wait_for(lambda: "list 7," in program.logged("configuration read"), "the log line")
         client.send(request(2, b"rows 1"))
-        self.assertEqual([client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REFUSED)])
+        self.assertEqual([client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
 
     def test_sighup_brings_a_newer_list_where_no_directory_is_asked(self):
         program = self.program(known=known())
@@ -332,7 +332,7 @@
         client = Client(self.program(known=known(self.engine.port), resolver=resolver).port)
 
         def ready():
-            client.send(frames.pack(frames.ASK_READY, 1, b"\0"))
+            client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
             return client.next().payload[0]
 
         self.assertEqual(ready(), 0)
@@ -342,7 +342,7 @@
 
     def test_not_ready_without_engines(self):
         client = Client(self.program(known=known()).port)
-        client.send(frames.pack(frames.ASK_READY, 1, b"\0"))
+        client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
         self.assertEqual(client.next().payload[0], 0)
 
     def test_the_directory_brings_engines_by_whole_answers_to_its_own_questions(self):
@@ -351,7 +351,7 @@
         client, seen = Client(program.port), set()
 
         def ready():
-            client.send(frames.pack(frames.ASK_READY, 1, b"\0"))
+            client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
             return client.next().payload[0]
 
         for whole in (False, False, True):
@@ -372,7 +372,7 @@
 
     def test_a_connection_that_let_an_attempt_run_out_of_time_takes_no_other(self):
         client = Client(self.program(known=known(self.engine.port)).port)
-        for stream, statement, code in ((1, b"hang", frames.REFUSED), (2, b"rows 1", frames.SERVED)):
+        for stream, statement, code in ((1, b"hang", frames.REJECTED), (2, b"rows 1", frames.SERVED)):
             client.send(request(stream, statement, budget="800"))
             self.assertEqual(client.answer()[:2], (stream, code))
         self.assertEqual(self.engine.connections, 2)
@@ -383,7 +383,7 @@
         free.close()
         client = Client(self.program(known=known(port)).port)
         client.send(request(1, b"rows 1", method="load", budget="1500"))
-        self.assertEqual(client.answer()[1], frames.REFUSED)
+        self.assertEqual(client.answer()[1], frames.REJECTED)
 
     def test_drain_tells_clients_takes_what_still_comes_and_exits(self):
         program = self.program(known=known(self.engine.port))
@@ -393,7 +393,7 @@
         program.process.terminate()
         self.assertEqual(old.next().type, frames.GO_AWAY)
         new = Client(program.port)  # the front layer does not know yet
-        new.send(frames.pack(frames.ASK_READY, 1, b"\0"), request(2, b"rows 1"))
+        new.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"), request(2, b"rows 1"))
         self.assertEqual(new.next().payload[0], 0)
         self.assertEqual(new.answer()[:2], (2, frames.SERVED))
         while (frame := old.next()).type != frames.ANSWER:
@@ -410,7 +410,7 @@
         while (frame := client.next()) is not None:
             if frame.type == frames.ANSWER:
                 found[frame.stream] = frame.payload[0]
-        self.assertEqual(found, {1: frames.REFUSED, 2: frames.FAILED})
+        self.assertEqual(found, {1: frames.REJECTED, 2: frames.FAILED})
         wait_for(lambda: len(self.engine.said(b"undo")) == 2, "undo")  # the engine reads at its own pace
         self.assertEqual(program.process.wait(DEADLINE), 0)
 
@@ -458,7 +458,7 @@
         new = Client(program.port)
         new.send(request(1, b"rows 1"))
         _, code, fields, _ = new.answer()
-        self.assertEqual((code, fields), (frames.REFUSED, {"backoff": "500"}))
+        self.assertEqual((code, fields), (frames.REJECTED, {"backoff": "500"}))
 
 
 if __name__ == "__main__":
