--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -16,7 +16,7 @@
 from decklb.daemon.assembly import assemble, cluster, handoff, locality, maintenance, speaker
 from decklb.daemon.garbage import Collector
 from decklb.interface import Entry, Outcome, Phase
-from decklb.net.directory import Directory
+from decklb.net.directory_client import DirectoryClient
 from decklb.wire.clock import ReactorClock
 
 # SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as 3 s at the most, and 0.7 s more.
@@ -49,7 +49,7 @@
             reactor, self.clock, config, parts, self.cluster, self.locality, self._relist, self.terminate
         )
         self.listed: tuple[list[Entry], dict[str, tuple[str, int]]] = [], {}  # the list as the directory has it
-        self.directory = Directory(
+        self.directory = DirectoryClient(
             self.clock, config.resolver, self.rng.randrange, self._list, config.settings.drain_grace
         )
         self.up = 0  # engines that the list calls up
@@ -61,7 +61,7 @@
     def start(self) -> None:
         """Open everything. Raises what Twisted raises when the address can't be had."""
         c = self.config
-        self.directory.known(c.index, c.updates)
+        self.directory.load_updates(c.index, c.updates)
         if c.resolver is None:
             self.late = True
         else:
@@ -144,8 +144,8 @@
             return
         try:
             new = self.again()
-            if new.index > self.directory.index:
-                self.directory.known(new.index, new.updates)
+            if new.index > self.directory.serial:
+                self.directory.load_updates(new.index, new.updates)
         except (ConfigError, LookupError, TypeError, ValueError) as error:
             # Guards against a file that is half written or wrong: what serves goes on serving.
             return logger.error(
@@ -177,7 +177,7 @@
                 "SIGHUP: a restart is needed for a change of {parts}", event="reload-partial", parts=", ".join(kept)
             )
         if new.resolver != self.directory.resolver:
-            self.directory.move(new.resolver)
+            self.directory.change_resolver(new.resolver)
             if self.directory.transport is None:
                 self._open_directory()
         if self.cluster is not None:
@@ -187,13 +187,13 @@
         logger.info(
             "SIGHUP: configuration read, list {index}, resolver {resolver}",
             event="reloaded",
-            index=self.directory.index,
+            index=self.directory.serial,
             resolver=new.resolver,
         )
 
     def ready(self) -> bool:
         """Whether a request sent now would be served as well as any."""
-        return self.listening and not self.stopping and self.up > 0 and (self.directory.heard or self.late)
+        return self.listening and not self.stopping and self.up > 0 and (self.directory.synchronized or self.late)
 
     def _no_word(self) -> None:
         self.late = True
@@ -266,7 +266,7 @@
 
     def _stop(self) -> None:
         if self.final is None:
-            self.directory.close()
+            self.directory.stop()
             self.engines.close()
             if self.speaker is not None:
                 self.speaker.close()
--- a/decklb/lab/injection/peers.py
+++ b/decklb/lab/injection/peers.py
@@ -161,7 +161,7 @@
 
 def answer(question: bytes, rows: dict[str, int], starts: dict[str, int], serial: int) -> bytes:
     """The whole list, as RFC 1035 and RFC 2782 have it, for the question in a datagram."""
-    asked = question[dns.HEAD.size :]
+    asked = question[dns.HEADER.size :]
     records = b""
     for engine, port in rows.items():
         target = _name(f"{engine}.z.hosts")
@@ -171,7 +171,7 @@
             target, dns.TXT, b"".join(_text(t) for t in ("kind=k", "cell=0", f"started={starts.get(engine, 0)}"))
         )
     records += _record(b"\xc0\x0c", dns.SOA, _name("ns") + _name("me") + struct.pack(">5I", serial, 0, 0, 0, 0))
-    head = dns.HEAD.pack(int.from_bytes(question[:2], "big"), 0x8400, 1, 3 * len(rows), 1, 0)
+    head = dns.HEADER.pack(int.from_bytes(question[:2], "big"), 0x8400, 1, 3 * len(rows), 1, 0)
     return head + asked + records
 
 
--- a/decklb/net/start_times.py
+++ b/decklb/net/start_times.py
@@ -1,57 +1,71 @@
 """When engines started, on the monotonic clock, from what the directory says in wall-clock time.
 
-The wall clock may be set at any moment, and a start that is reckoned too early makes a cold engine look warm. What the
+The wall clock may be set at any moment, and a start that is placed too early makes a cold engine look warm. What the
 list's changes prove does not depend on it: an engine that the last list lacked can't have run for longer than since
 that list, and what the directory took to tell of it. No I/O: both clocks are passed in.
+
+State: the starts that were placed, and the offset between the clocks. Owned by `directory_client`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-LAG = 7000.0  # ms after which whatever the directory has to tell counts as told (protocol page, 'Figures')
-SET = 250.0  # ms between two readings by which the wall clock may leave the monotonic one before it counts as set
+# After which whatever the directory has to tell counts as told (protocol page, 'Figures').
+PROPAGATION_LIMIT_MS = 7000.0
+# Between two readings, by which the wall clock may leave the monotonic one before it counts as set.
+CLOCK_STEP_MS = 250.0
 
 
 class StartTimes:
-    """The starts of the engines that the list names; each is reckoned once."""
+    """The starts of the engines that the list names; each is placed once. All times in ms."""
 
     def __init__(self) -> None:
+        # Monotonic time of the start, by engine and its start in Unix time.
         self._starts: dict[tuple[str, int], float] = {}
         self._offset: float | None = None  # wall minus monotonic clock, before the wall clock was last set
-        self._told: float | None = None  # when the last list was read
+        self._list_at: float | None = None  # when the last list was confirmed
 
-    def heard(self, now: float, wall: float) -> None:
-        """The directory's list is the one known. `now` and `wall` in ms, read together."""
-        if self._offset is None or abs(wall - now - self._offset) <= SET:
+    def list_confirmed(self, now: float, wall: float) -> None:
+        """The directory's list is the one known. `now` and `wall`: both clocks, read together."""
+        if self._offset is None or abs(wall - now - self._offset) <= CLOCK_STEP_MS:
             self._offset = wall - now  # they drift
-        self._told = now
+        self._list_at = now
+
+    def place(
+        self, engines: Collection[tuple[str, int]], now: float, wall: float, is_current: bool
+    ) -> dict[str, float]:
+        """Place the starts of a new list on the monotonic clock.
 
-    def read(self, rows: Collection[tuple[str, int]], now: float, wall: float, current: bool) -> dict[str, float]:
-        """The start of each engine of a new list by its id, 0 where it is long past.
+        Args:
+            engines: id and start of each engine, in Unix ms or 0 for long ago.
+            now: the monotonic clock.
+            wall: the wall clock, read together with it.
+            is_current: the list is what the directory says now, and was not kept from before.
 
-        `rows`: id and start of each engine, in Unix milliseconds or 0; `current`: it is what the directory says now,
-        and not a list that was kept from before.
+        Returns:
+            The start of each engine by its id, 0 where it is long past.
         """
-        named = set(rows)
-        starts = {row: at for row, at in self._starts.items() if row in named}
-        for row in named:
-            if row[1] and row not in starts:
-                starts[row] = self._reckon(row[1], now, wall - now)
+        listed = set(engines)
+        starts = {engine: at for engine, at in self._starts.items() if engine in listed}
+        for engine in listed:
+            started_at = engine[1]
+            if started_at and engine not in starts:
+                starts[engine] = self._to_monotonic(started_at, now, wall - now)
         self._starts = starts
-        if current:
-            self.heard(now, wall)
-        return {row[0]: starts.get(row, 0.0) for row in named}
-
-    def _reckon(self, started: int, now: float, offset: float) -> float:
-        """The later start of those that the wall clock gave before it was set and gives now; now if neither can be."""
-        earliest = -float("inf") if self._told is None else self._told - LAG
-        before = started - (offset if self._offset is None else self._offset)
-        after = started - offset
-        if abs(before - after) <= SET:
-            return after if earliest <= after <= now else now
-        if not earliest <= before <= now and earliest <= after <= now:
+        if is_current:
+            self.list_confirmed(now, wall)
+        return {engine[0]: starts.get(engine, 0.0) for engine in listed}
+
+    def _to_monotonic(self, started_at: int, now: float, offset: float) -> float:
+        """The later of the starts by the old offset and by the present one; `now` if neither is possible."""
+        earliest = -float("inf") if self._list_at is None else self._list_at - PROPAGATION_LIMIT_MS
+        by_old_offset = started_at - (offset if self._offset is None else self._offset)
+        by_new_offset = started_at - offset
+        if abs(by_old_offset - by_new_offset) <= CLOCK_STEP_MS:
+            return by_new_offset if earliest <= by_new_offset <= now else now
+        if not earliest <= by_old_offset <= now and earliest <= by_new_offset <= now:
             self._offset = offset  # it was wrong before and is right now
-            return after
-        latest = max(before, after)
+            return by_new_offset
+        latest = max(by_old_offset, by_new_offset)
         return latest if earliest <= latest <= now else now
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -9,8 +9,8 @@
 from test_parsers import name, record, reply
 
 from decklb.net import dns
-from decklb.net.directory import Directory
-from decklb.net.poll_schedule import MOST, POLL, TIMEOUT, Polling
+from decklb.net.directory_client import DirectoryClient
+from decklb.net.poll_schedule import MAX_WAIT_MS, POLL_INTERVAL_MS, QUERY_TIMEOUT_MS, PollSchedule
 
 NEWS_BINDS = 1500.0  # ms after which news counts as told, heard or not (the platform's protocol)
 
@@ -19,7 +19,7 @@
     """A whole answer with no engine."""
     soa = record(b"\xc0\x0c", dns.SOA, name("ns") + name("me") + struct.pack(">5I", serial, 0, 0, 0, 0))
     question = name("_api._tcp.svc.local") + struct.pack(">HH", dns.SRV, 1)
-    return dns.HEAD.pack(ident, 0x8400, 1, 1, 0, 0) + question + soa
+    return dns.HEADER.pack(ident, 0x8400, 1, 1, 0, 0) + question + soa
 
 
 class Wire:
@@ -27,7 +27,7 @@
 
     def __init__(self, seed=1, known=40):
         self.clock, self.lists, self.asked = TestClock(), [], []
-        self.directory = Directory(
+        self.directory = DirectoryClient(
             self.clock,
             ("127.0.0.1", 53),
             random.Random(seed).randrange,
@@ -40,7 +40,7 @@
             "machineType": "k",
             "lifecycle": "Ready",
         }
-        self.directory.known(known, [{"endpoints": {"instances": [instance]}}])
+        self.directory.load_updates(known, [{"endpoints": {"instances": [instance]}}])
         self.directory.transport = self
         self.directory.startProtocol()
 
@@ -67,10 +67,10 @@
     wires = [Wire(seed) for seed in range(20)]
     for w in wires:
         for _ in range(400):
-            if w.directory.ident is not None:
+            if w.directory.query_id is not None:
                 w.answer()
             w.clock.go(10)
-        assert max(w.gaps()) <= 1.2 * POLL + 11 and min(w.gaps()) >= 0.8 * POLL - 1
+        assert max(w.gaps()) <= 1.2 * POLL_INTERVAL_MS + 11 and min(w.gaps()) >= 0.8 * POLL_INTERVAL_MS - 1
     assert len({round(w.asked[10][0]) for w in wires}) > 10
 
 
@@ -78,43 +78,43 @@
     w = Wire()
     w.clock.go(60_000)
     gaps = w.gaps()
-    assert gaps[0] < gaps[1] < gaps[2] and max(gaps) <= MOST + 1 < NEWS_BINDS
+    assert gaps[0] < gaps[1] < gaps[2] and max(gaps) <= MAX_WAIT_MS + 1 < NEWS_BINDS
     assert len(w.asked) < 80  # it was 150 a minute
-    assert log.count("directory-silent") == 1 and w.lists == [["s-0"]]
+    assert log.count("directory-timeout") == 1 and w.lists == [["s-0"]]
     questions = len(w.asked)
     w.answer()
-    assert w.lists[-1] == ["s-1"] and log.count("directory-back") == 1
-    w.clock.go(1.2 * POLL + 2)
+    assert w.lists[-1] == ["s-1"] and log.count("directory-recovered") == 1
+    w.clock.go(1.2 * POLL_INTERVAL_MS + 2)
     assert len(w.asked) == questions + 1
 
 
 def test_a_question_never_waits_longer_than_a_part_of_the_grace_in_which_drains_bind():
     """A directory that is back after an outage may have news whose grace is nearly over."""
     for grace in (0.0, 1000.0, 2000.0, 60_000.0):
-        polling = Polling(random.Random(1).randrange, grace)
+        schedule = PollSchedule(random.Random(1).randrange, grace)
         waits = []
         for _ in range(30):
-            waits.append(polling.asked())
-            polling.failed()
-        assert max(waits) <= (min(MOST, max(TIMEOUT, grace / 4)) if grace else MOST)
+            waits.append(schedule.query_timeout())
+            schedule.query_failed()
+        assert max(waits) <= (min(MAX_WAIT_MS, max(QUERY_TIMEOUT_MS, grace / 4)) if grace else MAX_WAIT_MS)
 
 
 @pytest.mark.parametrize(
     ("event", "make"),
     [
-        ("directory-answer-dropped", lambda ident: reply(ident=ident)[:-3]),
-        ("directory-answer-dropped", lambda ident: reply(ident=ident, flags=0x8600)),
-        ("directory-answer-dropped", lambda ident: reply(ident=ident, flags=0x8402)),
-        ("directory-answer-dropped", lambda ident: reply(ident=ident, records=2)),
-        ("directory-answer-dropped", lambda ident: b""),
-        ("directory-answer-old", lambda ident: empty(ident, 39)),
+        ("directory-answer-invalid", lambda ident: reply(ident=ident)[:-3]),
+        ("directory-answer-invalid", lambda ident: reply(ident=ident, flags=0x8600)),
+        ("directory-answer-invalid", lambda ident: reply(ident=ident, flags=0x8402)),
+        ("directory-answer-invalid", lambda ident: reply(ident=ident, records=2)),
+        ("directory-answer-invalid", lambda ident: b""),
+        ("directory-answer-stale", lambda ident: empty(ident, 39)),
     ],
 )
 def test_a_bad_answer_changes_nothing_and_is_logged_once_not_at_each_poll(log, event, make):
     w = Wire()
     for _ in range(10):
         w.answer(make)
-        w.clock.go(MOST)
+        w.clock.go(MAX_WAIT_MS)
     assert w.lists == [["s-0"]] and log.count(event) == 1 and len(w.asked) > 8
     w.answer()
     w.answer()  # a second copy
@@ -133,7 +133,7 @@
 def test_a_reload_that_moves_the_directory_while_a_question_is_out_believes_the_new_one_alone():
     w = Wire()
     _, old = w.asked[-1]
-    w.directory.move(("127.0.0.1", 54))
+    w.directory.change_resolver(("127.0.0.1", 54))
     assert len(w.asked) == 2  # at once
     w.directory.datagramReceived(reply(ident=old), None)
     assert w.lists == [["s-0"]]
@@ -152,5 +152,5 @@
     w = Wire()
     for _ in range(5):
         w.directory.connectionRefused()
-        w.clock.go(MOST)
+        w.clock.go(MAX_WAIT_MS)
     assert log.count("directory-refused") == 1 and len(w.asked) > 4
--- a/tests/test_net_wire_format.py
+++ b/tests/test_net_wire_format.py
@@ -14,7 +14,7 @@
 import pytest
 
 from decklb.net import dns, frames, resp
-from decklb.net.directory import rows_from
+from decklb.net.endpoints import from_reply
 from decklb.settings import settings_from
 from tests.exchanges import ClientExchange, EngineExchange, ProbeExchange
 from tests.standins import SETTINGS
@@ -88,7 +88,7 @@
     try:
         reply = dns.read_reply(data)
         records = [dataclasses.astuple(reply)]
-        engines = [[plain(v) for v in dataclasses.astuple(row)] for row in rows_from(reply).values()]
+        engines = [[plain(v) for v in dataclasses.astuple(row)] for row in from_reply(reply).values()]
     except (dns.DnsError, ValueError) as error:
         return {"error": str(error)}
     return json.loads(json.dumps({"reply": records, "engines": engines}))
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("case", cases("dns_questions"))
 def test_dns_questions_are_encoded_as_recorded(case):
-    assert dns.query(case["ident"], case["name"]).hex() == case["bytes"]
+    assert dns.pack_query(case["ident"], case["name"]).hex() == case["bytes"]
 
 
 @pytest.mark.parametrize("case", cases("dns_answers"))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -7,7 +7,7 @@
 
 from decklb.bgp import messages as bgp
 from decklb.net import dns, frames, resp
-from decklb.net.directory import rows_from
+from decklb.net.endpoints import from_reply
 from decklb.settings import settings_from
 from tests.standins import SETTINGS
 
@@ -114,17 +114,26 @@
         record(b"\xc0\x0c", dns.SOA, name("ns") + name("me") + struct.pack(">5I", 41, 0, 0, 0, 0)),
     ]
     records = [first, *rest] if records is None else [first, *rest][:records]
-    head = dns.HEAD.pack(ident, flags, 1, count if count is not None else len(records), 0, 0)
+    head = dns.HEADER.pack(ident, flags, 1, count if count is not None else len(records), 0, 0)
     return head + question + b"".join(records)
 
 
 class Dns(unittest.TestCase):
     def test_a_whole_answer(self):
         found = dns.read_reply(reply())
-        self.assertEqual((found.ident, found.serial), (77, 41))
-        (row,) = rows_from(found).values()
+        self.assertEqual((found.query_id, found.serial), (77, 41))
+        (row,) = from_reply(found).values()
         self.assertEqual(
-            (row.engine, row.address, row.zone, row.kind, row.cell, row.phase.value, row.hint, row.started),
+            (
+                row.engine,
+                row.address,
+                row.zone,
+                row.machine_type,
+                row.cell,
+                row.phase.value,
+                row.weight,
+                row.started_at_ms,
+            ),
             ("s-1", ("127.0.0.9", 4100), "sala", "k", 2, "draining", 4.0, 500),
         )
 
@@ -145,12 +154,12 @@
             reply(records=3),
         ):
             with self.assertRaises(dns.DnsError, msg=data):
-                rows_from(dns.read_reply(data))
+                from_reply(dns.read_reply(data))
 
     def test_no_cut_of_an_answer_raises_anything_else(self):
         for end in range(len(reply())):
             with self.assertRaises(dns.DnsError):
-                rows_from(dns.read_reply(reply()[:end]))
+                from_reply(dns.read_reply(reply()[:end]))
 
 
 class Bgp(unittest.TestCase):
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from decklb.net.start_times import LAG, StartTimes
+from decklb.net.start_times import PROPAGATION_LIMIT_MS, StartTimes
 
 HOUR = 3_600_000.0
 BEGIN = 1_000_000.0  # the monotonic clock's first reading
@@ -23,7 +23,7 @@
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + 250.0)
-            self.starts.heard(self.now, self.wall())
+            self.starts.list_confirmed(self.now, self.wall())
 
     def wall(self):
         return WALL + self.now - BEGIN + self.wrong
@@ -31,7 +31,7 @@
     def told(self, name, ago, current=True):
         """An engine that started that long ago is listed; the age that is reckoned, in ms."""
         self.rows.append((name, round(WALL + self.now - BEGIN - ago)))
-        at = self.starts.read(self.rows, self.now, self.wall(), current)[name]
+        at = self.starts.place(self.rows, self.now, self.wall(), current)[name]
         return self.now - at
 
 
@@ -46,7 +46,7 @@
 
 def test_long_past_starts_stay_so():
     machine = Machine()
-    assert machine.starts.read([("a", 0)], machine.now, machine.wall(), True) == {"a": 0.0}
+    assert machine.starts.place([("a", 0)], machine.now, machine.wall(), True) == {"a": 0.0}
 
 
 @pytest.mark.parametrize("step", [1000.0, 5000.0, 60_000.0, HOUR, -1000.0, -5000.0, -60_000.0, -HOUR])
@@ -60,8 +60,8 @@
         machine.wrong = step
     for ago in (0.0, 900.0, 3000.0):
         age = machine.told(f"new-{ago}", ago)
-        assert 0.0 <= age <= LAG + 250.0
-        if when != "before-start" or abs(step) > LAG + 250.0:
+        assert 0.0 <= age <= PROPAGATION_LIMIT_MS + 250.0
+        if when != "before-start" or abs(step) > PROPAGATION_LIMIT_MS + 250.0:
             assert age <= ago + 1.0
         machine.wait(2000.0)
         if when == "and-back":
