--- a/decklb/pg/statements.py
+++ b/decklb/pg/statements.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from decklb.pg.messages import FEATURE_NOT_SUPPORTED, PgError
-from decklb.wire.table_group import names
+from decklb.wire.table_group import tokenize
 
 TRANSACTIONS = {b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release"}
 # Each of these leaves something behind in one engine's session, which the next statement may not meet.
@@ -64,7 +64,7 @@
 def classify(sql: str) -> Statement:
     """Raises PgError for what can't be kept safely over several engines."""
     firsts, writes, start = [], False, True
-    for kind, word in names(sql.encode()):
+    for kind, word in tokenize(sql.encode()):
         if kind == b"sign" and word == b";":
             start = True
         elif start:
--- a/decklb/wire/table_group.py
+++ b/decklb/wire/table_group.py
@@ -1,4 +1,7 @@
-"""The group of tables of a statement: the number after the underscore in its schema's name."""
+"""The group of tables of a statement: the number after the underscore in its schema's name. Scanners, no state.
+
+`table_group` runs for every request of both listeners; `tokenize` serves the PostgreSQL listener's look at statements.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,11 @@
        | (?P<other>\S)""",
     re.VERBOSE | re.DOTALL,
 )
-_COMMENT = re.compile(rb"/\*|\*/")
-_WORD = rb"[\w$\x80-\xff]"
-# Only what a group can stand in or hide in is looked at: cutting whole statements into words took two fifths of a
-# busy core.
-_NAMED = re.compile(
+_COMMENT_EDGE = re.compile(rb"/\*|\*/")
+_WORD_BYTE = rb"[\w$\x80-\xff]"
+# Only what a group can stand in or hide in is matched: cutting whole statements into words took two fifths of a busy
+# core.
+_SCHEMA = re.compile(
     rb"""--[^\n]*
        | (?P<block>/\*)
        | (?<!%b)[eE]'(?:[^'\\]|''|\\.)*(?:'|\Z)
@@ -32,40 +35,43 @@
             | "(?P<quoted>(?:[^"]|"")*)")
          \s*\.\s*(?=["A-Za-z_\x80-\xff])
        | "(?:[^"]|"")*(?:"|\Z)"""
-    % ((_WORD,) * 5),
+    % ((_WORD_BYTE,) * 5),
     re.VERBOSE | re.DOTALL | re.IGNORECASE,
 )
-_GROUP = re.compile(rb".*_([0-9]{1,9})\Z", re.DOTALL)
+_GROUP_SUFFIX = re.compile(rb".*_([0-9]{1,9})\Z", re.DOTALL)
 
 
 def _after_comment(text: bytes, at: int) -> int:
     """Where a block comment that opened just before `at` ends; they nest."""
     depth = 1
     while depth:
-        m = _COMMENT.search(text, at)
-        if m is None:
+        match = _COMMENT_EDGE.search(text, at)
+        if match is None:
             return len(text)
-        depth += 1 if m.group() == b"/*" else -1
-        at = m.end()
+        depth += 1 if match.group() == b"/*" else -1
+        at = match.end()
     return at
 
 
-def names(text: bytes) -> list[tuple[bytes, bytes]]:
-    """Words, quoted identifiers and signs in order as (kind, text), without strings and comments."""
+def tokenize(text: bytes) -> list[tuple[bytes, bytes]]:
+    """Names and signs in order as (kind, text), without strings and comments.
+
+    Kinds are b"name" for words, which are lowered, and quoted identifiers, and b"sign" for any other character.
+    """
     found, at = [], 0
-    while (m := _TOKEN.search(text, at)) is not None:
-        at, kind = m.end(), m.lastgroup
-        if m.group("block"):
+    while (match := _TOKEN.search(text, at)) is not None:
+        at, kind = match.end(), match.lastgroup
+        if match.group("block"):
             at = _after_comment(text, at)
-        elif m.group("dollar"):
-            end = text.find(m.group("dollar"), at)
-            at = len(text) if end < 0 else end + len(m.group("dollar"))
-        elif m.group("quoted"):
-            found.append((b"name", m.group()[1:-1].replace(b'""', b'"')))
-        elif m.group("word"):
-            found.append((b"name", m.group().lower()))
+        elif match.group("dollar"):
+            end = text.find(match.group("dollar"), at)
+            at = len(text) if end < 0 else end + len(match.group("dollar"))
+        elif match.group("quoted"):
+            found.append((b"name", match.group()[1:-1].replace(b'""', b'"')))
+        elif match.group("word"):
+            found.append((b"name", match.group().lower()))
         elif kind in ("dot", "other"):
-            found.append((b"sign", m.group()))
+            found.append((b"sign", match.group()))
     return found
 
 
@@ -76,17 +82,17 @@
     `staging` has no group.
     """
     first, at = 0, 0
-    while (m := _NAMED.search(text, at)) is not None:
-        at = m.end()
-        if m["block"]:
+    while (match := _SCHEMA.search(text, at)) is not None:
+        at = match.end()
+        if match["block"]:
             at = _after_comment(text, at)
-        elif m["dollar"]:
-            end = text.find(m["dollar"], at)
-            at = len(text) if end < 0 else end + len(m["dollar"])
+        elif match["dollar"]:
+            end = text.find(match["dollar"], at)
+            at = len(text) if end < 0 else end + len(match["dollar"])
         else:
-            quoted = _GROUP.match(m["quoted"]) if m["quoted"] else None
-            number = quoted[1] if quoted else m["group"]
-            if number and m["before"]:
+            quoted = _GROUP_SUFFIX.match(match["quoted"]) if match["quoted"] else None
+            number = quoted[1] if quoted else match["group"]
+            if number and match["before"]:
                 return int(number)
             first = first or int(number or 0)
     return first
