--- /dev/null
+++ b/tests/test_attempt_guards.py
@@ -0,0 +1,85 @@
+"""Which attempts the dispatcher lets out, whatever the policy decides."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from test_dispatcher import Rig
+
+from decklb import interface as api
+from decklb.core.dispatcher import Dispatcher
+from decklb.interface import Effect, Outcome
+
+
+class AttemptGuards(Rig):
+    """Whatever the module says."""
+
+    def classes(self, effect, **more):
+        spec = replace(self.d.settings.classes["load"], effect=effect, serial=False, **more)
+        self.d.settings.classes["load"] = spec
+
+    def again(self, r, engine="e2"):
+        self.d._act(api.Send(r.ident, engine))
+        return len(self.engines.started)
+
+    def test_where_settings_allow_copies_a_lost_attempt_is_called_off_not_copied_in_vain(self):
+        """Of 15 days of such a deployment 225 copies were held back, each an attempt less (61e05677)."""
+        settings = replace(self.d.settings, duplicates=True, progress=100.0)
+        self.d = Dispatcher(settings, 1, self.clock, self.engines)
+        self.d.members([api.Entry("e0", "z", "k", 0, api.Phase.UP)])
+        self.ask()
+        self.run_until_started(1)
+        for n in range(2, 40):  # the engine answers others, and tells nothing of the first
+            self.ask(rid=f"{n:016x}")
+            self.run_until_started(n)
+            if self.engines.given:
+                break
+            self.engines.started[-1].end(Outcome.GOOD)
+            self.clock.go(50)
+        self.assertEqual(self.engines.given, [self.engines.started[0]])
+
+    def test_an_unsafe_request_goes_again_only_where_it_surely_never_ran(self):
+        for outcome, count in ((Outcome.NOCONN, 2), (Outcome.FULL, 2), (Outcome.RST, 1), (Outcome.BAD, 1)):
+            self.setUp()
+            self.classes(Effect.UNSAFE)
+            self.d.gateway.step = lambda now, events: []
+            r, _ = self.ask("load")
+            self.again(r, "e1")
+            self.engines.started[0].end(outcome)
+            self.assertEqual(self.again(r), count, outcome)
+
+    def test_an_unsafe_request_that_waited_for_a_connection_to_its_end_is_refused_not_failed(self):
+        for begun, answer in ((False, "refused"), (True, "failed")):
+            self.setUp()
+            self.classes(Effect.UNSAFE)
+            _, sink = self.ask("load", budget=2000.0)
+            self.run_until_started(1)
+            self.engines.started[0].begun = begun
+            self.clock.go(2050)
+            self.assertEqual([a for a, _ in sink.answers], [answer])
+
+    def test_a_keyed_request_goes_again_within_its_window_only(self):
+        for wait, count in ((250, 2), (350, 1)):
+            self.setUp()
+            self.classes(Effect.KEYED, memory_span=300.0)
+            self.d.gateway.step = lambda now, events: []
+            r, _ = self.ask("load")
+            self.again(r, "e1")
+            self.engines.started[0].end(Outcome.RST)
+            self.clock.go(wait)
+            self.assertEqual(self.again(r), count)
+
+    def test_what_waits_for_its_connection_may_begin_until_its_window_or_its_engines_grace_is_over(self):
+        self.d.settings.drain_grace = 1000.0
+        self.classes(Effect.KEYED, memory_span=300.0)
+        self.d.gateway.step = lambda now, events: []
+        r, _ = self.ask("load")
+        self.again(r, "e1")
+        first, now = self.engines.started[0], self.clock.now()
+        self.d.members([api.Entry("e1", "z", "k", 0, api.Phase.DRAINING)])
+        self.clock.go(100)
+        self.d.members([api.Entry("e1", "z", "k", 0, api.Phase.DRAINING)])
+        self.assertEqual(first.latest, now + 1000.0)
+        first.end(Outcome.RST)
+        self.again(r)
+        self.assertEqual(self.engines.started[1].latest, first.started + 300.0)
--- /dev/null
+++ b/tests/test_client_protocol.py
@@ -0,0 +1,206 @@
+"""The program on the platform's wires: started as a process, spoken to over real sockets; one test a rule."""
+
+from __future__ import annotations
+
+import socket
+import unittest
+
+from decklb.net import frames, resp
+from decklb.net.client_connection import MAX_INVALID_FRAMES
+from tests.frame_standins import RID, Client, OneEngineTest, RespEngine, request
+from tests.standins import Loop, Program, known, wait_for
+
+
+class ClientProtocol(unittest.TestCase):
+    @classmethod
+    def setUpClass(cls):
+        cls.loop = Loop()
+        cls.engines = [RespEngine(cls.loop), RespEngine(cls.loop)]
+        cls.program = Program({"known": known(*[e.port for e in cls.engines])})
+
+    @classmethod
+    def tearDownClass(cls):
+        cls.program.stop()
+        for engine in cls.engines:
+            engine.close()
+        cls.loop.stop()
+
+    def setUp(self):
+        for engine in self.engines:
+            engine.log.clear()
+        self.client = Client(self.program.port)
+
+    def tearDown(self):
+        self.client.socket.close()
+        self.assertEqual(self.program.logged("Traceback"), "")
+
+    def said(self, word):
+        return [p for e in self.engines for p in e.said(word)]
+
+    def both_serve(self):
+        """Return once each engine has answered: those that died rest for a while, and need not come back at once."""
+        for engine in self.engines:
+            engine.log.clear()
+        while not all(e.said(b"do") for e in self.engines):
+            self.client.send(*[request(n, b"rows 1") for n in range(1, 9)])
+            self.assertEqual({self.client.answer()[1] for _ in range(8)}, {frames.SERVED})
+        for engine in self.engines:
+            engine.log.clear()
+
+    def test_all_pages_arrive_in_order_and_are_forgotten(self):
+        self.client.send(request(1, b"rows 4", token="t1", rid=RID))
+        self.assertEqual(self.client.answer(), (1, frames.SERVED, {}, b"".join(b"page%d\t\t\n" % n for n in range(4))))
+        wait_for(lambda: self.said(b"forget"), "forget")
+        _, ident, fields, body = self.said(b"do")[0]
+        told = resp.read_fields(fields)
+        self.assertEqual((ident.decode(), body, told["queue"], told["uniq"]), (RID, b"rows 4", "read", "t1"))
+        self.assertTrue(0 < int(told["budget"]) <= 5000)
+
+    def test_a_frame_may_come_byte_by_byte(self):
+        for byte in request(1, b"rows 1"):
+            self.client.send(bytes([byte]))
+        self.assertEqual(self.client.answer()[1], frames.SERVED)
+
+    def test_answers_find_their_streams(self):
+        self.client.send(*[request(n, b"rows %d" % n, rid=f"{n:016x}") for n in (1, 2, 3)])
+        found = {stream: body.count(b"\n") for stream, _, _, body in (self.client.answer() for _ in range(3))}
+        self.assertEqual(found, {1: 1, 2: 2, 3: 3})
+
+    def test_failed_tries_go_elsewhere_and_end_in_a_refusal_with_backoff(self):
+        """What can't be read, stops short or never comes ends its connection long before the request's time is over."""
+        for word in (b"failed", b"die", b"lose 3", b"mute 3", *RespEngine.SPOILT):
+            self.both_serve()
+            self.client.send(request(1, word))
+            _, code, fields, _ = self.client.answer()
+            self.assertEqual(code, frames.REJECTED, word)
+            self.assertGreater(int(fields["backoff"]), 0)
+            self.assertTrue(all(e.said(b"do") for e in self.engines), word)
+
+    def test_what_an_engine_sends_too_much_is_passed_over(self):
+        for stream in (1, 2):
+            self.client.send(request(stream, b"more 2"))
+            self.assertEqual(self.client.answer(), (stream, frames.SERVED, {}, b"page0\t\t\npage1\t\t\n"))
+
+    def test_a_spoilt_answer_fails_what_else_is_open_on_its_connection(self):
+        self.client.send(*[request(n, b"hang", method="load") for n in range(1, 5)])
+        wait_for(lambda: len(self.said(b"do")) == 4, "do")
+        self.client.send(*[request(n, b"huge", method="load") for n in range(5, 9)])
+        found = {self.client.answer()[:2] for _ in range(8)}
+        self.assertEqual(found, {(n, frames.FAILED) for n in range(1, 9)})
+
+    def test_what_may_not_repeat_fails(self):
+        self.client.send(request(1, b"die", method="load"))
+        self.assertEqual(self.client.answer()[1], frames.FAILED)
+        self.assertEqual(len(self.said(b"do")), 1)
+
+    def test_time_out_is_told_to_the_engine_and_answered(self):
+        self.client.send(request(1, b"hang", budget="1500"))
+        self.assertEqual(self.client.answer()[1], frames.REJECTED)
+        self.assertEqual(len(self.said(b"undo")), 1)
+
+    def test_a_client_that_does_not_wait_frees_its_work(self):
+        self.client.send(request(1, b"hang"))
+        wait_for(lambda: self.said(b"do"), "do")
+        self.client.send(frames.pack(frames.CANCEL, 1), request(2, b"rows 1"))
+        self.assertEqual(self.client.answer()[:2], (2, frames.SERVED))
+        wait_for(lambda: self.said(b"undo"), "undo")
+
+    def test_a_client_that_leaves_frees_its_work(self):
+        self.client.send(request(1, b"hang"))
+        wait_for(lambda: self.said(b"do"), "do")
+        self.client.socket.close()
+        wait_for(lambda: self.said(b"undo"), "undo")
+        wait_for(lambda: self.program.logged("abandoned=1"), "the log line")
+
+    def test_bad_requests_get_an_error_and_the_connection_goes_on(self):
+        self.client.send(request(1, b"rows 1", budget="soon"), frames.pack(1, 2, b"\xff"), request(3, b"rows 1"))
+        found = {stream: code for stream, code, _, _ in (self.client.answer() for _ in range(3))}
+        self.assertEqual(found, {1: frames.FAILED, 2: frames.FAILED, 3: frames.SERVED})
+
+    def test_broken_framing_ends_the_connection_with_a_reason(self):
+        for raw, reason in (
+            (b"\xff\xff\xff\xff", "bad-length"),
+            (b"\0\0\0\4\1\0\0\0", "bad-length"),
+            (frames.pack(9, 1) * (MAX_INVALID_FRAMES + 1), "unknown-type"),
+        ):
+            client = Client(self.program.port)
+            client.send(raw)
+            while (frame := client.next()) is not None:
+                fields, _ = frames.read_fields(frame.payload[1:])
+                self.assertEqual((frame.stream, fields), (0, {"reason": reason}))
+            wait_for(lambda reason=reason: self.program.logged("client connection ended: " + reason), reason)
+
+    def test_a_frame_that_cannot_be_used_is_passed_over_and_nothing_else_is_lost(self):
+        """Once it ended the connection, and failed all that was open there."""
+        for raw, reason in (
+            (frames.pack(9, 1), "unknown-type"),
+            (request(0, b"x"), "stream-in-use"),
+            (request(1, b"rows 2"), "stream-in-use"),
+        ):
+            client = Client(self.program.port)
+            client.send(request(1, b"hang", budget="1500"), raw, request(2, b"rows 1"))
+            found = [client.answer() for _ in range(3)]
+            self.assertEqual(found[0][::2], (0, {"reason": reason}))
+            self.assertEqual([a[:2] for a in found[1:]], [(2, frames.SERVED), (1, frames.REJECTED)])
+            client.socket.close()
+
+    def test_what_never_becomes_a_message_ends_in_time_with_a_reason(self):
+        spoke = Client(self.program.port)
+        spoke.send(request(1, b"rows 1"), request(2, b"hang")[:-1])
+        self.assertEqual(spoke.answer()[:2], (1, frames.SERVED))
+        silent, half = Client(self.program.port), Client(self.program.port)
+        half.send(request(1, b"rows 1")[:-1])
+        for client, reason in ((silent, "no-message"), (half, "no-message"), (spoke, "half-message")):
+            self.assertEqual(client.answer()[::2], (0, {"reason": reason}))
+            self.assertIsNone(client.next())
+
+    def test_an_oversized_body_is_refused_at_its_header_and_the_refusal_arrives(self):
+        self.client.send((60 << 20).to_bytes(4, "big") + b"\1\0\0\0\1")
+        for _ in range(60):  # all of it is sent before anything is read: a reset would end this
+            self.client.send(bytes(1 << 20))
+        self.assertEqual(self.client.answer()[::2], (0, {"reason": "bad-length"}))
+        self.assertIsNone(self.client.next())
+
+    def test_what_is_open_is_answered_before_an_error_ends_the_connection(self):
+        """A request before a fault in one read was taken and never answered; later it was failed at once."""
+        self.client.send(request(1, b"hang", budget="1500") + request(2, b"rows 3") + b"\xff\xff\xff\xff")
+        self.assertEqual(self.client.answer()[::2], (0, {"reason": "bad-length"}))
+        self.assertEqual([self.client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
+        self.assertIsNone(self.client.next())
+
+    def test_an_open_id_with_another_statement_is_refused_alone(self):
+        self.client.send(request(1, b"hang", rid=RID), request(2, b"rows 1", rid=RID), request(3, b"rows 1"))
+        found = {stream: (code, fields) for stream, code, fields, _ in (self.client.answer() for _ in range(2))}
+        self.assertEqual(
+            found, {2: (frames.FAILED, {"reason": "rid is open with another statement"}), 3: (frames.SERVED, {})}
+        )
+        self.client.send(frames.pack(frames.CANCEL, 1), request(4, b"rows 1", rid=RID))  # the id is free
+        self.assertEqual(self.client.answer()[:2], (4, frames.SERVED))
+
+    def test_more_than_32_streams_are_refused(self):
+        self.client.send(*[request(n, b"hang") for n in range(1, 34)])
+        self.assertEqual(self.client.answer()[:2], (33, frames.REJECTED))
+
+    def test_ready_is_told(self):
+        self.client.send(frames.pack(frames.READINESS_QUERY, 5, b"\0"))
+        frame = self.client.next()
+        self.assertEqual((frame.type, frame.stream, frame.payload[0]), (frames.READINESS, 5, 1))
+
+
+class EngineConnections(OneEngineTest):
+    """What the engines see of the program's connections."""
+
+    def test_a_connection_that_let_an_attempt_run_out_of_time_takes_no_other(self):
+        client = Client(self.program(known=known(self.engine.port)).port)
+        for stream, statement, code in ((1, b"hang", frames.REJECTED), (2, b"rows 1", frames.SERVED)):
+            client.send(request(stream, statement, budget="800"))
+            self.assertEqual(client.answer()[:2], (stream, code))
+        self.assertEqual(self.engine.connections, 2)
+
+    def test_refused_connections_prove_that_nothing_ran(self):
+        free = socket.create_server(("127.0.0.1", 0))
+        port = free.getsockname()[1]
+        free.close()
+        client = Client(self.program(known=known(port)).port)
+        client.send(request(1, b"rows 1", method="load", budget="1500"))
+        self.assertEqual(client.answer()[1], frames.REJECTED)
--- /dev/null
+++ b/tests/test_connection_limits.py
@@ -0,0 +1,55 @@
+"""Too many connections of clients: who is evicted, and who is rejected."""
+
+from __future__ import annotations
+
+from decklb.net import frames
+from tests.frame_standins import Client, OneEngineTest, request
+from tests.standins import known, wait_for
+
+
+class ConnectionLimits(OneEngineTest):
+    def crowd(self, sockets=25):  # (25 - 16) // 2 = 4 places, one to spare
+        return self.program(known=known(self.engine.port), limits={"sockets": sockets})
+
+    def test_the_longest_idle_makes_room_for_a_newcomer(self):
+        """Those that ask once and stay took every place, and newcomers were closed with their requests (21e68ef7)."""
+        program = self.crowd()
+        clients = [Client(program.port) for _ in range(4)]
+        for client in clients:
+            client.send(request(1, b"rows 1"))
+            self.assertEqual(client.answer()[1], frames.SERVED)
+        clients[0].send(request(2, b"rows 1"))  # now the second is the longest idle
+        self.assertEqual(clients[0].answer()[1], frames.SERVED)
+        new = Client(program.port)
+        new.send(request(1, b"rows 1"))
+        self.assertEqual(new.answer()[1], frames.SERVED)
+        self.assertIsNone(clients[1].next())
+        wait_for(lambda: program.logged("evicted-idle"), "the log line")
+        for client in (clients[0], *clients[2:]):
+            client.send(request(3, b"rows 1"))
+            self.assertEqual(client.answer()[1], frames.SERVED)
+
+    def test_silent_connections_make_room_before_idle_ones(self):
+        program = self.crowd()
+        idle = Client(program.port)
+        idle.send(request(1, b"rows 1"))
+        self.assertEqual(idle.answer()[1], frames.SERVED)
+        silent = [Client(program.port) for _ in range(12)]  # more than there are places
+        new = Client(program.port)
+        new.send(request(1, b"rows 1"))
+        self.assertEqual(new.answer()[1], frames.SERVED)
+        self.assertIsNone(silent[0].next())
+        idle.send(request(2, b"rows 1"))
+        self.assertEqual(idle.answer()[1], frames.SERVED)
+        self.assertFalse(program.logged("evicted-idle"))
+
+    def test_newcomers_are_refused_where_every_place_has_a_request(self):
+        program = self.crowd()
+        busy = [Client(program.port) for _ in range(6)]
+        for client in busy:
+            client.send(request(1, b"hang"))
+        wait_for(lambda: len(self.engine.said(b"do")) >= 5, "do")
+        new = Client(program.port)
+        new.send(request(1, b"rows 1"))
+        _, code, fields, _ = new.answer()
+        self.assertEqual((code, fields), (frames.REJECTED, {"backoff": "500"}))
--- a/tests/test_directory.py
+++ b/tests/test_directory_client.py
@@ -6,11 +6,11 @@
 import pytest
 from loguru import logger
 from test_dispatcher import TestClock
-from test_parsers import name, record, reply
 
 from decklb.net import dns
 from decklb.net.directory_client import DirectoryClient
 from decklb.net.poll_schedule import MAX_WAIT_MS, POLL_INTERVAL_MS, QUERY_TIMEOUT_MS, PollSchedule
+from tests.dns_answers import name, record, reply
 
 NEWS_BINDS = 1500.0  # ms after which news counts as told, heard or not (the platform's protocol)
 
--- /dev/null
+++ b/tests/test_engine_connection.py
@@ -0,0 +1,213 @@
+"""Attempts on connections to RESP engines that come up, block or break when the test says so."""
+
+from __future__ import annotations
+
+import unittest
+from functools import partial
+
+from test_dispatcher import Sink, TestClock
+from twisted.internet.error import ConnectionDone, ConnectionLost, ConnectionRefusedError
+from twisted.internet.testing import MemoryReactorClock, StringTransport
+from twisted.python.failure import Failure
+
+from decklb.core.dispatcher import Attempt, Request
+from decklb.core.ports import Work
+from decklb.core.timers import HELD
+from decklb.interface import Outcome
+from decklb.net import resp
+from decklb.net.engine_connection import CANCEL_SETTLE_MS, WRITE_BLOCKED_LIMIT_MS
+from decklb.net.engines import RespEngines
+from decklb.wire.recent_answers import RETRYABLE_ANSWER_DELAY_MS
+
+
+class GatedTransport(StringTransport):
+    """A transport that sends when the test says so, as the kernel does when the peer's window opens."""
+
+    def registerProducer(self, producer, streaming):
+        super().registerProducer(producer, streaming)
+        producer.resumeProducing()
+
+    def setTcpNoDelay(self, on):
+        pass
+
+    def flush(self):
+        found = resp.RespReader().feed(self.value())
+        self.clear()
+        self.producer.resumeProducing()
+        return found
+
+
+class EngineConnections(unittest.TestCase):
+    """Attempts on connections to engines that come up, get stuck or break when the test says so."""
+
+    def setUp(self):
+        self.reactor, self.clock = MemoryReactorClock(), TestClock()
+        self.engines = RespEngines(self.reactor, self.clock, {"streams_per_conn": 100})
+        self.engines.update_endpoints({"e1": ("127.0.0.1", 1)})
+        self.ends, self.doubted = [], []
+        self.count = 0
+
+    def attempt_ended(self, a, outcome, result):
+        self.ends.append((a, outcome))
+
+    def attempt_doubted(self, a):
+        self.doubted.append(a)
+
+    def attempt_noted(self, a, kind, level):
+        pass
+
+    def start(self):
+        self.count += 1
+        r = Request(f"r{self.count}", Work(f"{self.count:016x}", "read", "cusco", 5000.0, b"x"), Sink(), 5000.0)
+        a = Attempt(self, r, "e1", self.clock.now(), 5000.0)
+        r.attempts.append(a)
+        self.engines.start(a)
+        return a
+
+    def up(self, same_pass=lambda: None):
+        """The oldest connection comes up; what is read in the same pass."""
+        factory = self.reactor.tcpClients.pop(0)[2]
+        link, transport = factory.buildProtocol(None), GatedTransport()
+        link.makeConnection(transport)
+        same_pass()
+        self.clock.go(1)
+        return link._wrappedProtocol, transport
+
+    def gone(self, a):
+        a.given_up = True
+        self.engines.give_up(a, lambda: None)
+
+    def test_nothing_is_sent_for_who_left_while_the_connection_came_up(self):
+        a, b, c = self.start(), self.start(), self.start()
+        self.gone(a)
+        _, transport = self.up(same_pass=lambda: self.gone(b))
+        self.assertEqual([p[:2] for p in transport.flush()], [[b"do", c.request.work.rid.encode()]])
+
+    def test_what_waited_too_long_for_its_connection_never_begins(self):
+        a, b = self.start(), self.start()
+        a.latest = 100.0
+        self.clock.go(150)
+        _, transport = self.up()
+        self.assertEqual([p[1] for p in transport.flush()], [b.request.work.rid.encode()])
+        self.assertEqual(self.ends, [(a, Outcome.NOP)])
+
+    def test_what_waits_for_an_engine_that_goes_ends_at_once_and_is_not_sent_to_who_has_its_address_next(self):
+        a = self.start()
+        self.engines.update_endpoints({"e2": ("127.0.0.1", 1)})
+        self.assertEqual(self.ends, [(a, Outcome.NOCONN)])
+        self.assertTrue(self.reactor.connectors[0].stoppedConnecting)
+
+    def test_behind_bytes_that_an_engine_does_not_take_nothing_begins_until_it_does(self):
+        first = self.start()
+        link, transport = self.up()
+        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
+        left, stays = self.start(), self.start()
+        self.gone(left)
+        self.assertEqual([p[1] for p in transport.flush()], [first.request.work.rid.encode()])
+        self.assertEqual([p[:2] for p in transport.flush()], [[b"do", stays.request.work.rid.encode()]])
+
+    def test_a_reset_proves_that_what_was_not_yet_given_to_the_transport_never_ran(self):
+        sent = self.start()
+        link, _ = self.up()
+        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
+        waits = self.start()
+        link.connectionLost(Failure(ConnectionLost()))
+        self.assertEqual(self.ends, [(sent, Outcome.RST), (waits, Outcome.NOCONN)])
+
+    def test_what_we_break_off_ourselves_is_out_until_its_engine_knows(self):
+        """Another attempt of it elsewhere could overtake our reset."""
+        sent = self.start()
+        link, _ = self.up()
+        link.dataReceived(b"rubbish\r\n")
+        self.clock.go(CANCEL_SETTLE_MS - 2)
+        self.assertEqual(self.ends, [])
+        self.clock.go(3)
+        self.assertEqual(self.ends, [(sent, Outcome.RST)])
+
+    def test_a_reset_before_in_and_after_a_request(self):
+        a = self.start()
+        self.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
+        b = self.start()
+        self.reactor.tcpClients.pop(0)
+        self.up()[0].connectionLost(Failure(ConnectionLost()))
+        c = self.start()
+        link, _ = self.up()
+        link.dataReceived(resp.pack(c.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
+        link.connectionLost(Failure(ConnectionLost()))
+        self.assertEqual(self.ends, [(a, Outcome.NOCONN), (b, Outcome.RST), (c, Outcome.GOOD)])
+        self.assertEqual(self.doubted, [c])
+
+    def answer(self, a, link, word=b"data", body=b"a\tb\tc\n"):
+        link.dataReceived(resp.pack(a.request.work.rid.encode(), word, b"-", body if word == b"data" else b""))
+
+    def test_an_answer_that_may_lead_to_another_attempt_counts_as_a_reset_if_one_comes_right_behind_it(self):
+        """Whether in the same pass of reading or, after a standstill, with the timer that lets the answer go."""
+        for word, outcome in ((b"failed", Outcome.BAD), (b"full", Outcome.FULL), (b"moot", Outcome.NOP)):
+            for crossing in ("reset", "nothing", "standstill"):
+                self.setUp()
+                a = self.start()
+                link, _ = self.up()
+                self.answer(a, link, word)
+                lost = partial(link.connectionLost, Failure(ConnectionLost()))
+                if crossing == "standstill":
+                    self.clock.call_later(RETRYABLE_ANSWER_DELAY_MS + HELD + 1, lost)
+                    self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + HELD + 1) / 1000)
+                elif crossing == "reset":
+                    lost()
+                self.clock.go(RETRYABLE_ANSWER_DELAY_MS - 1)
+                self.assertEqual(self.ends, [] if crossing == "nothing" else [(a, Outcome.RST)], (word, crossing))
+                self.clock.go(2)
+                self.assertEqual(self.ends, [(a, outcome if crossing == "nothing" else Outcome.RST)])
+
+    def test_our_own_orderly_close_puts_no_answer_in_doubt(self):
+        a = self.start()
+        link, transport = self.up()
+        self.answer(a, link)
+        self.engines.update_endpoints({})  # its engine has gone: unused connections close at once
+        self.clock.go(1)
+        link.connectionLost(Failure(ConnectionDone()))
+        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD)], []))
+
+    def test_what_we_break_off_ourselves_puts_the_answers_before_it_in_doubt(self):
+        a, b = self.start(), self.start()
+        link, _ = self.up()
+        self.answer(a, link)
+        self.answer(b, link, b"failed")
+        link.dataReceived(b"rubbish\r\n")
+        self.clock.go(CANCEL_SETTLE_MS + 1)
+        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD), (b, Outcome.RST)], [a]))
+
+    def test_an_answer_after_its_request_was_given_up_is_nobodys_and_its_id_is_not_used_there_again(self):
+        a = self.start()
+        link, _ = self.up()
+        self.gone(a)
+        ident = a.request.work.rid.encode()
+        link.dataReceived(resp.pack(ident, b"data", b"-", b"a\tb\tc\n") * 2)
+        self.assertEqual((self.ends, link.accepts(ident), link.accepts(b"0" * 16)), ([], False, True))
+
+    def test_an_answer_to_what_was_not_sent_yet_is_nobodys(self):
+        self.start()
+        link, _ = self.up()
+        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
+        waits = self.start()
+        link.dataReceived(resp.pack(waits.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
+        self.assertEqual(self.ends, [])
+
+    def test_an_engine_that_has_shown_that_a_request_ran_cannot_take_it_back(self):
+        ran = (
+            resp.pack(b"ID", b"data", b"parts=2", b"a\tb\tc\n"),
+            *[resp.pack(b"ID", b"news", b"detail=" + note, b"") for note in (b"p,value=0.2", b"s,value=40")],
+        )
+        waits = resp.pack(b"ID", b"news", b"detail=w,value=1", b"")
+        for before, word, outcome in [(x, b"full", Outcome.BAD) for x in ran] + [
+            (ran[0], b"moot", Outcome.BAD),
+            (waits, b"full", Outcome.FULL),
+            (b"", b"moot", Outcome.NOP),
+        ]:
+            self.setUp()
+            a = self.start()
+            link, _ = self.up()
+            both = before + resp.pack(b"ID", word, b"-", b"")
+            link.dataReceived(both.replace(b"$2\r\nID", b"$16\r\n" + a.request.work.rid.encode()))
+            self.clock.go(RETRYABLE_ANSWER_DELAY_MS + 1)
+            self.assertEqual(self.ends, [(a, outcome)], (before, word))
--- /dev/null
+++ b/tests/test_frames.py
@@ -0,0 +1,61 @@
+"""The codec of the client protocol's frames."""
+
+from __future__ import annotations
+
+import unittest
+
+from decklb.net import frames
+from decklb.settings import settings_from
+from tests.standins import SETTINGS
+
+GOOD = {"method": "read", "rid": "9b1f03aa5c7e2d41", "budget": "1500", "acct": "cusco"}
+
+
+class Frames(unittest.TestCase):
+    settings = settings_from(SETTINGS)
+
+    def test_split_anywhere(self):
+        raw = frames.pack(1, 7, b"abc") + frames.pack(3, 8) + frames.pack(4, 1, b"\0")
+        for size in (1, 2, 5, 9, len(raw)):
+            reader, found = frames.FrameReader(), []
+            for at in range(0, len(raw), size):
+                found += reader.feed(raw[at : at + size])
+            self.assertEqual(
+                [(f.type, f.stream, f.payload) for f in found], [(1, 7, b"abc"), (3, 8, b""), (4, 1, b"\0")]
+            )
+
+    def test_lengths_out_of_bounds_are_refused_at_once(self):
+        for length in (0, 4, 262_145, 0xFFFFFFFF):
+            with self.assertRaises(frames.FrameError):
+                list(frames.FrameReader().feed(length.to_bytes(4, "big")))
+        self.assertEqual(list(frames.FrameReader().feed((262_144).to_bytes(4, "big"))), [])
+
+    def test_a_good_request(self):
+        body = b"select 1 from a_3.b"
+        work = frames.read_request(frames.pack_fields(GOOD | {"token": "t0", "obj": "k1"}) + body, self.settings)
+        self.assertEqual(
+            (work.rid, work.lane, work.tenant, work.budget, work.statement, work.tables, work.key, work.token),
+            (GOOD["rid"], "read", "cusco", 1500.0, body, 3, "k1", "t0"),
+        )
+
+    def test_bad_requests(self):
+        for change in (
+            {"method": "none"},
+            {"rid": ""},
+            {"rid": "9B1F03AA5C7E2D41"},
+            {"rid": "9b1f03aa5c7e2d4"},
+            {"budget": ""},
+            {"budget": "0"},
+            {"budget": "-5"},
+            {"budget": "1.5"},
+            {"budget": "9" * 12},
+            {"budget": "\u0665"},
+            {"acct": "nobody"},
+            {"token": "a,b=c"},
+            {"token": "x" * 65},
+        ):
+            with self.assertRaises(frames.InvalidRequest, msg=change):
+                frames.read_request(frames.pack_fields(GOOD | change), self.settings)
+        for payload in (b"", b"\5", b"\1\3ab", b"\1\1a\xff\xff", b"\1\1\xff\0\1a", b"\1\1a\0"):
+            with self.assertRaises(frames.InvalidRequest, msg=payload):
+                frames.read_request(payload, self.settings)
--- /dev/null
+++ b/tests/test_program_directory.py
@@ -0,0 +1,89 @@
+"""The program and its directory: where its endpoint list comes from, and when it is ready."""
+
+from __future__ import annotations
+
+import signal
+import socket
+
+from decklb.net import frames
+from tests.dns_answers import reply
+from tests.frame_standins import Client, OneEngineTest, request
+from tests.standins import DEADLINE, known, wait_for
+
+
+class ProgramDirectory(OneEngineTest):
+    def resolver(self):
+        server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.addCleanup(server.close)
+        server.settimeout(DEADLINE)
+        server.bind(("127.0.0.1", 0))
+        return server, f"127.0.0.1:{server.getsockname()[1]}"
+
+    def test_sighup_moves_to_the_new_directory_and_keeps_list_requests_and_connections(self):
+        """The default of SIGHUP ended the process with all it had taken (032f0109)."""
+        (old, first), (new, second) = self.resolver(), self.resolver()
+        config = {"known": known(self.engine.port, index=7)}
+        program = self.program(**config, resolver=first)
+        old.recvfrom(4096)
+        client = Client(program.port)
+        client.send(request(1, b"hang", budget="1500"))
+        wait_for(lambda: self.engine.said(b"do"), "do")
+        program.path.write_text('{"resolver": ')  # half a file
+        program.process.send_signal(signal.SIGHUP)
+        wait_for(lambda: program.logged("configuration kept"), "the log line")
+        program.reload(config | {"resolver": second})
+        new.recvfrom(4096)
+        wait_for(lambda: "list 7," in program.logged("configuration read"), "the log line")
+        client.send(request(2, b"rows 1"))
+        self.assertEqual([client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
+
+    def test_sighup_brings_a_newer_list_where_no_directory_is_asked(self):
+        program = self.program(known=known())
+        program.reload({"known": known(self.engine.port, index=2)})
+        wait_for(lambda: program.logged("configuration read"), "the log line")
+        client = Client(program.port)
+        client.send(request(1, b"rows 1"))
+        self.assertEqual(client.answer()[1], frames.SERVED)
+
+    def test_a_directory_that_is_down_at_the_start_holds_readiness_back_for_a_while_only(self):
+        _, resolver = self.resolver()
+        client = Client(self.program(known=known(self.engine.port), resolver=resolver).port)
+
+        def ready():
+            client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
+            return client.next().payload[0]
+
+        self.assertEqual(ready(), 0)
+        wait_for(ready, "readiness")
+        client.send(request(1, b"rows 1"))
+        self.assertEqual(client.answer()[1], frames.SERVED)
+
+    def test_not_ready_without_engines(self):
+        client = Client(self.program(known=known()).port)
+        client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
+        self.assertEqual(client.next().payload[0], 0)
+
+    def test_the_directory_brings_engines_by_whole_answers_to_its_own_questions(self):
+        server, resolver = self.resolver()
+        program = self.program(known=known(), resolver=resolver)
+        client, seen = Client(program.port), set()
+
+        def ready():
+            client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
+            return client.next().payload[0]
+
+        for whole in (False, False, True):
+            data, peer = server.recvfrom(4096)
+            ident = int.from_bytes(data[:2], "big")
+            seen.add(ident)
+            answer = reply(ident=ident, port=self.engine.port, priority=0)
+            if not whole:  # to another question, cut short, and no answer at all
+                server.sendto(reply(ident=ident ^ 1, port=self.engine.port, priority=0), peer)
+                server.sendto(answer[:-30], peer)
+                self.assertEqual(ready(), 0)
+            else:
+                server.sendto(answer, peer)
+        wait_for(ready, "readiness")
+        self.assertGreater(len(seen), 1)  # drawn anew for each question
+        client.send(request(1, b"rows 1"))
+        self.assertEqual(client.answer()[1], frames.SERVED)
--- /dev/null
+++ b/tests/test_resp.py
@@ -0,0 +1,37 @@
+"""The codec of the engines' RESP."""
+
+from __future__ import annotations
+
+import unittest
+
+from decklb.net import resp
+
+
+class Resp(unittest.TestCase):
+    def test_split_anywhere(self):
+        raw = resp.pack(b"id", b"data", b"parts=2", b"a\tb\r\n\n") + resp.pack(b"x", b"moot")
+        for size in (1, 2, 3, len(raw)):
+            reader, found = resp.RespReader(), []
+            for at in range(0, len(raw), size):
+                found += reader.feed(raw[at : at + size])
+            self.assertEqual(found, [[b"id", b"data", b"parts=2", b"a\tb\r\n\n"], [b"x", b"moot"]])
+
+    def test_what_is_no_array_of_bulk_strings(self):
+        for raw in (
+            b"+OK\r\n",
+            b"*99\r\n",
+            b"*-1\r\n",
+            b"*1\r\n:1\r\n",
+            b"*1\r\n$99999999\r\n",
+            b"*1\r\n$1\r\nabc",
+            b"*" + b"1" * 20,
+            b"*1\r\n$-1\r\n",
+            b"*x\r\n",
+        ):
+            with self.assertRaises(resp.RespError, msg=raw):
+                resp.RespReader().feed(raw)
+
+    def test_fields(self):
+        self.assertEqual(resp.pack_fields({}), b"-")
+        for text, fields in ((b"-", {}), (b"a=1,b=x=y", {"a": "1", "b": "x=y"}), (b"", {}), (b"\xff", {})):
+            self.assertEqual(resp.read_fields(text), fields)
--- a/tests/test_standstill.py
+++ b/tests/test_stalls.py
@@ -6,11 +6,11 @@
 import time
 
 import pytest
-from test_program import Client, RespEngine, request
 
 from decklb.core.timers import HELD
 from decklb.net import frames, resp
 from decklb.wire.stall_detector import STALE_PASSES, StallDetector
+from tests.frame_standins import Client, RespEngine, request
 from tests.standins import Loop, Program, known, wait_for
 
 BUDGET, HELD_UP, SLACK = 3.0, 1.0, 0.15  # seconds; the slack is the operators' (standing page)
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -14,11 +14,11 @@
 
 import pytest
 from test_pg import POSTGRES, Raw
-from test_program import Client, RespEngine, request
 
 from decklb.lab.injection.cuts import play_cuts
 from decklb.net import frames, resp
 from decklb.pg import messages as pg
+from tests.frame_standins import Client, RespEngine, request
 from tests.standins import SETTINGS, Loop, PgEngine, Program, known, wait_for
 
 SETTLE = 400.0  # ms that a key rests after an end in doubt
