--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -65,7 +65,7 @@
         self.close_reason = ""  # why it is to end once nothing is pending on it; "" while it is not
         self.closing = False  # our half is closed, or the connection aborted: what still comes is thrown away
         self.over_limit = False  # accepted when there were too many, to be rejected
-        self._reader = frames.FrameReader()
+        self.reader = frames.FrameReader()  # its buffer holds what has come of a message in part
         self._go_away_sent = False
         self._end_reason = "client-closed"  # for the log
         self._accepted_requests = 0
@@ -101,7 +101,7 @@
             return
         message_completed = False
         try:
-            for frame in self._reader.feed(data):
+            for frame in self.reader.feed(data):
                 message_completed = True
                 self._handle(frame)
                 if self.input_failed:
@@ -161,11 +161,6 @@
             del self.listener.requests[request.work.rid]
         return request
 
-    @property
-    def has_partial_message(self) -> bool:
-        """Whether a message has come in part."""
-        return bool(self._reader.buffer)
-
     def has_unread_input(self) -> bool:
         """Whether something that it sent lies unread in its socket."""
         return has_unread_bytes(self.transport)
@@ -187,7 +182,7 @@
     def _count_buffered(self) -> None:
         """Guards the memory limit: what clients leave unread or send in part is bounded, each and in sum."""
         limits = self.listener.limits
-        buffered_bytes = self.unsent_bytes + len(self._reader.buffer)
+        buffered_bytes = self.unsent_bytes + len(self.reader.buffer)
         limits.buffered_bytes += buffered_bytes - self.buffered_bytes
         self.buffered_bytes = buffered_bytes
         if self.unsent_bytes > MAX_UNSENT_BYTES:
@@ -205,14 +200,14 @@
     @property
     def has_work_pending(self) -> bool:
         """Whether it waits for an answer, or is in the middle of a message."""
-        return not self.closing and bool(self.requests or self.unsent_bytes or self._reader.buffer)
+        return not self.closing and bool(self.requests or self.unsent_bytes or self.reader.buffer)
 
     def fail(self, reason: str) -> None:
         """Nothing more can be read: say why, under no request, and end once what is open has its answer."""
         if self.input_failed or self.closing:
             return
         self.input_failed, self.close_reason = True, reason
-        self._reader = frames.FrameReader()
+        self.reader = frames.FrameReader()
         self._write(frames.pack_answer(0, frames.FAILED, {"reason": reason}))
         self.close_when_done(reason)
 
@@ -231,7 +226,7 @@
         self._close_if_done()
 
     def _close_if_done(self) -> None:
-        if self.close_reason and not self.requests and not (self._reader.buffer and not self.input_failed):
+        if self.close_reason and not self.requests and not (self.reader.buffer and not self.input_failed):
             self.close(self.close_reason)
 
     def close(self, reason: str) -> bool:
@@ -249,7 +244,7 @@
         self._end_reason, self.closing = reason, True
         with suppress(OSError):  # the client was quicker
             self.transport.getHandle().shutdown(socket.SHUT_WR)
-        self._reader = frames.FrameReader()
+        self.reader = frames.FrameReader()
         self._count_buffered()
         self.listener.limits.update(self)
         return True
--- a/decklb/net/connection_limits.py
+++ b/decklb/net/connection_limits.py
@@ -90,7 +90,7 @@
             return self._start_sweeping()
         if not client.has_sent_message:
             return
-        if client.has_partial_message:
+        if client.reader.buffer:  # in the middle of a message
             if message_completed or client not in self._partial:
                 self._forget(client)
                 self._partial[client] = now
--- a/decklb/net/engine_connection.py
+++ b/decklb/net/engine_connection.py
@@ -219,7 +219,8 @@
 
     def _schedule_idle_close(self) -> None:
         """An unused connection closes before the engine closes it, at once if it is retired."""
-        self._cancel_timer()
+        if self._timer is not None:
+            self._cancel_timer()
         if self.connected and not self.closed and not self.calls:
             delay_ms = 0.0 if self.retired else self.pool.client.idle_timeout_ms
             self._timer = self.pool.client.clock.call_later(delay_ms, self._close_unused)
