--- a/decklb/net/__init__.py
+++ b/decklb/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wires: client frames, engines over RESP, the directory over DNS, and the process."""
+"""The platform's wires: the listener for clients' frames, the engine client over RESP, the directory over DNS."""
--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -43,7 +43,7 @@
 
     def refused(self, backoff: float) -> None:
         """Rejected: a retry is harmless; it had better come after `backoff` ms."""
-        self.client.answer(self.stream, frames.REJECTED, {"backoff": str(round(backoff))} if backoff else {})
+        self.client.answer(self.stream, frames.REJECTED, frames.rejection_fields(backoff))
 
     def failed(self) -> None:
         """No promise about what was done."""
@@ -136,7 +136,7 @@
         logger.info(
             "frame ignored: {reason} peer={peer}", event="frame-ignored", reason=reason, peer=self._peer_address()
         )
-        self._write(frames.pack_answer(0, frames.FAILED, {"reason": reason}))
+        self._write(frames.pack_answer(0, frames.FAILED, frames.error_fields(reason)))
 
     def _submit(self, frame: frames.Frame) -> None:
         stream, listener = frame.stream, self.listener
@@ -147,7 +147,7 @@
             if other is not None and other.work.statement != work.statement:
                 raise InvalidRequest("rid is open with another statement")  # engines know requests by their ids
         except InvalidRequest as error:
-            return self.answer(stream, frames.FAILED, {"reason": str(error)})
+            return self.answer(stream, frames.FAILED, frames.error_fields(str(error)))
         if len(self.requests) > MAX_STREAMS or listener.draining or self.over_limit:
             return self.answer(stream, frames.REJECTED, listener.overload_fields)
         self._accepted_requests += 1
@@ -208,7 +208,7 @@
             return
         self.input_failed, self.close_reason = True, reason
         self.reader = frames.FrameReader()
-        self._write(frames.pack_answer(0, frames.FAILED, {"reason": reason}))
+        self._write(frames.pack_answer(0, frames.FAILED, frames.error_fields(reason)))
         self.close_when_done(reason)
 
     def go_away(self) -> None:
--- a/decklb/net/engine_connection.py
+++ b/decklb/net/engine_connection.py
@@ -1,7 +1,6 @@
 """One connection to a RESP engine, which carries many attempts at a time.
 
-Commands: `do ID FIELDS STATEMENT` starts an attempt, `page ID N` asks for a page of its result, `undo ID` cancels it,
-`forget ID` frees its pages. Replies: `ID WORD FIELDS BODY`, see `_handle_reply`. Dialing, idling and the logged end are
+Commands and replies are those of `engine_protocol`, their bytes those of `resp`. Dialing, idling and the logged end are
 those of `wire.engine_connection`.
 
 State: the attempts open on the connection. Owned by a pool of `net.engines`.
@@ -15,6 +14,7 @@
 from loguru import logger
 
 from decklb.interface import Outcome
+from decklb.net import engine_protocol as protocol
 from decklb.net import resp
 from decklb.net.resp_call import MAX_PAGES, RespCall
 from decklb.wire.engine_connection import ENDPOINT_REMOVED, IDLE_TIMEOUT, EngineConnection
@@ -33,13 +33,6 @@
 MAX_STALLED_SWEEPS = 6
 WRITE_BLOCKED_LIMIT_MS = 20.0  # that bytes may lie in our transport before no further request joins them
 
-# Replies that end an attempt without a result.
-OUTCOMES = {b"full": Outcome.FULL, b"failed": Outcome.BAD, b"moot": Outcome.NOP}
-PROGRESS_DONE = 1  # kinds of progress, see `decklb.interface.Progress`
-PROGRESS_SPILLED = 2
-PROGRESS_WAITING = 3
-PROGRESS_KINDS = {"p": PROGRESS_DONE, "s": PROGRESS_SPILLED, "w": PROGRESS_WAITING}
-
 
 class RespConnection(EngineConnection):
     """One connection to an engine."""
@@ -85,7 +78,7 @@
         if call.sent:
             self.abandoned_ids.add(call.request_id)
             self.quarantined = self.quarantined or call.attempt.overdue
-            self._write(resp.pack(b"forget" if call.pages else b"undo", call.request_id))
+            self._write(resp.pack(protocol.RELEASE if call.pages else protocol.CANCEL, call.request_id))
         self._schedule_idle_close()
 
     def _send(self, call: RespCall) -> None:
@@ -95,11 +88,11 @@
             self._schedule_idle_close()
             return attempt.end(Outcome.NOP)
         work = attempt.request.work
-        fields = {"queue": work.lane, "budget": str(max(1, int(attempt.deadline - now)))}
+        fields = {protocol.CLASS_FIELD: work.lane, protocol.BUDGET_FIELD: str(max(1, int(attempt.deadline - now)))}
         if work.token:
-            fields["uniq"] = work.token
+            fields[protocol.TOKEN_FIELD] = work.token
         call.sent = attempt.begun = True
-        self._write(resp.pack(b"do", call.request_id, resp.pack_fields(fields), work.statement))
+        self._write(resp.pack(protocol.START, call.request_id, resp.pack_fields(fields), work.statement))
 
     # Writing. The transport tells each time that nothing is left to send.
 
@@ -167,24 +160,24 @@
         call = self.calls.get(request_id)
         if call is None or not call.sent:  # given up before, answered before, or nobody's
             return
-        if word == b"news":
+        if word == protocol.PROGRESS:
             self._report_progress(call, fields)
-        elif word == b"data" and not call.pages:
-            count = _parse_count(fields.get("parts", "1"), 1, MAX_PAGES)
+        elif word == protocol.FIRST_PAGE and not call.pages:
+            count = _parse_count(fields.get(protocol.PAGE_COUNT_FIELD, "1"), 1, MAX_PAGES)
             if count is None:
                 raise resp.RespError("no number of pages")
             call.begin_result(count, body)
-            self._write(b"".join(resp.pack(b"page", request_id, b"%d" % page) for page in range(1, count)))
+            self._write(b"".join(resp.pack(protocol.GET_PAGE, request_id, b"%d" % page) for page in range(1, count)))
             self._end_if_complete(call)
-        elif word == b"page" and call.pages:
-            number = _parse_count(fields.get("part_no", ""), 1, len(call.pages) - 1)
+        elif word == protocol.PAGE and call.pages:
+            number = _parse_count(fields.get(protocol.PAGE_NUMBER_FIELD, ""), 1, len(call.pages) - 1)
             if number is None:
                 raise resp.RespError("no such page")
             call.add_page(number, body)
             self._end_if_complete(call)
-        elif word in OUTCOMES:  # who has begun a result, or told of progress, can't say that it never ran
-            self._end_call(call, Outcome.BAD if call.has_run else OUTCOMES[word])
-        elif word not in (b"data", b"page"):  # of these, a second copy
+        elif word in protocol.OUTCOMES:  # who has begun a result, or told of progress, can't say that it never ran
+            self._end_call(call, Outcome.BAD if call.has_run else protocol.OUTCOMES[word])
+        elif word not in (protocol.FIRST_PAGE, protocol.PAGE):  # of these, a second copy
             raise resp.RespError("unknown word")
 
     def _end_if_complete(self, call: RespCall) -> None:
@@ -195,18 +188,18 @@
     def _end_call(self, call: RespCall, outcome: Outcome, result: bytes = b"") -> None:
         del self.calls[call.request_id]
         if call.pages:  # the engine keeps them until it is told
-            self._write(resp.pack(b"forget", call.request_id))
+            self._write(resp.pack(protocol.RELEASE, call.request_id))
         if outcome is not Outcome.GOOD:
             self.abandoned_ids.add(call.request_id)
         self._schedule_idle_close()
         self.recent_answers.answered(call.attempt, outcome, result)
 
     def _report_progress(self, call: RespCall, fields: dict[str, str]) -> None:
-        kind = PROGRESS_KINDS.get(fields.get("detail", ""))
+        kind = protocol.PROGRESS_KINDS.get(fields.get(protocol.PROGRESS_KIND_FIELD, ""))
         if kind is not None:
             try:
-                level = float(fields.get("value", ""))
-                call.has_run = call.has_run or kind != PROGRESS_WAITING and level > 0
+                level = float(fields.get(protocol.PROGRESS_LEVEL_FIELD, ""))
+                call.has_run = call.has_run or kind != protocol.PROGRESS_WAITING and level > 0
                 call.attempt.note(kind, level)
             except ValueError:
                 logger.debug(
--- a/decklb/net/frames.py
+++ b/decklb/net/frames.py
@@ -142,3 +142,13 @@
 def pack_answer(stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> bytes:
     """A type 2 frame."""
     return pack(ANSWER, stream, bytes([code]) + pack_fields(fields) + body)
+
+
+def rejection_fields(retry_after_ms: float) -> dict[str, str]:
+    """Fields of a rejection: when a retry had better come; none for 0."""
+    return {"backoff": str(round(retry_after_ms))} if retry_after_ms else {}
+
+
+def error_fields(reason: str) -> dict[str, str]:
+    """Fields of an answer that names an error of the client's."""
+    return {"reason": reason}
--- a/decklb/net/health_check.py
+++ b/decklb/net/health_check.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from decklb.net import resp
+from decklb.net import engine_protocol, resp
 from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
 
@@ -17,13 +17,14 @@
     def send_check(self) -> None:
         """Send a ping under a new tag."""
         self._tag += 1
-        self.transport.write(resp.pack(b"ping", b"%016x" % self._tag))
+        self.transport.write(resp.pack(engine_protocol.PING, b"%016x" % self._tag))
 
     def dataReceived(self, data: bytes) -> None:
         """Replies; what belongs to no check is ignored."""
         try:
             for array in self._reader.feed(data):
-                if len(array) >= 2 and array[0] == b"%016x" % self._tag and array[1] == b"well" and self.check_pending:
+                answers_last_check = array[:2] == [b"%016x" % self._tag, engine_protocol.PONG]
+                if answers_last_check and self.check_pending:
                     self.check_succeeded()
         except resp.RespError as error:
             self.fail(f"protocol: {error}")
--- a/decklb/net/listener.py
+++ b/decklb/net/listener.py
@@ -12,6 +12,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from decklb.core.dispatcher import Dispatcher, Request
+from decklb.net import frames
 from decklb.net.client_connection import ClientConnection
 from decklb.net.connection_limits import ConnectionLimits
 
@@ -46,7 +47,7 @@
         settings = dispatcher.settings
         retry_after_ms = min(OVERLOAD_RETRY_AFTER_MS, settings.max_retry_after) if settings.retry_after else 0.0
         # Fields of the answer to a request that the listener itself rejects.
-        self.overload_fields = {"backoff": str(round(retry_after_ms))} if retry_after_ms else {}
+        self.overload_fields = frames.rejection_fields(retry_after_ms)
         self.requests: dict[str, Request] = {}  # open ones by their clients' ids
         self.draining = False
 
--- a/decklb/wire/__init__.py
+++ b/decklb/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What several wires share: the reactor's clock, rules for connections, groups of tables."""
+"""What several wires share: the reactor and its clock, dialing, engine pools, health checks, table groups."""
