--- a/tests/test_attempt_guards.py
+++ b/tests/test_attempt_guards.py
@@ -22,7 +22,7 @@
         self.d._act(api.Send(r.ident, engine))
         return len(self.engines.started)
 
-    def test_where_settings_allow_copies_a_lost_attempt_is_called_off_not_copied_in_vain(self):
+    def test_where_settings_allow_hedging_a_lost_attempt_is_cancelled_not_hedged_in_vain(self):
         """Of 15 days of such a deployment 225 copies were held back, each an attempt less (61e05677)."""
         settings = replace(self.d.settings, duplicates=True, progress=100.0)
         self.d = Dispatcher(settings, 1, self.clock, self.engines)
@@ -38,7 +38,7 @@
             self.clock.go(50)
         self.assertEqual(self.engines.given, [self.engines.started[0]])
 
-    def test_an_unsafe_request_goes_again_only_where_it_surely_never_ran(self):
+    def test_a_request_that_is_not_idempotent_is_retried_only_where_it_surely_never_ran(self):
         for outcome, count in ((Outcome.NOCONN, 2), (Outcome.FULL, 2), (Outcome.RST, 1), (Outcome.BAD, 1)):
             self.setUp()
             self.classes(Effect.UNSAFE)
@@ -48,7 +48,7 @@
             self.engines.started[0].end(outcome)
             self.assertEqual(self.again(r), count, outcome)
 
-    def test_an_unsafe_request_that_waited_for_a_connection_to_its_end_is_refused_not_failed(self):
+    def test_a_request_that_never_got_a_connection_is_rejected_not_failed(self):
         for begun, answer in ((False, "refused"), (True, "failed")):
             self.setUp()
             self.classes(Effect.UNSAFE)
@@ -58,7 +58,7 @@
             self.clock.go(2050)
             self.assertEqual([a for a, _ in sink.answers], [answer])
 
-    def test_a_keyed_request_goes_again_within_its_window_only(self):
+    def test_a_keyed_request_is_retried_within_its_deduplication_window_only(self):
         for wait, count in ((250, 2), (350, 1)):
             self.setUp()
             self.classes(Effect.KEYED, memory_span=300.0)
@@ -69,7 +69,7 @@
             self.clock.go(wait)
             self.assertEqual(self.again(r), count)
 
-    def test_what_waits_for_its_connection_may_begin_until_its_window_or_its_engines_grace_is_over(self):
+    def test_a_waiting_attempt_may_begin_until_its_window_or_the_drain_grace_ends(self):
         self.d.settings.drain_grace = 1000.0
         self.classes(Effect.KEYED, memory_span=300.0)
         self.d.gateway.step = lambda now, events: []
--- a/tests/test_client_connection_close.py
+++ b/tests/test_client_connection_close.py
@@ -80,20 +80,20 @@
         transport.flush()
         return client, transport
 
-    def test_an_idle_connection_closes_at_once_with_nothing_read_in_between(self):
+    def test_an_idle_connection_is_evicted_at_once_with_nothing_read_in_between(self):
         client, transport = self.idle()
         self.idle()  # another has spoken, and there is one place
         self.assertTrue(client.closing and transport.half_closed())
         client.dataReceived(request(1, b"rows 1"))  # it crossed: its client sends it once more elsewhere
         self.assertEqual((self.taken, client.requests), ([], {}))
 
-    def test_a_request_that_lies_unread_keeps_its_connection(self):
+    def test_a_connection_with_unread_bytes_is_not_evicted(self):
         client, transport = self.idle()
         transport.theirs.sendall(request(1, b"rows 1"))
         self.idle()  # another has spoken, and there is one place
         self.assertFalse(client.closing or transport.half_closed())
 
-    def test_where_the_machine_cannot_say_whether_something_lies_unread_a_connection_is_kept(self):
+    def test_a_connection_whose_unread_bytes_are_unknown_is_not_evicted(self):
         client, transport = self.idle()
 
         class Short:
@@ -104,7 +104,7 @@
         self.idle()  # another has spoken, and there is one place
         self.assertFalse(client.closing or transport.half_closed())
 
-    def test_a_last_answer_leaves_whole_before_its_connection_closes(self):
+    def test_the_last_answer_is_sent_before_the_connection_closes(self):
         client, transport = self.idle()
         self.front.close()
         client.dataReceived(request(1, b"rows 1"))
@@ -113,7 +113,7 @@
         transport.flush()
         self.assertTrue(transport.half_closed())
 
-    def test_what_still_comes_before_the_close_is_answered(self):
+    def test_requests_that_come_before_the_close_are_answered(self):
         client, transport = self.idle()
         transport.theirs.sendall(b"x")  # something lies unread
         self.front.close()
@@ -128,14 +128,14 @@
         transport.flush()
         self.assertTrue(client.closing and not self.front.owing)
 
-    def test_a_client_that_does_not_close_its_half_is_dropped_without_a_reset(self):
+    def test_a_lingering_close_ends_without_a_reset_where_the_client_does_not_close(self):
         client, transport = self.idle()
         self.front.close()
         transport.flush()
         self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertEqual((transport.closed, transport.aborted), (True, False))
 
-    def test_who_reads_nothing_after_an_error_is_dropped(self):
+    def test_a_client_that_reads_nothing_after_an_error_is_aborted(self):
         client, transport = self.idle()
         client.dataReceived(b"\xff" * 9)
         self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
--- a/tests/test_client_protocol.py
+++ b/tests/test_client_protocol.py
@@ -47,7 +47,7 @@
         for engine in self.engines:
             engine.log.clear()
 
-    def test_all_pages_arrive_in_order_and_are_forgotten(self):
+    def test_all_pages_arrive_in_order_and_are_released(self):
         self.client.send(request(1, b"rows 4", token="t1", rid=RID))
         self.assertEqual(self.client.answer(), (1, frames.SERVED, {}, b"".join(b"page%d\t\t\n" % n for n in range(4))))
         wait_for(lambda: self.said(b"forget"), "forget")
@@ -66,7 +66,7 @@
         found = {stream: body.count(b"\n") for stream, _, _, body in (self.client.answer() for _ in range(3))}
         self.assertEqual(found, {1: 1, 2: 2, 3: 3})
 
-    def test_failed_tries_go_elsewhere_and_end_in_a_refusal_with_backoff(self):
+    def test_failed_attempts_are_retried_elsewhere_and_end_in_a_rejection_with_backoff(self):
         """What can't be read, stops short or never comes ends its connection long before the request's time is over."""
         for word in (b"failed", b"die", b"lose 3", b"mute 3", *RespEngine.SPOILT):
             self.both_serve()
@@ -76,36 +76,36 @@
             self.assertGreater(int(fields["backoff"]), 0)
             self.assertTrue(all(e.said(b"do") for e in self.engines), word)
 
-    def test_what_an_engine_sends_too_much_is_passed_over(self):
+    def test_replies_under_unknown_ids_and_second_copies_are_ignored(self):
         for stream in (1, 2):
             self.client.send(request(stream, b"more 2"))
             self.assertEqual(self.client.answer(), (stream, frames.SERVED, {}, b"page0\t\t\npage1\t\t\n"))
 
-    def test_a_spoilt_answer_fails_what_else_is_open_on_its_connection(self):
+    def test_a_malformed_reply_fails_what_else_is_open_on_its_connection(self):
         self.client.send(*[request(n, b"hang", method="load") for n in range(1, 5)])
         wait_for(lambda: len(self.said(b"do")) == 4, "do")
         self.client.send(*[request(n, b"huge", method="load") for n in range(5, 9)])
         found = {self.client.answer()[:2] for _ in range(8)}
         self.assertEqual(found, {(n, frames.FAILED) for n in range(1, 9)})
 
-    def test_what_may_not_repeat_fails(self):
+    def test_a_reset_fails_a_request_that_may_not_be_retried(self):
         self.client.send(request(1, b"die", method="load"))
         self.assertEqual(self.client.answer()[1], frames.FAILED)
         self.assertEqual(len(self.said(b"do")), 1)
 
-    def test_time_out_is_told_to_the_engine_and_answered(self):
+    def test_a_timed_out_request_is_cancelled_at_the_engine_and_answered(self):
         self.client.send(request(1, b"hang", budget="1500"))
         self.assertEqual(self.client.answer()[1], frames.REJECTED)
         self.assertEqual(len(self.said(b"undo")), 1)
 
-    def test_a_client_that_does_not_wait_frees_its_work(self):
+    def test_a_cancelled_request_is_cancelled_at_the_engine(self):
         self.client.send(request(1, b"hang"))
         wait_for(lambda: self.said(b"do"), "do")
         self.client.send(frames.pack(frames.CANCEL, 1), request(2, b"rows 1"))
         self.assertEqual(self.client.answer()[:2], (2, frames.SERVED))
         wait_for(lambda: self.said(b"undo"), "undo")
 
-    def test_a_client_that_leaves_frees_its_work(self):
+    def test_requests_of_a_client_that_disconnects_are_cancelled_at_the_engine(self):
         self.client.send(request(1, b"hang"))
         wait_for(lambda: self.said(b"do"), "do")
         self.client.socket.close()
@@ -130,7 +130,7 @@
                 self.assertEqual((frame.stream, fields), (0, {"reason": reason}))
             wait_for(lambda reason=reason: self.program.logged("client connection ended: " + reason), reason)
 
-    def test_a_frame_that_cannot_be_used_is_passed_over_and_nothing_else_is_lost(self):
+    def test_an_invalid_frame_is_ignored_and_nothing_else_is_lost(self):
         """Once it ended the connection, and failed all that was open there."""
         for raw, reason in (
             (frames.pack(9, 1), "unknown-type"),
@@ -144,7 +144,7 @@
             self.assertEqual([a[:2] for a in found[1:]], [(2, frames.SERVED), (1, frames.REJECTED)])
             client.socket.close()
 
-    def test_what_never_becomes_a_message_ends_in_time_with_a_reason(self):
+    def test_a_connection_without_a_whole_message_is_timed_out_with_a_reason(self):
         spoke = Client(self.program.port)
         spoke.send(request(1, b"rows 1"), request(2, b"hang")[:-1])
         self.assertEqual(spoke.answer()[:2], (1, frames.SERVED))
@@ -154,21 +154,21 @@
             self.assertEqual(client.answer()[::2], (0, {"reason": reason}))
             self.assertIsNone(client.next())
 
-    def test_an_oversized_body_is_refused_at_its_header_and_the_refusal_arrives(self):
+    def test_an_oversized_frame_is_rejected_at_its_header_and_the_error_arrives(self):
         self.client.send((60 << 20).to_bytes(4, "big") + b"\1\0\0\0\1")
         for _ in range(60):  # all of it is sent before anything is read: a reset would end this
             self.client.send(bytes(1 << 20))
         self.assertEqual(self.client.answer()[::2], (0, {"reason": "bad-length"}))
         self.assertIsNone(self.client.next())
 
-    def test_what_is_open_is_answered_before_an_error_ends_the_connection(self):
+    def test_open_requests_are_answered_before_an_error_ends_the_connection(self):
         """A request before a fault in one read was taken and never answered; later it was failed at once."""
         self.client.send(request(1, b"hang", budget="1500") + request(2, b"rows 3") + b"\xff\xff\xff\xff")
         self.assertEqual(self.client.answer()[::2], (0, {"reason": "bad-length"}))
         self.assertEqual([self.client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
         self.assertIsNone(self.client.next())
 
-    def test_an_open_id_with_another_statement_is_refused_alone(self):
+    def test_a_request_id_that_is_open_with_another_statement_fails_alone(self):
         self.client.send(request(1, b"hang", rid=RID), request(2, b"rows 1", rid=RID), request(3, b"rows 1"))
         found = {stream: (code, fields) for stream, code, fields, _ in (self.client.answer() for _ in range(2))}
         self.assertEqual(
@@ -177,11 +177,11 @@
         self.client.send(frames.pack(frames.CANCEL, 1), request(4, b"rows 1", rid=RID))  # the id is free
         self.assertEqual(self.client.answer()[:2], (4, frames.SERVED))
 
-    def test_more_than_32_streams_are_refused(self):
+    def test_more_than_32_streams_are_rejected(self):
         self.client.send(*[request(n, b"hang") for n in range(1, 34)])
         self.assertEqual(self.client.answer()[:2], (33, frames.REJECTED))
 
-    def test_ready_is_told(self):
+    def test_readiness_is_answered(self):
         self.client.send(frames.pack(frames.READINESS_QUERY, 5, b"\0"))
         frame = self.client.next()
         self.assertEqual((frame.type, frame.stream, frame.payload[0]), (frames.READINESS, 5, 1))
@@ -190,14 +190,14 @@
 class EngineConnections(OneEngineTest):
     """What the engines see of the program's connections."""
 
-    def test_a_connection_that_let_an_attempt_run_out_of_time_takes_no_other(self):
+    def test_an_engine_connection_is_quarantined_after_a_time_out(self):
         client = Client(self.program(known=known(self.engine.port)).port)
         for stream, statement, code in ((1, b"hang", frames.REJECTED), (2, b"rows 1", frames.SERVED)):
             client.send(request(stream, statement, budget="800"))
             self.assertEqual(client.answer()[:2], (stream, code))
         self.assertEqual(self.engine.connections, 2)
 
-    def test_refused_connections_prove_that_nothing_ran(self):
+    def test_a_refused_engine_connection_proves_that_nothing_ran(self):
         free = socket.create_server(("127.0.0.1", 0))
         port = free.getsockname()[1]
         free.close()
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -11,7 +11,7 @@
     def crowd(self, sockets=25):  # (25 - 16) // 2 = 4 places, one to spare
         return self.program(known=known(self.engine.port), limits={"sockets": sockets})
 
-    def test_the_longest_idle_makes_room_for_a_newcomer(self):
+    def test_the_longest_idle_connection_is_evicted_for_a_newcomer(self):
         """Those that ask once and stay took every place, and newcomers were closed with their requests (21e68ef7)."""
         program = self.crowd()
         clients = [Client(program.port) for _ in range(4)]
@@ -29,7 +29,7 @@
             client.send(request(3, b"rows 1"))
             self.assertEqual(client.answer()[1], frames.SERVED)
 
-    def test_silent_connections_make_room_before_idle_ones(self):
+    def test_silent_connections_are_evicted_before_idle_ones(self):
         program = self.crowd()
         idle = Client(program.port)
         idle.send(request(1, b"rows 1"))
@@ -43,7 +43,7 @@
         self.assertEqual(idle.answer()[1], frames.SERVED)
         self.assertFalse(program.logged("evicted-idle"))
 
-    def test_newcomers_are_refused_where_every_place_has_a_request(self):
+    def test_newcomers_are_rejected_where_every_connection_has_a_request(self):
         program = self.crowd()
         busy = [Client(program.port) for _ in range(6)]
         for client in busy:
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("error", [EMFILE, BUSY])
-def test_a_fault_of_this_machine_is_tried_again_and_comes_up(error):
+def test_a_local_error_is_retried_until_the_connection_comes_up(error):
     d = Dialed()
     d.fail(error)
     d.clock.go(REDIAL_DELAY_MS - 1)
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("error", [EMFILE, BUSY])
-def test_one_that_lasts_is_told_once_in_time_as_what_it_is(error):
+def test_a_lasting_local_error_is_reported_once_at_the_time_out(error):
     d = Dialed()
     for _ in range(int(TIMEOUT)):
         if d.tries():
@@ -67,21 +67,21 @@
     assert d.refused == [type(error)]
 
 
-def test_word_of_the_other_end_is_told_at_once():
+def test_a_refusal_by_the_peer_is_reported_at_once():
     d = Dialed()
     d.fail(REFUSED)
     d.clock.go(TIMEOUT)
     assert (d.refused, d.tries()) == ([type(REFUSED)], 0)
 
 
-def test_silence_is_a_time_out_even_after_a_fault_of_this_machine():
+def test_silence_is_a_time_out_even_after_a_local_error():
     d = Dialed()
     d.fail(BUSY)
     d.clock.go(TIMEOUT + 1)
     assert d.refused == [TimeoutError]
 
 
-def test_a_process_that_was_held_up_reads_that_it_is_connected_before_the_time_out():
+def test_after_a_stall_a_connection_that_came_up_is_read_before_the_time_out():
     d = Dialed()
     late = TIMEOUT + HELD + 1
     d.clock.call_later(late, d.come_up)  # read in the first pass after the standstill
@@ -90,7 +90,7 @@
     assert (d.protocol.connected, d.refused) == (1, [])
 
 
-def test_what_is_cancelled_while_it_waits_is_told_once():
+def test_a_dial_cancelled_between_tries_is_reported_once():
     d = Dialed()
     d.fail(BUSY)
     d.dial.cancel()
--- a/tests/test_directory_client.py
+++ b/tests/test_directory_client.py
@@ -63,7 +63,7 @@
     logger.remove(sink)
 
 
-def test_a_directory_that_answers_is_asked_steadily_and_no_two_clients_stay_in_step():
+def test_a_directory_that_answers_is_polled_steadily_with_jitter():
     wires = [Wire(seed) for seed in range(20)]
     for w in wires:
         for _ in range(400):
@@ -74,7 +74,7 @@
     assert len({round(w.asked[10][0]) for w in wires}) > 10
 
 
-def test_a_silent_directory_is_asked_rarer_up_to_a_bound_within_which_news_binds_and_steadily_once_it_is_back(log):
+def test_a_silent_directory_is_polled_with_bounded_backoff_and_steadily_after_recovery(log):
     w = Wire()
     w.clock.go(60_000)
     gaps = w.gaps()
@@ -88,7 +88,7 @@
     assert len(w.asked) == questions + 1
 
 
-def test_a_question_never_waits_longer_than_a_part_of_the_grace_in_which_drains_bind():
+def test_a_query_waits_no_longer_than_a_fraction_of_the_drain_grace():
     """A directory that is back after an outage may have news whose grace is nearly over."""
     for grace in (0.0, 1000.0, 2000.0, 60_000.0):
         schedule = PollSchedule(random.Random(1).randrange, grace)
@@ -110,7 +110,7 @@
         ("directory-answer-stale", lambda ident: empty(ident, 39)),
     ],
 )
-def test_a_bad_answer_changes_nothing_and_is_logged_once_not_at_each_poll(log, event, make):
+def test_an_invalid_or_stale_answer_changes_nothing_and_is_logged_once(log, event, make):
     w = Wire()
     for _ in range(10):
         w.answer(make)
@@ -121,7 +121,7 @@
     assert w.lists == [["s-0"], ["s-1"]]
 
 
-def test_an_answer_to_another_question_is_passed_over(log):
+def test_an_answer_to_another_query_is_ignored(log):
     w = Wire()
     late = w.asked[-1][1]
     w.clock.go(700)
@@ -130,7 +130,7 @@
     assert w.lists == [["s-0"]]
 
 
-def test_a_reload_that_moves_the_directory_while_a_question_is_out_believes_the_new_one_alone():
+def test_after_a_change_of_resolver_answers_of_the_old_one_are_ignored():
     w = Wire()
     _, old = w.asked[-1]
     w.directory.change_resolver(("127.0.0.1", 54))
@@ -141,14 +141,14 @@
     assert w.lists[-1] == ["s-1"]
 
 
-def test_an_empty_list_that_is_newer_binds():
+def test_a_newer_empty_list_is_taken():
     """No engine may be sent to after it was told to be gone, however odd the list."""
     w = Wire()
     w.answer(lambda ident: empty(ident, 41))
     assert w.lists[-1] == []
 
 
-def test_a_refusal_is_logged_once_and_asked_again(log):
+def test_a_refused_query_is_logged_once_and_sent_again(log):
     w = Wire()
     for _ in range(5):
         w.directory.connectionRefused()
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -28,7 +28,7 @@
             ("s-1", ("127.0.0.9", 4100), "sala", "k", 2, "draining", 4.0, 500),
         )
 
-    def test_what_is_not_whole_is_not_used(self):
+    def test_an_incomplete_answer_is_not_used(self):
         whole = reply()
         for data in (
             whole[:-1],
@@ -47,7 +47,7 @@
             with self.assertRaises(dns.DnsError, msg=data):
                 from_reply(dns.read_reply(data))
 
-    def test_no_cut_of_an_answer_raises_anything_else(self):
+    def test_a_truncated_answer_raises_a_dns_error(self):
         for end in range(len(reply())):
             with self.assertRaises(dns.DnsError):
                 from_reply(dns.read_reply(reply()[:end]))
--- a/tests/test_engine_connection.py
+++ b/tests/test_engine_connection.py
@@ -77,13 +77,13 @@
         a.given_up = True
         self.engines.give_up(a, lambda: None)
 
-    def test_nothing_is_sent_for_who_left_while_the_connection_came_up(self):
+    def test_a_request_cancelled_while_its_connection_comes_up_is_never_sent(self):
         a, b, c = self.start(), self.start(), self.start()
         self.gone(a)
         _, transport = self.up(same_pass=lambda: self.gone(b))
         self.assertEqual([p[:2] for p in transport.flush()], [[b"do", c.request.work.rid.encode()]])
 
-    def test_what_waited_too_long_for_its_connection_never_begins(self):
+    def test_an_attempt_that_waited_too_long_for_its_connection_is_never_sent(self):
         a, b = self.start(), self.start()
         a.latest = 100.0
         self.clock.go(150)
@@ -91,13 +91,13 @@
         self.assertEqual([p[1] for p in transport.flush()], [b.request.work.rid.encode()])
         self.assertEqual(self.ends, [(a, Outcome.NOP)])
 
-    def test_what_waits_for_an_engine_that_goes_ends_at_once_and_is_not_sent_to_who_has_its_address_next(self):
+    def test_an_attempt_that_waits_for_a_removed_engine_ends_at_once_and_its_dial_is_cancelled(self):
         a = self.start()
         self.engines.update_endpoints({"e2": ("127.0.0.1", 1)})
         self.assertEqual(self.ends, [(a, Outcome.NOCONN)])
         self.assertTrue(self.reactor.connectors[0].stoppedConnecting)
 
-    def test_behind_bytes_that_an_engine_does_not_take_nothing_begins_until_it_does(self):
+    def test_no_attempt_is_sent_behind_bytes_that_the_engine_does_not_read(self):
         first = self.start()
         link, transport = self.up()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
@@ -106,7 +106,7 @@
         self.assertEqual([p[1] for p in transport.flush()], [first.request.work.rid.encode()])
         self.assertEqual([p[:2] for p in transport.flush()], [[b"do", stays.request.work.rid.encode()]])
 
-    def test_a_reset_proves_that_what_was_not_yet_given_to_the_transport_never_ran(self):
+    def test_a_reset_ends_attempts_that_were_not_sent_as_no_connection(self):
         sent = self.start()
         link, _ = self.up()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
@@ -114,7 +114,7 @@
         link.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(self.ends, [(sent, Outcome.RST), (waits, Outcome.NOCONN)])
 
-    def test_what_we_break_off_ourselves_is_out_until_its_engine_knows(self):
+    def test_an_attempt_on_a_connection_that_we_abort_ends_once_its_engine_knows(self):
         """Another attempt of it elsewhere could overtake our reset."""
         sent = self.start()
         link, _ = self.up()
@@ -124,7 +124,7 @@
         self.clock.go(3)
         self.assertEqual(self.ends, [(sent, Outcome.RST)])
 
-    def test_a_reset_before_in_and_after_a_request(self):
+    def test_a_reset_before_during_and_after_a_request(self):
         a = self.start()
         self.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
         b = self.start()
@@ -140,7 +140,7 @@
     def answer(self, a, link, word=b"data", body=b"a\tb\tc\n"):
         link.dataReceived(resp.pack(a.request.work.rid.encode(), word, b"-", body if word == b"data" else b""))
 
-    def test_an_answer_that_may_lead_to_another_attempt_counts_as_a_reset_if_one_comes_right_behind_it(self):
+    def test_a_retryable_answer_counts_as_a_reset_if_one_comes_right_behind_it(self):
         """Whether in the same pass of reading or, after a standstill, with the timer that lets the answer go."""
         for word, outcome in ((b"failed", Outcome.BAD), (b"full", Outcome.FULL), (b"moot", Outcome.NOP)):
             for crossing in ("reset", "nothing", "standstill"):
@@ -159,7 +159,7 @@
                 self.clock.go(2)
                 self.assertEqual(self.ends, [(a, outcome if crossing == "nothing" else Outcome.RST)])
 
-    def test_our_own_orderly_close_puts_no_answer_in_doubt(self):
+    def test_our_own_orderly_close_makes_no_answer_uncertain(self):
         a = self.start()
         link, transport = self.up()
         self.answer(a, link)
@@ -168,7 +168,7 @@
         link.connectionLost(Failure(ConnectionDone()))
         self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD)], []))
 
-    def test_what_we_break_off_ourselves_puts_the_answers_before_it_in_doubt(self):
+    def test_a_connection_that_we_abort_makes_its_earlier_answers_uncertain(self):
         a, b = self.start(), self.start()
         link, _ = self.up()
         self.answer(a, link)
@@ -177,7 +177,7 @@
         self.clock.go(CANCEL_SETTLE_MS + 1)
         self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD), (b, Outcome.RST)], [a]))
 
-    def test_an_answer_after_its_request_was_given_up_is_nobodys_and_its_id_is_not_used_there_again(self):
+    def test_a_late_answer_is_ignored_and_its_request_id_is_not_used_again_on_that_connection(self):
         a = self.start()
         link, _ = self.up()
         self.gone(a)
@@ -185,7 +185,7 @@
         link.dataReceived(resp.pack(ident, b"data", b"-", b"a\tb\tc\n") * 2)
         self.assertEqual((self.ends, link.accepts(ident), link.accepts(b"0" * 16)), ([], False, True))
 
-    def test_an_answer_to_what_was_not_sent_yet_is_nobodys(self):
+    def test_an_answer_to_an_attempt_that_was_not_sent_is_ignored(self):
         self.start()
         link, _ = self.up()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
@@ -193,7 +193,7 @@
         link.dataReceived(resp.pack(waits.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
         self.assertEqual(self.ends, [])
 
-    def test_an_engine_that_has_shown_that_a_request_ran_cannot_take_it_back(self):
+    def test_an_engine_that_has_shown_that_a_request_ran_cannot_say_that_it_did_not(self):
         ran = (
             resp.pack(b"ID", b"data", b"parts=2", b"a\tb\tc\n"),
             *[resp.pack(b"ID", b"news", b"detail=" + note, b"") for note in (b"p,value=0.2", b"s,value=40")],
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -24,7 +24,7 @@
                 [(f.type, f.stream, f.payload) for f in found], [(1, 7, b"abc"), (3, 8, b""), (4, 1, b"\0")]
             )
 
-    def test_lengths_out_of_bounds_are_refused_at_once(self):
+    def test_lengths_out_of_bounds_are_rejected_at_once(self):
         for length in (0, 4, 262_145, 0xFFFFFFFF):
             with self.assertRaises(frames.FrameError):
                 list(frames.FrameReader().feed(length.to_bytes(4, "big")))
--- a/tests/test_program_directory.py
+++ b/tests/test_program_directory.py
@@ -19,7 +19,7 @@
         server.bind(("127.0.0.1", 0))
         return server, f"127.0.0.1:{server.getsockname()[1]}"
 
-    def test_sighup_moves_to_the_new_directory_and_keeps_list_requests_and_connections(self):
+    def test_sighup_changes_the_resolver_and_keeps_list_requests_and_connections(self):
         """The default of SIGHUP ended the process with all it had taken (032f0109)."""
         (old, first), (new, second) = self.resolver(), self.resolver()
         config = {"known": known(self.engine.port, index=7)}
@@ -37,7 +37,7 @@
         client.send(request(2, b"rows 1"))
         self.assertEqual([client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
 
-    def test_sighup_brings_a_newer_list_where_no_directory_is_asked(self):
+    def test_sighup_loads_a_newer_list_where_no_directory_is_polled(self):
         program = self.program(known=known())
         program.reload({"known": known(self.engine.port, index=2)})
         wait_for(lambda: program.logged("configuration read"), "the log line")
@@ -45,7 +45,7 @@
         client.send(request(1, b"rows 1"))
         self.assertEqual(client.answer()[1], frames.SERVED)
 
-    def test_a_directory_that_is_down_at_the_start_holds_readiness_back_for_a_while_only(self):
+    def test_a_directory_that_is_down_at_the_start_delays_readiness_for_a_while_only(self):
         _, resolver = self.resolver()
         client = Client(self.program(known=known(self.engine.port), resolver=resolver).port)
 
@@ -63,7 +63,7 @@
         client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
         self.assertEqual(client.next().payload[0], 0)
 
-    def test_the_directory_brings_engines_by_whole_answers_to_its_own_questions(self):
+    def test_engines_come_from_whole_answers_to_the_query_that_is_out(self):
         server, resolver = self.resolver()
         program = self.program(known=known(), resolver=resolver)
         client, seen = Client(program.port), set()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -16,7 +16,7 @@
                 found += reader.feed(raw[at : at + size])
             self.assertEqual(found, [[b"id", b"data", b"parts=2", b"a\tb\r\n\n"], [b"x", b"moot"]])
 
-    def test_what_is_no_array_of_bulk_strings(self):
+    def test_malformed_arrays_are_rejected(self):
         for raw in (
             b"+OK\r\n",
             b"*99\r\n",
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -30,7 +30,7 @@
 class ProcessExit(unittest.TestCase):
     """When the process exits."""
 
-    def test_it_waits_for_clients_that_are_owed_something_but_not_until_it_is_killed(self):
+    def test_the_process_waits_for_clients_with_pending_work_until_its_last_moment(self):
         for owing, after in ((lambda now: now < 400, 400), (lambda now: True, 1000)):
             service, clock, stopped = Service.__new__(Service), TestClock(), []
 
@@ -45,7 +45,7 @@
 class Drain(OneEngineTest):
     """A drain of the whole program."""
 
-    def test_drain_tells_clients_takes_what_still_comes_and_exits(self):
+    def test_a_drain_notifies_clients_serves_what_still_comes_and_exits(self):
         program = self.program(known=known(self.engine.port))
         old = Client(program.port)
         old.send(request(1, b"hang", budget="2500"))
@@ -60,7 +60,7 @@
             self.assertEqual(frame.type, frames.GO_AWAY)
         self.assertEqual(program.process.wait(DEADLINE), 0)
 
-    def test_drain_answers_what_would_outlast_it_and_exits_before_it_is_killed(self):
+    def test_a_drain_answers_requests_that_would_outlast_it_and_exits(self):
         program = self.program(known=known(self.engine.port))
         client = Client(program.port)
         client.send(request(1, b"hang", budget="8000"), request(2, b"hang", budget="8000", method="load"))
@@ -98,7 +98,7 @@
         program.stop()
 
 
-def test_a_sigterm_that_comes_as_soon_as_anybody_can_connect_drains(start_program):
+def test_a_sigterm_as_soon_as_the_port_is_open_drains(start_program):
     """The handler was set when the reactor ran, after the port was open."""
     program = start_program(1)  # it has said that it listens, and may do no more than that
     program.process.terminate()
@@ -122,8 +122,8 @@
 
 
 @pytest.mark.parametrize("newcomers", [0, 3 * ACCEPT_BATCH])
-def test_who_came_while_a_draining_process_stood_still_is_answered_not_reset(engine, start_program, newcomers):
-    """On a resting connection, or on new ones in the machine's queue when the listener closes."""
+def test_clients_of_a_draining_process_that_was_stopped_are_answered_not_reset(engine, start_program, newcomers):
+    """On a resting connection, or on new ones in the kernel's queue when the listener closes."""
     program = start_program(engine.port)
     resting = Client(program.port)
     resting.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("resting", [True, False], ids=["resting-connection", "new-connection"])
-def test_an_engine_is_told_no_more_time_than_the_client_has_left(resting):
+def test_after_a_stall_an_engine_gets_no_more_budget_than_the_client_has_left(resting):
     """A request that was written while the process stood still was given all of its budget."""
     loop = Loop()
     engine = TimedEngine(loop)
@@ -64,17 +64,17 @@
     return found
 
 
-def test_what_an_ordinary_loop_reads_is_new():
+def test_an_ordinary_loop_reads_nothing_old():
     assert passes((0.001, 0.1, 0.1), (0.0, 0.1, 0.02), (HELD / 1000, 0.0, 0.0), (0.01, 0.05, 0.05)) == [0.0] * 4
 
 
 @pytest.mark.parametrize(("step", "unread"), [((0.5, 0.0, 0.0), 0.5), ((0.5, 0.1, 0.0), 0.5), ((0.0, 0.1, 1.1), 1.1)])
-def test_what_was_not_read_for_long_is_as_old_as_that_for_some_passes(step, unread):
+def test_after_a_stall_input_counts_as_old_for_some_passes(step, unread):
     found = passes(step, *[(0.0, 0.1, 0.0)] * STALE_PASSES)
     assert found == [unread] * STALE_PASSES + [0.0]
 
 
-def test_a_process_that_is_busy_for_long_counts_its_last_passes_alone():
+def test_a_process_that_is_busy_for_long_counts_its_last_passes_only():
     """Each further pass that took long kept the first one's moment: in a long flood all that was read looked old."""
     found = passes(*[(0.05, 0.0, 0.0)] * 100)[STALE_PASSES - 1 :]
     assert found == [round(0.05 * STALE_PASSES, 3)] * (101 - STALE_PASSES)
--- a/tests/test_stalls_and_departures.py
+++ b/tests/test_stalls_and_departures.py
@@ -19,20 +19,20 @@
         self.clock.call_later(ms, meanwhile)  # read in the first pass after the standstill
         self.clock.clock.advance(ms / 1000)
 
-    def test_no_attempt_begins_for_a_client_that_left_meanwhile(self):
+    def test_no_attempt_begins_for_a_client_that_left_during_the_stall(self):
         r, _ = self.ask()
         self.stand_still(lambda: self.d.abandon(r))
         self.clock.go(200)
         self.assertEqual(self.engines.started, [])
 
-    def test_a_whole_answer_that_came_in_time_is_not_given_up(self):
+    def test_an_answer_that_came_during_the_stall_is_not_given_up(self):
         _, sink = self.ask(budget=1000.0)
         self.run_until_started(1)
         self.clock.go(900 - 3 - self.clock.now())
         self.stand_still(lambda: self.engines.started[0].end(Outcome.GOOD, b"x"))
         self.assertEqual((sink.answers, self.engines.given), ([("served", b"x")], []))
 
-    def test_an_engine_that_began_to_drain_meanwhile_gets_nothing(self):
+    def test_an_engine_that_began_to_drain_during_the_stall_gets_no_attempt(self):
         self.ask()
         self.stand_still(lambda: self.d.members([api.Entry("e3", "z", "k", 0, api.Phase.UP)]))
         self.run_until_started(1)
@@ -42,7 +42,7 @@
 class ClientLeaves(Rig):
     """A client that leaves while its request waits, wherever that is."""
 
-    def test_nothing_begins_for_who_left_while_waiting_for_a_predecessor_or_for_its_key_to_rest(self):
+    def test_no_attempt_begins_for_a_client_that_left_while_its_key_was_busy_or_resting(self):
         for rests in (False, True):
             self.setUp()
             self.ask("load", key="k")
@@ -57,7 +57,7 @@
             self.clock.go(1000)
             self.assertEqual(len(self.engines.started), 1)
 
-    def test_nothing_begins_for_who_left_while_no_engine_was_free(self):
+    def test_no_attempt_begins_for_a_client_that_left_while_no_engine_was_available(self):
         self.d.members([])
         r, _ = self.ask()
         self.clock.go(50)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -44,14 +44,14 @@
         assert machine.told(f"new-{ago}", ago) == pytest.approx(ago, abs=1.0)
 
 
-def test_long_past_starts_stay_so():
+def test_starts_of_long_ago_stay_zero():
     machine = Machine()
     assert machine.starts.place([("a", 0)], machine.now, machine.wall(), True) == {"a": 0.0}
 
 
 @pytest.mark.parametrize("step", [1000.0, 5000.0, 60_000.0, HOUR, -1000.0, -5000.0, -60_000.0, -HOUR])
 @pytest.mark.parametrize("when", ["before-start", "between-lists", "and-back"])
-def test_a_clock_that_is_set_makes_no_engine_older_and_none_younger_than_told(step, when):
+def test_setting_the_wall_clock_makes_no_engine_look_older_or_younger(step, when):
     """Seen before: an hour ahead, an engine started 1 s ago counted as 3,601 s old; behind, as cold for an hour."""
     machine = Machine(step if when == "before-start" else 0.0)
     machine.told("first", HOUR)
@@ -68,7 +68,7 @@
             machine.wrong = step if machine.wrong == 0.0 else 0.0
 
 
-def test_a_clock_that_was_wrong_at_the_start_and_is_set_right_is_believed_again():
+def test_a_wall_clock_that_is_set_right_is_trusted_again():
     machine = Machine(-HOUR)
     machine.told("first", 0.0)
     machine.wait(1000.0)
--- a/tests/test_table_group.py
+++ b/tests/test_table_group.py
@@ -44,7 +44,7 @@
         ):
             self.assertEqual(table_group(text.encode()), group, text)
 
-    def test_bytes_that_are_no_text_do_no_harm(self):
+    def test_bytes_that_are_no_text_are_scanned(self):
         for text in (b"\xff\xfe\0", b"\xc3", b"select '\xff' from a_2.b", b"$" * 999, b"'" * 999, b"/*" * 999):
             self.assertIn(table_group(text), (0, 2))
 
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -150,21 +150,21 @@
 
 @pytest.mark.parametrize("waits", [True, False], ids=["next-waits", "next-comes"])
 @pytest.mark.parametrize("how", ["reset", "close", "silence"])
-def test_a_key_rests_when_its_engine_may_not_have_finished_the_answer_that_we_read(front, how, waits):
+def test_a_key_is_held_down_when_its_connection_ends_right_behind_an_answer(front, how, waits):
     answers, between = run(front, how, waits)
     assert answers == ["served", "served"]
     assert between >= SETTLE
 
 
 @pytest.mark.parametrize("waits", [True, False], ids=["next-waits", "next-comes"])
-def test_an_answer_that_lacks_its_last_byte_is_none_and_its_key_rests(front, waits):
+def test_an_answer_without_its_last_byte_fails_and_its_key_is_held_down(front, waits):
     answers, between = run(front, "short", waits)
     assert answers == ["failed", "served"]
     assert between >= SETTLE
 
 
 @pytest.mark.parametrize("front", ["platform", "postgres"])
-def test_connections_struck_at_drawn_bytes_of_answers_break_no_rule(front):
+def test_connections_cut_at_random_bytes_of_answers_break_no_rule(front):
     """On the code before incident 1 was mended this seed broke the order on both fronts."""
 
     async def play():
