--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -18,7 +18,7 @@
 
 from decklb.core.dispatcher import Request
 from decklb.net import frames
-from decklb.net.frames import FrameError, InvalidRequest
+from decklb.net.frames import FrameError, InvalidRequestError
 from decklb.wire.connection_end import has_unread_bytes
 
 if TYPE_CHECKING:
@@ -107,7 +107,8 @@
                 if self.input_failed:
                     return
         except FrameError as error:
-            return self.fail(error.reason)
+            self.fail(error.reason)
+            return
         self.listener.limits.update(self, message_completed)
         self._count_buffered()
         self._close_if_done()
@@ -116,7 +117,8 @@
         if frame.type == frames.REQUEST:
             if frame.stream == 0 or frame.stream in self.requests:
                 # An answer under a number in use would be a second answer to the first request.
-                return self._ignore_invalid("stream-in-use")
+                self._ignore_invalid("stream-in-use")
+                return
             self._submit(frame)
         elif frame.type == frames.CANCEL:
             if (request := self._release(frame.stream)) is not None:
@@ -125,14 +127,16 @@
         elif frame.type == frames.READINESS_QUERY:
             self._write(frames.pack(frames.READINESS, frame.stream, bytes([self.listener.ready()]) + b"\0"))
         else:
-            return self._ignore_invalid("unknown-type")
+            self._ignore_invalid("unknown-type")
+            return
         self.has_sent_message = True
 
     def _ignore_invalid(self, reason: str) -> None:
         """A whole frame that can't be used: it is ignored, and what else is open here goes on."""
         self._invalid_frames += 1
         if self._invalid_frames > MAX_INVALID_FRAMES:
-            return self.fail(reason)
+            self.fail(reason)
+            return
         logger.info(
             "frame ignored: {reason} peer={peer}", event="frame-ignored", reason=reason, peer=self._peer_address()
         )
@@ -145,11 +149,13 @@
             work = frames.read_request(frame.payload, listener.dispatcher.settings)
             other = listener.requests.get(work.rid)
             if other is not None and other.work.statement != work.statement:
-                raise InvalidRequest("rid is open with another statement")  # engines know requests by their ids
-        except InvalidRequest as error:
-            return self.answer(stream, frames.FAILED, frames.error_fields(str(error)))
+                raise InvalidRequestError("rid is open with another statement")  # engines know requests by their ids
+        except InvalidRequestError as error:
+            self.answer(stream, frames.FAILED, frames.error_fields(str(error)))
+            return
         if len(self.requests) > MAX_STREAMS or listener.draining or self.over_limit:
-            return self.answer(stream, frames.REJECTED, listener.overload_fields)
+            self.answer(stream, frames.REJECTED, listener.overload_fields)
+            return
         self._accepted_requests += 1
         request = listener.dispatcher.submit(work, StreamSink(self, stream))
         self.requests[stream] = listener.requests[work.rid] = request
--- a/decklb/net/connection_limits.py
+++ b/decklb/net/connection_limits.py
@@ -87,7 +87,8 @@
             self._forget(client)
             if client.closing or not client.requests:
                 self._lingering[client] = since
-            return self._start_sweeping()
+            self._start_sweeping()
+            return
         if not client.has_sent_message:
             return
         if client.reader.buffer:  # in the middle of a message
--- a/decklb/net/directory_client.py
+++ b/decklb/net/directory_client.py
@@ -122,11 +122,13 @@
                 return
             endpoints = from_reply(reply)
         except (dns.DnsError, ValueError) as error:
-            return self._log_error("directory-answer-invalid", str(error))
+            self._log_error("directory-answer-invalid", str(error))
+            return
         self._answered()
         serial = reply.serial or 0
         if serial < self.serial:  # the directory, or one of several behind its address, lags
-            return self._log_error("directory-answer-stale", "a list older than the one known")
+            self._log_error("directory-answer-stale", "a list older than the one known")
+            return
         self._logged_errors.clear()
         is_new, self.synchronized = serial > self.serial or not self.synchronized, True
         self.serial = serial
--- a/decklb/net/engine_connection.py
+++ b/decklb/net/engine_connection.py
@@ -86,7 +86,8 @@
         if now > attempt.latest:  # it waited too long: its engine drains, or it may not be repeated now
             del self.calls[call.request_id]
             self._schedule_idle_close()
-            return attempt.end(Outcome.NOP)
+            attempt.end(Outcome.NOP)
+            return
         work = attempt.request.work
         fields = {protocol.CLASS_FIELD: work.lane, protocol.BUDGET_FIELD: str(max(1, int(attempt.deadline - now)))}
         if work.token:
--- a/decklb/net/frames.py
+++ b/decklb/net/frames.py
@@ -45,13 +45,13 @@
         self.reason = reason
 
 
-class InvalidRequest(Exception):
+class InvalidRequestError(Exception):
     """A whole frame whose request can't be taken; the connection goes on."""
 
 
 @dataclass(slots=True)
 class Frame:
-    """One whole frame."""
+    """One whole frame: its type, its stream and what follows them."""
 
     type: int
     stream: int
@@ -62,7 +62,7 @@
     """Cuts a byte stream, split anywhere, into frames."""
 
     def __init__(self) -> None:
-        self.buffer = bytearray()
+        self.buffer = bytearray()  # what has come of a frame in part
 
     def feed(self, data: bytes) -> Iterator[Frame]:
         """The frames that are whole now, one by one: what comes before an error counts.
@@ -99,7 +99,7 @@
 
 
 def read_fields(payload: bytes) -> tuple[dict[str, str], bytes]:
-    """Fields and what follows them. Raises InvalidRequest."""
+    """Fields and what follows them. Raises InvalidRequestError."""
     fields: dict[str, str] = {}
     try:
         at = 1
@@ -108,34 +108,34 @@
             value_start = name_end + 2
             value_end = value_start + (payload[name_end] << 8 | payload[name_end + 1])
             if value_end > len(payload):
-                raise InvalidRequest("fields run over the frame's end")
+                raise InvalidRequestError("fields run over the frame's end")
             fields[payload[at + 1 : name_end].decode()] = payload[value_start:value_end].decode()
             at = value_end
     except IndexError:
-        raise InvalidRequest("fields run over the frame's end") from None
+        raise InvalidRequestError("fields run over the frame's end") from None
     except UnicodeDecodeError:
-        raise InvalidRequest("fields are not text") from None
+        raise InvalidRequestError("fields are not text") from None
     return fields, payload[at:]
 
 
 def read_request(payload: bytes, settings: Settings) -> Work:
-    """The request of a type 1 frame. Raises InvalidRequest."""
+    """The request of a type 1 frame. Raises InvalidRequestError."""
     fields, body = read_fields(payload)
     spec = settings.classes.get(fields.get("method", ""))
     if spec is None:
-        raise InvalidRequest("unknown method")
+        raise InvalidRequestError("unknown method")
     rid, token, key = fields.get("rid", ""), fields.get("token", ""), fields.get("obj") or None
     if not REQUEST_ID.fullmatch(rid):
-        raise InvalidRequest("rid is not 16 hex digits")
+        raise InvalidRequestError("rid is not 16 hex digits")
     budget = fields.get("budget", "")
     if not (budget.isascii() and budget.isdigit() and 0 < len(budget) < 9):
-        raise InvalidRequest("budget is no number of milliseconds")
+        raise InvalidRequestError("budget is no number of milliseconds")
     if not 0 < int(budget) <= LONGEST_BUDGET_MS:
-        raise InvalidRequest("budget is out of bounds")
+        raise InvalidRequestError("budget is out of bounds")
     if token and not TOKEN.fullmatch(token):
-        raise InvalidRequest("token can't be used")
+        raise InvalidRequestError("token can't be used")
     if settings.tenants and fields.get("acct") not in settings.tenants:
-        raise InvalidRequest("unknown acct")
+        raise InvalidRequestError("unknown acct")
     return Work(rid, spec.name, fields.get("acct", ""), float(budget), body, table_group(body), key, token)
 
 
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -160,10 +160,12 @@
     def _ready_for_query(self, transaction_status: bytes) -> None:
         self._statements.statement_ended(failed=self._error is not None)
         if transaction_status != b"I":
-            return self._abort("left-in-transaction")
+            self._abort("left-in-transaction")
+            return
         self.ready = True
         if self.attempt is not None and not self.sent:  # it waited for the connection
-            return self._start_waiting(self.attempt)
+            self._start_waiting(self.attempt)
+            return
         attempt, freed = self.attempt, self._freed
         self.attempt, self._freed, self.sent = None, None, False
         self._schedule_idle_close()
@@ -176,7 +178,8 @@
         if self.reserved:
             return
         if self.pool.client.clock.now() <= attempt.latest:
-            return self._send()
+            self._send()
+            return
         self.attempt = None  # it waited too long: its engine drains, or it may not be repeated now
         self._schedule_idle_close()
         attempt.end(Outcome.NOP)
@@ -194,7 +197,8 @@
         """Close the unused connection after the idle time-out, at once if its engine has gone."""
         self._cancel_timer()
         if self.pool.retired:
-            return self.close_unused()
+            self.close_unused()
+            return
         self._timer = self.pool.client.clock.call_later(IDLE_TIMEOUT_MS, self.close_unused)
 
     def close_unused(self) -> None:
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -44,7 +44,8 @@
         # One that is ready comes before one that is still coming up.
         connection = max(available, key=lambda one: one.ready, default=None)
         if connection is None and len(self.connections) >= self.client.settings.connections:
-            return attempt.end(Outcome.FULL)
+            attempt.end(Outcome.FULL)
+            return
         connection = connection or self.connect()
         attempt.begun = False
         attempt.handle = connection
--- a/decklb/wire/health_check.py
+++ b/decklb/wire/health_check.py
@@ -165,7 +165,8 @@
             connection.close()
             connection = None
         if connection is not None:
-            return connection.check(timeout_ms, callback)
+            connection.check(timeout_ms, callback)
+            return
         connection = self._connections[engine] = self._make_connection(self, engine, address)
         connection.check(timeout_ms, callback)
         self._connect(connection, timeout_ms)
--- a/decklb/wire/recent_answers.py
+++ b/decklb/wire/recent_answers.py
@@ -34,7 +34,8 @@
     def answered(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
         """Report how an attempt ended by its engine's answer: a result at once, anything else after the delay."""
         if outcome is Outcome.GOOD:
-            return self._report(attempt, outcome, result)
+            self._report(attempt, outcome, result)
+            return
         self._delayed[attempt] = outcome
         call_after_reading(self._clock, RETRYABLE_ANSWER_DELAY_MS, partial(self._release, attempt))
 
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -54,8 +54,8 @@
             {"token": "a,b=c"},
             {"token": "x" * 65},
         ):
-            with self.assertRaises(frames.InvalidRequest, msg=change):
+            with self.assertRaises(frames.InvalidRequestError, msg=change):
                 frames.read_request(frames.pack_fields(GOOD | change), self.settings)
         for payload in (b"", b"\5", b"\1\3ab", b"\1\1a\xff\xff", b"\1\1\xff\0\1a", b"\1\1a\0"):
-            with self.assertRaises(frames.InvalidRequest, msg=payload):
+            with self.assertRaises(frames.InvalidRequestError, msg=payload):
                 frames.read_request(payload, self.settings)
--- a/tests/test_net_wire_format.py
+++ b/tests/test_net_wire_format.py
@@ -59,7 +59,7 @@
     payload = frames.pack_fields(case["fields"]) if "fields" in case else b""
     try:
         work = frames.read_request(payload + bytes.fromhex(case["body"]), settings_from(SETTINGS))
-    except frames.InvalidRequest as error:
+    except frames.InvalidRequestError as error:
         return {"error": str(error)}
     return {"work": [v.hex() if isinstance(v, bytes) else v for v in dataclasses.astuple(work)]}
 
