--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -29,6 +29,7 @@
 MESSAGE_OVERHEAD = 1 << 20  # bytes by which one message may be larger than the largest result
 # Classes of SQLSTATE that are the engine's own errors, not the statement's: another engine may do better.
 ENGINE_ERRORS = ("53", "57P", "58", "XX", "08")
+AUTHENTICATION_OK_PAYLOAD = b"\0\0\0\0"  # of the Authentication message that asks for nothing
 NO_KEY = BackendKey(0, 0)
 KEY_FORMAT = struct.Struct(">II")  # process id and secret
 # Messages that are passed to the client: ParameterDescription, RowDescription, NoData, DataRow, CommandComplete,
@@ -138,7 +139,7 @@
             self._keep(message.raw)
         elif message.type == b"K" and len(message.payload) == KEY_FORMAT.size:
             self._backend_key = BackendKey(*KEY_FORMAT.unpack(message.payload))
-        elif message.type == b"R" and message.payload != pg.AUTHENTICATION_OK:
+        elif message.type == b"R" and message.payload != AUTHENTICATION_OK_PAYLOAD:
             self._abort("authentication-requested")
         elif message.type in b"GHW":
             self._abort("copy-refused")  # the front lets none through; whatever began it is not let run on
--- a/decklb/pg/health_check.py
+++ b/decklb/pg/health_check.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from decklb.pg import messages as pg
+from decklb.pg.engine_connection import AUTHENTICATION_OK_PAYLOAD
 from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
 MOST_MESSAGE = 1 << 16  # bytes of one message: an idle session sends parameters, notices and errors alone
@@ -45,5 +46,5 @@
             self.check_succeeded()
         elif message.type == b"E":
             self.fail(f"error-{pg.read_error(message.payload).get('C', '')}")
-        elif message.type == b"R" and message.payload != pg.AUTHENTICATION_OK:
+        elif message.type == b"R" and message.payload != AUTHENTICATION_OK_PAYLOAD:
             self.fail("authentication-requested")
--- a/decklb/pg/messages.py
+++ b/decklb/pg/messages.py
@@ -138,7 +138,6 @@
 NO_DATA, EMPTY_QUERY, SUSPENDED = pack(b"n"), pack(b"I"), pack(b"s")
 NO_PARAMETERS = pack(b"t", b"\0\0")
 SYNC = pack(b"S")
-AUTHENTICATION_OK = b"\0\0\0\0"  # payload of the Authentication message that asks for nothing
 EXECUTE_ALL = pack(b"E", b"\0" + b"\0\0\0\0")
 
 
