--- a/decklb/lab/cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -6,19 +6,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from decklb.cluster.duties import Duties, Start, phase
-from decklb.cluster.messages import ALIVE, DEAD, Row
+from decklb.cluster.duties import DutyScheduler
+from decklb.cluster.duty import DutyRun, phase_of
+from decklb.cluster.messages import MemberRecord, MemberState
 from decklb.cluster.node import Node
-from decklb.cluster.ownership import Ranking
+from decklb.cluster.rendezvous import Ranking
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
-from decklb.lab.network import EPOCH, Address, Faults, Host, World
+from decklb.lab.emulation.simulated_network import EPOCH, Address, Faults, Host, World
 
 
 class SharedRanking(Ranking):
     """One ranking for all nodes of a process: it depends on names alone. What one node forgets, others may not have."""
 
-    def remove(self, member: str) -> None:
+    def remove_member(self, member: str) -> None:
         """Keep it."""
 
     def set_duties(self, duties: Iterable[str]) -> None:
@@ -87,7 +88,7 @@
         made.cold = dict.fromkeys(made.engines, 0.0)
         if made.ranking is not None:
             for i in range(instances):
-                made.ranking.add(f"m{i}", membership.weight)
+                made.ranking.add_member(f"m{i}", membership.weight)
         world.run_duty, world.on_notice, world.on_probed = made._run, made._notice, made._probed
         made.seeds = [made.address(i) for i in range(min(3, instances))]
         for i in range(instances):
@@ -104,7 +105,7 @@
     def start(self, i: int, name: str = "", address: Address | None = None, wall_back: float = 0.0) -> Host:
         """Start instance i, or start it again; `wall_back` sets its wall clock back by so many ms."""
         rng = random.Random(f"{self.world.rng.random()}/{i}")
-        sealer = Sealer(self.membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
+        sealer = Sealer(self.membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         rankings = {self.duty.kind: self.ranking} if self.ranking is not None else None
         host = Host(
             self.world,
@@ -114,24 +115,26 @@
             (2 * rng.random() - 1) * self.drift,
             (2 * rng.random() - 1) * self.skew - wall_back,
         )
-        host.node.subjects(host.now(), self.duty.kind, self.cold, self.engines)
+        host.node.set_subjects(host.now(), self.duty.kind, self.cold, self.engines)
         self.hosts = [h for h in self.hosts if h.address != host.address] + [host]
         return self.world.add(host, self.seeds)
 
     def _introduce(self) -> None:
         rows = [
-            Row(v.me.name, *v.me.address, v.me.life, v.me.boot, True, v.me.weight, ALIVE, 0)
-            for v in (h.node.membership for h in self.hosts)
+            MemberRecord(
+                v.name, *v.address, v.incarnation, v.run_id, True, v.weight, state=MemberState.ALIVE, state_age_ms=0
+            )
+            for v in (h.node.membership.local for h in self.hosts)
         ]
         for host in self.hosts:
             view = host.node.membership
-            view.me.ready = view.synced = True
-            view._sum(view.me)
-            view.news.drop(view.me.name)
-            view._on_rows(host.now(), rows, host.address)
+            view.local.ready = view.local.is_synced = True
+            view.table.update_checksum(view.local)
+            view.gossip.queue.drop(view.local.name)
+            view.anti_entropy.on_records(host.now(), host.address, rows)
             for row in rows:
-                view.news.drop(row.name)
-            host.node._review_soon(host.now())
+                view.gossip.queue.drop(row.name)
+            host.node.schedule_reassignment(host.now())
             self.world.pump(host)
 
     def host(self, name: str) -> Host:
@@ -154,18 +157,18 @@
         """All may talk again."""
         self.world.cut = lambda source, target: False
 
-    def book(self, host: Host) -> Duties:
+    def book(self, host: Host) -> DutyScheduler:
         """The duties of one instance."""
-        return host.node.books[self.duty.kind]
+        return host.node.schedulers[self.duty.kind]
 
-    def _run(self, host: Host, start: Start) -> tuple[float, bool]:
+    def _run(self, host: Host, start: DutyRun) -> tuple[float, bool]:
         self.runs.append(Run(self.world.now, host.name, start.subject, start.term))
         if start.subject in self.down or (host.name, start.subject) in self.unreachable:
-            return self.duty.timeout, False
+            return self.duty.timeout_ms, False
         return self.took, True
 
     def _notice(self, host: Host, event: str, fields: dict[str, object]) -> None:
-        if event == "member" and fields["state"] == "dead":
+        if event == "member-state-changed" and fields["state"] == "dead":
             self.deaths.append((self.world.now, host.name, str(fields["member"])))
 
     def _probed(self, host: Host, subject: str, up: bool) -> None:
@@ -178,7 +181,7 @@
         found: dict[str, list[str]] = {e: [] for e in self.engines}
         for host in self.live():
             for duty in self.book(host).duties.values():
-                if duty.owned:
+                if duty.is_owned:
                     found[duty.subject].append(host.name)
         return found
 
@@ -189,7 +192,7 @@
     def views_agree(self) -> bool:
         """Whether all that are up hold exactly each other alive."""
         names = {h.name for h in self.live()}
-        return all({n for n in [*h.node.membership.live.items, h.name]} == names for h in self.live())
+        return all({n for n in [*h.node.membership.live_names(), h.name]} == names for h in self.live())
 
     def wrongly_dead(self) -> list[tuple[str, str]]:
         """(who, whom): live members held dead by live members."""
@@ -198,25 +201,25 @@
             (h.name, m.name)
             for h in self.live()
             for m in h.node.membership.members.values()
-            if m.state == DEAD and m.name in up
+            if m.state == MemberState.DEAD and m.name in up
         ]
 
     def terms(self) -> dict[tuple[str, str], int]:
         """The highest term that each host has heard of each subject: these may only rise."""
         found = {}
         for host in self.live():
-            for subject, verdict in self.book(host).verdicts.held.items():
+            for subject, verdict in self.book(host).verdicts.by_subject.items():
                 found[host.name, subject] = verdict.term
         return found
 
     def phase(self, subject: str) -> float:
         """Of its period, in ms, at which a duty is due on the world's clock."""
-        return (phase(self.duty.kind, subject) * self.duty.period - EPOCH) % self.duty.period
+        return (phase_of(self.duty.kind, subject) * self.duty.period_ms - EPOCH) % self.duty.period_ms
 
     def counts(self, start: float, end: float) -> dict[str, list[int]]:
         """Runs of each duty in each whole period between two moments, periods being cut half a period from its
         due moment, so that clocks that differ a little don't count a run in its neighbour."""
-        period = self.duty.period
+        period = self.duty.period_ms
         found: dict[str, list[int]] = {}
         first: dict[str, float] = {}
         for subject in self.engines:
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -15,7 +15,7 @@
 import pytest
 from test_pg import POSTGRES, Raw
 
-from decklb.lab.injection.cuts import play_cuts
+from decklb.lab.fault_runs.connection_cut_run import play_cuts
 from decklb.net import frames, resp
 from decklb.pg import messages as pg
 from tests.frame_standins import Client, RespEngine, request
