--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -26,7 +26,7 @@
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.cluster.settings import ClusterSettings
 from decklb.core.ports import Clock, Timer
-from decklb.wire.prober import Prober
+from decklb.wire.health_check import HealthChecker
 
 # Between the last datagrams and the closing of the socket, so that they leave it.
 CLOSE_DELAY_MS = 100.0
@@ -66,7 +66,7 @@
         reactor: Any,
         clock: Clock,
         settings: ClusterSettings,
-        prober: Prober,
+        prober: HealthChecker,
         on_health_update: Callable[[str, bool], None],
     ) -> None:
         """Make a member that has not started.
@@ -265,7 +265,7 @@
         if address is None or settings is None:
             self._on_run_ended(run, False)
             return
-        self.prober.probe(run.subject, address, settings.timeout_ms, lambda ok: self._on_run_ended(run, ok))
+        self.prober.check(run.subject, address, settings.timeout_ms, lambda ok: self._on_run_ended(run, ok))
 
     def _on_run_ended(self, run: DutyRun, ok: bool) -> None:
         if not self._is_closed:
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from decklb.config import Config, ConfigError
@@ -17,10 +18,10 @@
     from decklb.locality.runtime import LocalityService
     from decklb.maintenance.runtime import MaintenanceService
     from decklb.net.engines import RespEngines
-    from decklb.net.front import Front
+    from decklb.net.listener import FrameListener
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
-    from decklb.wire.prober import Prober
+    from decklb.wire.health_check import HealthChecker
 
 
 @dataclass(slots=True)
@@ -28,7 +29,7 @@
     """One core between a front and its engines."""
 
     dispatcher: Dispatcher
-    front: Front | PgFront
+    front: FrameListener | PgFront
     engines: RespEngines | PgEngines
 
 
@@ -38,11 +39,12 @@
     """The platform's front, or that of PostgreSQL where its section is given."""
     if config.postgres is None:
         from decklb.net.engines import RespEngines
-        from decklb.net.front import Front
+        from decklb.net.listener import FrameListener
 
         resp = RespEngines(reactor, clock, config.limits)
         core = Dispatcher(config.settings, config.seed, clock, resp)
-        return Parts(core, Front(core, ready, config.most_clients, config.spare_clients, config.most_held), resp)
+        listener = FrameListener(core, ready, config.most_clients, config.spare_clients, config.most_held)
+        return Parts(core, listener, resp)
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
 
@@ -79,20 +81,20 @@
         raise ConfigError(str(error)) from error
 
 
-def prober(reactor: Any, clock: Clock, config: Config, idle: float) -> Prober:
-    """Probes that speak as the engines do; `idle`: ms without one after which a connection closes."""
-    from decklb.wire.prober import ProbeLink, Prober
+def prober(reactor: Any, clock: Clock, config: Config, idle: float) -> HealthChecker:
+    """Health checks that speak as the engines do; `idle`: ms without one after which a connection closes."""
+    from decklb.wire.health_check import HealthCheckConnection, HealthChecker
 
-    link: type[ProbeLink]
+    make_connection: Callable[..., HealthCheckConnection]
     if config.postgres is None:
-        from decklb.net.prober import RespProbe
+        from decklb.net.health_check import RespHealthCheckConnection
 
-        link = RespProbe
+        make_connection = RespHealthCheckConnection
     else:
-        from decklb.pg.prober import links
+        from decklb.pg.health_check import PgHealthCheckConnection
 
-        link = links(config.postgres.startup)
-    return Prober(reactor, clock, link, idle)
+        make_connection = partial(PgHealthCheckConnection, config.postgres.startup)
+    return HealthChecker(reactor, clock, make_connection, idle)
 
 
 def locality(
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -16,7 +16,7 @@
 from decklb.daemon.assembly import assemble, cluster, handoff, locality, maintenance, speaker
 from decklb.daemon.garbage import Collector
 from decklb.interface import Entry, Outcome, Phase
-from decklb.net.directory import Directory
+from decklb.net.directory_client import DirectoryClient
 from decklb.wire.clock import ReactorClock
 
 # SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as 3 s at the most, and 0.7 s more.
@@ -39,7 +39,7 @@
         self.rng = random.Random(config.seed)
         parts = assemble(reactor, self.clock, config, self.rng.randrange, self.ready)
         self.dispatcher, self.front, self.engines = parts.dispatcher, parts.front, parts.engines
-        if (unread_for := getattr(reactor, "unread_for", None)) is not None:
+        if (unread_for := getattr(reactor, "unread_for_s", None)) is not None:
             self.dispatcher.unread_for = lambda: 1000.0 * unread_for()
         self.speaker = speaker(reactor, self.clock, config)
         self.cluster = cluster(reactor, self.clock, config, self._probed)
@@ -49,7 +49,7 @@
             reactor, self.clock, config, parts, self.cluster, self.locality, self._relist, self.terminate
         )
         self.listed: tuple[list[Entry], dict[str, tuple[str, int]]] = [], {}  # the list as the directory has it
-        self.directory = Directory(
+        self.directory = DirectoryClient(
             self.clock, config.resolver, self.rng.randrange, self._list, config.settings.drain_grace
         )
         self.up = 0  # engines that the list calls up
@@ -61,7 +61,7 @@
     def start(self) -> None:
         """Open everything. Raises what Twisted raises when the address can't be had."""
         c = self.config
-        self.directory.known(c.index, c.updates)
+        self.directory.load_updates(c.index, c.updates)
         if c.resolver is None:
             self.late = True
         else:
@@ -150,8 +150,8 @@
             return
         try:
             new = self.again()
-            if new.index > self.directory.index:
-                self.directory.known(new.index, new.updates)
+            if new.index > self.directory.serial:
+                self.directory.load_updates(new.index, new.updates)
         except (ConfigError, LookupError, TypeError, ValueError) as error:
             # Guards against a file that is half written or wrong: what serves goes on serving.
             return logger.error(
@@ -183,7 +183,7 @@
                 "SIGHUP: a restart is needed for a change of {parts}", event="reload-partial", parts=", ".join(kept)
             )
         if new.resolver != self.directory.resolver:
-            self.directory.move(new.resolver)
+            self.directory.change_resolver(new.resolver)
             if self.directory.transport is None:
                 self._open_directory()
         if self.cluster is not None:
@@ -193,13 +193,13 @@
         logger.info(
             "SIGHUP: configuration read, list {index}, resolver {resolver}",
             event="reloaded",
-            index=self.directory.index,
+            index=self.directory.serial,
             resolver=new.resolver,
         )
 
     def ready(self) -> bool:
         """Whether a request sent now would be served as well as any."""
-        return self.listening and not self.stopping and self.up > 0 and (self.directory.heard or self.late)
+        return self.listening and not self.stopping and self.up > 0 and (self.directory.synchronized or self.late)
 
     def _no_word(self) -> None:
         self.late = True
@@ -215,7 +215,7 @@
         if self.maintenance is not None:
             entries = self.maintenance.apply_plan(entries, addresses)
         self.up = sum(e.phase is Phase.UP for e in entries)
-        self.engines.addresses(addresses)
+        self.engines.update_endpoints(addresses)
         self.dispatcher.members(entries)
         if self.cluster is not None:
             until = time.time() * 1000.0 - self.clock.now() + self.config.settings.cold
@@ -261,7 +261,7 @@
         self.listening = False
         # Whoever waits in the machine's queue has been told that it is connected, and may have sent a request: closing
         # would reset it.
-        self.port.empty_queue(BACKLOG, EMPTYING, self._close_port)
+        self.port.drain_accept_queue(BACKLOG, EMPTYING, self._close_port)
 
     def _close_port(self) -> None:
         self.port.stopListening()
@@ -272,7 +272,7 @@
 
     def _stop(self) -> None:
         if self.final is None:
-            self.directory.close()
+            self.directory.stop()
             self.engines.close()
             if self.speaker is not None:
                 self.speaker.close()
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -23,7 +23,7 @@
 from decklb.locality.messages import TOPIC
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.zone_selector import ZoneSelector
-from decklb.wire.prober import Address, Prober
+from decklb.wire.health_check import Address, HealthChecker
 
 LARGE_FLEET = 50  # members from which on messages are sent more rarely, so that each receives no more of them
 RATE_TIME_CONSTANT_MS = 3000.0  # of the running mean of the rate of requests
@@ -36,10 +36,15 @@
     """One member; the dispatcher's `places`."""
 
     def __init__(
-        self, clock: Clock, settings: LocalitySettings, cluster: ClusterService, dispatcher: Dispatcher, prober: Prober
+        self,
+        clock: Clock,
+        settings: LocalitySettings,
+        cluster: ClusterService,
+        dispatcher: Dispatcher,
+        health_checker: HealthChecker,
     ) -> None:
         self.clock, self.settings, self.cluster = clock, settings, cluster
-        self.dispatcher, self.prober = dispatcher, prober
+        self.dispatcher, self.health_checker = dispatcher, health_checker
         member = cluster.settings.member
         self.observer = ZoneHealthObserver(settings, member)
         self.coordinator = ZoneCoordinator(settings, member, clock.now())
@@ -104,7 +109,7 @@
         self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
             self.timer.cancel()
-        self.prober.close()
+        self.health_checker.close()
 
     @property
     def _member_count(self) -> int:
@@ -152,7 +157,7 @@
         for engine in self.observer.take_due_health_checks(now, self._member_count):
             if (address := self.addresses.get(engine)) is not None:
                 on_result = self._on_health_check_result(engine, now)
-                self.prober.probe(engine, address, self.settings.health_check_timeout_ms, on_result)
+                self.health_checker.check(engine, address, self.settings.health_check_timeout_ms, on_result)
 
     def _on_health_check_result(self, engine: str, started_at: float) -> Callable[[bool], None]:
         def on_result(answered: bool) -> None:
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -33,7 +33,7 @@
 from decklb.maintenance.paxos_messages import AcceptorState
 from decklb.maintenance.plan import Plan
 from decklb.maintenance.settings import MaintenanceSettings
-from decklb.wire.prober import Address, Prober
+from decklb.wire.health_check import Address, HealthChecker
 
 if TYPE_CHECKING:
     from decklb.maintenance.store import PlanStore
@@ -52,7 +52,7 @@
         cluster: ClusterService,
         locality: LocalityService,
         dispatcher: Dispatcher,
-        prober: Prober,
+        health_checker: HealthChecker,
         on_plan_changed: Callable[[], None],
         restart: Callable[[], None],
     ) -> None:
@@ -64,7 +64,7 @@
             cluster: Carries the datagrams, and knows the members.
             locality: Knows the zones' states, their load and engines that can't be reached.
             dispatcher: Knows the attempts in flight.
-            prober: For engines in the plan.
+            health_checker: For engines in the plan.
             on_plan_changed: Called when the endpoint list has to be applied again.
             restart: Ends this manager gracefully; its supervisor starts it again.
 
@@ -72,7 +72,7 @@
             PlanStoreError: The folder can't be used.
         """
         self.clock, self.settings, self.cluster, self.locality = clock, settings, cluster, locality
-        self.dispatcher, self.prober = dispatcher, prober
+        self.dispatcher, self.health_checker = dispatcher, health_checker
         self.on_plan_changed, self.restart = on_plan_changed, restart
         self.store = self._open_store()
         self._store_failing = False  # the last write failed
@@ -144,7 +144,7 @@
         self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
             self.timer.cancel()
-        self.prober.close()
+        self.health_checker.close()
         if self.store is not None:
             self.store.close()
             self.store = None
@@ -217,7 +217,8 @@
         for name in self._health_checks.due(engines):
             if (address := self.addresses.get(name)) is not None:
                 self._health_checks.started(name)
-                self.prober.probe(name, address, self.settings.tick_ms, partial(self._on_health_check_result, name))
+                on_result = partial(self._on_health_check_result, name)
+                self.health_checker.check(name, address, self.settings.tick_ms, on_result)
 
     def _on_health_check_result(self, name: str, answered: bool) -> None:
         if not self.closed:
