--- /dev/null
+++ b/tests/test_bgp_wire_format.py
@@ -0,0 +1,148 @@
+"""Golden tests of the BGP speaker: messages (RFC 4271) and whole sessions with a peer keep their bytes."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+from twisted.internet.task import Clock
+
+from decklb.bgp import messages as bgp
+from decklb.bgp.settings import BgpSettings, PeerSettings
+from decklb.bgp.speaker import Link, Peer, Speaker
+from decklb.wire.clock import ReactorClock
+from tests.standins import ROOT
+
+GOLDEN = json.loads((ROOT / "tests" / "golden" / "bgp.json").read_text())
+SHORT_ASN, LONG_ASN = 64512, 4_200_000_001
+PREFIXES = ["10.9.8.7/32", "10.0.0.0/9", "0.0.0.0/0"]
+
+
+def build_messages():
+    """Every message that is built here, by its name in RFC 4271."""
+    return {
+        "OPEN": bgp.pack_open(SHORT_ASN, 90, "127.0.0.1"),
+        "OPEN with a four-octet AS number": bgp.pack_open(LONG_ASN, 0, "1.2.3.4"),
+        "KEEPALIVE": bgp.pack(bgp.KEEPALIVE),
+        "NOTIFICATION": bgp.pack_notification(bgp.BgpError(6, 2, text="shutdown")),
+        "NOTIFICATION with data": bgp.pack_notification(bgp.BgpError(2, 1, b"\0\4")),
+        "UPDATE announcing to an internal peer": bgp.pack_announcement(PREFIXES, "1.2.3.4", LONG_ASN, True, True),
+        "UPDATE announcing to an external peer": bgp.pack_announcement(PREFIXES, "1.2.3.4", LONG_ASN, False, True),
+        "UPDATE announcing a short AS number to an external peer of two octets": bgp.pack_announcement(
+            PREFIXES[:1], "1.2.3.4", SHORT_ASN, False, False
+        ),
+        "UPDATE announcing a long AS number to an external peer of two octets": bgp.pack_announcement(
+            PREFIXES[:1], "1.2.3.4", LONG_ASN, False, False
+        ),
+        "UPDATE withdrawing": bgp.pack_withdrawal(PREFIXES),
+    }
+
+
+def error_fields(error):
+    return {"code": error.code, "subcode": error.subcode, "data": error.data.hex(), "text": str(error)}
+
+
+def read_stream(raw, piece_size):
+    """The messages of a byte stream that comes in pieces, and the error that ends it."""
+    reader, found = bgp.MessageReader(), []
+    try:
+        for at in range(0, len(raw), piece_size):
+            found += [[kind, body.hex()] for kind, body in reader.feed(raw[at : at + piece_size])]
+    except bgp.BgpError as error:
+        return {"error": error_fields(error)}
+    return {"messages": found, "rest": reader.buffer.hex()}
+
+
+def read_open(body):
+    try:
+        found = bgp.read_open(body)
+    except bgp.BgpError as error:
+        return {"error": error_fields(error)}
+    return {
+        "asn": found.asn,
+        "hold_time_s": found.hold,
+        "bgp_identifier": found.router,
+        "four_octet_asn": found.four_octet,
+    }
+
+
+class FakeTransport:
+    """Notes what a connection does, in order."""
+
+    def __init__(self, events):
+        self.events = events
+
+    def write(self, data):
+        self.events.append(["write", data.hex()])
+
+    def loseConnection(self):
+        self.events.append(["loseConnection"])
+
+
+class FakeReactor(Clock):
+    """A reactor whose connections come up when the test says."""
+
+    def __init__(self, events):
+        super().__init__()
+        self.events = events
+
+    def connectTCP(self, host, port, factory, timeout, bindAddress):
+        self.events.append(["connect", host, port, timeout])
+
+
+def play(script):
+    """A scripted session: what the speaker writes and does to its transport, step by step."""
+    events = []
+    reactor = FakeReactor(events)
+    peer_settings = PeerSettings(("127.0.0.2", 179), 64513)
+    settings = BgpSettings(SHORT_ASN, "127.0.0.1", "127.0.0.1", PREFIXES[:1], 90, [peer_settings])
+    speaker = Speaker(reactor, ReactorClock(reactor), settings)
+    peer: Peer = speaker.peers[0]
+    recorded = []
+    for step, *arguments in script:
+        if step == "connect":
+            peer.link = Link(peer)
+            peer.link.transport = FakeTransport(events)
+            peer.link.connectionMade()
+        elif step == "start":
+            speaker.start()
+        elif step == "receive":
+            peer.link.dataReceived(bytes.fromhex(arguments[0]))
+        elif step == "announce":
+            speaker.announce(arguments[0])
+        elif step == "advance-s":
+            reactor.advance(arguments[0])
+        elif step == "connection-lost":
+            peer.link.connectionLost()
+        elif step == "close":
+            speaker.close()
+        else:
+            raise AssertionError(step)
+        recorded.append([step, events[:]])
+        events.clear()
+    return recorded
+
+
+@pytest.mark.parametrize("name", GOLDEN["built"])
+def test_built_messages_keep_their_bytes(name):
+    assert build_messages()[name].hex() == GOLDEN["built"][name]
+
+
+def test_every_built_message_is_recorded():
+    assert set(build_messages()) == set(GOLDEN["built"])
+
+
+@pytest.mark.parametrize("case", GOLDEN["streams"], ids=lambda case: case["name"])
+@pytest.mark.parametrize("piece_size", [1, 7, 5000])
+def test_streams_are_cut_into_the_same_messages(case, piece_size):
+    assert read_stream(bytes.fromhex(case["raw"]), piece_size) == case["expected"]
+
+
+@pytest.mark.parametrize("case", GOLDEN["opens"], ids=lambda case: case["name"])
+def test_opens_are_read_as_the_same_fields(case):
+    assert read_open(bytes.fromhex(case["body"])) == case["expected"]
+
+
+@pytest.mark.parametrize("case", GOLDEN["sessions"], ids=lambda case: case["name"])
+def test_sessions_write_and_end_alike(case):
+    assert play(case["script"]) == case["expected"]
