--- /dev/null
+++ b/decklb/bgp/errors.py
@@ -0,0 +1,60 @@
+"""Errors of a BGP session, as RFC 4271 (section 4.5) and RFC 4486 number them.
+
+The codec and the session raise `BgpError`; the connection answers it with a NOTIFICATION of the same numbers.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+
+
+class ErrorCode(IntEnum):
+    """The error code of a NOTIFICATION (RFC 4271, section 4.5)."""
+
+    MESSAGE_HEADER = 1
+    OPEN_MESSAGE = 2
+    HOLD_TIMER_EXPIRED = 4
+    FINITE_STATE_MACHINE = 5
+    CEASE = 6
+
+
+class HeaderSubcode(IntEnum):
+    """Subcodes of `ErrorCode.MESSAGE_HEADER` (RFC 4271, section 6.1)."""
+
+    CONNECTION_NOT_SYNCHRONIZED = 1
+    BAD_MESSAGE_LENGTH = 2
+    BAD_MESSAGE_TYPE = 3
+
+
+class OpenSubcode(IntEnum):
+    """Subcodes of `ErrorCode.OPEN_MESSAGE` (RFC 4271, section 6.2)."""
+
+    UNSPECIFIC = 0
+    UNSUPPORTED_VERSION = 1
+    BAD_PEER_AS = 2
+    BAD_BGP_IDENTIFIER = 3
+    UNSUPPORTED_OPTIONAL_PARAMETER = 4
+    UNACCEPTABLE_HOLD_TIME = 6
+
+
+class CeaseSubcode(IntEnum):
+    """Subcodes of `ErrorCode.CEASE` (RFC 4486, section 3)."""
+
+    ADMINISTRATIVE_SHUTDOWN = 2
+
+
+UNSPECIFIC = 0  # the subcode of an error code that defines none
+
+
+class BgpError(Exception):
+    """An error that ends the session with a NOTIFICATION.
+
+    Attributes:
+        code: What kind of error it is.
+        subcode: Its subcode, 0 where the code has none.
+        data: Data field of the NOTIFICATION; what it holds depends on code and subcode.
+    """
+
+    def __init__(self, code: ErrorCode, subcode: int, data: bytes = b"", text: str = "") -> None:
+        super().__init__(text or f"{code}/{subcode}")
+        self.code, self.subcode, self.data = code, subcode, data
--- a/decklb/bgp/messages.py
+++ b/decklb/bgp/messages.py
@@ -1,140 +1,220 @@
-"""BGP-4 messages (RFC 4271) with the capability for four-octet AS numbers (RFC 6793)."""
+"""Codec of BGP-4 messages (RFC 4271, section 4) with the capability of four-octet AS numbers (RFC 6793).
+
+Bytes in, typed messages out, and the other way round; no state but that of `MessageReader`, which holds the bytes of
+a message that is not complete yet. Used by `decklb.bgp.session` and, to validate them, by `decklb.bgp.settings`.
+"""
 
 from __future__ import annotations
 
 import ipaddress
 import struct
+from collections.abc import Iterator
 from dataclasses import dataclass
+from enum import IntEnum
+from typing import NamedTuple
+
+from decklb.bgp.errors import BgpError, ErrorCode, HeaderSubcode, OpenSubcode
+
+
+class MessageType(IntEnum):
+    """The type octet of a message header (RFC 4271, section 4.1)."""
 
-OPEN, UPDATE, NOTIFICATION, KEEPALIVE = 1, 2, 3, 4
-MARKER = b"\xff" * 16
-HEAD_SIZE, LONGEST = 19, 4096
-SHORTEST = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19}
-FOUR_OCTET, AS_TRANS = 65, 23456
-LEAST_HOLD = 3
+    OPEN = 1
+    UPDATE = 2
+    NOTIFICATION = 3
+    KEEPALIVE = 4
 
 
-class BgpError(Exception):
-    """A fault to be told in a NOTIFICATION: code, subcode, data."""
+VERSION = 4
+MARKER = b"\xff" * 16  # starts every message (RFC 4271, section 4.1)
+HEADER_SIZE = 19  # bytes: marker, length, type
+MAX_MESSAGE_SIZE = 4096  # bytes, header included
+MIN_MESSAGE_SIZE = {  # bytes, header included
+    MessageType.OPEN: 29,
+    MessageType.UPDATE: 23,
+    MessageType.NOTIFICATION: 21,
+    MessageType.KEEPALIVE: 19,
+}
+OPEN_FIXED_SIZE = 10  # bytes of an OPEN's body before its optional parameters
+CAPABILITIES_PARAMETER = 2  # type of the optional parameter that lists capabilities (RFC 5492)
+FOUR_OCTET_ASN_CAPABILITY = 65  # RFC 6793, section 3
+AS_TRANS = 23456  # stands for an AS number that does not fit in two octets (RFC 6793, section 9)
+MAX_TWO_OCTET_ASN = (1 << 16) - 1
+MIN_HOLD_TIME_S = 3  # a hold time is 0, which means none, or at least this (RFC 4271, section 4.2)
 
-    def __init__(self, code: int, subcode: int, data: bytes = b"", text: str = "") -> None:
-        super().__init__(text or f"{code}/{subcode}")
-        self.code, self.subcode, self.data = code, subcode, data
+# Path attributes: flags and type code (RFC 4271, section 4.3; AS4_PATH: RFC 6793, section 3).
+ORIGIN = b"\x40\x01"
+AS_PATH = b"\x40\x02"
+NEXT_HOP = b"\x40\x03"
+LOCAL_PREF = b"\x40\x05"
+AS4_PATH = b"\xc0\x11"
+ORIGIN_IGP = b"\x00"
+AS_SEQUENCE = 2  # type of a path segment
+DEFAULT_LOCAL_PREF = 100
+
+
+class Message(NamedTuple):
+    """One message: its type, and its body without the header."""
+
+    type: MessageType
+    body: bytes
 
 
 @dataclass(slots=True)
 class Open:
-    """What a peer says of itself."""
+    """A peer's OPEN (RFC 4271, section 4.2).
+
+    Attributes:
+        asn: Its AS number; that of the four-octet capability if there is one.
+        hold_time_s: The hold time it proposes, in seconds; 0 is none.
+        bgp_identifier: Its BGP Identifier, a dotted quad.
+        four_octet_asn: Whether it has the capability of four-octet AS numbers.
+    """
 
     asn: int
-    hold: int
-    router: str
-    four_octet: bool
+    hold_time_s: int
+    bgp_identifier: str
+    four_octet_asn: bool
 
 
 class MessageReader:
-    """Cuts a byte stream, split anywhere, into (type, body)."""
+    """Cuts a byte stream, split anywhere, into messages."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
-    def feed(self, data: bytes) -> list[tuple[int, bytes]]:
-        """The messages that are whole now. Raises BgpError."""
+    def feed(self, data: bytes) -> list[Message]:
+        """The messages that are complete now. Raises BgpError for a header that RFC 4271 (6.1) does not accept."""
         self.buffer += data
         found = []
-        while len(self.buffer) >= HEAD_SIZE:
-            if self.buffer[:16] != MARKER:
-                raise BgpError(1, 1, text="bad marker")
-            size, kind = struct.unpack_from(">HB", self.buffer, 16)
-            if kind not in SHORTEST:
-                raise BgpError(1, 3, bytes([kind]), "unknown type")
-            if not SHORTEST[kind] <= size <= LONGEST or kind == KEEPALIVE and size != HEAD_SIZE:
-                raise BgpError(1, 2, size.to_bytes(2, "big"), "bad length")
+        while len(self.buffer) >= HEADER_SIZE:
+            message_type, size = self._read_header()
             if len(self.buffer) < size:
                 break
-            found.append((kind, bytes(self.buffer[HEAD_SIZE:size])))
+            found.append(Message(message_type, bytes(self.buffer[HEADER_SIZE:size])))
             del self.buffer[:size]
         return found
 
+    def _read_header(self) -> tuple[MessageType, int]:
+        """Type and size of the first message in the buffer."""
+        if self.buffer[: len(MARKER)] != MARKER:
+            raise BgpError(ErrorCode.MESSAGE_HEADER, HeaderSubcode.CONNECTION_NOT_SYNCHRONIZED, text="bad marker")
+        size, type_code = struct.unpack_from(">HB", self.buffer, len(MARKER))
+        try:
+            message_type = MessageType(type_code)
+        except ValueError:
+            data = bytes([type_code])
+            raise BgpError(ErrorCode.MESSAGE_HEADER, HeaderSubcode.BAD_MESSAGE_TYPE, data, "unknown type") from None
+        in_bounds = MIN_MESSAGE_SIZE[message_type] <= size <= MAX_MESSAGE_SIZE
+        if not in_bounds or message_type is MessageType.KEEPALIVE and size != HEADER_SIZE:
+            data = size.to_bytes(2, "big")
+            raise BgpError(ErrorCode.MESSAGE_HEADER, HeaderSubcode.BAD_MESSAGE_LENGTH, data, "bad length")
+        return message_type, size
 
-def pack(kind: int, body: bytes = b"") -> bytes:
-    """One message."""
-    return MARKER + struct.pack(">HB", HEAD_SIZE + len(body), kind) + body
 
+def pack(message_type: MessageType, body: bytes = b"") -> bytes:
+    """One message with its header."""
+    return MARKER + struct.pack(">HB", HEADER_SIZE + len(body), message_type) + body
 
-def pack_open(asn: int, hold: int, router: str) -> bytes:
-    """An OPEN that offers four-octet AS numbers."""
-    capability = struct.pack(">BBI", FOUR_OCTET, 4, asn)
-    parameter = struct.pack(">BB", 2, len(capability)) + capability
-    old = asn if asn < 1 << 16 else AS_TRANS
-    return pack(
-        OPEN,
-        struct.pack(">BHH", 4, old, hold) + ipaddress.IPv4Address(router).packed + bytes([len(parameter)]) + parameter,
-    )
+
+def pack_open(asn: int, hold_time_s: int, bgp_identifier: str) -> bytes:
+    """An OPEN that offers the capability of four-octet AS numbers."""
+    capability = struct.pack(">BBI", FOUR_OCTET_ASN_CAPABILITY, 4, asn)
+    parameter = struct.pack(">BB", CAPABILITIES_PARAMETER, len(capability)) + capability
+    body = struct.pack(">BHH", VERSION, _two_octet_asn(asn), hold_time_s)
+    body += ipaddress.IPv4Address(bgp_identifier).packed
+    return pack(MessageType.OPEN, body + bytes([len(parameter)]) + parameter)
+
+
+def _two_octet_asn(asn: int) -> int:
+    return asn if asn <= MAX_TWO_OCTET_ASN else AS_TRANS
 
 
 def read_open(body: bytes) -> Open:
-    """Raises BgpError for what RFC 4271 does not accept."""
-    version, asn, hold, router, size = struct.unpack_from(">BHH4sB", body)
-    if version != 4:
-        raise BgpError(2, 1, (4).to_bytes(2, "big"), "version")
-    if 0 < hold < LEAST_HOLD:
-        raise BgpError(2, 6, text="hold time")
-    if router == b"\0\0\0\0":
-        raise BgpError(2, 3, text="router id")
-    if len(body) != 10 + size:
-        raise BgpError(2, 0, text="parameters")
-    at, four = 10, False
-    try:
-        while at < len(body):
-            kind, length = body[at], body[at + 1]
-            if at + 2 + length > len(body):
-                raise IndexError
-            if kind != 2:
-                raise BgpError(2, 4, text="optional parameter")
-            end, at = at + 2 + length, at + 2
-            while at < end:
-                code, length = body[at], body[at + 1]
-                if at + 2 + length > end:
-                    raise IndexError
-                if code == FOUR_OCTET and length == 4:
-                    asn, four = int.from_bytes(body[at + 2 : at + 6], "big"), True
-                at += 2 + length
-    except IndexError:
-        raise BgpError(2, 0, text="parameters") from None
-    return Open(asn, hold, str(ipaddress.IPv4Address(router)), four)
+    """The fields of an OPEN. Raises BgpError for what RFC 4271 (6.2) does not accept."""
+    version, asn, hold_time_s, identifier, parameters_size = struct.unpack_from(">BHH4sB", body)
+    if version != VERSION:
+        data = VERSION.to_bytes(2, "big")
+        raise BgpError(ErrorCode.OPEN_MESSAGE, OpenSubcode.UNSUPPORTED_VERSION, data, "version")
+    if 0 < hold_time_s < MIN_HOLD_TIME_S:
+        raise BgpError(ErrorCode.OPEN_MESSAGE, OpenSubcode.UNACCEPTABLE_HOLD_TIME, text="hold time")
+    if identifier == b"\0\0\0\0":
+        raise BgpError(ErrorCode.OPEN_MESSAGE, OpenSubcode.BAD_BGP_IDENTIFIER, text="router id")
+    parameters = body[OPEN_FIXED_SIZE:]
+    if len(parameters) != parameters_size:
+        raise _bad_parameters()
+    four_octet_asn = False
+    for parameter_type, parameter in _type_length_values(parameters):
+        if parameter_type != CAPABILITIES_PARAMETER:
+            subcode = OpenSubcode.UNSUPPORTED_OPTIONAL_PARAMETER
+            raise BgpError(ErrorCode.OPEN_MESSAGE, subcode, text="optional parameter")
+        for capability, value in _type_length_values(parameter):
+            if capability == FOUR_OCTET_ASN_CAPABILITY and len(value) == 4:
+                asn, four_octet_asn = int.from_bytes(value, "big"), True
+    return Open(asn, hold_time_s, str(ipaddress.IPv4Address(identifier)), four_octet_asn)
+
+
+def _type_length_values(data: bytes) -> Iterator[tuple[int, bytes]]:
+    """Entries of one octet of type, one of length, and a value; so are parameters and capabilities coded (RFC 5492)."""
+    while data:
+        if len(data) < 2 or len(data) < 2 + data[1]:
+            raise _bad_parameters()
+        end = 2 + data[1]
+        yield data[0], data[2:end]
+        data = data[end:]
+
+
+def _bad_parameters() -> BgpError:
+    return BgpError(ErrorCode.OPEN_MESSAGE, OpenSubcode.UNSPECIFIC, text="parameters")
 
 
 def pack_notification(error: BgpError) -> bytes:
-    """A NOTIFICATION."""
-    return pack(NOTIFICATION, bytes([error.code, error.subcode]) + error.data)
+    """A NOTIFICATION (RFC 4271, section 4.5)."""
+    return pack(MessageType.NOTIFICATION, bytes([error.code, error.subcode]) + error.data)
 
 
 def pack_prefix(prefix: str) -> bytes:
-    """A route as in an UPDATE: its length in bits and the bytes that matter."""
+    """A prefix as in an UPDATE: its length in bits, and as many octets as hold these (RFC 4271, section 4.3)."""
     network = ipaddress.IPv4Network(prefix)
     return bytes([network.prefixlen]) + network.network_address.packed[: (network.prefixlen + 7) // 8]
 
 
-def pack_announcement(prefixes: list[str], next_hop: str, asn: int, internal: bool, four: bool) -> bytes:
-    """An UPDATE that announces routes. Inside one's own AS the path is empty and a preference is told."""
-    path = b""
-    if not internal:
-        number = asn if four or asn < 1 << 16 else AS_TRANS
-        path = struct.pack(">BBI" if four else ">BBH", 2, 1, number)
-    attributes = b"\x40\x01\x01\x00" + b"\x40\x02" + bytes([len(path)]) + path
-    attributes += b"\x40\x03\x04" + ipaddress.IPv4Address(next_hop).packed
+def pack_announcement(prefixes: list[str], next_hop: str, asn: int, internal: bool, four_octet_asn: bool) -> bytes:
+    """An UPDATE that announces routes.
+
+    Args:
+        prefixes: The routes, such as "10.0.0.0/8".
+        next_hop: Address to which their traffic goes.
+        asn: Our AS number.
+        internal: Whether the peer is of our AS (IBGP): the path is empty then, and a local preference is sent.
+        four_octet_asn: Whether the peer has the capability of four-octet AS numbers.
+    """
+    attributes = _attribute(ORIGIN, ORIGIN_IGP)
+    attributes += _attribute(AS_PATH, b"" if internal else _as_path(asn, four_octet_asn))
+    attributes += _attribute(NEXT_HOP, ipaddress.IPv4Address(next_hop).packed)
     if internal:
-        attributes += b"\x40\x05\x04" + struct.pack(">I", 100)
-    elif not four and asn >= 1 << 16:  # the true path for those further on (AS4_PATH)
-        real = struct.pack(">BBI", 2, 1, asn)
-        attributes += b"\xc0\x11" + bytes([len(real)]) + real
-    return pack(
-        UPDATE, b"\0\0" + struct.pack(">H", len(attributes)) + attributes + b"".join(map(pack_prefix, prefixes))
-    )
+        attributes += _attribute(LOCAL_PREF, struct.pack(">I", DEFAULT_LOCAL_PREF))
+    elif not four_octet_asn and asn > MAX_TWO_OCTET_ASN:
+        # The peer passes it on unread, to speakers that have the capability (RFC 6793, section 4.2.2).
+        attributes += _attribute(AS4_PATH, _as_path(asn, four_octet_asn=True))
+    no_withdrawn_routes = b"\0\0"
+    body = no_withdrawn_routes + struct.pack(">H", len(attributes)) + attributes
+    return pack(MessageType.UPDATE, body + b"".join(map(pack_prefix, prefixes)))
+
+
+def _attribute(flags_and_type: bytes, value: bytes) -> bytes:
+    return flags_and_type + bytes([len(value)]) + value
+
+
+def _as_path(asn: int, four_octet_asn: bool) -> bytes:
+    """A path of one segment that holds our AS alone."""
+    if four_octet_asn:
+        return struct.pack(">BBI", AS_SEQUENCE, 1, asn)
+    return struct.pack(">BBH", AS_SEQUENCE, 1, _two_octet_asn(asn))
 
 
 def pack_withdrawal(prefixes: list[str]) -> bytes:
-    """An UPDATE that takes routes back."""
+    """An UPDATE that withdraws routes."""
     routes = b"".join(map(pack_prefix, prefixes))
-    return pack(UPDATE, struct.pack(">H", len(routes)) + routes + b"\0\0")
+    no_attributes = b"\0\0"
+    return pack(MessageType.UPDATE, struct.pack(">H", len(routes)) + routes + no_attributes)
--- a/decklb/bgp/settings.py
+++ b/decklb/bgp/settings.py
@@ -1,4 +1,4 @@
-"""The speaker's settings."""
+"""Settings of the BGP speaker: the `bgp` section of the configuration."""
 
 from __future__ import annotations
 
@@ -8,10 +8,19 @@
 
 from decklb.bgp import messages as bgp
 
+DEFAULT_HOLD_TIME_S = 90  # as RFC 4271, section 10, suggests
+MAX_HOLD_TIME_S = (1 << 16) - 1  # two octets on the wire
+MAX_ASN = (1 << 32) - 1  # four octets on the wire
+
 
 @dataclass(slots=True)
 class PeerSettings:
-    """One peer; `asn` is what it must say."""
+    """One peer.
+
+    Attributes:
+        address: Host and port to connect to.
+        asn: The AS number that the peer must open with.
+    """
 
     address: tuple[str, int]
     asn: int
@@ -19,29 +28,43 @@
 
 @dataclass(slots=True)
 class BgpSettings:
-    """The `bgp` section of the configuration."""
+    """The speaker's settings.
+
+    Attributes:
+        asn: Our AS number.
+        bgp_identifier: Our BGP Identifier, a dotted quad.
+        next_hop: The next hop of the announced routes.
+        prefixes: The routes to announce while the program is ready.
+        hold_time_s: The hold time we propose; 0 is none. The lesser of both sides' counts.
+        peers: Whom to connect to.
+    """
 
     asn: int
-    router: str
+    bgp_identifier: str
     next_hop: str
     prefixes: list[str]
-    hold: int = 90
+    hold_time_s: int = DEFAULT_HOLD_TIME_S
     peers: list[PeerSettings] = field(default_factory=list)
 
     @classmethod
     def from_raw(cls, raw: dict[str, Any], address: Callable[[str], tuple[str, int]]) -> BgpSettings:
-        """Check and translate. Raises ValueError or KeyError."""
-        peers = [PeerSettings(address(p["address"]), int(p["asn"])) for p in raw["peers"]]
-        made = cls(
-            int(raw["asn"]),
-            raw["router"],
-            raw.get("next_hop", raw["router"]),
-            list(raw["prefixes"]),
-            int(raw.get("hold", 90)),
-            peers,
+        """Check and translate the section; `address` reads "host:port". Raises ValueError or KeyError."""
+        peers = [PeerSettings(address(peer["address"]), int(peer["asn"])) for peer in raw["peers"]]
+        settings = cls(
+            asn=int(raw["asn"]),
+            bgp_identifier=raw["router"],
+            next_hop=raw.get("next_hop", raw["router"]),
+            prefixes=list(raw["prefixes"]),
+            hold_time_s=int(raw.get("hold", DEFAULT_HOLD_TIME_S)),
+            peers=peers,
         )
-        if made.hold and not bgp.LEAST_HOLD <= made.hold < 1 << 16 or not 0 < made.asn < 1 << 32:
+        settings.check()
+        return settings
+
+    def check(self) -> None:
+        """Raises ValueError for what can't be sent in a message."""
+        hold_time_valid = self.hold_time_s == 0 or bgp.MIN_HOLD_TIME_S <= self.hold_time_s <= MAX_HOLD_TIME_S
+        if not hold_time_valid or not 0 < self.asn <= MAX_ASN:
             raise ValueError("bgp: hold is 0 or 3 to 65535 s, asn 1 to 4294967295")
-        bgp.pack_announcement(made.prefixes, made.next_hop, made.asn, internal=True, four=True)
-        bgp.pack_open(made.asn, made.hold, made.router)
-        return made
+        bgp.pack_announcement(self.prefixes, self.next_hop, self.asn, internal=True, four_octet_asn=True)
+        bgp.pack_open(self.asn, self.hold_time_s, self.bgp_identifier)
--- a/decklb/bgp/speaker.py
+++ b/decklb/bgp/speaker.py
@@ -1,6 +1,7 @@
-"""The speaker: one connection to each configured peer, opened from here, and one set of routes.
+"""The BGP speaker: keeps a connection to each configured peer and announces one set of routes to all of them.
 
-Routes are announced to each established peer while the program is ready, and withdrawn when it drains.
+The routes are announced while the program is ready and withdrawn when it drains. Owns the list of peers and whether
+the routes are wanted. `decklb.daemon.service` starts it, tells it of readiness and closes it.
 """
 
 from __future__ import annotations
@@ -9,159 +10,75 @@
 
 from loguru import logger
 from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from decklb.bgp import messages as bgp
-from decklb.bgp.messages import BgpError
+from decklb.bgp.connection import PeerConnection
+from decklb.bgp.session import Session
 from decklb.bgp.settings import BgpSettings, PeerSettings
-from decklb.core.ports import Clock, Timer
-
-RETRY = 5000.0  # ms between tries to reach a peer
-OPEN_HOLD = 240_000.0  # ms in which a peer must have opened (RFC 4271, 8.2.2 suggests four minutes)
-CONNECT = 10.0  # seconds
-
-
-class Link(Protocol):
-    """One connection to a peer, from OPEN to its end."""
-
-    transport: Any  # zope's interfaces say nothing to the type checker
-
-    def __init__(self, peer: Peer) -> None:
-        self.peer = peer
-        self.reader = bgp.MessageReader()
-        self.opened: bgp.Open | None = None
-        self.established = self.told = self.closed = False
-        self.hold, self.reason = OPEN_HOLD, "peer-closed"
-        self.dead: Timer | None = None
-        self.alive: Timer | None = None
-
-    def connectionMade(self) -> None:
-        """OpenSent."""
-        s = self.peer.speaker.settings
-        self.transport.write(bgp.pack_open(s.asn, s.hold, s.router))
-        self._heard()
-
-    def dataReceived(self, data: bytes) -> None:
-        """Messages, split anywhere; anything heard proves the peer alive."""
-        try:
-            for kind, body in self.reader.feed(data):
-                if not self.closed:
-                    self._message(kind, body)
-        except BgpError as error:
-            self.fail(error)
-
-    def _message(self, kind: int, body: bytes) -> None:
-        if kind == bgp.NOTIFICATION:
-            self.closed, self.reason = True, f"notification-{body[0]}/{body[1]}"
-            self.transport.loseConnection()
-        elif kind == bgp.OPEN and self.opened is None:
-            self._open(bgp.read_open(body))
-        elif kind == bgp.KEEPALIVE and self.opened is not None:
-            self._heard()
-            if not self.established:
-                self.established = True
-                logger.info(
-                    "bgp peer {peer} established",
-                    event="bgp-established",
-                    peer="{}:{}".format(*self.peer.settings.address),
-                )
-                self.update()
-        elif kind == bgp.UPDATE and self.established:
-            self._heard()  # routes of others are of no use here
-        else:
-            raise BgpError(5, 0, text="message out of turn")
-
-    def _open(self, said: bgp.Open) -> None:
-        s = self.peer.speaker.settings
-        if said.asn != self.peer.settings.asn:
-            raise BgpError(2, 2, text="AS number")
-        if said.router == s.router and said.asn == s.asn:
-            raise BgpError(2, 3, text="router id")
-        self.opened = said
-        self.hold = 1000.0 * min(s.hold, said.hold)  # 0 where either wants no hold timer
-        self._heard()
-        self._keepalive()
-
-    def _keepalive(self) -> None:
-        self.alive = None
-        if self.closed:  # nothing follows a NOTIFICATION
-            return
-        self.transport.write(bgp.pack(bgp.KEEPALIVE))
-        if self.hold:
-            self.alive = self.peer.speaker.clock.call_later(self.hold / 3, self._keepalive)
-
-    def _heard(self) -> None:
-        if self.dead is not None:
-            self.dead.cancel()
-            self.dead = None
-        if self.hold:
-            self.dead = self.peer.speaker.clock.call_later(self.hold, self._expired)
-
-    def _expired(self) -> None:
-        self.dead = None
-        self.fail(BgpError(4, 0, text="hold timer"))
-
-    def update(self) -> None:
-        """Bring what the peer was told up to what is wanted."""
-        speaker, s = self.peer.speaker, self.peer.speaker.settings
-        if not self.established or self.closed or self.opened is None or self.told == speaker.wanted:
-            return
-        self.told = speaker.wanted
-        self.transport.write(
-            bgp.pack_announcement(s.prefixes, s.next_hop, s.asn, self.opened.asn == s.asn, self.opened.four_octet)
-            if self.told
-            else bgp.pack_withdrawal(s.prefixes)
-        )
+from decklb.core.ports import Clock
 
-    def fail(self, error: BgpError) -> None:
-        """Say why and close."""
-        self.closed, self.reason = True, f"{error.code}/{error.subcode} {error}"
-        self.transport.write(bgp.pack_notification(error))
-        self.transport.loseConnection()
-
-    def connectionLost(self, reason: Failure | None = None) -> None:
-        """Try again later."""
-        self.closed = True
-        for timer in (self.dead, self.alive):
-            if timer is not None:
-                timer.cancel()
-        self.dead = self.alive = None
-        self.peer.ended(self.reason)
+CONNECT_RETRY_MS = 5000.0  # from the end of a connection to the next attempt (ConnectRetryTimer, RFC 4271, section 8)
+CONNECT_TIMEOUT_S = 10.0
 
 
 class Peer:
-    """A peer, connected or not."""
+    """A configured peer: connected, connecting, or waiting for the next attempt."""
 
     def __init__(self, speaker: Speaker, settings: PeerSettings) -> None:
         self.speaker, self.settings = speaker, settings
-        self.link: Link | None = None
+        self.connection: PeerConnection | None = None  # also while it is being opened
 
     def connect(self) -> None:
-        """Idle to Connect."""
+        """Open a connection: from Idle to Connect (RFC 4271, section 8.2.2)."""
         if self.speaker.closed:
             return
-        link = self.link = Link(self)
-        factory: Any = Factory.forProtocol(lambda: link)
+        connection = self.connection = self.new_connection()
+        factory: Any = Factory.forProtocol(lambda: connection)
         factory.noisy = False
         host, port = self.settings.address
-        endpoint = TCP4ClientEndpoint(self.speaker.reactor, host, port, CONNECT)
-        endpoint.connect(factory).addErrback(self._refused)
+        endpoint = TCP4ClientEndpoint(self.speaker.reactor, host, port, CONNECT_TIMEOUT_S)
+        endpoint.connect(factory).addErrback(self._connect_failed)
+
+    def new_connection(self) -> PeerConnection:
+        """A connection that is yet to be opened."""
+        speaker = self.speaker
+        session = Session(
+            speaker.settings, self.settings, speaker.clock, speaker.routes_wanted, self._session_established
+        )
+        return PeerConnection(session, self._connection_ended)
 
-    def _refused(self, reason: Failure) -> None:
-        self.ended("no-connection")
+    def want_routes(self, wanted: bool) -> None:
+        """Announce the routes to the peer, or withdraw them, if it is connected; a later session asks the speaker."""
+        if self.connection is not None:
+            self.connection.session.want_routes(wanted)
 
-    def ended(self, reason: str) -> None:
-        """Idle; connect again after a while."""
+    def shut_down(self) -> None:
+        """End the session, if there is one."""
+        if self.connection is not None and self.connection.session.open:
+            self.connection.session.shut_down()
+
+    def _connect_failed(self, reason: Failure) -> None:
+        self._connection_ended("no-connection")
+
+    def _session_established(self) -> None:
+        logger.info("bgp peer {peer} established", event="bgp-established", peer=self._address())
+
+    def _connection_ended(self, reason: str) -> None:
+        """Back to Idle; connect again after a while."""
         logger.info(
             "bgp connection ended: {reason} peer={peer}",
             event="bgp-connection-ended",
             reason=reason,
-            peer="{}:{}".format(*self.settings.address),
+            peer=self._address(),
         )
-        self.link = None
+        self.connection = None
         if not self.speaker.closed:
-            self.speaker.clock.call_later(RETRY, self.connect)
+            self.speaker.clock.call_later(CONNECT_RETRY_MS, self.connect)
+
+    def _address(self) -> str:
+        host, port = self.settings.address
+        return f"{host}:{port}"
 
 
 class Speaker:
@@ -169,8 +86,9 @@
 
     def __init__(self, reactor: Any, clock: Clock, settings: BgpSettings) -> None:
         self.reactor, self.clock, self.settings = reactor, clock, settings
-        self.wanted = self.closed = False
-        self.peers = [Peer(self, p) for p in settings.peers]
+        self.routes_wanted = False
+        self.closed = False
+        self.peers = [Peer(self, peer_settings) for peer_settings in settings.peers]
 
     def start(self) -> None:
         """Connect to every peer."""
@@ -179,15 +97,13 @@
 
     def announce(self, wanted: bool) -> None:
         """Announce the routes, or withdraw them."""
-        self.wanted = wanted
+        self.routes_wanted = wanted
         for peer in self.peers:
-            if peer.link is not None:
-                peer.link.update()
+            peer.want_routes(wanted)
 
     def close(self) -> None:
-        """Withdraw and end with a Cease (administrative shutdown)."""
+        """Withdraw the routes and end every session; none is opened any more."""
         self.announce(False)
         self.closed = True
         for peer in self.peers:
-            if peer.link is not None and peer.link.transport is not None and not peer.link.closed:
-                peer.link.fail(BgpError(6, 2, text="shutdown"))
+            peer.shut_down()
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -8,7 +8,9 @@
 from twisted.internet.task import Clock
 
 from decklb.bgp import messages as bgp
-from decklb.bgp.speaker import BgpSettings, Peer, PeerSettings, Speaker
+from decklb.bgp.messages import MessageType
+from decklb.bgp.settings import BgpSettings, PeerSettings
+from decklb.bgp.speaker import Speaker
 from decklb.wire.clock import ReactorClock
 from tests.standins import DEADLINE, Program, known, wait_for
 
@@ -44,7 +46,7 @@
         self.accept()
         kind, body = self.next()
         said = bgp.read_open(body)
-        self.socket.sendall(bgp.pack_open(asn, hold, "127.0.0.2") + bgp.pack(bgp.KEEPALIVE))
+        self.socket.sendall(bgp.pack_open(asn, hold, "127.0.0.2") + bgp.pack(MessageType.KEEPALIVE))
         return kind, said
 
 
@@ -64,12 +66,14 @@
     def test_announced_while_ready_and_withdrawn_on_drain(self):
         program = self.program(self.free.getsockname()[1])
         kind, said = self.peer.establish()
-        self.assertEqual((kind, said.asn, said.hold), (bgp.OPEN, 64512, 9))
-        _, update = self.peer.next(bgp.KEEPALIVE)
+        self.assertEqual((kind, said.asn, said.hold_time_s), (MessageType.OPEN, 64512, 9))
+        _, update = self.peer.next(MessageType.KEEPALIVE)
         self.assertTrue(update.endswith(bgp.pack_prefix("10.9.8.7/32")))
         program.process.terminate()
-        self.assertEqual(self.peer.next(bgp.KEEPALIVE), (bgp.UPDATE, bgp.pack_withdrawal(["10.9.8.7/32"])[19:]))
-        self.assertEqual(self.peer.next(bgp.KEEPALIVE), (bgp.NOTIFICATION, b"\6\2"))
+        self.assertEqual(
+            self.peer.next(MessageType.KEEPALIVE), (MessageType.UPDATE, bgp.pack_withdrawal(["10.9.8.7/32"])[19:])
+        )
+        self.assertEqual(self.peer.next(MessageType.KEEPALIVE), (MessageType.NOTIFICATION, b"\6\2"))
         self.assertEqual(program.process.wait(DEADLINE), 0)
 
     def test_not_announced_while_not_ready(self):
@@ -77,12 +81,12 @@
         self.peer.establish()
         wait_for(lambda: program.logged("established"), "established")
         program.process.terminate()
-        self.assertEqual(self.peer.next(bgp.KEEPALIVE), (bgp.NOTIFICATION, b"\6\2"))
+        self.assertEqual(self.peer.next(MessageType.KEEPALIVE), (MessageType.NOTIFICATION, b"\6\2"))
 
     def test_a_wrong_as_is_told_and_the_connection_ended(self):
         program = self.program(self.free.getsockname()[1])
         self.peer.establish(asn=65000)
-        self.assertEqual(self.peer.next(bgp.KEEPALIVE), (bgp.NOTIFICATION, b"\2\2"))
+        self.assertEqual(self.peer.next(MessageType.KEEPALIVE), (MessageType.NOTIFICATION, b"\2\2"))
         self.assertIsNone(self.peer.next())
         wait_for(lambda: program.logged("bgp connection ended: 2/2"), "the log line")
 
@@ -102,33 +106,30 @@
     def setUp(self):
         self.clock = Clock()
         settings = BgpSettings(64512, "127.0.0.1", "127.0.0.1", ["10.9.8.7/32"], 90, [PeerSettings(("", 1), 64513)])
-        self.speaker = Speaker(self.clock, ReactorClock(self.clock), settings)
-        self.speaker.reactor = None
-        from decklb.bgp.speaker import Link
-
-        self.link = Link(Peer(self.speaker, settings.peers[0]))
-        self.link.transport = Transport()
-        self.link.connectionMade()
+        speaker = Speaker(None, ReactorClock(self.clock), settings)
+        self.connection = speaker.peers[0].new_connection()
+        self.connection.transport = Transport()
+        self.connection.connectionMade()
 
     def said(self):
-        data, self.link.transport.data = self.link.transport.data, b""
+        data, self.connection.transport.data = self.connection.transport.data, b""
         return bgp.MessageReader().feed(data)
 
     def test_hold_timer_is_the_lesser_and_its_end_is_told(self):
-        self.link.dataReceived(bgp.pack_open(64513, 30, "127.0.0.2") + bgp.pack(bgp.KEEPALIVE))
+        self.connection.dataReceived(bgp.pack_open(64513, 30, "127.0.0.2") + bgp.pack(MessageType.KEEPALIVE))
         self.said()
         for _ in range(5):  # heard in time: nothing but keepalives, each third of it
             self.clock.advance(10)
-            self.link.dataReceived(bgp.pack(bgp.KEEPALIVE))
-            self.assertEqual(self.said(), [(bgp.KEEPALIVE, b"")])
+            self.connection.dataReceived(bgp.pack(MessageType.KEEPALIVE))
+            self.assertEqual(self.said(), [(MessageType.KEEPALIVE, b"")])
         for _ in range(3):
             self.clock.advance(10)
-        self.assertEqual(self.said()[-1], (bgp.NOTIFICATION, b"\4\0"))
-        self.assertTrue(self.link.transport.closed)
+        self.assertEqual(self.said()[-1], (MessageType.NOTIFICATION, b"\4\0"))
+        self.assertTrue(self.connection.transport.closed)
 
     def test_messages_out_of_turn(self):
-        self.link.dataReceived(bgp.pack(bgp.KEEPALIVE))
-        self.assertEqual(self.said()[-1], (bgp.NOTIFICATION, b"\5\0"))
+        self.connection.dataReceived(bgp.pack(MessageType.KEEPALIVE))
+        self.assertEqual(self.said()[-1], (MessageType.NOTIFICATION, b"\5\0"))
 
 
 if __name__ == "__main__":
--- a/tests/test_bgp_wire_format.py
+++ b/tests/test_bgp_wire_format.py
@@ -8,8 +8,10 @@
 from twisted.internet.task import Clock
 
 from decklb.bgp import messages as bgp
+from decklb.bgp.errors import BgpError
+from decklb.bgp.messages import MessageType
 from decklb.bgp.settings import BgpSettings, PeerSettings
-from decklb.bgp.speaker import Link, Peer, Speaker
+from decklb.bgp.speaker import Peer, Speaker
 from decklb.wire.clock import ReactorClock
 from tests.standins import ROOT
 
@@ -23,9 +25,9 @@
     return {
         "OPEN": bgp.pack_open(SHORT_ASN, 90, "127.0.0.1"),
         "OPEN with a four-octet AS number": bgp.pack_open(LONG_ASN, 0, "1.2.3.4"),
-        "KEEPALIVE": bgp.pack(bgp.KEEPALIVE),
-        "NOTIFICATION": bgp.pack_notification(bgp.BgpError(6, 2, text="shutdown")),
-        "NOTIFICATION with data": bgp.pack_notification(bgp.BgpError(2, 1, b"\0\4")),
+        "KEEPALIVE": bgp.pack(MessageType.KEEPALIVE),
+        "NOTIFICATION": bgp.pack_notification(BgpError(6, 2, text="shutdown")),
+        "NOTIFICATION with data": bgp.pack_notification(BgpError(2, 1, b"\0\4")),
         "UPDATE announcing to an internal peer": bgp.pack_announcement(PREFIXES, "1.2.3.4", LONG_ASN, True, True),
         "UPDATE announcing to an external peer": bgp.pack_announcement(PREFIXES, "1.2.3.4", LONG_ASN, False, True),
         "UPDATE announcing a short AS number to an external peer of two octets": bgp.pack_announcement(
@@ -48,7 +50,7 @@
     try:
         for at in range(0, len(raw), piece_size):
             found += [[kind, body.hex()] for kind, body in reader.feed(raw[at : at + piece_size])]
-    except bgp.BgpError as error:
+    except BgpError as error:
         return {"error": error_fields(error)}
     return {"messages": found, "rest": reader.buffer.hex()}
 
@@ -56,13 +58,13 @@
 def read_open(body):
     try:
         found = bgp.read_open(body)
-    except bgp.BgpError as error:
+    except BgpError as error:
         return {"error": error_fields(error)}
     return {
         "asn": found.asn,
-        "hold_time_s": found.hold,
-        "bgp_identifier": found.router,
-        "four_octet_asn": found.four_octet,
+        "hold_time_s": found.hold_time_s,
+        "bgp_identifier": found.bgp_identifier,
+        "four_octet_asn": found.four_octet_asn,
     }
 
 
@@ -101,19 +103,19 @@
     recorded = []
     for step, *arguments in script:
         if step == "connect":
-            peer.link = Link(peer)
-            peer.link.transport = FakeTransport(events)
-            peer.link.connectionMade()
+            peer.connection = peer.new_connection()
+            peer.connection.transport = FakeTransport(events)
+            peer.connection.connectionMade()
         elif step == "start":
             speaker.start()
         elif step == "receive":
-            peer.link.dataReceived(bytes.fromhex(arguments[0]))
+            peer.connection.dataReceived(bytes.fromhex(arguments[0]))
         elif step == "announce":
             speaker.announce(arguments[0])
         elif step == "advance-s":
             reactor.advance(arguments[0])
         elif step == "connection-lost":
-            peer.link.connectionLost()
+            peer.connection.connectionLost()
         elif step == "close":
             speaker.close()
         else:
