--- a/decklb/lab/injection/peers.py
+++ b/decklb/lab/injection/peers.py
@@ -110,16 +110,18 @@
         """See Engine."""
         size, code = struct.unpack(">II", await reader.readexactly(8))
         await reader.readexactly(size - 8)
-        if code == pg.CANCEL:
+        if code == pg.CANCEL_REQUEST_CODE:
             return
-        writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", struct.pack(">II", 1, 1)) + pg.READY)
+        writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", struct.pack(">II", 1, 1)) + pg.READY_FOR_QUERY)
         while (kind := await reader.readexactly(1)) != b"X":
             body = await reader.readexactly(int.from_bytes(await reader.readexactly(4), "big") - 4)
             if kind == b"Q":
                 run = self.begin(body[:-1].decode().partition("'")[2][:-1], running)
                 await asyncio.sleep(self.work)
                 run.ended = time.monotonic()
-                answer = pg.pack(b"D", struct.pack(">hi", 1, 1) + b"x") + pg.pack(b"C", b"SELECT 1\0") + pg.READY
+                answer = (
+                    pg.pack(b"D", struct.pack(">hi", 1, 1) + b"x") + pg.pack(b"C", b"SELECT 1\0") + pg.READY_FOR_QUERY
+                )
                 self.answer_size = len(answer)
                 writer.write(answer)
 
--- a/decklb/lab/live.py
+++ b/decklb/lab/live.py
@@ -20,6 +20,8 @@
 from decklb.lab.engine import Engine, EngineSpec, Query
 from decklb.net import resp
 from decklb.pg import messages as pg
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError
 from decklb.wire.clock import ReactorClock
 
 ROWS = b"1\tok\t.\n"  # three columns
@@ -148,12 +150,12 @@
                 else:
                     self.waiting.append(m)
             self._go()
-        except (pg.PgError, ValueError, IndexError, struct.error):
+        except (PgError, ValueError, IndexError, struct.error):
             self.transport.abortConnection()
 
     def _startup(self, m: pg.Message) -> None:
         code = int.from_bytes(m.payload[:4], "big")
-        if code == pg.CANCEL:
+        if code == pg.CANCEL_REQUEST_CODE:
             session = PgSession.keys.get(m.payload[4:])
             if session is not None:
                 session.cancelled()
@@ -163,14 +165,14 @@
         PgSession.count += 1
         self.key = struct.pack(">II", PgSession.count, 7)
         PgSession.keys[self.key] = self
-        self.transport.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", self.key) + pg.READY)
+        self.transport.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", self.key) + pg.READY_FOR_QUERY)
 
     def _go(self) -> None:
         while self.waiting and self.query is None:
             m = self.waiting.pop(0)
             if m.type == b"S":
                 self.skip = False
-                self.transport.write(pg.READY)
+                self.transport.write(pg.READY_FOR_QUERY)
             elif m.type == b"X":
                 self.transport.loseConnection()
             elif m.type == b"Q":
@@ -211,27 +213,27 @@
             self.transport.abortConnection()
             return
         if outcome is not Outcome.GOOD:
-            self._fail(pg.INSUFFICIENT_RESOURCES, "full", self.simple)
+            self._fail(sqlstate.INSUFFICIENT_RESOURCES, "full", self.simple)
         else:
             row = pg.pack(b"D", struct.pack(">hi", 1, 2) + b"ok")
             self.transport.write(
                 (_described() if self.simple else b"")
                 + row
-                + pg.complete("SELECT 1")
-                + (pg.READY if self.simple else b"")
+                + pg.pack_command_complete("SELECT 1")
+                + (pg.READY_FOR_QUERY if self.simple else b"")
             )
         self._go()
 
     def _fail(self, state: str, text: str, simple: bool) -> None:
         self.skip = not simple
-        self.transport.write(pg.pack_error(state, text) + (pg.READY if simple else b""))
+        self.transport.write(pg.pack_error(state, text) + (pg.READY_FOR_QUERY if simple else b""))
 
     def cancelled(self) -> None:
         """A CancelRequest for what runs here."""
         if self.query is not None:
             query, self.query = self.query, None
             self.engine.cancel(query)
-            self._fail(pg.QUERY_CANCELED, "canceling statement due to user request", self.simple)
+            self._fail(sqlstate.QUERY_CANCELED, "canceling statement due to user request", self.simple)
             self._go()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
--- a/decklb/lab/witness.py
+++ b/decklb/lab/witness.py
@@ -20,6 +20,7 @@
 import ujson
 
 from decklb.pg import messages as pg
+from decklb.pg import sqlstate
 
 RUN = re.compile(r"run=(?P<key>[\w.:-]+) work=(?P<work>\d+)")
 
@@ -44,13 +45,13 @@
         try:
             size, code = struct.unpack(">II", await reader.readexactly(8))
             body = await reader.readexactly(size - 8)
-            if code == pg.CANCEL:
+            if code == pg.CANCEL_REQUEST_CODE:
                 if (event := self.running.get(body)) is not None:
                     event.set()
                 return
             self.count += 1
             backend = struct.pack(">II", self.count, int.from_bytes(os.urandom(4), "big"))
-            writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", backend) + pg.READY)
+            writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", backend) + pg.READY_FOR_QUERY)
             while True:
                 kind = await reader.readexactly(1)
                 (size,) = struct.unpack(">I", await reader.readexactly(4))
@@ -58,9 +59,9 @@
                 if kind == b"X":
                     return
                 if kind == b"S":  # a probe
-                    writer.write(pg.READY)
+                    writer.write(pg.READY_FOR_QUERY)
                 if kind == b"Q":
-                    writer.write(await self.run(body[:-1].decode(), manager, backend) + pg.READY)
+                    writer.write(await self.run(body[:-1].decode(), manager, backend) + pg.READY_FOR_QUERY)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -78,7 +79,7 @@
         try:
             await asyncio.wait_for(cancelled.wait(), int(m["work"]) / 1000)
             self.note("cancelled", m["key"], run, manager)
-            return pg.pack_error(pg.QUERY_CANCELED, "canceling statement due to user request")
+            return pg.pack_error(sqlstate.QUERY_CANCELED, "canceling statement due to user request")
         except TimeoutError:
             self.note("end", m["key"], run, manager)
         finally:
@@ -87,7 +88,7 @@
         return (
             pg.pack(b"T", b"\0\1run\0" + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
             + pg.pack(b"D", struct.pack(">hi", 1, len(value)) + value)
-            + pg.complete("SELECT 1")
+            + pg.pack_command_complete("SELECT 1")
         )
 
 
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -19,6 +19,8 @@
 from decklb.core.ports import Clock, Timer, Work
 from decklb.interface import Outcome
 from decklb.pg import messages as pg
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError
 from decklb.pg.settings import PgSettings
 from decklb.wire.answered import AnsweredAttempts
 from decklb.wire.connections import end_reason
@@ -142,7 +144,7 @@
             for message in self.reader.feed(data):
                 if not self.closed:
                     self._message(message)
-        except pg.PgError as error:
+        except PgError as error:
             self._abort(f"protocol: {error}")
 
     def _message(self, m: pg.Message) -> None:
@@ -170,7 +172,7 @@
         if self.size > self.pool.client.settings.most_result and self.attempt is not None:
             attempt, self.attempt = self.attempt, None
             self._abort("result-too-large")
-            attempt.end(Outcome.GOOD, pg.pack_error(pg.LIMIT_EXCEEDED, "the result is too large"))
+            attempt.end(Outcome.GOOD, pg.pack_error(sqlstate.PROGRAM_LIMIT_EXCEEDED, "the result is too large"))
 
     def _ready(self, status: bytes) -> None:
         if self.error is not None:
@@ -249,7 +251,7 @@
         if self.sent:
             outcome = Outcome.RST
         else:  # turned away before anything was sent
-            full = (self.error or {}).get("C") == pg.TOO_MANY_CONNECTIONS
+            full = (self.error or {}).get("C") == sqlstate.TOO_MANY_CONNECTIONS
             outcome = Outcome.FULL if full else Outcome.NOCONN
         self.gone(outcome)
 
--- a/decklb/pg/front.py
+++ b/decklb/pg/front.py
@@ -21,8 +21,9 @@
 from decklb.core.ports import Intake, Timer
 from decklb.interface import Effect
 from decklb.pg import messages as pg
+from decklb.pg import sqlstate
 from decklb.pg.engines import PgWork
-from decklb.pg.messages import PgError
+from decklb.pg.errors import PgError, Severity
 from decklb.pg.settings import PREFIX, REPORTED, Parameters, PgSettings
 from decklb.pg.statements import Statement, classify
 from decklb.wire.connections import FIRST, HALF, LINGER, unread
@@ -72,14 +73,14 @@
         if self.once:  # also past its time: it is no answer, and another may come to be given
             return self._tell(
                 PgError(
-                    pg.INSUFFICIENT_RESOURCES,
+                    sqlstate.INSUFFICIENT_RESOURCES,
                     "the statement has no answer here yet",
                     f"Ask again under the same decklb.request in {max(1, round(backoff))} ms.",
                 )
             )
         self._error(
             PgError(
-                pg.INSUFFICIENT_RESOURCES,
+                sqlstate.INSUFFICIENT_RESOURCES,
                 "the engines are too busy for this statement now",
                 f"Come back in {max(1, round(backoff))} ms.",
             )
@@ -87,19 +88,23 @@
 
     def failed(self) -> None:
         """Its time is over, or it may have run and can't be sent again."""
-        self._error(PgError(pg.COMPLETION_UNKNOWN, "the engine failed; whether the statement ran is unknown"))
+        self._error(
+            PgError(sqlstate.STATEMENT_COMPLETION_UNKNOWN, "the engine failed; whether the statement ran is unknown")
+        )
 
     def conflict(self) -> None:
         """Its name was given to another statement."""
         self._error(
             PgError(
-                pg.INVALID_VALUE, "decklb.request names another statement", "Give each statement a name of its own."
+                sqlstate.INVALID_PARAMETER_VALUE,
+                "decklb.request names another statement",
+                "Give each statement a name of its own.",
             )
         )
 
     def _error(self, error: PgError) -> None:
         if self.session.front.dispatcher.clock.now() >= self.deadline - EARLIEST:
-            error = PgError(pg.QUERY_CANCELED, "canceling statement due to statement timeout")
+            error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to statement timeout")
         self._tell(error)
 
     def _tell(self, error: PgError) -> None:
@@ -142,7 +147,7 @@
 
     def _overdue(self) -> None:
         self.timer = None
-        self._fatal(PgError(pg.PROTOCOL_VIOLATION, "the message did not become whole in time", fatal=True))
+        self._fatal(PgError(sqlstate.PROTOCOL_VIOLATION, "the message did not become whole in time", fatal=True))
 
     def _gone(self) -> None:
         self.timer = None
@@ -190,44 +195,44 @@
     # The start of a session.
 
     def _startup(self, message: pg.Message) -> None:
-        f = pg.Fields(message.payload)
-        code = f.number("I")
-        if code in (pg.SSL, pg.GSS):
+        f = pg.PayloadReader(message.payload)
+        code = f.integer("I")
+        if code in (pg.SSL_REQUEST_CODE, pg.GSSENC_REQUEST_CODE):
             self.transport.write(b"N")
-        elif code == pg.CANCEL:
+        elif code == pg.CANCEL_REQUEST_CODE:
             self.reason = "cancel-request"
-            self.front.cancel((f.number("I"), f.number("I")))
+            self.front.cancel((f.integer("I"), f.integer("I")))
             self.close("cancel-request")
         elif code >> 16 != 3:
-            raise PgError(pg.PROTOCOL_VIOLATION, f"unsupported protocol {code >> 16}.{code & 0xFFFF}", fatal=True)
+            raise PgError(sqlstate.PROTOCOL_VIOLATION, f"unsupported protocol {code >> 16}.{code & 0xFFFF}", fatal=True)
         else:
             self._begin(f, code)
 
-    def _begin(self, f: pg.Fields, code: int) -> None:
+    def _begin(self, f: pg.PayloadReader, code: int) -> None:
         told: dict[str, str] = {}
-        while name := f.text():
-            told[name] = f.text()
+        while name := f.string():
+            told[name] = f.string()
         if self.front.closing:
-            raise PgError(pg.CANNOT_CONNECT_NOW, "the workload manager is shutting down", fatal=True)
+            raise PgError(sqlstate.CANNOT_CONNECT_NOW, "the workload manager is shutting down", fatal=True)
         if len(self.front.sessions) > self.front.most_clients:
-            raise PgError(pg.TOO_MANY_CONNECTIONS, "too many clients already", fatal=True)
+            raise PgError(sqlstate.TOO_MANY_CONNECTIONS, "too many clients already", fatal=True)
         settings = self.front.settings
         parameters = settings.users.get(told.get("user", ""), settings.defaults)
         try:
             for name, value in _options(told):
                 parameters = parameters.set(name, value, self.front.dispatcher.settings)
         except PgError as error:
-            raise PgError(error.state, error.message, error.hint, fatal=True) from None
+            raise PgError(error.sqlstate, error.message, error.hint, fatal=True) from None
         self.parameters, self.reader.startup = parameters, False
         self.front.starting.pop(self, None)
         self.backend = self.front.register(self)
         out = pg.pack(b"R", b"\0\0\0\0")
         unknown = [n for n in told if n.startswith("_pq_.")]
         if code & 0xFFFF or unknown:
-            out = pg.pack(b"v", struct.pack(">II", 0, len(unknown)) + b"".join(map(pg.text, unknown))) + out
+            out = pg.pack(b"v", struct.pack(">II", 0, len(unknown)) + b"".join(map(pg.pack_string, unknown))) + out
         for name, value in REPORTED.items():
-            out += pg.pack(b"S", pg.text(name) + pg.text(value))
-        self._write(out + pg.pack(b"K", struct.pack(">II", *self.backend)) + pg.READY)
+            out += pg.pack(b"S", pg.pack_string(name) + pg.pack_string(value))
+        self._write(out + pg.pack(b"K", struct.pack(">II", *self.backend)) + pg.READY_FOR_QUERY)
 
     # One message after the other; the next waits while an engine works on this one.
 
@@ -243,63 +248,63 @@
                 self.error(error)
         # The connection is read on as long as that is safe, since only reading tells that a client has left.
         if self.queued > MOST_QUEUED:
-            self._fatal(PgError(pg.LIMIT_EXCEEDED, "too many messages at once", fatal=True))
+            self._fatal(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many messages at once", fatal=True))
 
     def _message(self, m: pg.Message) -> None:
         if self.skipping and m.type not in b"SX":
             return
         described, self.undescribed = self.undescribed, None
-        f = pg.Fields(m.payload)
+        f = pg.PayloadReader(m.payload)
         if described is not None:
             # Rows' description and rows come in one go where Execute follows at once.
-            if m.type == b"E" and f.text() == described:
-                return self._execute(described, f.number("i"), describe=True)
+            if m.type == b"E" and f.string() == described:
+                return self._execute(described, f.integer("i"), describe=True)
             self.queue.appendleft(m)
             self.queued += len(m.raw)
             return self._describe_portal(described)
         handler = self.HANDLERS.get(m.type)
         if handler is None:
-            raise PgError(pg.PROTOCOL_VIOLATION, f"unexpected message {m.type!r}", fatal=True)
+            raise PgError(sqlstate.PROTOCOL_VIOLATION, f"unexpected message {m.type!r}", fatal=True)
         handler(self, f)
 
-    def _query(self, f: pg.Fields) -> None:
-        sql = f.text()
+    def _query(self, f: pg.PayloadReader) -> None:
+        sql = f.string()
         self.simple = True
         kind = classify(sql)
         if kind.local:
             return self._finish((self._local_description(kind) if kind.local == "show" else b"") + self._local(kind))
         self._submit(self._work(sql, kind, simple=True), self._finish)
 
-    def _parse(self, f: pg.Fields) -> None:
-        name, sql = f.text(), f.text()
+    def _parse(self, f: pg.PayloadReader) -> None:
+        name, sql = f.string(), f.string()
         if name and name in self.statements:
-            raise PgError(pg.DUPLICATE_STATEMENT, f"prepared statement {name!r} already exists")
+            raise PgError(sqlstate.DUPLICATE_PREPARED_STATEMENT, f"prepared statement {name!r} already exists")
         if len(self.statements) >= MOST_NAMED and name not in self.statements:
-            raise PgError(pg.LIMIT_EXCEEDED, "too many prepared statements")
-        self.statements[name] = Prepared(sql, f.rest(), classify(sql))
+            raise PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many prepared statements")
+        self.statements[name] = Prepared(sql, f.remaining(), classify(sql))
         self._write(pg.PARSE_COMPLETE)
 
-    def _bind(self, f: pg.Fields) -> None:
-        portal, name = f.text(), f.text()
+    def _bind(self, f: pg.PayloadReader) -> None:
+        portal, name = f.string(), f.string()
         if name not in self.statements:
-            raise PgError(pg.NO_SUCH_STATEMENT, f"prepared statement {name!r} does not exist")
+            raise PgError(sqlstate.INVALID_SQL_STATEMENT_NAME, f"prepared statement {name!r} does not exist")
         if portal and portal in self.portals:
-            raise PgError(pg.DUPLICATE_PORTAL, f"portal {portal!r} already exists")
+            raise PgError(sqlstate.DUPLICATE_CURSOR, f"portal {portal!r} already exists")
         if len(self.portals) >= MOST_NAMED and portal not in self.portals:
-            raise PgError(pg.LIMIT_EXCEEDED, "too many portals")
-        self.portals[portal] = Portal(self.statements[name], f.rest())
+            raise PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many portals")
+        self.portals[portal] = Portal(self.statements[name], f.remaining())
         self._write(pg.BIND_COMPLETE)
 
-    def _describe(self, f: pg.Fields) -> None:
-        what, name = f.number("B"), f.text()
+    def _describe(self, f: pg.PayloadReader) -> None:
+        what, name = f.integer("B"), f.string()
         if what == ord("P"):
             self._portal(name)
             self.undescribed = name
             return
         if what != ord("S"):
-            raise PgError(pg.PROTOCOL_VIOLATION, "Describe takes S or P", fatal=True)
+            raise PgError(sqlstate.PROTOCOL_VIOLATION, "Describe takes S or P", fatal=True)
         if name not in self.statements:
-            raise PgError(pg.NO_SUCH_STATEMENT, f"prepared statement {name!r} does not exist")
+            raise PgError(sqlstate.INVALID_SQL_STATEMENT_NAME, f"prepared statement {name!r} does not exist")
         prepared = self.statements[name]
         if prepared.kind.local:
             return self._write(pg.NO_PARAMETERS + self._local_description(prepared.kind))
@@ -329,8 +334,8 @@
             self._pass,
         )
 
-    def _execute_message(self, f: pg.Fields) -> None:
-        self._execute(f.text(), f.number("i"), describe=False)
+    def _execute_message(self, f: pg.PayloadReader) -> None:
+        self._execute(f.string(), f.integer("i"), describe=False)
 
     def _execute(self, name: str, most: int, describe: bool) -> None:
         portal = self._portal(name)
@@ -347,7 +352,7 @@
                 return
             if most <= 0:
                 return self._write(result)
-            parts = list(pg.split(result))
+            parts = list(pg.split_messages(result))
             portal.rows = deque(m.raw for m in parts if m.type == b"D")
             portal.tail = b"".join(m.raw for m in parts if m.type in b"CIs")
             self._write(b"".join(m.raw for m in parts if m.type in b"Tn"))
@@ -361,29 +366,29 @@
         rows = portal.rows if portal.rows is not None else deque()
         count = len(rows) if most <= 0 else min(most, len(rows))
         out = b"".join(rows.popleft() for _ in range(count))
-        self._write(out + (pg.SUSPENDED if rows else portal.tail))
+        self._write(out + (pg.PORTAL_SUSPENDED if rows else portal.tail))
 
-    def _close_message(self, f: pg.Fields) -> None:
-        what, name = f.number("B"), f.text()
+    def _close_message(self, f: pg.PayloadReader) -> None:
+        what, name = f.integer("B"), f.string()
         (self.statements if what == ord("S") else self.portals).pop(name, None)
         self._write(pg.CLOSE_COMPLETE)
 
-    def _sync(self, f: pg.Fields) -> None:
+    def _sync(self, f: pg.PayloadReader) -> None:
         self.skipping = False
         self.portals.clear()
-        self._write(pg.READY)
+        self._write(pg.READY_FOR_QUERY)
 
-    def _flush(self, f: pg.Fields) -> None:
+    def _flush(self, f: pg.PayloadReader) -> None:
         """Everything is written at once."""
 
-    def _terminate(self, f: pg.Fields) -> None:
+    def _terminate(self, f: pg.PayloadReader) -> None:
         self.close("terminated")
 
-    def _call(self, f: pg.Fields) -> None:
+    def _call(self, f: pg.PayloadReader) -> None:
         self.simple = True  # no Sync follows this one
-        raise PgError(pg.FEATURE_NOT_SUPPORTED, "function calls are not supported", "Use SELECT.")
+        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "function calls are not supported", "Use SELECT.")
 
-    HANDLERS: dict[bytes, Callable[[Session, pg.Fields], None]] = {
+    HANDLERS: dict[bytes, Callable[[Session, pg.PayloadReader], None]] = {
         b"Q": _query,
         b"P": _parse,
         b"B": _bind,
@@ -401,7 +406,7 @@
 
     def _portal(self, name: str) -> Portal:
         if name not in self.portals:
-            raise PgError(pg.NO_SUCH_PORTAL, f"portal {name!r} does not exist")
+            raise PgError(sqlstate.INVALID_CURSOR_NAME, f"portal {name!r} does not exist")
         return self.portals[name]
 
     # What the front does itself.
@@ -409,22 +414,22 @@
     def _local(self, kind: Statement) -> bytes:
         assert self.parameters is not None
         if kind.local == "empty":
-            return pg.EMPTY_QUERY
+            return pg.EMPTY_QUERY_RESPONSE
         if kind.local == "set":
             self.parameters = self.parameters.set(kind.name, kind.value, self.front.dispatcher.settings)
-            return pg.complete("SET")
+            return pg.pack_command_complete("SET")
         if kind.local == "show":
             value = self.parameters.show(kind.name).encode()
             row = pg.pack(b"D", struct.pack(">hi", 1, len(value)) + value)
-            return row + pg.complete("SHOW")
+            return row + pg.pack_command_complete("SHOW")
         if kind.name in ("DISCARD", "DEALLOCATE"):
             self.statements.clear()
-        return pg.complete(kind.name)
+        return pg.pack_command_complete(kind.name)
 
     def _local_description(self, kind: Statement) -> bytes:
         if kind.local != "show":
             return pg.NO_DATA
-        return pg.pack(b"T", b"\0\1" + pg.text(kind.name) + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
+        return pg.pack(b"T", b"\0\1" + pg.pack_string(kind.name) + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
 
     # Requests.
 
@@ -437,7 +442,7 @@
         text = sql.encode()
         if p.request and (more.get("simple") or more.get("bind") is not None and more.get("execute", True)):
             if not self.front.keeps:
-                raise PgError(pg.FEATURE_NOT_SUPPORTED, "decklb.request needs the handoff, which is off here")
+                raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "decklb.request needs the handoff, which is off here")
             self.parameters = replace(p, request="")  # it names one statement
             more["once"] = p.request
         return PgWork(
@@ -457,7 +462,7 @@
         asked = work.once
         sink.request = self.front.intake.submit(work, sink)
         if work.once != asked:  # the name that was made for it
-            self._write(pg.pack(b"S", pg.text("decklb.request") + pg.text(work.once)))
+            self._write(pg.pack(b"S", pg.pack_string("decklb.request") + pg.pack_string(work.once)))
 
     def answered(self, tell: Callable[[], None]) -> None:
         """The one final answer has come; the next message may go."""
@@ -472,7 +477,7 @@
 
     def _passed(self, result: bytes, hold: bool = False) -> bool:
         """Whether an engine's answer holds no error; if it does, it is passed on. `hold`: no more is."""
-        failed = any(m.type == b"E" for m in pg.split(result))
+        failed = any(m.type == b"E" for m in pg.split_messages(result))
         if failed:
             self.skipping = True
         if failed or not hold:
@@ -482,14 +487,14 @@
     def _finish(self, result: bytes) -> None:
         """The end of a simple query."""
         self.simple = False
-        self._write(result + pg.READY)
+        self._write(result + pg.READY_FOR_QUERY)
 
     def error(self, error: PgError) -> None:
         """Tell of an error; what follows is skipped up to Sync, or there is none to wait for."""
-        self._write(error.pack())
+        self._write(pg.pack_error_response(error))
         if self.simple:
             self.simple = False
-            self._write(pg.READY)
+            self._write(pg.READY_FOR_QUERY)
         else:
             self.skipping = True
 
@@ -498,7 +503,9 @@
         sink, self.busy = self.busy, None
         if sink is not None and sink.request is not None:
             self.front.intake.cancel(sink.request)
-            self.answered(lambda: self.error(PgError(pg.QUERY_CANCELED, "canceling statement due to user request")))
+            self.answered(
+                lambda: self.error(PgError(sqlstate.QUERY_CANCELED, "canceling statement due to user request"))
+            )
 
     # The end of a session.
 
@@ -508,11 +515,11 @@
 
     def _ended(self) -> None:
         if self.front.closing and self.busy is None and not self.queue and not self.closed:
-            self._fatal(PgError(pg.ADMIN_SHUTDOWN, "the workload manager is shutting down", fatal=True))
+            self._fatal(PgError(sqlstate.ADMIN_SHUTDOWN, "the workload manager is shutting down", fatal=True))
 
     def _fatal(self, error: PgError) -> None:
-        self._write(pg.pack_error(error.state, error.message, error.hint, "FATAL"))
-        self.closed, self.reason = True, error.state
+        self._write(pg.pack_error(error.sqlstate, error.message, error.hint, Severity.FATAL))
+        self.closed, self.reason = True, error.sqlstate
         self._free()
         self.reader.buffer.clear()
         self.queue.clear()
--- a/decklb/pg/messages.py
+++ b/decklb/pg/messages.py
@@ -1,38 +1,89 @@
-"""PostgreSQL's frontend/backend protocol 3.0: cutting a stream into messages, and the few built here."""
+"""Codec of PostgreSQL's frontend/backend protocol, version 3.0.
+
+`MessageReader` cuts a byte stream into messages, `PayloadReader` reads the fields of one, and the functions build
+those messages that are sent here. Used on both sides: towards clients, and towards engines and health checks.
+
+Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", section "Message Formats".
+"""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterator
 from dataclasses import dataclass
-
-PROTOCOL, CANCEL, SSL, GSS = 196_608, 80_877_102, 80_877_103, 80_877_104
-LONGEST_STARTUP = 10_000
-
-ADMIN_SHUTDOWN, CANNOT_CONNECT_NOW = "57P01", "57P03"
-PROTOCOL_VIOLATION, FEATURE_NOT_SUPPORTED, LIMIT_EXCEEDED = "08P01", "0A000", "54000"
-INSUFFICIENT_RESOURCES, TOO_MANY_CONNECTIONS = "53000", "53300"
-QUERY_CANCELED, COMPLETION_UNKNOWN = "57014", "40003"
-NO_SUCH_STATEMENT, NO_SUCH_PORTAL = "26000", "34000"
-DUPLICATE_STATEMENT, DUPLICATE_PORTAL = "42P05", "42P03"
-INVALID_VALUE, BAD_AUTHORIZATION = "22023", "28000"
-
-
-class PgError(Exception):
-    """An error with its SQLSTATE; `fatal` ends the connection."""
-
-    def __init__(self, state: str, message: str, hint: str = "", fatal: bool = False) -> None:
-        super().__init__(message)
-        self.state, self.message, self.hint, self.fatal = state, message, hint, fatal
-
-    def pack(self) -> bytes:
-        """The ErrorResponse."""
-        return pack_error(self.state, self.message, self.hint, "FATAL" if self.fatal else "ERROR")
+from typing import Final
+
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError, Severity
+
+# Codes at the start of a message without a type octet, in the place of the protocol's version.
+PROTOCOL_3_0 = 196_608
+CANCEL_REQUEST_CODE = 80_877_102
+SSL_REQUEST_CODE = 80_877_103
+GSSENC_REQUEST_CODE = 80_877_104
+
+LENGTH_SIZE = 4  # bytes of a message's length, which counts itself but not the type octet
+MAX_STARTUP_SIZE = 10_000  # bytes; PostgreSQL's own bound (MAX_STARTUP_PACKET_LENGTH)
+
+
+class FrontendType:
+    """Type octets of the messages that clients send."""
+
+    BIND: Final = b"B"
+    CLOSE: Final = b"C"
+    COPY_DATA: Final = b"d"
+    COPY_DONE: Final = b"c"
+    COPY_FAIL: Final = b"f"
+    DESCRIBE: Final = b"D"
+    EXECUTE: Final = b"E"
+    FLUSH: Final = b"H"
+    FUNCTION_CALL: Final = b"F"
+    PARSE: Final = b"P"
+    QUERY: Final = b"Q"
+    SYNC: Final = b"S"
+    TERMINATE: Final = b"X"
+
+
+class BackendType:
+    """Type octets of the messages that servers send."""
+
+    AUTHENTICATION: Final = b"R"
+    BACKEND_KEY_DATA: Final = b"K"
+    BIND_COMPLETE: Final = b"2"
+    CLOSE_COMPLETE: Final = b"3"
+    COMMAND_COMPLETE: Final = b"C"
+    DATA_ROW: Final = b"D"
+    EMPTY_QUERY_RESPONSE: Final = b"I"
+    ERROR_RESPONSE: Final = b"E"
+    NEGOTIATE_PROTOCOL_VERSION: Final = b"v"
+    NO_DATA: Final = b"n"
+    PARAMETER_DESCRIPTION: Final = b"t"
+    PARAMETER_STATUS: Final = b"S"
+    PARSE_COMPLETE: Final = b"1"
+    PORTAL_SUSPENDED: Final = b"s"
+    READY_FOR_QUERY: Final = b"Z"
+    ROW_DESCRIPTION: Final = b"T"
+
+
+class ErrorField:
+    """Codes of the fields of an ErrorResponse (section "Error and Notice Message Fields")."""
+
+    SEVERITY_LOCALIZED: Final = b"S"
+    SEVERITY: Final = b"V"
+    SQLSTATE: Final = b"C"
+    MESSAGE: Final = b"M"
+    HINT: Final = b"H"
 
 
 @dataclass(slots=True)
 class Message:
-    """One message; `raw` is all of it, as it came."""
+    """One message.
+
+    Attributes:
+        type: Its type octet; b"" for the messages before and at startup, which have none.
+        payload: What follows the length.
+        raw: The message whole, as it came.
+    """
 
     type: bytes
     payload: bytes
@@ -40,107 +91,137 @@
 
 
 class MessageReader:
-    """Cuts a byte stream, split anywhere, into messages. The first of a client's has no type."""
+    """Cuts a byte stream, split anywhere, into messages.
 
-    def __init__(self, most: int, startup: bool) -> None:
+    Attributes:
+        buffer: Bytes of the message that is not complete yet.
+        max_message_size: Bound of a message's length field, in bytes.
+        startup: Whether the next message has no type octet, as all that a client sends up to its StartupMessage.
+            Whoever reads that sets it to False.
+    """
+
+    def __init__(self, max_message_size: int, startup: bool) -> None:
         self.buffer = bytearray()
-        self.most, self.startup = most, startup
+        self.max_message_size, self.startup = max_message_size, startup
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The messages that are whole now, one by one. Raises PgError; nothing can be read after that."""
+        """The messages that are complete now, one by one. Raises PgError; nothing can be read after that."""
         self.buffer += data
         while True:
-            head = 0 if self.startup else 1
-            if len(self.buffer) < head + 4:
+            type_size = 0 if self.startup else 1
+            if len(self.buffer) < type_size + LENGTH_SIZE:
                 return
-            size = int.from_bytes(self.buffer[head : head + 4], "big")
-            most = LONGEST_STARTUP if self.startup else self.most
-            if not 4 <= size <= most:  # checked before waiting for what it promises
-                raise PgError(PROTOCOL_VIOLATION, "message length is out of bounds", fatal=True)
-            if len(self.buffer) < head + size:
+            length = int.from_bytes(self.buffer[type_size : type_size + LENGTH_SIZE], "big")
+            max_length = MAX_STARTUP_SIZE if self.startup else self.max_message_size
+            if not LENGTH_SIZE <= length <= max_length:  # checked before the rest is waited for
+                raise PgError(sqlstate.PROTOCOL_VIOLATION, "message length is out of bounds", fatal=True)
+            if len(self.buffer) < type_size + length:
                 return
-            raw = bytes(self.buffer[: head + size])
-            del self.buffer[: head + size]
-            yield Message(raw[:head], raw[head + 4 :], raw)
+            raw = bytes(self.buffer[: type_size + length])
+            del self.buffer[: type_size + length]
+            yield Message(raw[:type_size], raw[type_size + LENGTH_SIZE :], raw)
+
 
+def split_messages(raw: bytes) -> Iterator[Message]:
+    """The messages of bytes that hold complete ones only."""
+    return MessageReader(len(raw) + 1, startup=False).feed(raw)
 
-class Fields:
-    """Reads a payload from left to right. Raises PgError where it ends too early."""
+
+class PayloadReader:
+    """Reads the fields of a payload from left to right. Raises PgError where the payload ends too early."""
 
     def __init__(self, payload: bytes) -> None:
-        self.payload, self.at = payload, 0
+        self.payload = payload
+        self.position = 0  # of the next field
 
-    def text(self) -> str:
-        """A string up to its zero byte."""
-        end = self.payload.find(b"\0", self.at)
+    def string(self) -> str:
+        """A string, up to its zero octet."""
+        end = self.payload.find(b"\0", self.position)
         if end < 0:
-            raise PgError(PROTOCOL_VIOLATION, "string without an end", fatal=True)
-        value, self.at = self.payload[self.at : end], end + 1
+            raise PgError(sqlstate.PROTOCOL_VIOLATION, "string without an end", fatal=True)
+        value = self.payload[self.position : end]
+        self.position = end + 1
         try:
             return value.decode()
         except UnicodeDecodeError:
-            raise PgError("22021", "text is not UTF-8") from None
+            raise PgError(sqlstate.CHARACTER_NOT_IN_REPERTOIRE, "text is not UTF-8") from None
 
-    def number(self, form: str) -> int:
-        """One number of struct's format."""
+    def integer(self, struct_format: str) -> int:
+        """One integer in network order, of a format of `struct`: "B", "h", "i" or "I"."""
         try:
-            (value,) = struct.unpack_from(">" + form, self.payload, self.at)
+            (value,) = struct.unpack_from(">" + struct_format, self.payload, self.position)
         except struct.error:
-            raise PgError(PROTOCOL_VIOLATION, "message ends too early", fatal=True) from None
-        self.at += struct.calcsize(">" + form)
+            raise PgError(sqlstate.PROTOCOL_VIOLATION, "message ends too early", fatal=True) from None
+        self.position += struct.calcsize(">" + struct_format)
         return int(value)
 
-    def rest(self) -> bytes:
-        """All that is left."""
-        return self.payload[self.at :]
+    def remaining(self) -> bytes:
+        """All that was not read yet."""
+        return self.payload[self.position :]
 
 
-def pack(kind: bytes, payload: bytes = b"") -> bytes:
-    """One message."""
-    return kind + (len(payload) + 4).to_bytes(4, "big") + payload
+def read_error(payload: bytes) -> dict[str, str]:
+    """The fields of an ErrorResponse by their codes; see `ErrorField`."""
+    fields = payload.split(b"\0")
+    return {field[:1].decode("latin-1"): field[1:].decode("utf-8", "replace") for field in fields if field}
 
 
-def text(value: str) -> bytes:
-    """A string and its zero byte."""
+def pack(message_type: bytes, payload: bytes = b"") -> bytes:
+    """A message of this type octet."""
+    return message_type + (len(payload) + LENGTH_SIZE).to_bytes(LENGTH_SIZE, "big") + payload
+
+
+def pack_string(value: str) -> bytes:
+    """A string and its zero octet."""
     return value.encode() + b"\0"
 
 
 def pack_startup(parameters: dict[str, str]) -> bytes:
-    """The first message to an engine."""
-    body = PROTOCOL.to_bytes(4, "big") + b"".join(text(k) + text(v) for k, v in parameters.items()) + b"\0"
-    return (len(body) + 4).to_bytes(4, "big") + body
+    """A StartupMessage."""
+    pairs = b"".join(pack_string(name) + pack_string(value) for name, value in parameters.items())
+    body = PROTOCOL_3_0.to_bytes(4, "big") + pairs + b"\0"
+    return (len(body) + LENGTH_SIZE).to_bytes(LENGTH_SIZE, "big") + body
 
 
-def pack_cancel(pid: int, key: int) -> bytes:
-    """A CancelRequest."""
-    return struct.pack(">IIII", 16, CANCEL, pid, key)
+def pack_cancel(process_id: int, secret_key: int) -> bytes:
+    """A CancelRequest for the session whose BackendKeyData held these."""
+    return struct.pack(">IIII", 16, CANCEL_REQUEST_CODE, process_id, secret_key)
 
 
-def pack_error(state: str, message: str, hint: str = "", severity: str = "ERROR") -> bytes:
-    """An ErrorResponse."""
-    fields = b"S" + text(severity) + b"V" + text(severity) + b"C" + text(state) + b"M" + text(message)
-    return pack(b"E", fields + (b"H" + text(hint) if hint else b"") + b"\0")
+def pack_error(code: str, message: str, hint: str = "", severity: str = Severity.ERROR) -> bytes:
+    """An ErrorResponse; `code` is its SQLSTATE."""
+    fields = ErrorField.SEVERITY_LOCALIZED + pack_string(severity)
+    fields += ErrorField.SEVERITY + pack_string(severity)
+    fields += ErrorField.SQLSTATE + pack_string(code)
+    fields += ErrorField.MESSAGE + pack_string(message)
+    if hint:
+        fields += ErrorField.HINT + pack_string(hint)
+    return pack(BackendType.ERROR_RESPONSE, fields + b"\0")
 
 
-def read_error(payload: bytes) -> dict[str, str]:
-    """The fields of an ErrorResponse by their letters."""
-    parts = payload.split(b"\0")
-    return {p[:1].decode("latin-1"): p[1:].decode("utf-8", "replace") for p in parts if p}
+def pack_error_response(error: PgError) -> bytes:
+    """The ErrorResponse that tells of an error."""
+    return pack_error(error.sqlstate, error.message, error.hint, error.severity)
 
 
-def split(raw: bytes) -> Iterator[Message]:
-    """The messages of whole bytes."""
-    return MessageReader(len(raw) + 1, startup=False).feed(raw)
+def pack_command_complete(tag: str) -> bytes:
+    """A CommandComplete with its command tag."""
+    return pack(BackendType.COMMAND_COMPLETE, pack_string(tag))
 
 
-READY = pack(b"Z", b"I")
-PARSE_COMPLETE, BIND_COMPLETE, CLOSE_COMPLETE = pack(b"1"), pack(b"2"), pack(b"3")
-NO_DATA, EMPTY_QUERY, SUSPENDED = pack(b"n"), pack(b"I"), pack(b"s")
-NO_PARAMETERS = pack(b"t", b"\0\0")
-SYNC = pack(b"S")
-EXECUTE_ALL = pack(b"E", b"\0" + b"\0\0\0\0")
+def pack_parameter_status(name: str, value: str) -> bytes:
+    """A ParameterStatus."""
+    return pack(BackendType.PARAMETER_STATUS, pack_string(name) + pack_string(value))
 
 
-def complete(tag: str) -> bytes:
-    """A CommandComplete."""
-    return pack(b"C", text(tag))
+AUTHENTICATION_OK = pack(BackendType.AUTHENTICATION, b"\0\0\0\0")
+READY_FOR_QUERY = pack(BackendType.READY_FOR_QUERY, b"I")  # I: idle, in no transaction block
+PARSE_COMPLETE = pack(BackendType.PARSE_COMPLETE)
+BIND_COMPLETE = pack(BackendType.BIND_COMPLETE)
+CLOSE_COMPLETE = pack(BackendType.CLOSE_COMPLETE)
+NO_DATA = pack(BackendType.NO_DATA)
+EMPTY_QUERY_RESPONSE = pack(BackendType.EMPTY_QUERY_RESPONSE)
+PORTAL_SUSPENDED = pack(BackendType.PORTAL_SUSPENDED)
+NO_PARAMETERS = pack(BackendType.PARAMETER_DESCRIPTION, b"\0\0")
+SYNC = pack(FrontendType.SYNC)
+EXECUTE_ALL = pack(FrontendType.EXECUTE, b"\0" + b"\0\0\0\0")  # of the unnamed portal, all rows
--- a/decklb/pg/prober.py
+++ b/decklb/pg/prober.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from decklb.pg import messages as pg
+from decklb.pg.errors import PgError
 from decklb.wire.prober import Address, ProbeLink, Prober
 
 MOST_MESSAGE = 1 << 16
@@ -39,7 +40,7 @@
                     self.refuse(f"error-{pg.read_error(m.payload).get('C', '')}")
                 elif m.type == b"R" and m.payload != b"\0\0\0\0":
                     self.refuse("authentication-asked")
-        except pg.PgError as error:
+        except PgError as error:
             self.refuse(f"protocol: {error}")
 
 
--- a/decklb/pg/settings.py
+++ b/decklb/pg/settings.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from decklb.interface import Effect, Settings
-from decklb.pg.messages import FEATURE_NOT_SUPPORTED, INVALID_VALUE, PgError
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError
 
 PREFIX = "decklb."
 # Told to every client, since engines are asked to speak like this.
@@ -49,7 +50,7 @@
         if name == PREFIX + "request" and len(value) <= 200:
             return replace(self, request=value)
         if name.startswith(PREFIX) or name == "statement_timeout":
-            raise PgError(INVALID_VALUE, f"invalid value for parameter {name!r}: {value!r}")
+            raise PgError(sqlstate.INVALID_PARAMETER_VALUE, f"invalid value for parameter {name!r}: {value!r}")
         same = {k.lower(): v.lower() for k, v in REPORTED.items()}
         if (
             name in ("application_name", "extra_float_digits")
@@ -57,7 +58,7 @@
         ):
             return self
         raise PgError(
-            FEATURE_NOT_SUPPORTED,
+            sqlstate.FEATURE_NOT_SUPPORTED,
             f"parameter {name!r} can't be set to {value!r} here",
             "Engines are shared: only decklb.*, statement_timeout and a few harmless ones can be set.",
         )
@@ -72,7 +73,7 @@
             "request": self.request,
         }
         if name.removeprefix(PREFIX) not in values:
-            raise PgError("42704", f"unrecognized configuration parameter {name!r}")
+            raise PgError(sqlstate.UNDEFINED_OBJECT, f"unrecognized configuration parameter {name!r}")
         return values[name.removeprefix(PREFIX)]
 
 
--- a/decklb/pg/statements.py
+++ b/decklb/pg/statements.py
@@ -5,7 +5,8 @@
 import re
 from dataclasses import dataclass
 
-from decklb.pg.messages import FEATURE_NOT_SUPPORTED, PgError
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError
 from decklb.wire.tables import names
 
 TRANSACTIONS = {b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release"}
@@ -78,22 +79,22 @@
     if firsts in ([b"set"], [b"reset"], [b"discard"], [b"deallocate"]) or _SHOW.match(sql):
         return _local(sql, firsts[0])
     if {b"set", b"reset", b"discard", b"deallocate"} & set(firsts):
-        raise PgError(FEATURE_NOT_SUPPORTED, "SET and its like can't stand among other statements")
+        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "SET and its like can't stand among other statements")
     return Statement(writes=writes)
 
 
 def _refuse(first: bytes) -> None:
     if first in TRANSACTIONS:
         raise PgError(
-            FEATURE_NOT_SUPPORTED,
+            sqlstate.FEATURE_NOT_SUPPORTED,
             "explicit transactions can't be kept across engines",
             "Send each statement by itself, in autocommit mode.",
         )
     if first == b"copy":
-        raise PgError(FEATURE_NOT_SUPPORTED, "COPY is not supported", "Use INSERT or SELECT.")
+        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "COPY is not supported", "Use INSERT or SELECT.")
     if first in SESSION:
         raise PgError(
-            FEATURE_NOT_SUPPORTED,
+            sqlstate.FEATURE_NOT_SUPPORTED,
             f"{first.decode().upper()} needs a session of its own on an engine",
             "Use the protocol's own prepared statements.",
         )
@@ -106,7 +107,7 @@
         return Statement(local="reset", name=first.decode().upper())
     m = _SET.match(sql)
     if m is None:
-        raise PgError(FEATURE_NOT_SUPPORTED, "this form of SET is not supported", "Use SET name = value.")
+        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "this form of SET is not supported", "Use SET name = value.")
     value = m["value"]
     if value.startswith("'"):
         value = value[1:-1].replace("''", "'")
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -108,8 +108,8 @@
         )
         self.loop.run(50.0)
         other = self.session(live.PgSession)
-        other.dataReceived((16).to_bytes(4, "big") + pg.CANCEL.to_bytes(4, "big") + key)
-        kinds = [m.type for m in pg.split(s.transport.data)]
+        other.dataReceived((16).to_bytes(4, "big") + pg.CANCEL_REQUEST_CODE.to_bytes(4, "big") + key)
+        kinds = [m.type for m in pg.split_messages(s.transport.data)]
         self.assertEqual(kinds, [b"R", b"K", b"Z", b"1", b"2", b"D", b"C", b"Z", b"E", b"Z"])
         s.dataReceived(pg.pack(b"Q", b"nonsense\0"))
         self.assertIn(b"42601", s.transport.data)
--- a/tests/test_pg.py
+++ b/tests/test_pg.py
@@ -11,6 +11,8 @@
 import psycopg
 
 from decklb.pg import messages as pg
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError
 from decklb.pg.statements import classify
 from tests.standins import DEADLINE, Loop, PgEngine, Program, known, wait_for
 
@@ -42,13 +44,13 @@
             (b"Q\0\0\0\3", False),
             (b"Q\x7f\0\0\0", False),
         ):
-            with self.assertRaises(pg.PgError):
+            with self.assertRaises(PgError):
                 list(pg.MessageReader(1000, startup).feed(raw))
 
     def test_payloads_that_end_early_are_errors(self):
-        for read in (lambda f: f.text(), lambda f: f.number("I"), lambda f: (f.number("B"), f.number("h"))):
-            with self.assertRaises(pg.PgError):
-                read(pg.Fields(b"\1"))
+        for read in (lambda f: f.string(), lambda f: f.integer("I"), lambda f: (f.integer("B"), f.integer("h"))):
+            with self.assertRaises(PgError):
+                read(pg.PayloadReader(b"\1"))
 
     def test_what_statements_are(self):
         for sql, local, writes in (
@@ -83,9 +85,9 @@
             "prepare p as select 1",
             "lock table a",
         ):
-            with self.assertRaises(pg.PgError) as caught:
+            with self.assertRaises(PgError) as caught:
                 classify(sql)
-            self.assertEqual(caught.exception.state, pg.FEATURE_NOT_SUPPORTED, sql)
+            self.assertEqual(caught.exception.sqlstate, sqlstate.FEATURE_NOT_SUPPORTED, sql)
 
 
 class Raw:
@@ -207,16 +209,18 @@
     def test_what_may_have_run_and_may_not_repeat_has_an_unknown_end(self):
         with self.connect(options="-c decklb.class=load") as c, self.assertRaises(psycopg.Error) as caught:
             c.execute("die")
-        self.assertEqual(caught.exception.sqlstate, pg.COMPLETION_UNKNOWN)
+        self.assertEqual(caught.exception.sqlstate, sqlstate.STATEMENT_COMPLETION_UNKNOWN)
         self.assertEqual(self.said("start"), ["die"])
 
     def test_writes_take_the_class_that_is_not_repeated(self):
         with self.connect() as c, self.assertRaises(psycopg.Error) as caught:
             c.execute("die")  # reads are tried anew up to the cap, then refused or failed
-        self.assertIn(caught.exception.sqlstate, (pg.INSUFFICIENT_RESOURCES, pg.COMPLETION_UNKNOWN))
+        self.assertIn(
+            caught.exception.sqlstate, (sqlstate.INSUFFICIENT_RESOURCES, sqlstate.STATEMENT_COMPLETION_UNKNOWN)
+        )
         with self.connect() as c, self.assertRaises(psycopg.Error) as caught:
             c.execute("fail 57P01; insert into a values (1)")
-        self.assertEqual(caught.exception.sqlstate, pg.COMPLETION_UNKNOWN)
+        self.assertEqual(caught.exception.sqlstate, sqlstate.STATEMENT_COMPLETION_UNKNOWN)
         self.assertEqual(len([s for s in self.said("start") if s.startswith("fail")]), 1)
 
     def test_deadline_is_an_error_and_frees_the_engine(self):
@@ -237,7 +241,7 @@
             other.sendall(pg.pack_cancel(*struct.unpack(">II", c.key)))
         found = c.until(b"Z")
         self.assertEqual(b"".join(m.type for m in found), b"12EZ")
-        self.assertEqual(pg.read_error(found[2].payload)["C"], pg.QUERY_CANCELED)
+        self.assertEqual(pg.read_error(found[2].payload)["C"], sqlstate.QUERY_CANCELED)
         wait_for(lambda: self.said("end"), "the end on the engine")
         c.send(pg.pack(b"Q", b"after\0"))
         self.assertEqual(c.types(), b"TDCZ")
@@ -293,14 +297,14 @@
         for raw in (b"Q\0\0\0\1", b"Q\x7f\xff\xff\xff", b"?\0\0\0\4", pg.pack(b"B", b"\0"), pg.pack(b"P", b"x")):
             c = Raw(self.port)
             c.send(raw)
-            self.assertEqual(pg.read_error(c.until(b"E")[-1].payload)["C"], pg.PROTOCOL_VIOLATION)
+            self.assertEqual(pg.read_error(c.until(b"E")[-1].payload)["C"], sqlstate.PROTOCOL_VIOLATION)
             c.socket.close()
         wait_for(lambda: self.program.logged("session ended: 08P01"), "the log line")
 
     def test_what_begins_no_session_or_stops_halfway_ends_in_time_with_a_reason(self):
         silent, half = socket.create_connection(("127.0.0.1", self.port), DEADLINE), Raw(self.port)
         half.send(pg.pack(b"Q", b"select 1\0")[:-1])
-        self.assertEqual(pg.read_error(half.until(b"E")[-1].payload)["C"], pg.PROTOCOL_VIOLATION)
+        self.assertEqual(pg.read_error(half.until(b"E")[-1].payload)["C"], sqlstate.PROTOCOL_VIOLATION)
         self.assertIn(b"C08P01", silent.recv(4096))
         self.assertEqual(silent.recv(4096), b"")
         silent.close()
@@ -310,7 +314,7 @@
         c.send(b"Q\x7f\xff\xff\xff")
         for _ in range(30):  # a reset would end this
             c.send(bytes(1 << 20))
-        self.assertEqual(pg.read_error(c.until(b"E")[-1].payload)["C"], pg.PROTOCOL_VIOLATION)
+        self.assertEqual(pg.read_error(c.until(b"E")[-1].payload)["C"], sqlstate.PROTOCOL_VIOLATION)
 
     def test_silent_connections_do_not_shut_out_sessions(self):
         program = Program(
@@ -331,7 +335,7 @@
         wait_for(lambda: not reachable(self.engines[0].port), "the end of the stand-in")
         with self.connect(options="-c statement_timeout=5000") as c, self.assertRaises(psycopg.Error) as caught:
             c.execute("select 1")
-        self.assertEqual(caught.exception.sqlstate, pg.INSUFFICIENT_RESOURCES)
+        self.assertEqual(caught.exception.sqlstate, sqlstate.INSUFFICIENT_RESOURCES)
         self.assertRegex(caught.exception.diag.message_hint, r"Come back in \d+ ms")
 
     def test_a_bad_parameter_at_the_start_is_fatal(self):
@@ -345,7 +349,7 @@
         wait_for(lambda: self.said("start"), "the start on the engine")
         self.program.process.terminate()
         self.assertEqual(c.types(), b"TDCZ")
-        self.assertEqual(pg.read_error(c.until(b"E")[-1].payload)["C"], pg.ADMIN_SHUTDOWN)
+        self.assertEqual(pg.read_error(c.until(b"E")[-1].payload)["C"], sqlstate.ADMIN_SHUTDOWN)
         self.assertEqual(self.program.process.wait(DEADLINE), 0)
 
 
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -8,8 +8,10 @@
 from twisted.internet.task import Clock
 
 from decklb.pg import messages as pg
+from decklb.pg import sqlstate
 from decklb.pg.codec import PgCodec
 from decklb.pg.engines import PgWork
+from decklb.pg.errors import PgError
 from decklb.pg.front import PgFront
 from decklb.pg.settings import Parameters, PgSettings
 from decklb.pg.statements import classify
@@ -29,29 +31,29 @@
 
 
 def error_fields(error):
-    return {"sqlstate": error.state, "message": error.message, "hint": error.hint, "fatal": error.fatal}
+    return {"sqlstate": error.sqlstate, "message": error.message, "hint": error.hint, "fatal": error.fatal}
 
 
 def build_messages():
     """Every message that is built here, by its name in the protocol's documentation."""
-    error = pg.PgError(pg.INVALID_VALUE, "no", "Try ñ.", fatal=True)
+    error = PgError(sqlstate.INVALID_PARAMETER_VALUE, "no", "Try ñ.", fatal=True)
     return {
         "StartupMessage": pg.pack_startup({"user": "u", "database": "ñ"}),
         "CancelRequest": pg.pack_cancel(7, 0xFFFFFFFF),
         "ErrorResponse": pg.pack_error("53000", "busy"),
         "ErrorResponse with hint": pg.pack_error("53000", "busy", "Come back.", "FATAL"),
-        "ErrorResponse of an exception": error.pack(),
-        "ErrorResponse of an exception that is not fatal": pg.PgError("0A000", "COPY").pack(),
-        "Query": pg.pack(b"Q", pg.text("select 1")),
+        "ErrorResponse of an exception": pg.pack_error_response(error),
+        "ErrorResponse of an exception that is not fatal": pg.pack_error_response(PgError("0A000", "COPY")),
+        "Query": pg.pack(b"Q", pg.pack_string("select 1")),
         "Terminate": pg.pack(b"X"),
-        "CommandComplete": pg.complete("SELECT 1"),
-        "ReadyForQuery": pg.READY,
+        "CommandComplete": pg.pack_command_complete("SELECT 1"),
+        "ReadyForQuery": pg.READY_FOR_QUERY,
         "ParseComplete": pg.PARSE_COMPLETE,
         "BindComplete": pg.BIND_COMPLETE,
         "CloseComplete": pg.CLOSE_COMPLETE,
         "NoData": pg.NO_DATA,
-        "EmptyQueryResponse": pg.EMPTY_QUERY,
-        "PortalSuspended": pg.SUSPENDED,
+        "EmptyQueryResponse": pg.EMPTY_QUERY_RESPONSE,
+        "PortalSuspended": pg.PORTAL_SUSPENDED,
         "ParameterDescription of none": pg.NO_PARAMETERS,
         "Sync": pg.SYNC,
         "Execute of all rows": pg.EXECUTE_ALL,
@@ -66,22 +68,22 @@
             for message in reader.feed(raw[at : at + piece_size]):
                 reader.startup = False
                 found.append([message.type.decode(), message.payload.hex(), message.raw.hex()])
-    except pg.PgError as error:
+    except PgError as error:
         return {"messages": found, "error": error_fields(error)}
     return {"messages": found, "rest": reader.buffer.hex()}
 
 
 def read_payload(payload, forms):
     """What fields of these forms hold: "text", "rest" or a number's format."""
-    fields, found = pg.Fields(payload), []
+    fields, found = pg.PayloadReader(payload), []
     try:
         for form in forms:
             if form in ("text", "rest"):
-                value = getattr(fields, form)()
+                value = fields.string() if form == "text" else fields.remaining()
                 found.append(value.hex() if isinstance(value, bytes) else value)
             else:
-                found.append(fields.number(form))
-    except pg.PgError as error:
+                found.append(fields.integer(form))
+    except PgError as error:
         return {"values": found, "error": error_fields(error)}
     return {"values": found}
 
@@ -89,7 +91,7 @@
 def classify_statement(sql):
     try:
         found = classify(sql)
-    except pg.PgError as error:
+    except PgError as error:
         return {"error": error_fields(error)}
     return {"writes": found.writes, "local": found.local, "name": found.name, "value": found.value}
 
@@ -98,7 +100,7 @@
     """The value that SHOW tells after SET, or the error of SET."""
     try:
         changed = Parameters("cusco", "read").set(name, value, settings_from(SETTINGS))
-    except pg.PgError as error:
+    except PgError as error:
         return {"error": error_fields(error)}
     return {n: changed.show(n) for n in ("tenant", "class", "budget", "key", "request")}
 
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -65,7 +65,7 @@
         if sql.startswith("cut"):
             self.ended.append((sql, time.monotonic()))
         if sql.startswith("cut") and sql != "cut silence":
-            whole = out + pg.READY
+            whole = out + pg.READY_FOR_QUERY
             writer.write(whole[:-1] if sql == "cut short" else whole)
             end_connection(writer, sql.split()[1])
             raise ConnectionError
