--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -18,8 +18,8 @@
     from decklb.maintenance.runtime import MaintenanceService
     from decklb.net.engines import RespEngines
     from decklb.net.front import Front
+    from decklb.pg.connection import PgFront
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
     from decklb.wire.prober import Prober
 
 
@@ -43,8 +43,8 @@
         resp = RespEngines(reactor, clock, config.limits)
         core = Dispatcher(config.settings, config.seed, clock, resp)
         return Parts(core, Front(core, ready, config.most_clients, config.spare_clients, config.most_held), resp)
+    from decklb.pg.connection import PgFront
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
 
     pg = PgEngines(reactor, clock, config.postgres)
     core = Dispatcher(config.settings, config.seed, clock, pg)
@@ -141,7 +141,7 @@
     from decklb.handoff.guard import Guard
     from decklb.handoff.runtime import HandoffService
     from decklb.pg.codec import PgCodec
-    from decklb.pg.front import PgFront
+    from decklb.pg.connection import PgFront
 
     front = parts.front
     assert isinstance(front, PgFront)  # the settings are refused without that front
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -10,9 +10,9 @@
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
 from decklb.pg.codec import PgCodec
+from decklb.pg.connection import PgFront
 from decklb.pg.engines import PgWork
 from decklb.pg.errors import PgError
-from decklb.pg.front import PgFront
 from decklb.pg.settings import Parameters, PgSettings
 from decklb.pg.statements import classify
 from decklb.settings import settings_from
