--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -18,8 +18,8 @@
     from decklb.maintenance.runtime import MaintenanceService
     from decklb.net.engines import RespEngines
     from decklb.net.front import Front
-    from decklb.pg.connection import PgFront
     from decklb.pg.engines import PgEngines
+    from decklb.pg.listener import PgListener
     from decklb.wire.prober import Prober
 
 
@@ -28,7 +28,7 @@
     """One core between a front and its engines."""
 
     dispatcher: Dispatcher
-    front: Front | PgFront
+    front: Front | PgListener
     engines: RespEngines | PgEngines
 
 
@@ -43,12 +43,12 @@
         resp = RespEngines(reactor, clock, config.limits)
         core = Dispatcher(config.settings, config.seed, clock, resp)
         return Parts(core, Front(core, ready, config.most_clients, config.spare_clients, config.most_held), resp)
-    from decklb.pg.connection import PgFront
     from decklb.pg.engines import PgEngines
+    from decklb.pg.listener import PgListener
 
     pg = PgEngines(reactor, clock, config.postgres)
     core = Dispatcher(config.settings, config.seed, clock, pg)
-    return Parts(core, PgFront(core, config.postgres, draw, config.most_clients), pg)
+    return Parts(core, PgListener(core, config.postgres, draw, config.most_clients), pg)
 
 
 def speaker(reactor: Any, clock: Clock, config: Config) -> Speaker | None:
@@ -141,12 +141,14 @@
     from decklb.handoff.guard import Guard
     from decklb.handoff.runtime import HandoffService
     from decklb.pg.codec import PgCodec
-    from decklb.pg.connection import PgFront
+    from decklb.pg.listener import PgListener
 
     front = parts.front
-    assert isinstance(front, PgFront)  # the settings are refused without that front
-    guard = Guard(parts.dispatcher, clock, PgCodec(front.rid), config.cluster.member if config.cluster else "")
-    front.intake, front.keeps = guard, True
+    assert isinstance(front, PgListener)  # the settings are refused without that front
+    guard = Guard(
+        parts.dispatcher, clock, PgCodec(front.new_request_id), config.cluster.member if config.cluster else ""
+    )
+    front.enable_handoff(guard)
     try:
         return HandoffService(reactor, clock, config.handoff, member, guard)
     except HandoffError as error:
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -1,4 +1,7 @@
-"""How statements are written down for another manager of this front."""
+"""Statements in the form in which another manager of this wire takes them over (`decklb.handoff.guard.Codec`).
+
+A MessagePack array, whose order of fields is part of the wire form. Used by the handoff.
+"""
 
 from __future__ import annotations
 
@@ -10,57 +13,59 @@
 from decklb.pg.engines import PgWork
 
 
-class _Written(msgspec.Struct, array_like=True, frozen=True):
-    lane: str
+class _StatementRecord(msgspec.Struct, array_like=True, frozen=True):
+    """See `PgWork` for the fields. Its id and budget are left out: they are not the same at another manager."""
+
+    request_class: str
     tenant: str
     statement: bytes
-    tables: int
-    key: str | None
+    table_group: int
+    ordering_key: str | None
     simple: bool
-    types: bytes
+    parameter_types: bytes
     bind: bytes | None
     describe: bool
     execute: bool
 
 
 class PgCodec:
-    """See `decklb.handoff.guard.Codec`. `rid` draws names for the log."""
+    """Encodes and decodes statements."""
 
-    def __init__(self, rid: Callable[[], str]) -> None:
-        self.rid = rid
+    def __init__(self, new_request_id: Callable[[], str]) -> None:
+        """`new_request_id` draws ids for the log."""
+        self._new_request_id = new_request_id
 
     def encode(self, work: Work) -> bytes:
-        """The same for the same statement, parameters and session settings that matter."""
+        """The same bytes for the same statement, parameters and session settings that matter."""
         assert isinstance(work, PgWork)
-        return msgspec.msgpack.encode(
-            _Written(
-                work.lane,
-                work.tenant,
-                work.statement,
-                work.tables,
-                work.key,
-                work.simple,
-                work.types,
-                work.bind,
-                work.describe,
-                work.execute,
-            )
+        record = _StatementRecord(
+            request_class=work.lane,
+            tenant=work.tenant,
+            statement=work.statement,
+            table_group=work.tables,
+            ordering_key=work.key,
+            simple=work.simple,
+            parameter_types=work.types,
+            bind=work.bind,
+            describe=work.describe,
+            execute=work.execute,
         )
+        return msgspec.msgpack.encode(record)
 
     def decode(self, body: bytes, budget: float) -> PgWork:
-        """The statement again."""
-        w = msgspec.msgpack.decode(body, type=_Written)
+        """The statement again, with `budget` ms to run. Raises msgspec.DecodeError for other bytes."""
+        record = msgspec.msgpack.decode(body, type=_StatementRecord)
         return PgWork(
-            self.rid(),
-            w.lane,
-            w.tenant,
+            self._new_request_id(),
+            record.request_class,
+            record.tenant,
             budget,
-            w.statement,
-            w.tables,
-            w.key,
-            simple=w.simple,
-            types=w.types,
-            bind=w.bind,
-            describe=w.describe,
-            execute=w.execute,
+            record.statement,
+            record.table_group,
+            record.ordering_key,
+            simple=record.simple,
+            types=record.parameter_types,
+            bind=record.bind,
+            describe=record.describe,
+            execute=record.execute,
         )
--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -1,656 +1,290 @@
-"""The PostgreSQL front: sessions of clients, each message in turn, one final answer a request.
+"""One client's TCP connection: bytes in and out, startup, timeouts, backpressure and how it ends.
 
-Parse, Bind and Close are kept here and answered at once; nothing reaches an engine before Describe or Execute
-needs it, so a client that leaves between Bind and Execute leaves no work behind.
+Feeds the session's state machine (`decklb.pg.session`) with one message at a time and submits its statements to the
+dispatcher. Made by `decklb.pg.listener.PgListener` for each client. Owns the messages that wait while a statement
+runs, the running statement, the timer and the reason of the end.
 """
 
 from __future__ import annotations
 
-import struct
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from typing import Any
 
 from loguru import logger
 from twisted.internet.error import ConnectionDone
-from twisted.internet.protocol import Protocol, ServerFactory
+from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import EARLY, Dispatcher
-from decklb.core.ports import Intake, Timer
-from decklb.interface import Effect
+from decklb.core.ports import Clock, Intake, Timer
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
+from decklb.pg.connection_registry import ConnectionRegistry
 from decklb.pg.engines import PgWork
 from decklb.pg.errors import PgError, Severity
-from decklb.pg.settings import PREFIX, REPORTED, Parameters, PgSettings
-from decklb.pg.statements import Statement, classify
-from decklb.wire.connections import FIRST, HALF, LINGER, unread
-from decklb.wire.tables import table_group
-
-MOST_QUEUED = 1 << 20  # bytes of messages that wait for the one in hand
-MOST_NAMED = 1000  # statements and portals of one session
-EARLIEST = EARLY + 5.0  # ms before its deadline from which a failure counts as running out of time
-
-
-@dataclass(slots=True)
-class Prepared:
-    """A statement of the session."""
-
-    sql: str
-    types: bytes
-    kind: Statement
-    described: bytes | None = None  # what an engine said of it
-
-
-@dataclass(slots=True)
-class Portal:
-    """A statement with its parameters, and the rows of it that were not asked for yet."""
-
-    prepared: Prepared
-    bind: bytes
-    rows: deque[bytes] | None = None
-    tail: bytes = b""
+from decklb.pg.parameters import IDEMPOTENCY_KEY_PARAMETER
+from decklb.pg.running_statement import RunningStatement
+from decklb.pg.session import Session, SessionContext
+from decklb.pg.startup import (
+    ENCRYPTION_REFUSED,
+    BackendKey,
+    CancelRequest,
+    EncryptionRequest,
+    StartupMessage,
+    initial_parameters,
+    read_startup,
+    startup_reply,
+)
+from decklb.wire.connections import FIRST, HALF, LINGER
+
+MAX_PENDING_BYTES = 1 << 20  # of messages that wait while a statement runs
+MAX_UNREAD_RESULTS = 2  # largest results that a client may leave unread before it is disconnected
 
 
 @dataclass(slots=True)
-class Sink:
-    """Takes the one final answer of a request to where its session waits for it."""
-
-    session: Session
-    deadline: float
-    done: Callable[[bytes], None]
-    request: Any = None  # what names it where it was brought
-    once: bool = False  # its client may come back for the answer
-
-    def served(self, result: bytes) -> None:
-        """An engine's whole answer, which may be its word that the statement is wrong."""
-        self.session.answered(lambda: self.done(result))
-
-    def refused(self, backoff: float) -> None:
-        """It never ran, or may be run again; the hint says when."""
-        if self.once:  # also past its time: it is no answer, and another may come to be given
-            return self._tell(
-                PgError(
-                    sqlstate.INSUFFICIENT_RESOURCES,
-                    "the statement has no answer here yet",
-                    f"Ask again under the same decklb.request in {max(1, round(backoff))} ms.",
-                )
-            )
-        self._error(
-            PgError(
-                sqlstate.INSUFFICIENT_RESOURCES,
-                "the engines are too busy for this statement now",
-                f"Come back in {max(1, round(backoff))} ms.",
-            )
-        )
-
-    def failed(self) -> None:
-        """Its time is over, or it may have run and can't be sent again."""
-        self._error(
-            PgError(sqlstate.STATEMENT_COMPLETION_UNKNOWN, "the engine failed; whether the statement ran is unknown")
-        )
+class ConnectionContext:
+    """What all connections of a listener share.
 
-    def conflict(self) -> None:
-        """Its name was given to another statement."""
-        self._error(
-            PgError(
-                sqlstate.INVALID_PARAMETER_VALUE,
-                "decklb.request names another statement",
-                "Give each statement a name of its own.",
-            )
-        )
-
-    def _error(self, error: PgError) -> None:
-        if self.session.front.dispatcher.clock.now() >= self.deadline - EARLIEST:
-            error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to statement timeout")
-        self._tell(error)
+    Attributes:
+        sessions: What their sessions share.
+        registry: Where connections enter and leave.
+        clock: Monotonic time and timers.
+        intake: Where statements go: the dispatcher, or the handoff before it.
+    """
 
-    def _tell(self, error: PgError) -> None:
-        self.session.answered(lambda: self.session.error(error))
+    sessions: SessionContext
+    registry: ConnectionRegistry
+    clock: Clock
+    intake: Intake
 
 
-class Session(Protocol):
+class ClientConnection(Protocol):
     """One connection of a client."""
 
-    transport: Any  # zope's interfaces say nothing to the type checker
-
-    def __init__(self, front: PgFront) -> None:
-        self.front = front
-        self.reader = pg.MessageReader(front.settings.most_message, startup=True)
-        self.parameters: Parameters | None = None  # None until the session has begun
-        self.statements: dict[str, Prepared] = {}
-        self.portals: dict[str, Portal] = {}
-        self.queue: deque[pg.Message] = deque()
-        self.queued = 0
-        self.busy: Sink | None = None
-        self.skipping = self.simple = self.stuck = self.closed = False
-        self.undescribed: str | None = None  # a portal whose description can come with its rows
-        self.backend = (0, 0)
-        self.unread = 0
-        self.taken = self.abandoned = 0
-        self.reason = "client-closed"
-        self.timer: Timer | None = None  # ends what begins no session, stops halfway or does not go
+    transport: Any  # Zope's interfaces say nothing to the type checker
+
+    def __init__(self, context: ConnectionContext) -> None:
+        self._context, self._registry = context, context.registry
+        self._session: Session | None = None  # None until startup is complete
+        self._backend_key: BackendKey | None = None
+        self._running: RunningStatement | None = None
+        self.write_paused = False  # the client does not read what it was sent
+        self._reader = pg.MessageReader(context.sessions.postgres.max_message_bytes, startup=True)
+        self._pending: deque[pg.Message] = deque()
+        self._pending_bytes = 0
+        self._unread_bytes = 0  # written since the client stopped reading
+        self._closed = False
+        self._end_reason = "client-closed"  # for the log
+        self._submitted_count = 0
+        self._abandoned_count = 0
+        self._timer: Timer | None = None  # of startup, of a message that is not complete, or of the end
+
+    # Bytes in.
 
     def connectionMade(self) -> None:
-        """Nothing is said before the client's first message."""
+        """Nothing is sent before the client's first message."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._wait(FIRST, self._overdue)
-        self.front.joined(self)
-
-    def _wait(self, delay: float, call: Callable[[], None] | None) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = None if call is None else self.front.dispatcher.clock.call_later(delay, call)
-
-    def _overdue(self) -> None:
-        self.timer = None
-        self._fatal(PgError(sqlstate.PROTOCOL_VIOLATION, "the message did not become whole in time", fatal=True))
-
-    def _gone(self) -> None:
-        self.timer = None
-        self.transport.abortConnection()
-
-    # The transport tells whether the client reads what it is sent.
-
-    def pauseProducing(self) -> None:
-        """The client reads too slowly: do nothing more for it."""
-        self.stuck = True
-
-    def resumeProducing(self) -> None:
-        """All that was written has gone."""
-        self.stuck, self.unread = False, 0
-        self._pump()
-
-    def stopProducing(self) -> None:
-        """The connection is ending."""
+        self._start_timer(FIRST, self._message_timed_out)
+        self._registry.add(self)
 
     def dataReceived(self, data: bytes) -> None:
         """Messages, split anywhere."""
-        if self.closed:  # read and thrown away: closing with bytes unread would send a reset
+        if self._closed:  # read and discarded: closing with bytes unread would send a reset
             return
-        whole = False
+        any_complete = False
         try:
-            for message in self.reader.feed(data):
-                whole = True
-                if self.closed:
+            for message in self._reader.feed(data):
+                any_complete = True
+                if self._closed:
                     return
-                if self.reader.startup:
-                    self._startup(message)
-                    continue
-                self.queue.append(message)
-                self.queued += len(message.raw)
-            self._pump()
+                if self._reader.startup:
+                    self._receive_startup(message)
+                else:
+                    self._pending.append(message)
+                    self._pending_bytes += len(message.raw)
+            self._handle_pending()
         except PgError as error:
-            return self._fatal(error)
-        if self.parameters is None or self.closed:
+            return self._end_with_error(error)
+        if self._session is None or self._closed:
             return
-        if not self.reader.buffer:
-            self._wait(0.0, None)
-        elif whole or self.timer is None:
-            self._wait(HALF, self._overdue)
-
-    # The start of a session.
-
-    def _startup(self, message: pg.Message) -> None:
-        f = pg.PayloadReader(message.payload)
-        code = f.integer("I")
-        if code in (pg.SSL_REQUEST_CODE, pg.GSSENC_REQUEST_CODE):
-            self.transport.write(b"N")
-        elif code == pg.CANCEL_REQUEST_CODE:
-            self.reason = "cancel-request"
-            self.front.cancel((f.integer("I"), f.integer("I")))
+        if not self._reader.buffer:
+            self._cancel_timer()
+        elif any_complete or self._timer is None:
+            self._start_timer(HALF, self._message_timed_out)
+
+    def _receive_startup(self, message: pg.Message) -> None:
+        request = read_startup(message.payload)
+        if isinstance(request, EncryptionRequest):
+            self.transport.write(ENCRYPTION_REFUSED)
+        elif isinstance(request, CancelRequest):
+            self._registry.cancel(request.key)
             self.close("cancel-request")
-        elif code >> 16 != 3:
-            raise PgError(sqlstate.PROTOCOL_VIOLATION, f"unsupported protocol {code >> 16}.{code & 0xFFFF}", fatal=True)
         else:
-            self._begin(f, code)
-
-    def _begin(self, f: pg.PayloadReader, code: int) -> None:
-        told: dict[str, str] = {}
-        while name := f.string():
-            told[name] = f.string()
-        if self.front.closing:
-            raise PgError(sqlstate.CANNOT_CONNECT_NOW, "the workload manager is shutting down", fatal=True)
-        if len(self.front.sessions) > self.front.most_clients:
-            raise PgError(sqlstate.TOO_MANY_CONNECTIONS, "too many clients already", fatal=True)
-        settings = self.front.settings
-        parameters = settings.users.get(told.get("user", ""), settings.defaults)
-        try:
-            for name, value in _options(told):
-                parameters = parameters.set(name, value, self.front.dispatcher.settings)
-        except PgError as error:
-            raise PgError(error.sqlstate, error.message, error.hint, fatal=True) from None
-        self.parameters, self.reader.startup = parameters, False
-        self.front.starting.pop(self, None)
-        self.backend = self.front.register(self)
-        out = pg.pack(b"R", b"\0\0\0\0")
-        unknown = [n for n in told if n.startswith("_pq_.")]
-        if code & 0xFFFF or unknown:
-            out = pg.pack(b"v", struct.pack(">II", 0, len(unknown)) + b"".join(map(pg.pack_string, unknown))) + out
-        for name, value in REPORTED.items():
-            out += pg.pack(b"S", pg.pack_string(name) + pg.pack_string(value))
-        self._write(out + pg.pack(b"K", struct.pack(">II", *self.backend)) + pg.READY_FOR_QUERY)
-
-    # One message after the other; the next waits while an engine works on this one.
-
-    def _pump(self) -> None:
-        while self.queue and self.busy is None and not (self.stuck or self.closed):
-            message = self.queue.popleft()
-            self.queued -= len(message.raw)
+            self._begin_session(request)
+
+    def _begin_session(self, startup: StartupMessage) -> None:
+        self._registry.check_admission()
+        context = self._context.sessions
+        parameters = initial_parameters(startup, context.postgres, context.workload)
+        self._session = Session(context, self, parameters)
+        self._reader.startup = False
+        self._backend_key = self._registry.register_session(self)
+        self.write(startup_reply(startup, self._backend_key))
+
+    def _handle_pending(self) -> None:
+        """Handle messages one after another; the next waits while an engine works on a statement."""
+        while self._pending and self._running is None and not (self.write_paused or self._closed):
+            message = self._pending.popleft()
+            self._pending_bytes -= len(message.raw)
+            assert self._session is not None
             try:
-                self._message(message)
+                self._session.receive(message)
             except PgError as error:
                 if error.fatal:
-                    return self._fatal(error)
-                self.error(error)
+                    return self._end_with_error(error)
+                self._session.report_error(error)
         # The connection is read on as long as that is safe, since only reading tells that a client has left.
-        if self.queued > MOST_QUEUED:
-            self._fatal(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many messages at once", fatal=True))
-
-    def _message(self, m: pg.Message) -> None:
-        if self.skipping and m.type not in b"SX":
-            return
-        described, self.undescribed = self.undescribed, None
-        f = pg.PayloadReader(m.payload)
-        if described is not None:
-            # Rows' description and rows come in one go where Execute follows at once.
-            if m.type == b"E" and f.string() == described:
-                return self._execute(described, f.integer("i"), describe=True)
-            self.queue.appendleft(m)
-            self.queued += len(m.raw)
-            return self._describe_portal(described)
-        handler = self.HANDLERS.get(m.type)
-        if handler is None:
-            raise PgError(sqlstate.PROTOCOL_VIOLATION, f"unexpected message {m.type!r}", fatal=True)
-        handler(self, f)
-
-    def _query(self, f: pg.PayloadReader) -> None:
-        sql = f.string()
-        self.simple = True
-        kind = classify(sql)
-        if kind.local:
-            return self._finish((self._local_description(kind) if kind.local == "show" else b"") + self._local(kind))
-        self._submit(self._work(sql, kind, simple=True), self._finish)
-
-    def _parse(self, f: pg.PayloadReader) -> None:
-        name, sql = f.string(), f.string()
-        if name and name in self.statements:
-            raise PgError(sqlstate.DUPLICATE_PREPARED_STATEMENT, f"prepared statement {name!r} already exists")
-        if len(self.statements) >= MOST_NAMED and name not in self.statements:
-            raise PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many prepared statements")
-        self.statements[name] = Prepared(sql, f.remaining(), classify(sql))
-        self._write(pg.PARSE_COMPLETE)
-
-    def _bind(self, f: pg.PayloadReader) -> None:
-        portal, name = f.string(), f.string()
-        if name not in self.statements:
-            raise PgError(sqlstate.INVALID_SQL_STATEMENT_NAME, f"prepared statement {name!r} does not exist")
-        if portal and portal in self.portals:
-            raise PgError(sqlstate.DUPLICATE_CURSOR, f"portal {portal!r} already exists")
-        if len(self.portals) >= MOST_NAMED and portal not in self.portals:
-            raise PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many portals")
-        self.portals[portal] = Portal(self.statements[name], f.remaining())
-        self._write(pg.BIND_COMPLETE)
-
-    def _describe(self, f: pg.PayloadReader) -> None:
-        what, name = f.integer("B"), f.string()
-        if what == ord("P"):
-            self._portal(name)
-            self.undescribed = name
-            return
-        if what != ord("S"):
-            raise PgError(sqlstate.PROTOCOL_VIOLATION, "Describe takes S or P", fatal=True)
-        if name not in self.statements:
-            raise PgError(sqlstate.INVALID_SQL_STATEMENT_NAME, f"prepared statement {name!r} does not exist")
-        prepared = self.statements[name]
-        if prepared.kind.local:
-            return self._write(pg.NO_PARAMETERS + self._local_description(prepared.kind))
-        if prepared.described is not None:
-            return self._write(prepared.described)
-
-        def done(result: bytes) -> None:
-            if self._passed(result):
-                prepared.described = result
-
-        self._submit(self._work(prepared.sql, prepared.kind, types=prepared.types), done)
-
-    def _describe_portal(self, name: str) -> None:
-        portal = self._portal(name)
-        if portal.prepared.kind.local:
-            return self._write(self._local_description(portal.prepared.kind))
-
-        self._submit(
-            self._work(
-                portal.prepared.sql,
-                portal.prepared.kind,
-                types=portal.prepared.types,
-                bind=portal.bind,
-                describe=True,
-                execute=False,
-            ),
-            self._pass,
-        )
-
-    def _execute_message(self, f: pg.PayloadReader) -> None:
-        self._execute(f.string(), f.integer("i"), describe=False)
-
-    def _execute(self, name: str, most: int, describe: bool) -> None:
-        portal = self._portal(name)
-        if portal.rows is not None:
-            return self._rows(portal, most)
-        prepared = portal.prepared
-        if prepared.kind.local:
-            return self._write(
-                (self._local_description(prepared.kind) if describe else b"") + self._local(prepared.kind)
-            )
-
-        def done(result: bytes) -> None:
-            if not self._passed(result, hold=True):
-                return
-            if most <= 0:
-                return self._write(result)
-            parts = list(pg.split_messages(result))
-            portal.rows = deque(m.raw for m in parts if m.type == b"D")
-            portal.tail = b"".join(m.raw for m in parts if m.type in b"CIs")
-            self._write(b"".join(m.raw for m in parts if m.type in b"Tn"))
-            self._rows(portal, most)
-
-        self._submit(
-            self._work(prepared.sql, prepared.kind, types=prepared.types, bind=portal.bind, describe=describe), done
-        )
-
-    def _rows(self, portal: Portal, most: int) -> None:
-        rows = portal.rows if portal.rows is not None else deque()
-        count = len(rows) if most <= 0 else min(most, len(rows))
-        out = b"".join(rows.popleft() for _ in range(count))
-        self._write(out + (pg.PORTAL_SUSPENDED if rows else portal.tail))
-
-    def _close_message(self, f: pg.PayloadReader) -> None:
-        what, name = f.integer("B"), f.string()
-        (self.statements if what == ord("S") else self.portals).pop(name, None)
-        self._write(pg.CLOSE_COMPLETE)
-
-    def _sync(self, f: pg.PayloadReader) -> None:
-        self.skipping = False
-        self.portals.clear()
-        self._write(pg.READY_FOR_QUERY)
-
-    def _flush(self, f: pg.PayloadReader) -> None:
-        """Everything is written at once."""
-
-    def _terminate(self, f: pg.PayloadReader) -> None:
-        self.close("terminated")
-
-    def _call(self, f: pg.PayloadReader) -> None:
-        self.simple = True  # no Sync follows this one
-        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "function calls are not supported", "Use SELECT.")
-
-    HANDLERS: dict[bytes, Callable[[Session, pg.PayloadReader], None]] = {
-        b"Q": _query,
-        b"P": _parse,
-        b"B": _bind,
-        b"D": _describe,
-        b"E": _execute_message,
-        b"C": _close_message,
-        b"S": _sync,
-        b"H": _flush,
-        b"X": _terminate,
-        b"F": _call,
-        b"d": _flush,
-        b"c": _flush,
-        b"f": _flush,  # what is left of a COPY that was turned down
-    }
-
-    def _portal(self, name: str) -> Portal:
-        if name not in self.portals:
-            raise PgError(sqlstate.INVALID_CURSOR_NAME, f"portal {name!r} does not exist")
-        return self.portals[name]
-
-    # What the front does itself.
-
-    def _local(self, kind: Statement) -> bytes:
-        assert self.parameters is not None
-        if kind.local == "empty":
-            return pg.EMPTY_QUERY_RESPONSE
-        if kind.local == "set":
-            self.parameters = self.parameters.set(kind.name, kind.value, self.front.dispatcher.settings)
-            return pg.pack_command_complete("SET")
-        if kind.local == "show":
-            value = self.parameters.show(kind.name).encode()
-            row = pg.pack(b"D", struct.pack(">hi", 1, len(value)) + value)
-            return row + pg.pack_command_complete("SHOW")
-        if kind.name in ("DISCARD", "DEALLOCATE"):
-            self.statements.clear()
-        return pg.pack_command_complete(kind.name)
-
-    def _local_description(self, kind: Statement) -> bytes:
-        if kind.local != "show":
-            return pg.NO_DATA
-        return pg.pack(b"T", b"\0\1" + pg.pack_string(kind.name) + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
-
-    # Requests.
-
-    def _work(self, sql: str, kind: Statement, **more: Any) -> PgWork:
-        assert self.parameters is not None
-        p, classes = self.parameters, self.front.dispatcher.settings.classes
-        lane = p.lane
-        if kind.writes and self.front.settings.writes and classes[lane].effect is Effect.SAFE:
-            lane = self.front.settings.writes  # what writes must not be repeated as if it read
-        text = sql.encode()
-        if p.request and (more.get("simple") or more.get("bind") is not None and more.get("execute", True)):
-            if not self.front.keeps:
-                raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "decklb.request needs the handoff, which is off here")
-            self.parameters = replace(p, request="")  # it names one statement
-            more["once"] = p.request
-        return PgWork(
-            self.front.rid(),
-            lane,
-            p.tenant,
-            p.budget or classes[lane].deadline,
-            text,
-            table_group(text),
-            p.key or None,
-            **more,
-        )
+        if self._pending_bytes > MAX_PENDING_BYTES:
+            self._end_with_error(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many messages at once", fatal=True))
 
-    def _submit(self, work: PgWork, done: Callable[[bytes], None]) -> None:
-        self.taken += 1
-        self.busy = sink = Sink(self, self.front.dispatcher.clock.now() + work.budget, done, once=bool(work.once))
-        asked = work.once
-        sink.request = self.front.intake.submit(work, sink)
-        if work.once != asked:  # the name that was made for it
-            self._write(pg.pack(b"S", pg.pack_string("decklb.request") + pg.pack_string(work.once)))
-
-    def answered(self, tell: Callable[[], None]) -> None:
-        """The one final answer has come; the next message may go."""
-        self.busy = None
-        if not self.closed:
-            tell()
-            self._ended()
-            self._pump()
-
-    def _pass(self, result: bytes) -> None:
-        self._passed(result)
-
-    def _passed(self, result: bytes, hold: bool = False) -> bool:
-        """Whether an engine's answer holds no error; if it does, it is passed on. `hold`: no more is."""
-        failed = any(m.type == b"E" for m in pg.split_messages(result))
-        if failed:
-            self.skipping = True
-        if failed or not hold:
-            self._write(result)
-        return not failed
-
-    def _finish(self, result: bytes) -> None:
-        """The end of a simple query."""
-        self.simple = False
-        self._write(result + pg.READY_FOR_QUERY)
-
-    def error(self, error: PgError) -> None:
-        """Tell of an error; what follows is skipped up to Sync, or there is none to wait for."""
-        self._write(pg.pack_error_response(error))
-        if self.simple:
-            self.simple = False
-            self._write(pg.READY_FOR_QUERY)
-        else:
-            self.skipping = True
-
-    def cancel(self) -> None:
-        """Somebody asked for the end of what runs: it gets its one answer now, and its work is freed."""
-        sink, self.busy = self.busy, None
-        if sink is not None and sink.request is not None:
-            self.front.intake.cancel(sink.request)
-            self.answered(
-                lambda: self.error(PgError(sqlstate.QUERY_CANCELED, "canceling statement due to user request"))
-            )
-
-    # The end of a session.
-
-    def drain(self) -> None:
-        """End when nothing is under way."""
-        self._ended()
-
-    def _ended(self) -> None:
-        if self.front.closing and self.busy is None and not self.queue and not self.closed:
-            self._fatal(PgError(sqlstate.ADMIN_SHUTDOWN, "the workload manager is shutting down", fatal=True))
-
-    def _fatal(self, error: PgError) -> None:
-        self._write(pg.pack_error(error.sqlstate, error.message, error.hint, Severity.FATAL))
-        self.closed, self.reason = True, error.sqlstate
-        self._free()
-        self.reader.buffer.clear()
-        self.queue.clear()
-        self.transport.unregisterProducer()
-        self.transport.loseWriteConnection()
-        self._wait(LINGER, self._gone)
+    # What the session asks for: see `SessionOutput`.
 
-    def _write(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
+        """Send; a client that leaves too much unread is disconnected."""
         self.transport.write(data)
-        if self.stuck:
-            self.unread += len(data)
-            if self.unread > 2 * self.front.settings.most_result:
-                self.closed, self.reason = True, "slow-reader"
+        if self.write_paused:
+            self._unread_bytes += len(data)
+            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.sessions.postgres.most_result:
+                self._closed, self._end_reason = True, "slow-reader"
                 self.transport.abortConnection()
 
+    def submit(self, work: PgWork, on_result: Callable[[bytes], None]) -> None:
+        """Run a statement."""
+        self._submitted_count += 1
+        idempotency_key = work.once
+        deadline_ms = self.now_ms() + work.budget
+        statement = RunningStatement(self, deadline_ms, on_result, has_idempotency_key=bool(idempotency_key))
+        self._running = statement
+        statement.handle = self._context.intake.submit(work, statement)
+        if work.once != idempotency_key:  # the key that was made for it
+            self.write(pg.pack_parameter_status(IDEMPOTENCY_KEY_PARAMETER, work.once))
+
+    def put_back(self, message: pg.Message) -> None:
+        """Handle this message again, next."""
+        self._pending.appendleft(message)
+        self._pending_bytes += len(message.raw)
+
     def close(self, reason: str) -> None:
-        """End the connection once what was written has gone."""
-        self.closed, self.reason = True, reason
-        self.front.starting.pop(self, None)
-        self._free()
-        self._wait(LINGER, self._gone)
+        """End the connection once what was written has been sent."""
+        self._closed, self._end_reason = True, reason
+        self._registry.startup_ended(self)
+        self._abandon_running()
+        self._start_timer(LINGER, self._linger_ended)
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
-    def _free(self) -> None:
-        sink, self.busy = self.busy, None
-        if sink is not None and sink.request is not None:
-            self.abandoned += 1
-            self.front.intake.abandon(sink.request)
+    # The running statement's answer: see `AnswerReceiver`.
+
+    def now_ms(self) -> float:
+        """Monotonic time in ms."""
+        return self._context.clock.now()
+
+    def complete(self, tell: Callable[[], None]) -> None:
+        """The running statement has its final answer: tell the client and handle what waits."""
+        self._running = None
+        if not self._closed:
+            tell()
+            self.end_if_draining()
+            self._handle_pending()
+
+    def report_error(self, error: PgError) -> None:
+        """Send an error that leaves the session open."""
+        assert self._session is not None
+        self._session.report_error(error)
+
+    def cancel_running(self) -> None:
+        """A CancelRequest came: the running statement is answered now, and its work is freed."""
+        statement, self._running = self._running, None
+        if statement is not None and statement.handle is not None:
+            self._context.intake.cancel(statement.handle)
+            error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to user request")
+            self.complete(lambda: self.report_error(error))
+
+    # Backpressure: Twisted's interface of a push producer.
+
+    def pauseProducing(self) -> None:
+        """The client reads too slowly: handle nothing more."""
+        self.write_paused = True
+
+    def resumeProducing(self) -> None:
+        """All that was written has been sent."""
+        self.write_paused, self._unread_bytes = False, 0
+        self._handle_pending()
+
+    def stopProducing(self) -> None:
+        """The connection is ending."""
+
+    # The end.
+
+    def end_if_draining(self) -> None:
+        """While the program drains, a session ends as soon as nothing is under way."""
+        if self._registry.draining and self._running is None and not self._pending and not self._closed:
+            text = "the workload manager is shutting down"
+            self._end_with_error(PgError(sqlstate.ADMIN_SHUTDOWN, text, fatal=True))
+
+    def _end_with_error(self, error: PgError) -> None:
+        """Send a fatal error; what still comes is discarded until the client closes, or for LINGER ms."""
+        self.write(pg.pack_error(error.sqlstate, error.message, error.hint, Severity.FATAL))
+        self._closed, self._end_reason = True, error.sqlstate
+        self._abandon_running()
+        self._reader.buffer.clear()
+        self._pending.clear()
+        self.transport.unregisterProducer()
+        self.transport.loseWriteConnection()
+        self._start_timer(LINGER, self._linger_ended)
+
+    def _abandon_running(self) -> None:
+        statement, self._running = self._running, None
+        if statement is not None and statement.handle is not None:
+            self._abandoned_count += 1
+            self._context.intake.abandon(statement.handle)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Free what this client waited for."""
-        self.closed = True
-        self._wait(0.0, None)
-        self._free()
-        self.front.forget(self)
-        if self.reason == "client-closed" and reason is not None and reason.type is not ConnectionDone:
-            self.reason = "reset"
+        self._closed = True
+        self._cancel_timer()
+        self._abandon_running()
+        self._registry.remove(self, self._backend_key)
+        if self._end_reason == "client-closed" and reason is not None and reason.type is not ConnectionDone:
+            self._end_reason = "reset"
         peer = self.transport.getPeer()
         logger.info(
             "session ended: {reason} requests={requests} abandoned={abandoned} peer={peer}",
             event="session-ended",
-            reason=self.reason,
-            requests=self.taken,
-            abandoned=self.abandoned,
+            reason=self._end_reason,
+            requests=self._submitted_count,
+            abandoned=self._abandoned_count,
             peer=f"{peer.host}:{peer.port}",
         )
 
+    # The timer.
+
+    def _start_timer(self, delay_ms: float, call: Callable[[], None]) -> None:
+        self._cancel_timer()
+        self._timer = self._context.clock.call_later(delay_ms, call)
 
-class PgFront(ServerFactory):
-    """Makes a Session for each connection, and finds the one that a CancelRequest means."""
-
-    noisy = False
-
-    def __init__(
-        self, dispatcher: Dispatcher, settings: PgSettings, draw: Callable[[int], int], most_clients: int
-    ) -> None:
-        self.dispatcher, self.settings, self.draw = dispatcher, settings, draw
-        self.intake: Intake = dispatcher
-        self.keeps = False  # whether the intake keeps answers for clients that come back
-        self.most_clients = most_clients
-        self.sessions: set[Session] = set()
-        self.starting: dict[Session, None] = {}  # that have not begun, oldest first
-        self.backends: dict[tuple[int, int], Session] = {}
-        self.closing = False
-        self._count = 0
-
-    def listens(self, port: object) -> None:
-        """Sessions that are too many are told so by an error; none waits outside."""
-
-    def buildProtocol(self, addr: object) -> Session:
-        """One object for a connection."""
-        return Session(self)
-
-    def joined(self, session: Session) -> None:
-        """A new connection. Where places run out, one that began no session yet goes first."""
-        if len(self.sessions) >= self.most_clients:
-            silent = next((s for s in self.starting if not unread(s.transport)), None)
-            if silent is not None:
-                silent.close("evicted-silent")
-                self.sessions.discard(silent)
-        self.sessions.add(session)
-        self.starting[session] = None
-
-    def register(self, session: Session) -> tuple[int, int]:
-        """A process id and a secret for a session."""
-        self._count += 1
-        backend = self._count & 0x7FFFFFFF, self.draw(1 << 32)
-        self.backends[backend] = session
-        return backend
-
-    def forget(self, session: Session) -> None:
-        """It has ended."""
-        self.sessions.discard(session)
-        self.starting.pop(session, None)
-        self.backends.pop(session.backend, None)
-
-    def cancel(self, backend: tuple[int, int]) -> None:
-        """A CancelRequest; one that fits no session is let pass, as PostgreSQL does."""
-        if session := self.backends.get(backend):
-            session.cancel()
-
-    def rid(self) -> str:
-        """A name for a request in logs."""
-        return f"{self.draw(1 << 64):016x}"
-
-    def announce(self) -> None:
-        """Nothing in this protocol says it before the end."""
-
-    @property
-    def owing(self) -> bool:
-        """Whether some client has not yet taken all that it was told."""
-        return any(session.stuck for session in self.sessions)
-
-    def close(self) -> None:
-        """Take nothing new; sessions end with what they have under way."""
-        self.closing = True
-        for session in list(self.sessions):
-            session.drain()
-
-
-def _options(told: dict[str, str]) -> list[tuple[str, str]]:
-    """What a startup message sets: `options` with -c name=value or --name=value, and our own names."""
-    found = [(n, v) for n, v in told.items() if n.startswith(PREFIX) or n == "statement_timeout"]
-    words = deque(told.get("options", "").replace("\\ ", "\0").split())
-    while words:
-        word = words.popleft()
-        if word == "-c" and words:
-            word = words.popleft()
-        elif word.startswith("--") or word.startswith("-c"):
-            word = word[2:]
-        name, _, value = word.replace("\0", " ").partition("=")
-        found.append((name.replace("-", "_").lower(), value))
-    return found
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _message_timed_out(self) -> None:
+        self._timer = None
+        text = "the message did not become whole in time"
+        self._end_with_error(PgError(sqlstate.PROTOCOL_VIOLATION, text, fatal=True))
+
+    def _linger_ended(self) -> None:
+        self._timer = None
+        self.transport.abortConnection()
--- /dev/null
+++ b/decklb/pg/session.py
@@ -0,0 +1,338 @@
+"""State machine of one client's session after startup: simple and extended query protocol, without I/O.
+
+`decklb.pg.connection` feeds it with one message at a time and never while a statement runs; what the session wants done
+it asks of its `SessionOutput`. It owns the session's parameters, prepared statements and portals, and where in the
+protocol the client is.
+
+Parse, Bind and Close are answered here at once; nothing reaches an engine before a Describe or Execute needs it, so a
+client that leaves between Bind and Execute leaves no work behind.
+
+Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", sections "Simple Query" and "Extended Query".
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from typing import ClassVar, Protocol
+
+from decklb.interface import Effect, Settings
+from decklb.pg import messages as pg
+from decklb.pg import sqlstate
+from decklb.pg.engines import PgWork
+from decklb.pg.errors import PgError
+from decklb.pg.messages import BackendType, FrontendType, Message, PayloadReader
+from decklb.pg.parameters import SessionParameters
+from decklb.pg.prepared import NamedObjects, Portal, PreparedStatement
+from decklb.pg.settings import PgSettings
+from decklb.pg.statements import Classification, LocalCommand, classify
+from decklb.wire.tables import table_group
+
+DESCRIBE_STATEMENT, DESCRIBE_PORTAL = ord("S"), ord("P")  # kinds of object in Describe and Close
+TEXT_OID = 25  # of the type `text`
+NO_PARAMETER_TYPES = b"\0\0"  # what follows the text of a Parse that names no types
+
+
+@dataclass(slots=True)
+class SessionContext:
+    """What all sessions share.
+
+    Attributes:
+        workload: Known request classes and tenants.
+        postgres: Settings of this wire.
+        new_request_id: Draws the id of a request, for the log.
+        handoff_enabled: Whether answers are kept for clients that come back with an idempotency key.
+    """
+
+    workload: Settings
+    postgres: PgSettings
+    new_request_id: Callable[[], str]
+    handoff_enabled: bool = False
+
+
+class SessionOutput(Protocol):
+    """What a session asks of its connection."""
+
+    def write(self, data: bytes) -> None:
+        """Send to the client."""
+
+    def submit(self, work: PgWork, on_result: Callable[[bytes], None]) -> None:
+        """Run a statement. No message is given to the session until it has its final answer.
+
+        `on_result` takes the messages of an engine's whole answer, which may be an ErrorResponse.
+        """
+
+    def put_back(self, message: Message) -> None:
+        """Give this message again, next."""
+
+    def close(self, reason: str) -> None:
+        """End the connection, for this reason in the log."""
+
+
+class Session:
+    """One session, from its first ReadyForQuery on."""
+
+    def __init__(self, context: SessionContext, output: SessionOutput, parameters: SessionParameters) -> None:
+        self._context, self._output = context, output
+        self.parameters = parameters
+        self._objects = NamedObjects()
+        self._skipping_until_sync = False  # after an error in the extended query protocol
+        self._in_simple_query = False  # ReadyForQuery follows its end, also after an error
+        # Portal of a Describe that waits for the next message: where that executes the portal, an engine is asked for
+        # description and rows in one go.
+        self._deferred_describe: str | None = None
+
+    def receive(self, message: Message) -> None:
+        """Take the client's next message. Raises PgError, which is for `report_error` unless it is fatal."""
+        if self._skipping_until_sync and message.type not in (FrontendType.SYNC, FrontendType.TERMINATE):
+            return
+        portal_name, self._deferred_describe = self._deferred_describe, None
+        fields = PayloadReader(message.payload)
+        if portal_name is not None:
+            return self._resume_describe(portal_name, message, fields)
+        handler = self._HANDLERS.get(message.type)
+        if handler is None:
+            raise PgError(sqlstate.PROTOCOL_VIOLATION, f"unexpected message {message.type!r}", fatal=True)
+        handler(self, fields)
+
+    def report_error(self, error: PgError) -> None:
+        """Send an error that is not fatal; what follows is skipped up to Sync, unless it ends a simple query."""
+        self._output.write(pg.pack_error_response(error))
+        if self._in_simple_query:
+            self._in_simple_query = False
+            self._output.write(pg.READY_FOR_QUERY)
+        else:
+            self._skipping_until_sync = True
+
+    # Simple query.
+
+    def _query(self, fields: PayloadReader) -> None:
+        sql = fields.string()
+        self._in_simple_query = True
+        classification = classify(sql)
+        if classification.local is not None:
+            described = classification.local is LocalCommand.SHOW
+            description = _describe_local(classification) if described else b""
+            return self._end_simple_query(description + self._run_local(classification))
+        self._output.submit(self._new_work(sql, classification, simple=True), self._end_simple_query)
+
+    def _end_simple_query(self, result: bytes) -> None:
+        self._in_simple_query = False
+        self._output.write(result + pg.READY_FOR_QUERY)
+
+    # Extended query.
+
+    def _parse(self, fields: PayloadReader) -> None:
+        name, sql = fields.string(), fields.string()
+        self._objects.check_new_statement(name)
+        self._objects.add_statement(name, PreparedStatement(sql, fields.remaining(), classify(sql)))
+        self._output.write(pg.PARSE_COMPLETE)
+
+    def _bind(self, fields: PayloadReader) -> None:
+        portal_name, statement_name = fields.string(), fields.string()
+        statement = self._objects.statement(statement_name)
+        self._objects.add_portal(portal_name, Portal(statement, fields.remaining()))
+        self._output.write(pg.BIND_COMPLETE)
+
+    def _describe(self, fields: PayloadReader) -> None:
+        kind, name = fields.integer("B"), fields.string()
+        if kind == DESCRIBE_PORTAL:
+            self._objects.portal(name)  # an error comes now
+            self._deferred_describe = name
+        elif kind == DESCRIBE_STATEMENT:
+            self._describe_statement(self._objects.statement(name))
+        else:
+            raise PgError(sqlstate.PROTOCOL_VIOLATION, "Describe takes S or P", fatal=True)
+
+    def _describe_statement(self, statement: PreparedStatement) -> None:
+        if statement.classification.local is not None:
+            return self._output.write(pg.NO_PARAMETERS + _describe_local(statement.classification))
+        if statement.description is not None:
+            return self._output.write(statement.description)
+
+        def on_result(result: bytes) -> None:
+            failed = _has_error(result)
+            self._relay(result, failed)
+            if not failed:
+                statement.description = result
+
+        work = self._new_work(statement.sql, statement.classification, parameter_types=statement.parameter_types)
+        self._output.submit(work, on_result)
+
+    def _resume_describe(self, portal_name: str, message: Message, fields: PayloadReader) -> None:
+        """The message after a Describe of a portal: describe with the rows if it executes that, else by itself."""
+        if message.type == FrontendType.EXECUTE and fields.string() == portal_name:
+            return self._execute_portal(portal_name, fields.integer("i"), describe=True)
+        self._output.put_back(message)
+        self._describe_portal(self._objects.portal(portal_name))
+
+    def _describe_portal(self, portal: Portal) -> None:
+        statement = portal.statement
+        if statement.classification.local is not None:
+            return self._output.write(_describe_local(statement.classification))
+        work = self._new_work(
+            statement.sql,
+            statement.classification,
+            parameter_types=statement.parameter_types,
+            bind=portal.parameters,
+            describe=True,
+            execute=False,
+        )
+        self._output.submit(work, lambda result: self._relay(result, _has_error(result)))
+
+    def _execute(self, fields: PayloadReader) -> None:
+        self._execute_portal(fields.string(), fields.integer("i"), describe=False)
+
+    def _execute_portal(self, name: str, max_rows: int, describe: bool) -> None:
+        """Run a portal, or go on with its rows. `max_rows` 0 is all; `describe`: a Describe came just before."""
+        portal = self._objects.portal(name)
+        if portal.rows is not None:
+            return self._output.write(portal.take_rows(max_rows))
+        statement = portal.statement
+        if statement.classification.local is not None:
+            description = _describe_local(statement.classification) if describe else b""
+            return self._output.write(description + self._run_local(statement.classification))
+
+        def on_result(result: bytes) -> None:
+            failed = _has_error(result)
+            if failed or max_rows <= 0:
+                return self._relay(result, failed)
+            self._output.write(portal.store(result))
+            self._output.write(portal.take_rows(max_rows))
+
+        work = self._new_work(
+            statement.sql,
+            statement.classification,
+            parameter_types=statement.parameter_types,
+            bind=portal.parameters,
+            describe=describe,
+        )
+        self._output.submit(work, on_result)
+
+    def _close(self, fields: PayloadReader) -> None:
+        kind, name = fields.integer("B"), fields.string()
+        if kind == DESCRIBE_STATEMENT:
+            self._objects.close_statement(name)
+        else:
+            self._objects.close_portal(name)
+        self._output.write(pg.CLOSE_COMPLETE)
+
+    def _sync(self, fields: PayloadReader) -> None:
+        self._skipping_until_sync = False
+        self._objects.close_all_portals()
+        self._output.write(pg.READY_FOR_QUERY)
+
+    def _relay(self, result: bytes, failed: bool) -> None:
+        """Pass an engine's answer on; after an error what follows is skipped up to Sync."""
+        if failed:
+            self._skipping_until_sync = True
+        self._output.write(result)
+
+    # Other messages.
+
+    def _ignore(self, fields: PayloadReader) -> None:
+        """Flush: everything is written at once. CopyData and its like: the rest of a COPY that was rejected."""
+
+    def _terminate(self, fields: PayloadReader) -> None:
+        self._output.close("terminated")
+
+    def _function_call(self, fields: PayloadReader) -> None:
+        self._in_simple_query = True  # it is no part of the extended query protocol: no Sync follows
+        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "function calls are not supported", "Use SELECT.")
+
+    _HANDLERS: ClassVar[dict[bytes, Callable[[Session, PayloadReader], None]]] = {
+        FrontendType.QUERY: _query,
+        FrontendType.PARSE: _parse,
+        FrontendType.BIND: _bind,
+        FrontendType.DESCRIBE: _describe,
+        FrontendType.EXECUTE: _execute,
+        FrontendType.CLOSE: _close,
+        FrontendType.SYNC: _sync,
+        FrontendType.FLUSH: _ignore,
+        FrontendType.TERMINATE: _terminate,
+        FrontendType.FUNCTION_CALL: _function_call,
+        FrontendType.COPY_DATA: _ignore,
+        FrontendType.COPY_DONE: _ignore,
+        FrontendType.COPY_FAIL: _ignore,
+    }
+
+    # Statements.
+
+    def _run_local(self, classification: Classification) -> bytes:
+        """Do what needs no engine; returns its rows and CommandComplete."""
+        match classification.local:
+            case LocalCommand.EMPTY:
+                return pg.EMPTY_QUERY_RESPONSE
+            case LocalCommand.SET:
+                self.parameters = self.parameters.set(classification.name, classification.value, self._context.workload)
+                return pg.pack_command_complete("SET")
+            case LocalCommand.SHOW:
+                value = self.parameters.show(classification.name).encode()
+                row = pg.pack(BackendType.DATA_ROW, struct.pack(">hi", 1, len(value)) + value)
+                return row + pg.pack_command_complete("SHOW")
+            case _:
+                if classification.name in ("DISCARD", "DEALLOCATE"):
+                    self._objects.close_all_statements()
+                return pg.pack_command_complete(classification.name)
+
+    def _new_work(
+        self,
+        sql: str,
+        classification: Classification,
+        *,
+        simple: bool = False,
+        parameter_types: bytes = NO_PARAMETER_TYPES,
+        bind: bytes | None = None,
+        describe: bool = False,
+        execute: bool = True,
+    ) -> PgWork:
+        """The request for an engine, under the session's parameters. An idempotency key is used up by what runs."""
+        parameters = self.parameters
+        idempotency_key = ""
+        runs = simple or bind is not None and execute
+        if parameters.idempotency_key and runs:
+            if not self._context.handoff_enabled:
+                text = "decklb.request needs the handoff, which is off here"
+                raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, text)
+            idempotency_key = parameters.idempotency_key
+            self.parameters = replace(parameters, idempotency_key="")
+        request_class = self._request_class(classification)
+        text_bytes = sql.encode()
+        return PgWork(
+            self._context.new_request_id(),
+            request_class,
+            parameters.tenant,
+            parameters.budget_ms or self._context.workload.classes[request_class].deadline,
+            text_bytes,
+            table_group(text_bytes),
+            parameters.ordering_key or None,
+            once=idempotency_key,
+            simple=simple,
+            types=parameter_types,
+            bind=bind,
+            describe=describe,
+            execute=execute,
+        )
+
+    def _request_class(self, classification: Classification) -> str:
+        """The session's class, or another for what writes in a class that may be repeated as if it only read."""
+        write_class = self._context.postgres.write_class
+        request_class = self.parameters.request_class
+        effect = self._context.workload.classes[request_class].effect
+        if classification.writes and write_class and effect is Effect.SAFE:
+            return write_class
+        return request_class
+
+
+def _has_error(result: bytes) -> bool:
+    return any(message.type == BackendType.ERROR_RESPONSE for message in pg.split_messages(result))
+
+
+def _describe_local(classification: Classification) -> bytes:
+    """RowDescription or NoData of what is answered here."""
+    if classification.local is not LocalCommand.SHOW:
+        return pg.NO_DATA
+    column_count = struct.pack(">h", 1)
+    column = struct.pack(">ihihih", 0, 0, TEXT_OID, -1, -1, 0)  # table, attribute, type, size, modifier, text format
+    return pg.pack(BackendType.ROW_DESCRIPTION, column_count + pg.pack_string(classification.name) + column)
--- a/decklb/pg/statements.py
+++ b/decklb/pg/statements.py
@@ -1,49 +1,63 @@
-"""What can be told from a statement's text: whether it can be kept safely, whether it writes, what it sets."""
+"""Classification of a statement by its text: what engines may run, whether it writes, what is answered here.
+
+Statements of one session run on different engines, one at a time and in autocommit mode. What leaves state in one
+engine's session, or needs it, is rejected. Pure functions; called by `decklb.pg.session` for each Query and Parse.
+"""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
+from enum import Enum, auto
 
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
 from decklb.wire.tables import names
 
-TRANSACTIONS = {b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release"}
-# Each of these leaves something behind in one engine's session, which the next statement may not meet.
-SESSION = {
-    b"declare",
-    b"fetch",
-    b"move",
-    b"close",
-    b"listen",
-    b"unlisten",
-    b"notify",
-    b"prepare",
-    b"execute",
-    b"lock",
-    b"load",
-}
-WRITES = {
-    b"insert",
-    b"update",
-    b"delete",
-    b"merge",
-    b"call",
-    b"do",
-    b"create",
-    b"alter",
-    b"drop",
-    b"truncate",
-    b"grant",
-    b"revoke",
-    b"refresh",
-    b"reindex",
-    b"vacuum",
-    b"analyze",
-    b"cluster",
-    b"comment",
-}
+# First words of statements, as `decklb.wire.tables` cuts them: in lower case.
+TRANSACTION_COMMANDS = frozenset(
+    (b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release")
+)
+# Each leaves something behind in one engine's session, which the next statement may not meet.
+SESSION_STATE_COMMANDS = frozenset(
+    (
+        b"declare",
+        b"fetch",
+        b"move",
+        b"close",
+        b"listen",
+        b"unlisten",
+        b"notify",
+        b"prepare",
+        b"execute",
+        b"lock",
+        b"load",
+    )
+)
+PARAMETER_COMMANDS = frozenset((b"set", b"reset", b"discard", b"deallocate"))
+# A statement writes if one of these stands anywhere in it, as in WITH ... DELETE.
+WRITE_KEYWORDS = frozenset(
+    (
+        b"insert",
+        b"update",
+        b"delete",
+        b"merge",
+        b"call",
+        b"do",
+        b"create",
+        b"alter",
+        b"drop",
+        b"truncate",
+        b"grant",
+        b"revoke",
+        b"refresh",
+        b"reindex",
+        b"vacuum",
+        b"analyze",
+        b"cluster",
+        b"comment",
+    )
+)
 _SET = re.compile(
     r"\s*set\s+(?:session\s+)?(?P<name>[\w.]+)\s*(?:=|\s+to\s+)\s*(?P<value>'(?:[^']|'')*'|[^;\s]+)"
     r"\s*;?\s*\Z",
@@ -52,63 +66,86 @@
 _SHOW = re.compile(r"\s*show\s+(?P<name>decklb\.\w+)\s*;?\s*\Z", re.IGNORECASE)
 
 
+class LocalCommand(Enum):
+    """A statement that is answered here, without an engine."""
+
+    EMPTY = auto()
+    SET = auto()
+    SHOW = auto()
+    RESET = auto()  # RESET, DISCARD and DEALLOCATE
+
+
 @dataclass(slots=True)
-class Statement:
-    """What a text is. `local` names what the front does itself: set, show, reset or empty."""
+class Classification:
+    """What a text tells of its statement.
+
+    Attributes:
+        writes: Whether it may change data.
+        local: What is done here; None if an engine has to run it.
+        name: Of SET and SHOW the parameter's name, of RESET and its like the command.
+        value: Of SET the value.
+    """
 
     writes: bool = False
-    local: str = ""
+    local: LocalCommand | None = None
     name: str = ""
     value: str = ""
 
 
-def classify(sql: str) -> Statement:
-    """Raises PgError for what can't be kept safely over several engines."""
-    firsts, writes, start = [], False, True
+def classify(sql: str) -> Classification:
+    """What the text, of one or several statements, tells. Raises PgError for what can't run over several engines."""
+    first_words, writes = _scan(sql)
+    if not first_words:
+        return Classification(local=LocalCommand.EMPTY)
+    for word in first_words:
+        _reject_unsupported(word)
+    if len(first_words) == 1 and first_words[0] in PARAMETER_COMMANDS or _SHOW.match(sql):
+        return _classify_local(sql, first_words[0])
+    if not PARAMETER_COMMANDS.isdisjoint(first_words):
+        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "SET and its like can't stand among other statements")
+    return Classification(writes=writes)
+
+
+def _scan(sql: str) -> tuple[list[bytes], bool]:
+    """The first word of each statement (b"" where it is no word), and whether any statement writes."""
+    first_words: list[bytes] = []
+    writes, at_start = False, True
     for kind, word in names(sql.encode()):
         if kind == b"sign" and word == b";":
-            start = True
-        elif start:
-            firsts.append(word if kind == b"name" else b"")
-            start = False
-        writes = writes or kind == b"name" and word in WRITES
-    if not firsts:
-        return Statement(local="empty")
-    for first in firsts:
-        _refuse(first)
-    if firsts in ([b"set"], [b"reset"], [b"discard"], [b"deallocate"]) or _SHOW.match(sql):
-        return _local(sql, firsts[0])
-    if {b"set", b"reset", b"discard", b"deallocate"} & set(firsts):
-        raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "SET and its like can't stand among other statements")
-    return Statement(writes=writes)
+            at_start = True
+        elif at_start:
+            first_words.append(word if kind == b"name" else b"")
+            at_start = False
+        writes = writes or kind == b"name" and word in WRITE_KEYWORDS
+    return first_words, writes
 
 
-def _refuse(first: bytes) -> None:
-    if first in TRANSACTIONS:
+def _reject_unsupported(first_word: bytes) -> None:
+    if first_word in TRANSACTION_COMMANDS:
         raise PgError(
             sqlstate.FEATURE_NOT_SUPPORTED,
             "explicit transactions can't be kept across engines",
             "Send each statement by itself, in autocommit mode.",
         )
-    if first == b"copy":
+    if first_word == b"copy":
         raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "COPY is not supported", "Use INSERT or SELECT.")
-    if first in SESSION:
+    if first_word in SESSION_STATE_COMMANDS:
         raise PgError(
             sqlstate.FEATURE_NOT_SUPPORTED,
-            f"{first.decode().upper()} needs a session of its own on an engine",
+            f"{first_word.decode().upper()} needs a session of its own on an engine",
             "Use the protocol's own prepared statements.",
         )
 
 
-def _local(sql: str, first: bytes) -> Statement:
-    if m := _SHOW.match(sql):
-        return Statement(local="show", name=m["name"].lower())
-    if first != b"set":
-        return Statement(local="reset", name=first.decode().upper())
-    m = _SET.match(sql)
-    if m is None:
+def _classify_local(sql: str, first_word: bytes) -> Classification:
+    if show := _SHOW.match(sql):
+        return Classification(local=LocalCommand.SHOW, name=show["name"].lower())
+    if first_word != b"set":
+        return Classification(local=LocalCommand.RESET, name=first_word.decode().upper())
+    assignment = _SET.match(sql)
+    if assignment is None:
         raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "this form of SET is not supported", "Use SET name = value.")
-    value = m["value"]
+    value = assignment["value"]
     if value.startswith("'"):
         value = value[1:-1].replace("''", "'")
-    return Statement(local="set", name=m["name"].lower(), value=value)
+    return Classification(local=LocalCommand.SET, name=assignment["name"].lower(), value=value)
--- a/tests/test_pg.py
+++ b/tests/test_pg.py
@@ -13,7 +13,7 @@
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
-from decklb.pg.statements import classify
+from decklb.pg.statements import LocalCommand, classify
 from tests.standins import DEADLINE, Loop, PgEngine, Program, known, wait_for
 
 POSTGRES = {
@@ -54,19 +54,19 @@
 
     def test_what_statements_are(self):
         for sql, local, writes in (
-            ("select 1", "", False),
-            ("  -- begin\n select 'commit'", "", False),
-            ("", "empty", False),
-            (" ; /* /* */ begin */", "empty", False),
-            ("SET decklb.class = 'load'", "set", False),
-            ("set statement_timeout to 500", "set", False),
-            ("RESET ALL", "reset", False),
-            ("show decklb.tenant", "show", False),
-            ("show server_version", "", False),
-            ("with x as (delete from a returning 1) select * from x", "", True),
-            ("INSERT into a values(1)", "", True),
-            ("select 1; update a set b = 1", "", True),
-            ("select $$ begin; insert $$", "", False),
+            ("select 1", None, False),
+            ("  -- begin\n select 'commit'", None, False),
+            ("", LocalCommand.EMPTY, False),
+            (" ; /* /* */ begin */", LocalCommand.EMPTY, False),
+            ("SET decklb.class = 'load'", LocalCommand.SET, False),
+            ("set statement_timeout to 500", LocalCommand.SET, False),
+            ("RESET ALL", LocalCommand.RESET, False),
+            ("show decklb.tenant", LocalCommand.SHOW, False),
+            ("show server_version", None, False),
+            ("with x as (delete from a returning 1) select * from x", None, True),
+            ("INSERT into a values(1)", None, True),
+            ("select 1; update a set b = 1", None, True),
+            ("select $$ begin; insert $$", None, False),
         ):
             kind = classify(sql)
             self.assertEqual((kind.local, kind.writes), (local, writes), sql)
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -10,10 +10,11 @@
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
 from decklb.pg.codec import PgCodec
-from decklb.pg.connection import PgFront
 from decklb.pg.engines import PgWork
 from decklb.pg.errors import PgError
-from decklb.pg.settings import Parameters, PgSettings
+from decklb.pg.listener import PgListener
+from decklb.pg.parameters import SessionParameters
+from decklb.pg.settings import PgSettings
 from decklb.pg.statements import classify
 from decklb.settings import settings_from
 from tests.standins import ROOT, SETTINGS
@@ -93,13 +94,18 @@
         found = classify(sql)
     except PgError as error:
         return {"error": error_fields(error)}
-    return {"writes": found.writes, "local": found.local, "name": found.name, "value": found.value}
+    return {
+        "writes": found.writes,
+        "local": found.local.name.lower() if found.local else "",
+        "name": found.name,
+        "value": found.value,
+    }
 
 
 def set_parameter(name, value):
     """The value that SHOW tells after SET, or the error of SET."""
     try:
-        changed = Parameters("cusco", "read").set(name, value, settings_from(SETTINGS))
+        changed = SessionParameters("cusco", "read").set(name, value, settings_from(SETTINGS))
     except PgError as error:
         return {"error": error_fields(error)}
     return {n: changed.show(n) for n in ("tenant", "class", "budget", "key", "request")}
@@ -196,16 +202,16 @@
     events, clock = [], Clock()
     dispatcher = FakeDispatcher(clock)
     settings = PgSettings.from_raw(POSTGRES, dispatcher.settings)
-    front = PgFront(dispatcher, settings, lambda bound: 77 % bound, most_clients=2)
-    intake = front.intake = FakeIntake(events)
+    listener = PgListener(dispatcher, settings, lambda bound: 77 % bound, max_clients=2)
+    intake = listener.context.intake = FakeIntake(events)
     connections, recorded = [], []
     for step, *arguments in script:
         if step == "connect":
-            connections.append(front.buildProtocol(None))
+            connections.append(listener.buildProtocol(None))
             connections[-1].transport = FakeTransport(events)
             connections[-1].connectionMade()
         elif step == "keep-answers":
-            front.keeps = True
+            listener.enable_handoff(intake)
         elif step == "receive":
             connections[-1].dataReceived(bytes.fromhex(arguments[0]))
         elif step == "receive-on":
@@ -225,7 +231,7 @@
         elif step == "disconnect":
             connections[-1].connectionLost()
         elif step == "close-front":
-            front.close()
+            listener.close()
         else:
             raise AssertionError(step)
         recorded.append([step, events[:]])
