--- a/decklb/middleware/__init__.py
+++ b/decklb/middleware/__init__.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from decklb.middleware.asgi import Ask, WorkloadMiddleware
+from decklb.middleware.middleware import Ask, WorkloadMiddleware
 
 __all__ = ["Ask", "Members", "WorkloadMiddleware"]
 
--- a/decklb/middleware/codec.py
+++ b/decklb/middleware/codec.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from decklb.core.ports import Work
-from decklb.middleware.asgi import AsgiWork, Message, Scope
+from decklb.middleware.middleware import AsgiWork, Message, Scope
 
 # What of a scope means the same in another process. The rest (state, extensions, sockets) is its own process's.
 TEXTS = ("http_version", "method", "scheme", "path", "root_path")
--- a/tests/test_middleware_wire_format.py
+++ b/tests/test_middleware_wire_format.py
@@ -8,8 +8,8 @@
 import pytest
 
 from decklb.middleware import Ask, WorkloadMiddleware
-from decklb.middleware.asgi import AsgiWork
 from decklb.middleware.codec import AsgiCodec
+from decklb.middleware.middleware import AsgiWork
 from decklb.settings import settings_from
 from tests.standins import ROOT, SETTINGS
 
