--- a/decklb/middleware/__init__.py
+++ b/decklb/middleware/__init__.py
@@ -1,10 +1,15 @@
-"""The core embedded in an ASGI application, on its own event loop."""
+"""The dispatcher embedded in an ASGI application, on the application's own event loop.
+
+Public: `WorkloadMiddleware` wraps an application, `RequestSpec` says how to manage a request, `Members` joins the
+processes of an application into a fleet. `Ask` is the deprecated former name of `RequestSpec`.
+"""
 
 from typing import Any
 
-from decklb.middleware.middleware import Ask, WorkloadMiddleware
+from decklb.middleware.middleware import WorkloadMiddleware
+from decklb.middleware.requests import Ask, RequestSpec
 
-__all__ = ["Ask", "Members", "WorkloadMiddleware"]
+__all__ = ["Ask", "Members", "RequestSpec", "WorkloadMiddleware"]
 
 
 def __getattr__(name: str) -> Any:
--- a/decklb/middleware/codec.py
+++ b/decklb/middleware/codec.py
@@ -1,88 +1,105 @@
-"""How requests and responses of an application are written down for another process of it."""
+"""Requests and responses in the form in which another process of the application takes them over.
 
-from __future__ import annotations
+MessagePack arrays, whose order of fields is part of the wire form. Used by the handoff (`decklb.handoff.guard.Codec`)
+and by `decklb.middleware.middleware`.
+"""
 
-from typing import Any
+from __future__ import annotations
 
 import msgspec
 
 from decklb.core.ports import Work
-from decklb.middleware.middleware import AsgiWork, Message, Scope
+from decklb.middleware.asgi import Message, Scope
+from decklb.middleware.requests import AsgiWork
 
 # What of a scope means the same in another process. The rest (state, extensions, sockets) is its own process's.
-TEXTS = ("http_version", "method", "scheme", "path", "root_path")
-BYTES = ("raw_path", "query_string")
+TEXT_SCOPE_KEYS = ("http_version", "method", "scheme", "path", "root_path")
+BYTES_SCOPE_KEYS = ("raw_path", "query_string")
+ASGI_VERSION = "3.0"
+REQUEST_ID = "taken-over"  # in the log, of what another process has taken
 
 
-class _Written(msgspec.Struct, array_like=True, frozen=True):
-    lane: str
+class _RequestRecord(msgspec.Struct, array_like=True, frozen=True):
+    request_class: str
     tenant: str
-    tables: int
-    key: str | None
-    texts: dict[str, str]
-    parts: dict[str, bytes]
+    table_group: int
+    ordering_key: str | None
+    text_scope: dict[str, str]
+    bytes_scope: dict[str, bytes]
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
 
-class _Response(msgspec.Struct, array_like=True, frozen=True):
+class _ResponseRecord(msgspec.Struct, array_like=True, frozen=True):
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
 
 class AsgiCodec:
-    """See `decklb.handoff.guard.Codec`. Headers that differ from one sending to the next are left out."""
+    """Encodes and decodes requests and responses."""
 
-    def __init__(self, passing: frozenset[bytes]) -> None:
-        """`passing`: names of headers, in small letters, that are no part of what a request asks."""
-        self.passing = passing
+    def __init__(self, ignored_headers: frozenset[bytes]) -> None:
+        """`ignored_headers`: names, in lower case, of headers that may differ between retries of one request."""
+        self._ignored_headers = ignored_headers
 
     def encode(self, work: Work) -> bytes:
-        """The same for the same request."""
+        """The same bytes for the same request."""
         assert isinstance(work, AsgiWork)
-        s = work.scope
-        headers = [(bytes(k), bytes(v)) for k, v in s.get("headers", ()) if bytes(k).lower() not in self.passing]
-        return msgspec.msgpack.encode(
-            _Written(
-                work.lane,
-                work.tenant,
-                work.tables,
-                work.key,
-                {k: str(s[k]) for k in TEXTS if s.get(k) is not None},
-                {k: bytes(s[k]) for k in BYTES if s.get(k) is not None},
-                headers,
-                work.statement,
-            )
+        scope = work.scope
+        record = _RequestRecord(
+            request_class=work.lane,
+            tenant=work.tenant,
+            table_group=work.tables,
+            ordering_key=work.key,
+            text_scope={key: str(scope[key]) for key in TEXT_SCOPE_KEYS if scope.get(key) is not None},
+            bytes_scope={key: bytes(scope[key]) for key in BYTES_SCOPE_KEYS if scope.get(key) is not None},
+            headers=[
+                (bytes(name), bytes(value))
+                for name, value in scope.get("headers", ())
+                if bytes(name).lower() not in self._ignored_headers
+            ],
+            body=work.statement,
         )
+        return msgspec.msgpack.encode(record)
 
     def decode(self, body: bytes, budget: float) -> AsgiWork:
-        """The request again; whoever was its client is not in the scope."""
-        w = msgspec.msgpack.decode(body, type=_Written)
+        """The request again, with `budget` ms to run; its scope names no client and no server."""
+        record = msgspec.msgpack.decode(body, type=_RequestRecord)
         scope: Scope = {
             "type": "http",
-            "asgi": {"version": "3.0"},
+            "asgi": {"version": ASGI_VERSION},
             "client": None,
             "server": None,
-            "headers": w.headers,
-            **w.texts,
-            **w.parts,
+            "headers": record.headers,
+            **record.text_scope,
+            **record.bytes_scope,
         }
-        return AsgiWork("taken-over", w.lane, w.tenant, budget, w.body, w.tables, w.key, scope=scope)
-
-    def response(self, messages: list[Message]) -> bytes:
-        """A whole response."""
-        start = messages[0]
-        return msgspec.msgpack.encode(
-            _Response(
-                int(start["status"]),
-                [(bytes(k), bytes(v)) for k, v in start.get("headers", ())],
-                b"".join(m.get("body", b"") for m in messages[1:]),
-            )
+        return AsgiWork(
+            REQUEST_ID,
+            record.request_class,
+            record.tenant,
+            budget,
+            record.body,
+            record.table_group,
+            record.ordering_key,
+            scope=scope,
         )
 
-    def messages(self, written: bytes) -> list[Message]:
-        """It again."""
-        r = msgspec.msgpack.decode(written, type=_Response)
-        start: dict[str, Any] = {"type": "http.response.start", "status": r.status, "headers": r.headers}
-        return [start, {"type": "http.response.body", "body": r.body}]
+    def encode_response(self, messages: list[Message]) -> bytes:
+        """The record of a complete response."""
+        start, *parts = messages
+        record = _ResponseRecord(
+            status=int(start["status"]),
+            headers=[(bytes(name), bytes(value)) for name, value in start.get("headers", ())],
+            body=b"".join(part.get("body", b"") for part in parts),
+        )
+        return msgspec.msgpack.encode(record)
+
+    def decode_response(self, encoded: bytes) -> list[Message]:
+        """The messages of a response, its body in one part."""
+        record = msgspec.msgpack.decode(encoded, type=_ResponseRecord)
+        return [
+            {"type": "http.response.start", "status": record.status, "headers": record.headers},
+            {"type": "http.response.body", "body": record.body},
+        ]
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -1,6 +1,7 @@
 """A process of an application as a member of a fleet: what one process took, another can take over.
 
-The members' parts are Twisted's; they run on the application's own event loop, beside it.
+`Members` joins the cluster and puts the handoff before the dispatcher; `WorkloadMiddleware` attaches and closes it. The
+cluster and the handoff are Twisted's; they run on the application's own event loop, beside it.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from decklb.wire.clock import steady
 from decklb.wire.prober import Prober
 
-# Headers that proxies, tracing and clients' tries set anew each time: they don't make another request of it.
+# Headers that proxies, tracing and clients' retries set anew each time: they don't make another request of it.
 PASSING = frozenset(
     (
         b"host",
@@ -39,21 +40,36 @@
 
 
 class Members:
-    """One process's membership. `settings` names the operators' XML, with its <cluster> and <handoff>."""
+    """One process's membership in the fleet.
+
+    Attributes:
+        codec: The form in which requests and responses go to other processes.
+        cluster: Who is alive; None before `attach`.
+        handoff: Copies of requests at other members; None before `attach`.
+    """
 
     def __init__(self, settings: str, member: str, passing: frozenset[bytes] = PASSING) -> None:
-        """`member` names this process. Raises SettingsError."""
+        """Read the settings.
+
+        Args:
+            settings: Path of the operators' XML, with its <cluster> and <handoff>.
+            member: Name of this process in the cluster.
+            passing: Names, in lower case, of headers that may differ between retries of one request.
+
+        Raises:
+            SettingsError: The settings can't be used.
+        """
         self.cluster_settings, self.handoff_settings = settings_of(settings, member)
         self.codec = AsgiCodec(passing)
         self.cluster: ClusterService | None = None
         self.handoff: HandoffService | None = None
 
     def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> Guard:
-        """Open the sockets on the running loop, and stand before the dispatcher."""
+        """Open the sockets on the running loop; returns the intake that stands before the dispatcher."""
         reactor: Any = steady(AsyncioSelectorReactor(loop))
         guard = Guard(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
-            reactor, clock, self.cluster_settings, Prober(reactor, clock, _none, 0.0), lambda engine, up: None
+            reactor, clock, self.cluster_settings, Prober(reactor, clock, _no_probes, 0.0), lambda engine, up: None
         )
         self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, guard)
         self.cluster.start()
@@ -61,12 +77,12 @@
         return guard
 
     def close(self) -> None:
-        """Leave: others take over at once what is held here."""
+        """Leave: other members take over at once what is held here."""
         if self.handoff is not None:
             self.handoff.close()
         if self.cluster is not None:
             self.cluster.close()
 
 
-def _none(*_: Any) -> Any:
-    raise AssertionError("an application's members probe no engines")
+def _no_probes(*_: Any) -> Any:
+    raise AssertionError("an application's members check no engines")
--- a/tests/standin_app.py
+++ b/tests/standin_app.py
@@ -9,7 +9,7 @@
 from starlette.routing import Route
 
 from decklb import interface as api
-from decklb.middleware import Ask, Members, WorkloadMiddleware
+from decklb.middleware import Members, RequestSpec, WorkloadMiddleware
 from decklb.settings import settings_from
 from tests.standins import SETTINGS
 
@@ -30,8 +30,8 @@
 
 
 def classify(scope):
-    once = next((v.decode() for k, v in scope["headers"] if k == b"idempotency-key"), "")
-    return Ask("load" if scope["method"] == "POST" else "read", "cusco", once=once)
+    key = next((v.decode() for k, v in scope["headers"] if k == b"idempotency-key"), "")
+    return RequestSpec("load" if scope["method"] == "POST" else "read", "cusco", idempotency_key=key)
 
 
 app = WorkloadMiddleware(
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -11,7 +11,7 @@
 from starlette.routing import Route
 
 from decklb import interface as api
-from decklb.middleware import Ask, WorkloadMiddleware
+from decklb.middleware import Ask, RequestSpec, WorkloadMiddleware
 from decklb.settings import settings_from
 from tests.standins import DEADLINE, SETTINGS
 
@@ -25,7 +25,7 @@
             app,
             settings_from(SETTINGS),
             engines,
-            lambda scope: None if scope["path"] == "/health" else Ask("read", "cusco", budget),
+            lambda scope: None if scope["path"] == "/health" else RequestSpec("read", "cusco", budget),
             **more,
         )
         transport = httpx.ASGITransport(app=self.wrapped)
@@ -110,6 +110,16 @@
             self.assertEqual((await client.post("/x", content="x" * 11)).status_code, 413)
             self.assertEqual((await client.get("/health")).text, "none")
 
+    def test_the_deprecated_name_makes_the_same_request(self):
+        ask = Ask("read", "cusco", budget=5.0, tables=3, key="k", once="o")
+        spec = RequestSpec("read", "cusco", budget_ms=5.0, table_group=3, ordering_key="k", idempotency_key="o")
+        self.assertIsInstance(ask, RequestSpec)
+        for name in ("request_class", "tenant", "budget_ms", "table_group", "ordering_key", "idempotency_key"):
+            self.assertEqual(getattr(ask, name), getattr(spec, name))
+        self.assertEqual((ask.lane, ask.budget, ask.tables, ask.key, ask.once), ("read", 5.0, 3, "k", "o"))
+        ask.once = "p"
+        self.assertEqual(ask.idempotency_key, "p")
+
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/test_middleware_wire_format.py
+++ b/tests/test_middleware_wire_format.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from decklb.middleware import Ask, WorkloadMiddleware
+from decklb.middleware import RequestSpec, WorkloadMiddleware
 from decklb.middleware.codec import AsgiCodec
-from decklb.middleware.middleware import AsgiWork
+from decklb.middleware.requests import AsgiWork
 from decklb.settings import settings_from
 from tests.standins import ROOT, SETTINGS
 
@@ -71,7 +71,9 @@
             pass
 
     async def call():
-        middleware = WorkloadMiddleware(None, settings_from(SETTINGS), [], lambda scope: Ask("read", "", budget_ms))
+        middleware = WorkloadMiddleware(
+            None, settings_from(SETTINGS), [], lambda scope: RequestSpec("read", "", budget_ms)
+        )
         middleware.intake = FakeIntake()
         sent, received = [], [{"type": "http.request", "body": b"", "more_body": False}]
 
@@ -99,8 +101,8 @@
 
 @pytest.mark.parametrize("name", RESPONSES)
 def test_records_of_responses_keep_their_bytes(name):
-    assert CODEC.response(RESPONSES[name]).hex() == GOLDEN["responses"][name]["record"]
-    messages = CODEC.messages(bytes.fromhex(GOLDEN["responses"][name]["record"]))
+    assert CODEC.encode_response(RESPONSES[name]).hex() == GOLDEN["responses"][name]["record"]
+    messages = CODEC.decode_response(bytes.fromhex(GOLDEN["responses"][name]["record"]))
     assert plain(messages) == GOLDEN["responses"][name]["messages"]
 
 
