--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,6 +6,7 @@
 import pytest
 
 from tests import known_red
+from tests.pg_program import running_pg_program
 
 FLEETS = {
     "test_handoff_program": "fleets-1",
@@ -20,6 +21,13 @@
 }
 
 
+@pytest.fixture
+def pg_program():
+    """The program with PostgreSQL engines behind it; see `tests/pg_program.py`."""
+    with running_pg_program() as program:
+        yield program
+
+
 def pytest_collection_modifyitems(items):
     expected = known_red.load()
     for item in items:
--- /dev/null
+++ b/tests/pg_program.py
@@ -0,0 +1,145 @@
+"""The program with PostgreSQL stand-in engines behind it, and a client that sends exactly what a test wants.
+
+`conftest.py` makes `running_pg_program` the fixture `pg_program`.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+import struct
+
+import psycopg
+
+from decklb.pg import messages as pg
+from tests.standins import DEADLINE, Loop, PgEngine, Program, known
+
+POSTGRES = {
+    "user": "decklb",
+    "database": "registro",
+    "writes": "load",
+    "defaults": {"tenant": "cusco", "class": "read"},
+    "users": {"cargador": {"class": "load", "tenant": "ayacucho"}},
+}
+
+
+def query(sql):
+    return pg.pack(b"Q", sql.encode() + b"\0")
+
+
+def parse(sql, name=b""):
+    return pg.pack(b"P", name + b"\0" + sql.encode() + b"\0" + b"\0\0")
+
+
+def bind(name=b"", portal=b""):
+    return pg.pack(b"B", portal + b"\0" + name + b"\0" + b"\0\0" * 3)
+
+
+def execute(max_rows=0, portal=b""):
+    return pg.pack(b"E", portal + b"\0" + struct.pack(">i", max_rows))
+
+
+class ScriptedClient:
+    """A client that sends exactly what a test wants it to send."""
+
+    def __init__(self, port, **parameters):
+        self.socket = socket.create_connection(("127.0.0.1", port), DEADLINE)
+        self.reader = pg.MessageReader(1 << 24, startup=False)
+        self.received = []
+        self.socket.sendall(pg.pack_startup({"user": "u"} | parameters))
+        self.backend_key = next(message.payload for message in self.until(b"Z") if message.type == b"K")
+
+    def send(self, *messages):
+        self.socket.sendall(b"".join(messages))
+
+    def until(self, message_type):
+        """All messages up to one of this type."""
+        while not any(message.type == message_type for message in self.received):
+            data = self.socket.recv(65536)
+            if not data:
+                types = [message.type for message in self.received]
+                raise AssertionError(f"closed before {message_type!r}: {types}")
+            self.received += self.reader.feed(data)
+        end = next(i for i, message in enumerate(self.received) if message.type == message_type) + 1
+        found, self.received = self.received[:end], self.received[end:]
+        return found
+
+    def types(self, message_type=b"Z"):
+        """The types of all messages up to one of this type."""
+        return b"".join(message.type for message in self.until(message_type))
+
+    def sqlstate(self):
+        """That of the next error."""
+        return pg.read_error(self.until(b"E")[-1].payload)["C"]
+
+    def close(self):
+        self.socket.close()
+
+
+class PgProgram:
+    """The program, its engines, and the clients that a test opened."""
+
+    def __init__(self, program, engines):
+        self.program, self.engines, self.port = program, engines, program.port
+        self.clients = []
+
+    def connect(self, **options):
+        """A connection of a stock driver."""
+        return psycopg.connect(
+            host="127.0.0.1",
+            port=self.port,
+            user="u",
+            autocommit=True,
+            dbname="registro",
+            connect_timeout=20,
+            sslmode="prefer",
+            **options,
+        )
+
+    def scripted_client(self):
+        client = ScriptedClient(self.port)
+        self.clients.append(client)
+        return client
+
+    def silent_connection(self):
+        """A connection on which nothing is sent."""
+        connection = socket.create_connection(("127.0.0.1", self.port), DEADLINE)
+        self.clients.append(connection)
+        return connection
+
+    def statements(self, what):
+        """The statements that engines noted: those that were parsed ("parse"), begun ("start") or ended ("end")."""
+        return [sql for engine in self.engines for sql in engine.said(what)]
+
+    def assert_no_overlap(self, sql):
+        """Attempts of one request: each starts after the one before has ended."""
+        spans = sorted((m, k) for e in self.engines for k, s, m in e.log if s == sql and k != "parse")
+        assert [k for _, k in spans] == ["start", "end"] * (len(spans) // 2)
+
+
+@contextlib.contextmanager
+def running_pg_program(**configuration):
+    """The program before two engines. At the end it is stopped, and must not have logged a traceback."""
+    loop = Loop()
+    engines = [PgEngine(loop), PgEngine(loop)]
+    ports = [engine.port for engine in engines]
+    program = Program({"known": known(*ports), "postgres": POSTGRES} | configuration)
+    running = PgProgram(program, engines)
+    try:
+        yield running
+    finally:
+        for client in running.clients:
+            client.close()
+        program.stop()
+        for engine in engines:
+            engine.close()
+        loop.stop()
+    assert program.logged("Traceback") == ""
+
+
+def reachable(port):
+    try:
+        socket.create_connection(("127.0.0.1", port), 1).close()
+    except OSError:
+        return False
+    return True
--- /dev/null
+++ b/tests/test_pg_statements.py
@@ -0,0 +1,54 @@
+"""What the text of a statement tells: whether engines may run it, whether it writes, what is answered here."""
+
+from __future__ import annotations
+
+import pytest
+
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError
+from decklb.pg.statements import LocalCommand, classify
+
+
+@pytest.mark.parametrize(
+    ("sql", "local", "writes"),
+    [
+        ("select 1", None, False),
+        ("  -- begin\n select 'commit'", None, False),
+        ("", LocalCommand.EMPTY, False),
+        (" ; /* /* */ begin */", LocalCommand.EMPTY, False),
+        ("SET decklb.class = 'load'", LocalCommand.SET, False),
+        ("set statement_timeout to 500", LocalCommand.SET, False),
+        ("RESET ALL", LocalCommand.RESET, False),
+        ("show decklb.tenant", LocalCommand.SHOW, False),
+        ("show server_version", None, False),
+        ("with x as (delete from a returning 1) select * from x", None, True),
+        ("INSERT into a values(1)", None, True),
+        ("select 1; update a set b = 1", None, True),
+        ("select $$ begin; insert $$", None, False),
+    ],
+)
+def test_statements_are_classified_by_their_words_outside_comments_and_strings(sql, local, writes):
+    classification = classify(sql)
+    assert (classification.local, classification.writes) == (local, writes)
+
+
+@pytest.mark.parametrize(
+    "sql",
+    [
+        "BEGIN",
+        "select 1; begin; select 2",
+        "start transaction",
+        "/* x */ Commit",
+        "COPY a from stdin",
+        "declare c cursor for select 1",
+        "listen x",
+        "set a = 1; select 1",
+        "set local x = 1",
+        "prepare p as select 1",
+        "lock table a",
+    ],
+)
+def test_statements_that_need_one_engines_session_are_not_supported(sql):
+    with pytest.raises(PgError) as caught:
+        classify(sql)
+    assert caught.value.sqlstate == sqlstate.FEATURE_NOT_SUPPORTED
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -13,12 +13,12 @@
 import time
 
 import pytest
-from test_pg import POSTGRES, Raw
 from test_program import Client, RespEngine, request
 
 from decklb.lab.injection.cuts import play_cuts
 from decklb.net import frames, resp
 from decklb.pg import messages as pg
+from tests.pg_program import POSTGRES, ScriptedClient
 from tests.standins import SETTINGS, Loop, PgEngine, Program, known, wait_for
 
 SETTLE = 400.0  # ms that a key rests after an end in doubt
@@ -99,7 +99,7 @@
         self.port, self.sessions = port, []
 
     def send(self, statement):
-        session = Raw(self.port, options="-c decklb.class=load -c decklb.key=k", user="cargador")
+        session = ScriptedClient(self.port, options="-c decklb.class=load -c decklb.key=k", user="cargador")
         self.sessions.append(session)
         session.send(pg.pack(b"Q", statement.encode() + b"\0"))
 
