--- a/tests/standin_app.py
+++ b/tests/standin_app.py
@@ -16,26 +16,26 @@
 NAME = os.environ["MEMBER"]
 
 
-def note(what, key):
+def note(what, run):
     with open(os.environ["RUNS"], "a") as log:
-        log.write(f"{what} {key} {NAME} {time.monotonic()}\n")
+        log.write(f"{what} {run} {NAME} {time.monotonic()}\n")
 
 
-async def run(request):
-    key, work = request.query_params["run"], int(request.query_params["work"])
-    note("start", key)
-    await asyncio.sleep(work / 1000)
-    note("end", key)
-    return PlainTextResponse(f"{key} by {NAME}", status_code=201, headers={"x-run": key})
+async def handle(request):
+    run, work_ms = request.query_params["run"], int(request.query_params["work"])
+    note("start", run)
+    await asyncio.sleep(work_ms / 1000)
+    note("end", run)
+    return PlainTextResponse(f"{run} by {NAME}", status_code=201, headers={"x-run": run})
 
 
 def classify(scope):
-    key = next((v.decode() for k, v in scope["headers"] if k == b"idempotency-key"), "")
+    key = next((value.decode() for name, value in scope["headers"] if name == b"idempotency-key"), "")
     return RequestSpec("load" if scope["method"] == "POST" else "read", "cusco", idempotency_key=key)
 
 
 app = WorkloadMiddleware(
-    Starlette(routes=[Route("/", run, methods=["GET", "POST"])]),
+    Starlette(routes=[Route("/", handle, methods=["GET", "POST"])]),
     settings_from(SETTINGS),
     [api.Entry(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(2)],
     classify,
