--- a/decklb/pg/messages.py
+++ b/decklb/pg/messages.py
@@ -109,17 +109,19 @@
         self.buffer += data
         while True:
             type_size = 0 if self.startup else 1
-            if len(self.buffer) < type_size + LENGTH_SIZE:
+            header_size = type_size + LENGTH_SIZE
+            if len(self.buffer) < header_size:
                 return
-            length = int.from_bytes(self.buffer[type_size : type_size + LENGTH_SIZE], "big")
+            length = int.from_bytes(self.buffer[type_size:header_size], "big")
             max_length = MAX_STARTUP_SIZE if self.startup else self.max_message_size
             if not LENGTH_SIZE <= length <= max_length:  # checked before the rest is waited for
                 raise PgError(sqlstate.PROTOCOL_VIOLATION, "message length is out of bounds", fatal=True)
-            if len(self.buffer) < type_size + length:
+            message_size = type_size + length
+            if len(self.buffer) < message_size:
                 return
-            raw = bytes(self.buffer[: type_size + length])
-            del self.buffer[: type_size + length]
-            yield Message(raw[:type_size], raw[type_size + LENGTH_SIZE :], raw)
+            raw = bytes(self.buffer[:message_size])
+            del self.buffer[:message_size]
+            yield Message(raw[:type_size], raw[header_size:], raw)
 
 
 def split_messages(raw: bytes) -> Iterator[Message]:
