--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -110,13 +110,14 @@
             self.assertEqual((await client.post("/x", content="x" * 11)).status_code, 413)
             self.assertEqual((await client.get("/health")).text, "none")
 
-    def test_the_deprecated_name_makes_the_same_request(self):
+    def test_deprecated_names_mean_the_same(self):
         ask = Ask("read", "cusco", budget=5.0, tables=3, key="k", once="o")
         spec = RequestSpec("read", "cusco", budget_ms=5.0, table_group=3, ordering_key="k", idempotency_key="o")
         self.assertIsInstance(ask, RequestSpec)
         for name in ("request_class", "tenant", "budget_ms", "table_group", "ordering_key", "idempotency_key"):
             self.assertEqual(getattr(ask, name), getattr(spec, name))
         self.assertEqual((ask.lane, ask.budget, ask.tables, ask.key, ask.once), ("read", 5.0, 3, "k", "o"))
+        self.assertIs(WorkloadMiddleware.members, WorkloadMiddleware.update_engines)
         ask.once = "p"
         self.assertEqual(ask.idempotency_key, "p")
 
