--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -47,13 +47,13 @@
     """What all connections of a listener share.
 
     Attributes:
-        sessions: What their sessions share.
+        session_context: What their sessions share.
         registry: Where connections enter and leave.
         clock: Monotonic time and timers.
         intake: Where statements go: the dispatcher, or the handoff before it.
     """
 
-    sessions: SessionContext
+    session_context: SessionContext
     registry: ConnectionRegistry
     clock: Clock
     intake: Intake
@@ -70,7 +70,7 @@
         self._backend_key: BackendKey | None = None
         self._running: RunningStatement | None = None
         self.write_paused = False  # the client does not read what it was sent
-        self._reader = pg.MessageReader(context.sessions.postgres.max_message_bytes, startup=True)
+        self._reader = pg.MessageReader(context.session_context.postgres.max_message_bytes, startup=True)
         self._pending: deque[pg.Message] = deque()
         self._pending_bytes = 0
         self._unread_bytes = 0  # written since the client stopped reading
@@ -126,7 +126,7 @@
 
     def _begin_session(self, startup: StartupMessage) -> None:
         self._registry.check_admission()
-        context = self._context.sessions
+        context = self._context.session_context
         parameters = initial_parameters(startup, context.postgres, context.workload)
         self._session = Session(context, self, parameters)
         self._reader.startup = False
@@ -156,7 +156,7 @@
         self.transport.write(data)
         if self.write_paused:
             self._unread_bytes += len(data)
-            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.sessions.postgres.most_result:
+            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.session_context.postgres.most_result:
                 self._closed, self._end_reason = True, "slow-reader"
                 self.transport.abortConnection()
 
