--- a/tests/pg_program.py
+++ b/tests/pg_program.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import contextlib
 import socket
 import struct
@@ -133,10 +134,19 @@
         program.stop()
         for engine in engines:
             engine.close()
+        loop.run(_cancel_all_tasks())
         loop.stop()
     assert program.logged("Traceback") == ""
 
 
+async def _cancel_all_tasks():
+    """End what still serves connections, while there is a loop to end it on."""
+    tasks = asyncio.all_tasks() - {asyncio.current_task()}
+    for task in tasks:
+        task.cancel()
+    await asyncio.gather(*tasks, return_exceptions=True)
+
+
 def reachable(port):
     try:
         socket.create_connection(("127.0.0.1", port), 1).close()
