--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -47,7 +47,7 @@
 
     def start(self) -> None:
         """Listen for words, and look from now on."""
-        self.cluster.topics[TOPIC] = self._heard
+        self.cluster.subscribe(TOPIC, self._heard)
         self.dispatcher.places = self
         self._arm()
 
@@ -69,9 +69,9 @@
     def place(self, lane: str) -> tuple[str, Collection[str] | None]:
         """For one request of a class: the zone to use first, and all that it may use."""
         self._taken[lane] += 1
-        usual, spec = self.dispatcher.gateway.usual.get(lane), self.dispatcher.settings.classes.get(lane)
+        statistics, spec = self.dispatcher.gateway.statistics.get(lane), self.dispatcher.settings.classes.get(lane)
         # The mean, not the least that a request takes, by which a budget would be overdrawn.
-        work = usual.hold * spec.threads if usual is not None and spec is not None else 0.0
+        work = statistics.run_ms * spec.threads if statistics is not None and spec is not None else 0.0
         return self.steering.place(self.clock.now(), lane, work, self.council)
 
     def ended(self, engine: str, lane: str, outcome: Outcome, took: float) -> None:
@@ -87,7 +87,7 @@
     def _tick(self) -> None:
         self.timer = None
         now = self.clock.now()
-        self.council.members(self.cluster.node.known())
+        self.council.members(self.cluster.node.known_members())
         for zone in self.council.common.zones:
             view = self.sight.view(zone, now)
             if view is not None:
@@ -96,7 +96,7 @@
         self.council.tick(now)
         out, self.council.out = self.council.out, []
         for data in out:
-            self.cluster.carry(TOPIC, data)
+            self.cluster.send_user_message(TOPIC, data)
         notices, self.council.notices = self.council.notices, []
         log_notices("zones", notices)
         for engine in self.sight.due(now, len(self.council.common.known)):
@@ -109,10 +109,10 @@
         """Cores that the own callers ask for, by the module's own figures of each class's work."""
         span, self._last = max(1.0, now - self._last), now
         weight, load = 1 - math.exp(-span / PACE), 0.0
-        for lane, u in self.dispatcher.gateway.usual.items():
+        for lane, statistics in self.dispatcher.gateway.statistics.items():
             rate = self._rates.get(lane, 0.0)
             rate = self._rates[lane] = rate + weight * (1000 * self._taken[lane] / span - rate)
-            load += rate * u.work / 1000 if u.n >= SURE else 0.0
+            load += rate * statistics.work_ms / 1000 if statistics.answers >= SURE else 0.0
         self._taken.clear()
         return load
 
@@ -140,7 +140,7 @@
         """The program ends; requests that still come go anywhere."""
         self.closed = True
         self.dispatcher.places = None
-        self.cluster.topics.pop(TOPIC, None)
+        self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
             self.timer.cancel()
         self.prober.close()
--- a/tests/test_middleware_fleet.py
+++ b/tests/test_middleware_fleet.py
@@ -14,7 +14,7 @@
 import pytest
 
 from decklb.cluster import keyfile
-from decklb.lab import ports
+from decklb.lab.faults import free_ports
 from tests.standins import DEADLINE, ROOT, wait_for
 
 NAMES = ["w0", "w1", "w2"]
@@ -81,9 +81,9 @@
 
     def __init__(self, folder, stack):
         self.folder, self.stack, self.workers = folder, stack, {}
-        member_ports = ports.free(len(NAMES))
+        member_ports = free_ports.free(len(NAMES))
         seeds = "".join(f"<seed>127.0.0.1:{port}</seed>" for port in member_ports)
-        keyfile.write(str(folder / "keys.json"), [keyfile.make()])
+        keyfile.write(str(folder / "keys.json"), [keyfile.generate()])
         (folder / "runs").touch()
         for name, port in zip(NAMES, member_ports, strict=True):
             (folder / f"{name}.xml").write_text(SETTINGS.format(port=port, seeds=seeds))
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -15,7 +15,7 @@
 import pytest
 from test_program import Client, RespEngine, request
 
-from decklb.lab.injection.cuts import play_cuts
+from decklb.lab.fault_runs.connection_cut_run import play_cuts
 from decklb.net import frames, resp
 from decklb.pg import messages as pg
 from tests.pg_program import POSTGRES, ScriptedClient
