--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -20,7 +20,7 @@
     from decklb.net.engines import RespEngines
     from decklb.net.listener import FrameListener
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
+    from decklb.pg.listener import PgListener
     from decklb.wire.health_check import HealthChecker
 
 
@@ -29,7 +29,7 @@
     """One core between a front and its engines."""
 
     dispatcher: Dispatcher
-    front: FrameListener | PgFront
+    front: FrameListener | PgListener
     engines: RespEngines | PgEngines
 
 
@@ -46,11 +46,11 @@
         listener = FrameListener(core, ready, config.most_clients, config.spare_clients, config.most_held)
         return Parts(core, listener, resp)
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
+    from decklb.pg.listener import PgListener
 
     pg = PgEngines(reactor, clock, config.postgres)
     core = Dispatcher(config.settings, config.seed, clock, pg)
-    return Parts(core, PgFront(core, config.postgres, draw, config.most_clients), pg)
+    return Parts(core, PgListener(core, config.postgres, draw, config.most_clients), pg)
 
 
 def speaker(reactor: Any, clock: Clock, config: Config) -> Speaker | None:
@@ -143,12 +143,14 @@
     from decklb.handoff.guard import Guard
     from decklb.handoff.runtime import HandoffService
     from decklb.pg.codec import PgCodec
-    from decklb.pg.front import PgFront
+    from decklb.pg.listener import PgListener
 
     front = parts.front
-    assert isinstance(front, PgFront)  # the settings are refused without that front
-    guard = Guard(parts.dispatcher, clock, PgCodec(front.rid), config.cluster.member if config.cluster else "")
-    front.intake, front.keeps = guard, True
+    assert isinstance(front, PgListener)  # the settings are refused without that front
+    guard = Guard(
+        parts.dispatcher, clock, PgCodec(front.new_request_id), config.cluster.member if config.cluster else ""
+    )
+    front.enable_handoff(guard)
     try:
         return HandoffService(reactor, clock, config.handoff, member, guard)
     except HandoffError as error:
--- /dev/null
+++ b/decklb/middleware/middleware.py
@@ -0,0 +1,175 @@
+"""ASGI middleware: calls the application once the dispatcher says when and for which engine.
+
+`WorkloadMiddleware` wraps an application; the ASGI server calls it. It owns the dispatcher of this process, which it
+makes on the first call, when there is an event loop. The watch for the client's end is a task, since ASGI hands out
+disconnects as awaitables only.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from loguru import logger
+
+from decklb.core.dispatcher import EARLY, Dispatcher
+from decklb.core.ports import Intake
+from decklb.interface import Entry, Settings
+from decklb.middleware.answers import Answer, AnswerFuture, AnswerKind
+from decklb.middleware.application_client import ApplicationClient
+from decklb.middleware.asgi import App, Receive, Scope, Send, read_body, send_empty_response, wait_for_disconnect
+from decklb.middleware.event_loop_clock import EventLoopClock
+from decklb.middleware.requests import AsgiWork, RequestSpec
+
+if TYPE_CHECKING:
+    from decklb.middleware.members import Members
+
+DEFAULT_MAX_BODY_BYTES = 1 << 20
+DEFAULT_MAX_RESPONSE_BYTES = 4 << 20
+MS_PER_S = 1000
+# In seconds before its deadline, from which a failure counts as a timeout: the dispatcher ends requests EARLY ms ahead.
+TIMEOUT_MARGIN_S = (EARLY + 5.0) / MS_PER_S
+
+# HTTP statuses of final answers that are not the application's own.
+CONTENT_TOO_LARGE = 413
+UNPROCESSABLE_CONTENT = 422
+BAD_GATEWAY = 502
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+
+
+class WorkloadMiddleware:
+    """An ASGI application that manages the requests of another."""
+
+    def __init__(
+        self,
+        app: App,
+        settings: Settings,
+        engines: list[Entry],
+        classify: Callable[[Scope], RequestSpec | None],
+        seed: int = 0,
+        most_body: int = DEFAULT_MAX_BODY_BYTES,
+        most_response: int = DEFAULT_MAX_RESPONSE_BYTES,
+        fleet: Members | None = None,
+    ) -> None:
+        """Wrap an application.
+
+        Args:
+            app: The application. It finds the id of the chosen engine in `scope["decklb.engine"]`.
+            settings: Request classes, tenants and the settings of the decisions.
+            engines: The list of engines; see `update_engines`.
+            classify: Says how to manage a request, or None for one that is passed on unmanaged.
+            seed: Of the random decisions.
+            most_body: Bound on a request's body, in bytes.
+            most_response: Bound on the application's response, in bytes.
+            fleet: Makes this process one of several that take over one another's requests; see docs/operations.
+        """
+        self.dispatcher: Dispatcher | None = None
+        self.intake: Intake | None = None  # the dispatcher, or the handoff before it
+        self.app, self.settings, self.fleet = app, settings, fleet
+        self._classify, self._seed = classify, seed
+        self._max_body_bytes, self._max_response_bytes = most_body, most_response
+        self._engines = engines
+        self._request_count = 0
+
+    def update_engines(self, engines: list[Entry]) -> None:
+        """Take the complete list of engines, when it has changed."""
+        self._engines = engines
+        if self.dispatcher is not None:
+            self.dispatcher.members(engines)
+
+    members = update_engines  # deprecated: its former name
+
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """One ASGI call."""
+        if scope["type"] == "lifespan" and self.fleet is not None:
+            return await self._lifespan(self.fleet, scope, receive, send)
+        spec = self._classify(scope) if scope["type"] == "http" else None
+        if spec is None or spec.request_class not in self.settings.classes:
+            return await self.app(scope, receive, send)
+        body = await read_body(receive, self._max_body_bytes)
+        if body is None:
+            return
+        if len(body) > self._max_body_bytes:
+            return await send_empty_response(send, CONTENT_TOO_LARGE)
+        await self._manage(spec, scope, body, receive, send)
+
+    async def _lifespan(self, fleet: Members, scope: Scope, receive: Receive, send: Send) -> None:
+        """Be a member of the fleet from the start, not from the first request on, and leave at the end."""
+        self._start(asyncio.get_running_loop())
+        try:
+            await self.app(scope, receive, send)
+        finally:
+            fleet.close()
+
+    async def _manage(self, spec: RequestSpec, scope: Scope, body: bytes, receive: Receive, send: Send) -> None:
+        """Submit a request, and respond with its final answer unless its client leaves first."""
+        loop = asyncio.get_running_loop()
+        intake = self._start(loop)
+        work = self._new_work(spec, scope, body)
+        answer_future = AnswerFuture(loop)
+        started_s = loop.time()
+        handle = intake.submit(work, answer_future)
+        disconnect = asyncio.ensure_future(wait_for_disconnect(receive))
+        waits: set[asyncio.Future[Any]] = {answer_future.future, disconnect}
+        try:
+            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+            if answer_future.future.done():
+                deadline_s = started_s + work.budget / MS_PER_S
+                timed_out = loop.time() >= deadline_s - TIMEOUT_MARGIN_S
+                await self._respond(answer_future.future.result(), work, timed_out, send)
+            else:
+                logger.info(
+                    "request ended: client-closed class={request_class}",
+                    event="request-ended",
+                    reason="client-closed",
+                    request_class=spec.request_class,
+                )
+        finally:
+            disconnect.cancel()
+            intake.abandon(handle)  # has no effect if it has been answered
+
+    def _new_work(self, spec: RequestSpec, scope: Scope, body: bytes) -> AsgiWork:
+        self._request_count += 1
+        return AsgiWork(
+            f"{self._request_count:016x}",
+            spec.request_class,
+            spec.tenant,
+            spec.budget_ms or self.settings.classes[spec.request_class].deadline,
+            body,
+            spec.table_group,
+            spec.ordering_key,
+            scope=scope,
+            once=spec.idempotency_key if self.fleet is not None else "",
+        )
+
+    async def _respond(self, answer: Answer, work: AsgiWork, timed_out: bool, send: Send) -> None:
+        """`timed_out`: a failure now counts as running out of time."""
+        if answer.kind is AnswerKind.SERVED:
+            response = work.response
+            if self.fleet is not None and answer.response_record:
+                response = self.fleet.codec.decode_response(answer.response_record)
+            for message in response:
+                await send(message)
+        elif answer.kind is AnswerKind.CONFLICT:
+            await send_empty_response(send, UNPROCESSABLE_CONTENT)
+        elif timed_out:
+            await send_empty_response(send, GATEWAY_TIMEOUT)
+        elif answer.kind is AnswerKind.REJECTED:
+            retry_after_s = max(1, math.ceil(answer.backoff_ms / MS_PER_S))
+            await send_empty_response(send, SERVICE_UNAVAILABLE, retry_after_s)
+        else:
+            await send_empty_response(send, BAD_GATEWAY)
+
+    def _start(self, loop: asyncio.AbstractEventLoop) -> Intake:
+        """Make the dispatcher and join the fleet, on the first call; returns where requests go."""
+        if self.intake is None:
+            clock, fleet = EventLoopClock(loop), self.fleet
+            encode_response = fleet.codec.encode_response if fleet is not None else None
+            client = ApplicationClient(self.app, self._max_response_bytes, encode_response)
+            self.dispatcher = Dispatcher(self.settings, self._seed, clock, client)
+            self.dispatcher.members(self._engines)
+            self.intake = fleet.attach(self.dispatcher, clock, loop) if fleet is not None else self.dispatcher
+        return self.intake
--- /dev/null
+++ b/decklb/pg/connection.py
@@ -0,0 +1,290 @@
+"""One client's TCP connection: bytes in and out, startup, timeouts, backpressure and how it ends.
+
+Feeds the session's state machine (`decklb.pg.session`) with one message at a time and submits its statements to the
+dispatcher. Made by `decklb.pg.listener.PgListener` for each client. Owns the messages that wait while a statement
+runs, the running statement, the timer and the reason of the end.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from loguru import logger
+from twisted.internet.error import ConnectionDone
+from twisted.internet.protocol import Protocol
+from twisted.python.failure import Failure
+
+from decklb.core.ports import Clock, Intake, Timer
+from decklb.pg import messages as pg
+from decklb.pg import sqlstate
+from decklb.pg.connection_registry import ConnectionRegistry
+from decklb.pg.errors import PgError, Severity
+from decklb.pg.parameters import IDEMPOTENCY_KEY_PARAMETER
+from decklb.pg.running_statement import RunningStatement
+from decklb.pg.session import Session, SessionContext
+from decklb.pg.startup import (
+    ENCRYPTION_REFUSED,
+    BackendKey,
+    CancelRequest,
+    EncryptionRequest,
+    StartupMessage,
+    initial_parameters,
+    read_startup,
+    startup_reply,
+)
+from decklb.pg.work import PgWork
+from decklb.wire.client_timeouts import FIRST_MESSAGE_TIMEOUT_MS, LINGERING_CLOSE_TIMEOUT_MS, PARTIAL_MESSAGE_TIMEOUT_MS
+
+MAX_PENDING_BYTES = 1 << 20  # of messages that wait while a statement runs
+MAX_UNREAD_RESULTS = 2  # largest results that a client may leave unread before it is disconnected
+
+
+@dataclass(slots=True)
+class ConnectionContext:
+    """What all connections of a listener share.
+
+    Attributes:
+        session_context: What their sessions share.
+        registry: Where connections enter and leave.
+        clock: Monotonic time and timers.
+        intake: Where statements go: the dispatcher, or the handoff before it.
+    """
+
+    session_context: SessionContext
+    registry: ConnectionRegistry
+    clock: Clock
+    intake: Intake
+
+
+class ClientConnection(Protocol):
+    """One connection of a client."""
+
+    transport: Any  # Zope's interfaces say nothing to the type checker
+
+    def __init__(self, context: ConnectionContext) -> None:
+        self._context, self._registry = context, context.registry
+        self._session: Session | None = None  # None until startup is complete
+        self._backend_key: BackendKey | None = None
+        self._running: RunningStatement | None = None
+        self.write_paused = False  # the client does not read what it was sent
+        self._reader = pg.MessageReader(context.session_context.postgres.max_message_bytes, startup=True)
+        self._pending: deque[pg.Message] = deque()
+        self._pending_bytes = 0
+        self._unread_bytes = 0  # written since the client stopped reading
+        self._closed = False
+        self._end_reason = "client-closed"  # for the log
+        self._submitted_count = 0
+        self._abandoned_count = 0
+        self._timer: Timer | None = None  # of startup, of a message that is not complete, or of the end
+
+    # Bytes in.
+
+    def connectionMade(self) -> None:
+        """Nothing is sent before the client's first message."""
+        self.transport.setTcpNoDelay(True)
+        self.transport.registerProducer(self, True)
+        self._start_timer(FIRST_MESSAGE_TIMEOUT_MS, self._message_timed_out)
+        self._registry.add(self)
+
+    def dataReceived(self, data: bytes) -> None:
+        """Messages, split anywhere."""
+        if self._closed:  # read and discarded: closing with bytes unread would send a reset
+            return
+        any_complete = False
+        try:
+            for message in self._reader.feed(data):
+                any_complete = True
+                if self._closed:
+                    return
+                if self._reader.startup:
+                    self._receive_startup(message)
+                else:
+                    self._pending.append(message)
+                    self._pending_bytes += len(message.raw)
+            self._handle_pending()
+        except PgError as error:
+            return self._end_with_error(error)
+        if self._session is None or self._closed:
+            return
+        if not self._reader.buffer:
+            self._cancel_timer()
+        elif any_complete or self._timer is None:
+            self._start_timer(PARTIAL_MESSAGE_TIMEOUT_MS, self._message_timed_out)
+
+    def _receive_startup(self, message: pg.Message) -> None:
+        request = read_startup(message.payload)
+        if isinstance(request, EncryptionRequest):
+            self.transport.write(ENCRYPTION_REFUSED)
+        elif isinstance(request, CancelRequest):
+            self._registry.cancel(request.key)
+            self.close("cancel-request")
+        else:
+            self._begin_session(request)
+
+    def _begin_session(self, startup: StartupMessage) -> None:
+        self._registry.check_admission()
+        context = self._context.session_context
+        parameters = initial_parameters(startup, context.postgres, context.workload)
+        self._session = Session(context, self, parameters)
+        self._reader.startup = False
+        self._backend_key = self._registry.register_session(self)
+        self.write(startup_reply(startup, self._backend_key))
+
+    def _handle_pending(self) -> None:
+        """Handle messages one after another; the next waits while an engine works on a statement."""
+        while self._pending and self._running is None and not (self.write_paused or self._closed):
+            message = self._pending.popleft()
+            self._pending_bytes -= len(message.raw)
+            assert self._session is not None
+            try:
+                self._session.receive(message)
+            except PgError as error:
+                if error.fatal:
+                    return self._end_with_error(error)
+                self._session.report_error(error)
+        # The connection is read on as long as that is safe, since only reading tells that a client has left.
+        if self._pending_bytes > MAX_PENDING_BYTES:
+            self._end_with_error(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many messages at once", fatal=True))
+
+    # What the session asks for: see `SessionOutput`.
+
+    def write(self, data: bytes) -> None:
+        """Send; a client that leaves too much unread is disconnected."""
+        self.transport.write(data)
+        if self.write_paused:
+            self._unread_bytes += len(data)
+            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.session_context.postgres.most_result:
+                self._closed, self._end_reason = True, "slow-reader"
+                self.transport.abortConnection()
+
+    def submit(self, work: PgWork, on_result: Callable[[bytes], None]) -> None:
+        """Run a statement."""
+        self._submitted_count += 1
+        idempotency_key = work.once
+        deadline_ms = self.now_ms() + work.budget
+        statement = RunningStatement(self, deadline_ms, on_result, has_idempotency_key=bool(idempotency_key))
+        self._running = statement
+        statement.handle = self._context.intake.submit(work, statement)
+        if work.once != idempotency_key:  # the key that was made for it
+            self.write(pg.pack_parameter_status(IDEMPOTENCY_KEY_PARAMETER, work.once))
+
+    def put_back(self, message: pg.Message) -> None:
+        """Handle this message again, next."""
+        self._pending.appendleft(message)
+        self._pending_bytes += len(message.raw)
+
+    def close(self, reason: str) -> None:
+        """End the connection once what was written has been sent."""
+        self._closed, self._end_reason = True, reason
+        self._registry.startup_ended(self)
+        self._abandon_running()
+        self._start_timer(LINGERING_CLOSE_TIMEOUT_MS, self._linger_ended)
+        self.transport.unregisterProducer()
+        self.transport.loseConnection()
+
+    # The running statement's answer: see `AnswerReceiver`.
+
+    def now_ms(self) -> float:
+        """Monotonic time in ms."""
+        return self._context.clock.now()
+
+    def complete(self, tell: Callable[[], None]) -> None:
+        """The running statement has its final answer: tell the client and handle what waits."""
+        self._running = None
+        if not self._closed:
+            tell()
+            self.end_if_draining()
+            self._handle_pending()
+
+    def report_error(self, error: PgError) -> None:
+        """Send an error that leaves the session open."""
+        assert self._session is not None
+        self._session.report_error(error)
+
+    def cancel_running(self) -> None:
+        """A CancelRequest came: the running statement is answered now, and its work is freed."""
+        statement, self._running = self._running, None
+        if statement is not None and statement.handle is not None:
+            self._context.intake.cancel(statement.handle)
+            error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to user request")
+            self.complete(lambda: self.report_error(error))
+
+    # Backpressure: Twisted's interface of a push producer.
+
+    def pauseProducing(self) -> None:
+        """The client reads too slowly: handle nothing more."""
+        self.write_paused = True
+
+    def resumeProducing(self) -> None:
+        """All that was written has been sent."""
+        self.write_paused, self._unread_bytes = False, 0
+        self._handle_pending()
+
+    def stopProducing(self) -> None:
+        """The connection is ending."""
+
+    # The end.
+
+    def end_if_draining(self) -> None:
+        """While the program drains, a session ends as soon as nothing is under way."""
+        if self._registry.draining and self._running is None and not self._pending and not self._closed:
+            text = "the workload manager is shutting down"
+            self._end_with_error(PgError(sqlstate.ADMIN_SHUTDOWN, text, fatal=True))
+
+    def _end_with_error(self, error: PgError) -> None:
+        """Send a fatal error; what still comes is discarded until the client closes, or for a while."""
+        self.write(pg.pack_error(error.sqlstate, error.message, error.hint, Severity.FATAL))
+        self._closed, self._end_reason = True, error.sqlstate
+        self._abandon_running()
+        self._reader.buffer.clear()
+        self._pending.clear()
+        self.transport.unregisterProducer()
+        self.transport.loseWriteConnection()
+        self._start_timer(LINGERING_CLOSE_TIMEOUT_MS, self._linger_ended)
+
+    def _abandon_running(self) -> None:
+        statement, self._running = self._running, None
+        if statement is not None and statement.handle is not None:
+            self._abandoned_count += 1
+            self._context.intake.abandon(statement.handle)
+
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """Free what this client waited for."""
+        self._closed = True
+        self._cancel_timer()
+        self._abandon_running()
+        self._registry.remove(self, self._backend_key)
+        if self._end_reason == "client-closed" and reason is not None and reason.type is not ConnectionDone:
+            self._end_reason = "reset"
+        peer = self.transport.getPeer()
+        logger.info(
+            "session ended: {reason} requests={requests} abandoned={abandoned} peer={peer}",
+            event="session-ended",
+            reason=self._end_reason,
+            requests=self._submitted_count,
+            abandoned=self._abandoned_count,
+            peer=f"{peer.host}:{peer.port}",
+        )
+
+    # The timer.
+
+    def _start_timer(self, delay_ms: float, call: Callable[[], None]) -> None:
+        self._cancel_timer()
+        self._timer = self._context.clock.call_later(delay_ms, call)
+
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _message_timed_out(self) -> None:
+        self._timer = None
+        text = "the message did not become whole in time"
+        self._end_with_error(PgError(sqlstate.PROTOCOL_VIOLATION, text, fatal=True))
+
+    def _linger_ended(self) -> None:
+        self._timer = None
+        self.transport.abortConnection()
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -17,8 +17,10 @@
 from decklb.core.dispatcher import Attempt
 from decklb.interface import Outcome
 from decklb.pg import messages as pg
+from decklb.pg import sqlstate
 from decklb.pg.cancel_request import CANCEL_TIMEOUT_MS, BackendKey
-from decklb.pg.prepared_statements import PreparedStatements
+from decklb.pg.engine_prepared_statements import PreparedStatements
+from decklb.pg.errors import PgError
 from decklb.pg.work import PgWork
 from decklb.wire.engine_connection import IDLE_TIMEOUT, EngineConnection
 
@@ -128,7 +130,7 @@
             for message in self._reader.feed(data):
                 if not self.closed:
                     self._handle(message)
-        except pg.PgError as error:
+        except PgError as error:
             self._abort(f"protocol: {error}")
 
     def _handle(self, message: pg.Message) -> None:
@@ -156,7 +158,7 @@
         if self._result_size > self.pool.client.settings.most_result and self.attempt is not None:
             attempt, self.attempt = self.attempt, None
             self._abort("result-too-large")
-            attempt.end(Outcome.GOOD, pg.pack_error(pg.LIMIT_EXCEEDED, "the result is too large"))
+            attempt.end(Outcome.GOOD, pg.pack_error(sqlstate.PROGRAM_LIMIT_EXCEEDED, "the result is too large"))
 
     def _ready_for_query(self, transaction_status: bytes) -> None:
         self._statements.statement_ended(failed=self._error is not None)
@@ -231,7 +233,7 @@
     def _outcome_of_loss(self) -> Outcome:
         if self.sent:
             return Outcome.RST
-        refused = (self._error or {}).get("C") == pg.TOO_MANY_CONNECTIONS  # before anything was sent
+        refused = (self._error or {}).get("C") == sqlstate.TOO_MANY_CONNECTIONS  # before anything was sent
         return Outcome.FULL if refused else Outcome.NOCONN
 
     def _ended(self, outcome: Outcome) -> None:
--- a/decklb/pg/health_check.py
+++ b/decklb/pg/health_check.py
@@ -7,6 +7,7 @@
 
 from decklb.pg import messages as pg
 from decklb.pg.engine_connection import AUTHENTICATION_OK_PAYLOAD
+from decklb.pg.errors import PgError
 from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
 MOST_MESSAGE = 1 << 16  # bytes of one message: an idle session sends parameters, notices and errors alone
@@ -36,7 +37,7 @@
                 if self.closed:
                     return
                 self._handle(message)
-        except pg.PgError as error:
+        except PgError as error:
             self.fail(f"protocol: {error}")
 
     def _handle(self, message: pg.Message) -> None:
--- a/decklb/pg/prepared_statements.py
+++ b/decklb/pg/prepared_statements.py
@@ -1,64 +1,129 @@
-"""The prepared statements of one engine connection, and the messages that run a statement there. No I/O.
+"""Prepared statements and portals of one session (extended query protocol).
 
-A statement is parsed once on each connection and kept under a name of ours; the oldest is closed where there are too
-many. Owned by `pg.engine_connection`.
+They are kept here alone: an engine is asked when a Describe or Execute needs it, and prepares the statement on its own
+connection then. Owned by `decklb.pg.session.Session`.
+
+Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", section "Extended Query".
 """
 
 from __future__ import annotations
 
+from collections import deque
+from dataclasses import dataclass
+
 from decklb.pg import messages as pg
-from decklb.pg.work import PgWork
+from decklb.pg import sqlstate
+from decklb.pg.errors import PgError
+from decklb.pg.messages import BackendType
+from decklb.pg.statements import Classification
+
+MAX_NAMED_OBJECTS = 1000  # prepared statements, and portals, of one session; bounds its memory
+
+
+@dataclass(slots=True)
+class PreparedStatement:
+    """What Parse made.
+
+    Attributes:
+        sql: Its text.
+        parameter_types: What follows the text in Parse: the number of parameter types and their OIDs.
+        classification: What the text tells of the statement.
+        description: ParameterDescription with RowDescription or NoData, once an engine has told them.
+    """
+
+    sql: str
+    parameter_types: bytes
+    classification: Classification
+    description: bytes | None = None
+
+
+@dataclass(slots=True)
+class Portal:
+    """What Bind made.
+
+    Attributes:
+        statement: The prepared statement.
+        parameters: What follows the names in Bind: formats and values.
+        rows: DataRows that no Execute has taken yet; None until one with a row limit has run the statement.
+        completion: CommandComplete or EmptyQueryResponse of that run, sent after the last row.
+    """
 
-MAX_PREPARED = 200  # statements kept on one connection
+    statement: PreparedStatement
+    parameters: bytes
+    rows: deque[bytes] | None = None
+    completion: bytes = b""
 
+    def store(self, result: bytes) -> bytes:
+        """Keep the rows of an engine's whole result; returns the messages that describe them, if there are any."""
+        messages = list(pg.split_messages(result))
+        self.rows = deque(message.raw for message in messages if message.type == BackendType.DATA_ROW)
+        completion_types = (
+            BackendType.COMMAND_COMPLETE,
+            BackendType.EMPTY_QUERY_RESPONSE,
+            BackendType.PORTAL_SUSPENDED,
+        )
+        self.completion = b"".join(message.raw for message in messages if message.type in completion_types)
+        description_types = (BackendType.ROW_DESCRIPTION, BackendType.NO_DATA)
+        return b"".join(message.raw for message in messages if message.type in description_types)
 
-class PreparedStatements:
-    """What the engine has prepared on one connection."""
+    def take_rows(self, max_rows: int) -> bytes:
+        """The next rows and what follows them: PortalSuspended while there are more. A limit of 0 is none."""
+        rows = self.rows if self.rows is not None else deque()
+        count = len(rows) if max_rows <= 0 else min(max_rows, len(rows))
+        taken = b"".join(rows.popleft() for _ in range(count))
+        return taken + (pg.PORTAL_SUSPENDED if rows else self.completion)
 
-    __slots__ = ("_names", "_unconfirmed", "_count")
+
+class NamedObjects:
+    """The prepared statements and portals of a session by name; "" is the unnamed one of each."""
 
     def __init__(self) -> None:
-        # Names of ours by (statement, parameter types), oldest first.
-        self._names: dict[tuple[bytes, bytes], bytes] = {}
-        self._unconfirmed: tuple[bytes, bytes] | None = None  # its ParseComplete has not come
-        self._count = 0  # names given so far
-
-    def encode(self, work: PgWork) -> bytes:
-        """The messages that run a statement, with a Parse if it is new to this connection."""
-        self._unconfirmed = None
-        if work.simple:
-            return pg.pack(b"Q", work.statement + b"\0")
-        out, name = self._prepare(work)
-        if work.bind is None:
-            out += pg.pack(b"D", b"S" + name + b"\0")
-        else:
-            out += pg.pack(b"B", b"\0" + name + b"\0" + work.bind)
-            out += pg.pack(b"D", b"P\0") if work.describe else b""
-            out += pg.EXECUTE_ALL if work.execute else b""
-        return out + pg.SYNC
-
-    def _prepare(self, work: PgWork) -> tuple[bytes, bytes]:
-        """The messages that prepare a statement, none if it is, and its name."""
-        statement = (work.statement, work.types)
-        name = self._names.get(statement)
-        if name is not None:
-            return b"", name
-        out = b""
-        if len(self._names) >= MAX_PREPARED:
-            out += pg.pack(b"C", b"S" + self._names.pop(next(iter(self._names))) + b"\0")
-        self._count += 1
-        name = b"d%d" % self._count
-        out += pg.pack(b"P", name + b"\0" + work.statement + b"\0" + work.types)
-        self._unconfirmed = statement
-        self._names[statement] = name
-        return out, name
-
-    def parse_complete(self) -> None:
-        """The engine has taken the Parse."""
-        self._unconfirmed = None
-
-    def statement_ended(self, failed: bool) -> None:
-        """ReadyForQuery has come. After an error the engine did not take the statement, or may not have."""
-        if failed and self._unconfirmed is not None:
-            self._names.pop(self._unconfirmed, None)
-        self._unconfirmed = None
+        self._statements: dict[str, PreparedStatement] = {}
+        self._portals: dict[str, Portal] = {}
+
+    def check_new_statement(self, name: str) -> None:
+        """Raises PgError if a Parse can't use this name. The unnamed statement is replaced by the next one."""
+        if name and name in self._statements:
+            raise PgError(sqlstate.DUPLICATE_PREPARED_STATEMENT, f"prepared statement {name!r} already exists")
+        if len(self._statements) >= MAX_NAMED_OBJECTS and name not in self._statements:
+            raise PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many prepared statements")
+
+    def add_statement(self, name: str, statement: PreparedStatement) -> None:
+        """Keep a statement whose name was checked."""
+        self._statements[name] = statement
+
+    def statement(self, name: str) -> PreparedStatement:
+        """Raises PgError if there is none."""
+        if name not in self._statements:
+            raise PgError(sqlstate.INVALID_SQL_STATEMENT_NAME, f"prepared statement {name!r} does not exist")
+        return self._statements[name]
+
+    def add_portal(self, name: str, portal: Portal) -> None:
+        """Raises PgError if a Bind can't use this name. The unnamed portal is replaced by the next one."""
+        if name and name in self._portals:
+            raise PgError(sqlstate.DUPLICATE_CURSOR, f"portal {name!r} already exists")
+        if len(self._portals) >= MAX_NAMED_OBJECTS and name not in self._portals:
+            raise PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many portals")
+        self._portals[name] = portal
+
+    def portal(self, name: str) -> Portal:
+        """Raises PgError if there is none."""
+        if name not in self._portals:
+            raise PgError(sqlstate.INVALID_CURSOR_NAME, f"portal {name!r} does not exist")
+        return self._portals[name]
+
+    def close_statement(self, name: str) -> None:
+        """Forget a statement; it is no error if there is none."""
+        self._statements.pop(name, None)
+
+    def close_portal(self, name: str) -> None:
+        """Forget a portal; it is no error if there is none."""
+        self._portals.pop(name, None)
+
+    def close_all_statements(self) -> None:
+        """As DISCARD and DEALLOCATE do."""
+        self._statements.clear()
+
+    def close_all_portals(self) -> None:
+        """As the end of a transaction does."""
+        self._portals.clear()
