--- a/tests/test_policy_size.py
+++ b/tests/test_policy_size.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import ast
 import tomllib
 
 from tests.standins import ROOT
 
 MOST_LINES = 560  # that are not blank, comments too, in all files that deploy/balancer.toml lists under `policy`
 MOST_COLUMNS = 110
+MOST_FUNCTION_LINES = 45  # with the docstring
 
 
 def test_decision_module_is_short_and_narrow():
@@ -20,3 +22,10 @@
 def test_every_file_of_the_package_is_listed():
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     assert sorted(listed) == sorted(str(p.relative_to(ROOT)) for p in (ROOT / "decklb" / "policy").glob("*.py"))
+
+
+def test_functions_of_the_decision_module_are_short():
+    for path in (ROOT / "decklb" / "policy").glob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.FunctionDef):
+                assert node.end_lineno - node.lineno + 1 <= MOST_FUNCTION_LINES, f"{path.name}: {node.name}"
