--- a/decklb/handoff/peer_connection.py
+++ b/decklb/handoff/peer_connection.py
@@ -15,7 +15,7 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
-from decklb.cluster.messages import WireError
+from decklb.cluster.errors import WireError
 from decklb.handoff import messages
 from decklb.handoff.errors import FrameError
 
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -18,6 +18,7 @@
 from twisted.internet.protocol import ClientFactory
 
 from decklb.cluster import keyfile
+from decklb.cluster.errors import KeyFileError
 from decklb.cluster.runtime import ClusterService
 from decklb.cluster.sealing import SALT_BYTES, Sealer
 from decklb.core.ports import Clock, Timer
@@ -86,17 +87,17 @@
             return None
         from decklb.handoff.store import Store, boot_id  # LMDB is loaded only where it is used
 
-        member = self.cluster.node.membership.me
+        member = self.cluster.node.membership.local
         self.store = Store(self.settings.store_folder, self.settings.max_bytes)
-        return self.store.open(member.name, member.boot, now, boot_id())
+        return self.store.open(member.name, member.run_id, now, boot_id())
 
     def _make_coordinator(self, now: float, memory: StoredMemory | None, guard: Guard) -> HandoffCoordinator:
-        member = self.cluster.node.membership.me
+        member = self.cluster.node.membership.local
         coordinator = HandoffCoordinator(
             self.settings,
             member.name,
-            member.boot,
-            memory.memory_id if memory is not None else member.boot,
+            member.run_id,
+            memory.memory_id if memory is not None else member.run_id,
             now - memory.since_ms if memory is not None else 0.0,
             random.Random(os.urandom(16)),
             now,
@@ -107,10 +108,10 @@
         return coordinator
 
     def _make_sealer(self) -> Sealer:
-        keys = keyfile.read(self.cluster.settings.keys)
+        keys = keyfile.read(self.cluster.settings.key_file)
         # Another name than the datagrams': what is sealed for one is no use for the other.
         return Sealer(
-            f"{self.cluster.settings.membership.cluster}/handoff",
+            f"{self.cluster.settings.membership.cluster_name}/handoff",
             [key.secret for key in keys],
             os.urandom(SALT_BYTES),
             MAX_FRAME_BYTES,
@@ -118,7 +119,7 @@
 
     def start(self) -> None:
         """Listen, and start the timer. Raises what Twisted raises when the address can't be bound."""
-        host, port = self.cluster.settings.bind
+        host, port = self.cluster.settings.bind_address
         self._port = self.reactor.listenTCP(port, PeerConnectionFactory(self), interface=host)
         logger.info(
             "handoff on {host}:{port}, {copies} voters a key, {members} members, {kept} keys kept on disk",
@@ -135,16 +136,16 @@
         """Read the keys anew; the cluster has logged what was wrong with them."""
         try:
             self.sealer = self._make_sealer()
-        except keyfile.KeyFileError:
+        except KeyFileError:
             return
 
     def _tick(self) -> None:
         self._timer = self.clock.call_later(TICK_MS, self._tick)
         now, membership = self.clock.now(), self.cluster.node.membership
-        alive = {name: membership.members[name].boot for name in membership.live.items}
+        alive = {name: membership.members[name].run_id for name in membership.live_names()}
         own = {self.coordinator.member: self.coordinator.incarnation}
         self.coordinator.update_members(now, alive | own, membership.members.keys())
-        if self.sealer.spent:
+        if self.sealer.needs_new_salt:
             self.reload()
         self._abort_dead_connections(now)
         for name in alive:
@@ -169,7 +170,7 @@
         factory: Any = ClientFactory.forProtocol(lambda: PeerConnection(self, expected_peer=name))
         factory.noisy = False
         endpoint: Any = TCP4ClientEndpoint(
-            self.reactor, *address, timeout=CONNECT_TIMEOUT_S, bindAddress=(self.cluster.settings.bind[0], 0)
+            self.reactor, *address, timeout=CONNECT_TIMEOUT_S, bindAddress=(self.cluster.settings.bind_address[0], 0)
         )
         endpoint.connect(factory).addErrback(
             lambda failure: logger.debug(
--- a/tests/handoff_clients.py
+++ b/tests/handoff_clients.py
@@ -6,7 +6,7 @@
 
 import psycopg
 
-from decklb.lab.outage import COME_BACK
+from decklb.lab.fault_runs.handoff_run import COME_BACK
 
 
 class Session:
--- a/tests/test_handoff_message_trace.py
+++ b/tests/test_handoff_message_trace.py
@@ -1,7 +1,8 @@
 """Seeded runs on the simulated network deliver the same messages, in the same order, as an earlier version did.
 
 A trace is each message received, with its time, sender, receiver and packed bytes, then each member's counters. It
-depends on the order of random draws and on every float expression of the handoff and of `decklb.lab.handoff`.
+depends on the order of random draws and on every float expression of the handoff and of the simulated network
+(`decklb.lab.emulation.simulated_handoff`).
 """
 
 import json
@@ -14,7 +15,7 @@
 
 from decklb.handoff import messages
 from decklb.handoff.coordinator import HandoffCoordinator
-from decklb.lab.handoff import World
+from decklb.lab.emulation.simulated_handoff import World
 
 GOLDEN = json.loads((Path(__file__).parent / "golden/handoff/message_traces.json").read_text())
 
--- a/tests/test_handoff_restarts.py
+++ b/tests/test_handoff_restarts.py
@@ -6,8 +6,8 @@
 import tempfile
 import unittest
 
-from decklb.lab.outage import Fleet, Setup
-from decklb.lab.verdict import judge
+from decklb.lab.checks.execution_verdict import judge
+from decklb.lab.fault_runs.handoff_run import Fleet, Setup
 from tests.handoff_clients import Session, final
 
 
--- a/tests/test_handoff_simulated_network.py
+++ b/tests/test_handoff_simulated_network.py
@@ -6,7 +6,7 @@
 import pytest
 
 from decklb.handoff.coordinator import HandoffCoordinator
-from decklb.lab.handoff import play
+from decklb.lab.emulation.simulated_handoff import play
 
 
 class VotesWithoutMemory(HandoffCoordinator):
