--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -10,7 +10,7 @@
 import pytest
 
 from decklb.lab.fault_runs.system_call_run import Player, play_cases, running
-from decklb.lab.faults.fault_schedule import system_call_cases as cases
+from decklb.lab.faults import system_call_cases as cases
 from decklb.lab.faults.interposer import CALLS, Interposer, InterposerError
 
 SEED, PART = 31, 0.1
