--- a/decklb/handoff/coordinator.py
+++ b/decklb/handoff/coordinator.py
@@ -1,10 +1,10 @@
 """One member's part in the handoff: what happens at each call of its front, at each message, and at each tick.
 
 The coordinator wires the mechanisms (admission, attempts, replication, leases, takeover, voting, recovery, lookups) to
-one `MemberState`, and does no I/O. `runtime.py` drives it with connections and a clock,
-`decklb.lab.emulation.simulated_handoff` with a simulated network. Both call `update_members`, `connected`, `disconnected`, `receive` and `tick`, and then carry out
-`take_outbox` and `take_events`. All times are milliseconds of this member's own monotonic clock. `docs/handoff.md` has
-the rules that are kept.
+one `MemberState`, and does no I/O. `runtime.py` drives it with connections and a clock, the tests with a simulated
+network (`decklb.lab.emulation.simulated_handoff`). Both call `update_members`, `connected`, `disconnected`, `receive`
+and `tick`, and then carry out `take_outbox` and `take_events`. All times are milliseconds of this member's own
+monotonic clock. `docs/handoff.md` has the rules that are kept.
 """
 
 from __future__ import annotations
