--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -138,7 +138,7 @@
     if config.handoff is None or member is None:
         return None
     from decklb.handoff.errors import HandoffError
-    from decklb.handoff.guard import Guard
+    from decklb.handoff.protected_dispatcher import Guard
     from decklb.handoff.runtime import HandoffService
     from decklb.pg.codec import PgCodec
     from decklb.pg.front import PgFront
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -24,10 +24,10 @@
 from decklb.core.ports import Clock, Timer
 from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.handoff.errors import StoreError
-from decklb.handoff.guard import Guard
 from decklb.handoff.member_state import HandoffEvent, RequestRunner
 from decklb.handoff.messages import MAX_FRAME_BYTES, Message, encode_message
 from decklb.handoff.peer_connection import PeerConnection, PeerConnectionFactory
+from decklb.handoff.protected_dispatcher import Guard
 from decklb.handoff.settings import HandoffSettings
 
 if TYPE_CHECKING:
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -14,7 +14,7 @@
 from decklb.config.operators import members as settings_of
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock
-from decklb.handoff.guard import Guard
+from decklb.handoff.protected_dispatcher import Guard
 from decklb.handoff.runtime import HandoffService
 from decklb.middleware.codec import AsgiCodec
 from decklb.wire.clock import steady
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -78,7 +78,7 @@
 
 def test_decisions_of_handoff_locality_and_maintenance_know_no_io():
     for package, io in (
-        ("handoff", {"runtime.py", "peer_connection.py", "store.py", "guard.py"}),
+        ("handoff", {"runtime.py", "peer_connection.py", "store.py", "protected_dispatcher.py"}),
         ("locality", {"runtime.py"}),
         ("maintenance", {"runtime.py", "store.py"}),
     ):
