--- a/decklb/middleware/codec.py
+++ b/decklb/middleware/codec.py
@@ -1,6 +1,6 @@
 """Requests and responses in the form in which another process of the application takes them over.
 
-MessagePack arrays, whose order of fields is part of the wire form. Used by the handoff (`decklb.handoff.guard.Codec`)
+MessagePack arrays, whose order of fields is part of the wire form. Used by the handoff (`decklb.handoff.protected_dispatcher.Codec`)
 and by `decklb.middleware.middleware`.
 """
 
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -1,4 +1,4 @@
-"""Statements in the form in which another manager of this wire takes them over (`decklb.handoff.guard.Codec`).
+"""Statements in the form in which another manager of this wire takes them over (`decklb.handoff.protected_dispatcher.Codec`).
 
 A MessagePack array, whose order of fields is part of the wire form. Used by the handoff.
 """
