--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -34,7 +34,16 @@
         body = b"select 1 from a_3.b"
         work = frames.read_request(frames.pack_fields(GOOD | {"token": "t0", "obj": "k1"}) + body, self.settings)
         self.assertEqual(
-            (work.rid, work.lane, work.tenant, work.budget, work.statement, work.tables, work.key, work.token),
+            (
+                work.client_request_id,
+                work.request_class,
+                work.tenant,
+                work.budget_ms,
+                work.statement,
+                work.table_group,
+                work.ordering_key,
+                work.deduplication_token,
+            ),
             (GOOD["rid"], "read", "cusco", 1500.0, body, 3, "k1", "t0"),
         )
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -127,7 +127,9 @@
         self.loop.run(10.0)
         e.die()
         e.submit(self.query("b", 1.0))
-        self.assertEqual([(n, o) for n, o, _ in self.ended], [("a", Outcome.RST), ("b", Outcome.NOCONN)])
+        self.assertEqual(
+            [(n, o) for n, o, _ in self.ended], [("a", Outcome.CONNECTION_RESET), ("b", Outcome.UNREACHABLE)]
+        )
         e.start()
         e.submit(self.query("c", 100.0))
         e.die(silent=True)
@@ -149,7 +151,7 @@
         for i in range(12):
             e.submit(self.query(f"q{i}", 100.0))
         self.assertEqual(e.book.falls, 1)
-        self.assertIn(Outcome.RST, {o for _, o, _ in self.ended[1:]})
+        self.assertIn(Outcome.CONNECTION_RESET, {o for _, o, _ in self.ended[1:]})
 
 
 class Draws(unittest.TestCase):
@@ -281,7 +283,7 @@
 
     def pick(self, r):
         if self.rule == "cold":
-            return max(self.ups, key=lambda x: x.ready_at).engine
+            return max(self.ups, key=lambda x: x.started_at_ms).engine_id
         return super().pick(r)
 
 
--- a/tests/test_locality_zone_selector.py
+++ b/tests/test_locality_zone_selector.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from decklb.interface import ClassSpec, Entry, Phase
+from decklb.interface import Endpoint, Phase, RequestClass
 from decklb.locality.coordinator import ZoneCoordinator
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.spillover import ZoneStatus, usable_capacity
@@ -24,13 +24,13 @@
     for zone, state in zones.items():
         coordinator.consensus.zones[zone].state, coordinator.consensus.zones[zone].decided_at = state, 0.0
     classes = {
-        "q": ClassSpec("q", 1000.0, 5000.0),
-        "only-c": ClassSpec("only-c", 1000.0, 5000.0, zones=("c",)),
-        "kind-y": ClassSpec("kind-y", 1000.0, 5000.0, kinds=("y",)),
+        "q": RequestClass("q", 1000.0, 5000.0),
+        "only-c": RequestClass("only-c", 1000.0, 5000.0, allowed_zones=("c",)),
+        "kind-y": RequestClass("kind-y", 1000.0, 5000.0, allowed_kinds=("y",)),
     }
     made = ZoneSelector(s, classes, {"x": 10, "y": 10})
     made.update_engines(
-        [Entry(f"{z}-{k}", z, k, 0, Phase.UP) for z, k in (("a", "x"), ("b", "x"), ("b", "y"), ("c", "x"))]
+        [Endpoint(f"{z}-{k}", z, k, 0, Phase.UP) for z, k in (("a", "x"), ("b", "x"), ("b", "y"), ("c", "x"))]
     )
     return made, coordinator
 
--- a/tests/test_maintenance_endpoint_overlay.py
+++ b/tests/test_maintenance_endpoint_overlay.py
@@ -1,6 +1,6 @@
 """The endpoint list under the plan."""
 
-from decklb.interface import Entry, Phase
+from decklb.interface import Endpoint, Phase
 from decklb.maintenance.endpoint_overlay import EndpointOverlay
 from decklb.maintenance.plan import Job, Machine, Plan, Stage
 
@@ -10,7 +10,7 @@
 
 
 def entry(name, phase=Phase.UP, ready_at=0):
-    return Entry(name, "z", "k", 0, phase, ready_at=ready_at)
+    return Endpoint(name, "z", "k", 0, phase, started_at_ms=ready_at)
 
 
 def test_unavailable_engines_drain_and_returned_ones_start_slowly_from_when_they_were_seen():
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -16,7 +16,7 @@
 from decklb.settings import settings_from
 from tests.standins import DEADLINE, SETTINGS
 
-ENGINES = [api.Entry(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(2)]
+ENGINES = [api.Endpoint(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(2)]
 
 
 class Middleware(unittest.IsolatedAsyncioTestCase):
@@ -101,7 +101,7 @@
         scope = {"type": "http", "method": "GET", "path": "/x", "headers": [], "query_string": b""}
         await asyncio.wait_for(self.wrapped(scope, receive, send), DEADLINE)
         await asyncio.wait_for(ended.wait(), DEADLINE)
-        assert (sent, self.wrapped.dispatcher.open) == ([], 0)
+        assert (sent, self.wrapped.dispatcher.open_requests) == ([], 0)
 
     async def test_bodies_are_bounded_and_unmanaged_paths_are_passed_on(self):
         async def plain(request):
--- a/tests/test_middleware_wire_format.py
+++ b/tests/test_middleware_wire_format.py
@@ -43,8 +43,8 @@
     ],
 }
 OUTCOMES = {
-    "refused": lambda sink, work: sink.refused(1200.0),
-    "refused for a short while": lambda sink, work: sink.refused(3.0),
+    "refused": lambda sink, work: sink.rejected(1200.0),
+    "refused for a short while": lambda sink, work: sink.rejected(3.0),
     "failed": lambda sink, work: sink.failed(),
     "conflict": lambda sink, work: sink.conflict(),
 }
@@ -95,8 +95,12 @@
     work = CODEC.decode(bytes.fromhex(GOLDEN["requests"][name]["record"]), 9.0)
     assert plain(work.scope) == GOLDEN["requests"][name]["scope"]
     original = WORKS[name]
-    assert (work.lane, work.tenant, work.budget) == (original.lane, original.tenant, 9.0)
-    assert (work.statement, work.tables, work.key) == (original.statement, original.tables, original.key)
+    assert (work.request_class, work.tenant, work.budget_ms) == (original.request_class, original.tenant, 9.0)
+    assert (work.statement, work.table_group, work.ordering_key) == (
+        original.statement,
+        original.table_group,
+        original.ordering_key,
+    )
 
 
 @pytest.mark.parametrize("name", RESPONSES)
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -219,7 +219,7 @@
         elif step == "served":
             intake.sinks[-1].served(bytes.fromhex(arguments[0]))
         elif step == "refused":
-            intake.sinks[-1].refused(arguments[0])
+            intake.sinks[-1].rejected(arguments[0])
         elif step in ("failed", "conflict"):
             getattr(intake.sinks[-1], step)()
         elif step == "advance-ms":
@@ -280,7 +280,7 @@
     assert codec.encode(WORKS[name]).hex() == GOLDEN["handoff"][name]
     decoded = codec.decode(bytes.fromhex(GOLDEN["handoff"][name]), 9.0)
     assert work_fields(decoded) == work_fields(WORKS[name]) | {"budget_ms": 9.0}
-    assert decoded.rid == "drawn"
+    assert decoded.client_request_id == "drawn"
 
 
 @pytest.mark.parametrize("case", SESSIONS, ids=lambda case: case["name"])
--- a/tests/test_policy_class_statistics.py
+++ b/tests/test_policy_class_statistics.py
@@ -24,5 +24,5 @@
     gateway = make_gateway(engines=1)
     for i in range(40):
         for send in sent(gateway.step(1.0 + i, [arrival(f"r{i}")])):
-            gateway.step(1.5 + i, [ended(send, Outcome.GOOD, rtt=100.0 if i < 30 else 4000.0)])
+            gateway.step(1.5 + i, [ended(send, Outcome.SUCCESS, rtt=100.0 if i < 30 else 4000.0)])
     assert gateway.statistics["safe"].work_ms < 200.0 < gateway.statistics["safe"].run_ms
--- a/tests/test_policy_concurrency.py
+++ b/tests/test_policy_concurrency.py
@@ -31,7 +31,7 @@
 
 
 def test_short_work_does_not_wait_behind_much_longer_work():
-    long = api.ClassSpec("long", 30000.0, 90000.0, effect=Effect.SAFE, threads=3)
+    long = api.RequestClass("long", 30000.0, 90000.0, effect=Effect.SAFE, threads=3)
     gateway = make_gateway(SAFE, long, engines=9, fronts=50)
     gateway.limit.factor = 0.5
     assert len(sent(gateway.step(1.0, [arrival(str(i), "long", 90000.0) for i in range(5)]))) == 1
--- a/tests/test_policy_engines.py
+++ b/tests/test_policy_engines.py
@@ -18,18 +18,18 @@
 @pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.REMOVED])
 def test_nothing_new_goes_to_an_engine_that_drains_or_is_gone(phase):
     gateway = make_gateway(engines=2)
-    gateway.step(1.0, [api.Members([entry("e0", phase=phase)], False)])
+    gateway.step(1.0, [api.EndpointsUpdated([entry("e0", phase=phase)], False)])
     assert {send.engine for send in sent(gateway.step(2.0, [arrival(str(i)) for i in range(9)]))} == {"e1"}
 
 
 def test_an_engine_missing_from_a_complete_list_is_gone():
     gateway = make_gateway(engines=2)
-    gateway.step(1.0, [api.Members([entry("e1")], True)])
+    gateway.step(1.0, [api.EndpointsUpdated([entry("e1")], True)])
     assert {send.engine for send in sent(gateway.step(2.0, [arrival(str(i)) for i in range(9)]))} == {"e1"}
 
 
 def test_engines_gone_from_the_list_are_forgotten():
     gateway = make_gateway(engines=1)
     for i in range(500):
-        gateway.step(i * 10.0, [api.Members([entry(f"new{i}")], True)])
+        gateway.step(i * 10.0, [api.EndpointsUpdated([entry(f"new{i}")], True)])
     assert len(gateway.engines.by_id) == 1 and len(gateway.requests) == 0
--- a/tests/test_policy_gateway.py
+++ b/tests/test_policy_gateway.py
@@ -14,17 +14,19 @@
 def test_every_request_is_answered_once_before_its_deadline():
     gateway = make_gateway(engines=0)
     gateway.step(0.0, [arrival("q", left=400.0)])
-    ends = [a for t in range(5, 500, 5) for a in of_type(api.Refuse, gateway.step(float(t), []))]
+    ends = [a for t in range(5, 500, 5) for a in of_type(api.Reject, gateway.step(float(t), []))]
     assert [a.req for a in ends] == ["q"]
 
 
 def test_a_timeout_at_the_deadline_is_answered_and_nothing_follows():
     gateway = make_gateway()
     (send,) = sent(gateway.step(1.0, [arrival("q")]))
-    actions = gateway.step(5001.0, [ended(send, Outcome.LATE, rtt=5000.0)])
-    assert [a.req for a in of_type(api.Refuse, actions)] == ["q"] and not sent(actions)
+    actions = gateway.step(5001.0, [ended(send, Outcome.TIMED_OUT, rtt=5000.0)])
+    assert [a.req for a in of_type(api.Reject, actions)] == ["q"] and not sent(actions)
     assert not [
-        a for a in gateway.step(5100.0, [api.Left("q"), ended(send, Outcome.GOOD)]) if not isinstance(a, api.Sleep)
+        a
+        for a in gateway.step(5100.0, [api.ClientGone("q"), ended(send, Outcome.SUCCESS)])
+        if not isinstance(a, api.SetTimer)
     ]
 
 
@@ -36,26 +38,26 @@
     for i, outcome in enumerate(outcomes):
         now += 100
         events = [ended(send, outcome, leg) for send, leg in out]
-        finished |= {send.req for send, _ in out if outcome is Outcome.GOOD}
+        finished |= {send.req for send, _ in out if outcome is Outcome.SUCCESS}
         legs = {send.req: leg + 1 for send, leg in out}
         actions = gateway.step(now, events + [arrival(f"r{i}", lane, 3000.0)])
         assert not {send.req for send in sent(actions)} & (finished | set(finals))
-        finals += [a.req for a in actions if isinstance(a, api.Refuse | api.Fail)]
+        finals += [a.request_id for a in actions if isinstance(a, api.Reject | api.Fail)]
         out = [(send, legs.get(send.req, 0)) for send in sent(actions)]
     for step in range(100):
         now += 50
-        events = [ended(send, Outcome.LATE, leg) for send, leg in out] if step == 0 else []
-        finals += [a.req for a in gateway.step(now, events) if isinstance(a, api.Refuse | api.Fail)]
+        events = [ended(send, Outcome.TIMED_OUT, leg) for send, leg in out] if step == 0 else []
+        finals += [a.request_id for a in gateway.step(now, events) if isinstance(a, api.Reject | api.Fail)]
         if step == 0:
             out = []
     assert len(finals) == len(set(finals)) and not finished & set(finals)
 
 
 def test_the_endpoint_list_is_asked_for_at_start_and_again_after_a_failure():
-    gateway = Gateway(api.Settings(classes={"safe": SAFE}, must_ask=True, tick=5.0), 1)
-    assert of_type(api.Watch, gateway.step(0.0, [api.Members([entry("e0")], True)]))
-    assert not of_type(api.Watch, gateway.step(5.0, [api.Members([], False, failed=True)]))
-    assert any(of_type(api.Watch, gateway.step(float(t), [])) for t in range(10, 2000, 50))
+    gateway = Gateway(api.Settings(classes={"safe": SAFE}, must_subscribe=True, tick_ms=5.0), 1)
+    assert of_type(api.WatchEndpoints, gateway.step(0.0, [api.EndpointsUpdated([entry("e0")], True)]))
+    assert not of_type(api.WatchEndpoints, gateway.step(5.0, [api.EndpointsUpdated([], False, failed=True)]))
+    assert any(of_type(api.WatchEndpoints, gateway.step(float(t), [])) for t in range(10, 2000, 50))
     assert sent(gateway.step(2000.0, [arrival("q")]))
 
 
@@ -70,42 +72,42 @@
 def test_late_unknown_and_repeated_ids_are_ignored():
     gateway = make_gateway()
     (send,) = sent(gateway.step(1.0, [arrival("q")]))
-    ghost = api.Send("ghost", "e9")
+    ghost = api.StartAttempt("ghost", "e9")
     gateway.step(
         2.0,
         [
             arrival("q"),
-            ended(ghost, Outcome.GOOD),
-            ended(send, Outcome.GOOD, leg=7),
-            api.Left("ghost"),
-            api.Tick("old"),
-            api.Progress("ghost", 0, 1, 0.5),
+            ended(ghost, Outcome.SUCCESS),
+            ended(send, Outcome.SUCCESS, leg=7),
+            api.ClientGone("ghost"),
+            api.TimerFired("old"),
+            api.AttemptProgress("ghost", 0, 1, 0.5),
         ],
     )
-    actions = gateway.step(3.0, [ended(send, Outcome.GOOD), ended(send, Outcome.GOOD)])
-    assert not [a for a in actions if not isinstance(a, api.Sleep)]
+    actions = gateway.step(3.0, [ended(send, Outcome.SUCCESS), ended(send, Outcome.SUCCESS)])
+    assert not [a for a in actions if not isinstance(a, api.SetTimer)]
 
 
 def test_a_request_with_no_time_left_is_answered_in_the_same_step():
-    assert [a.req for a in of_type(api.Refuse, make_gateway().step(1.0, [arrival("q", left=14.0)]))] == ["q"]
+    assert [a.req for a in of_type(api.Reject, make_gateway().step(1.0, [arrival("q", left=14.0)]))] == ["q"]
 
 
 def test_idle_gateways_seldom_wake_and_never_stop_waking():
-    gateway, now = Gateway(api.Settings(classes={"safe": SAFE}, tick=5.0), 1), 0.1
+    gateway, now = Gateway(api.Settings(classes={"safe": SAFE}, tick_ms=5.0), 1), 0.1
     for _ in range(50):
-        (sleep,) = of_type(api.Sleep, gateway.step(now, [api.Tick("sweep")]))
+        (sleep,) = of_type(api.SetTimer, gateway.step(now, [api.TimerFired("sweep")]))
         now += sleep.delay - 1e-7  # a timer may come a rounding error early
     assert now > 30000.0
-    (sleep,) = of_type(api.Sleep, gateway.step(now + 100, [arrival("q")]))
+    (sleep,) = of_type(api.SetTimer, gateway.step(now + 100, [arrival("q")]))
     assert sleep.delay <= 50.0
 
 
 def test_a_gateway_that_shuts_down_answers_all_that_is_open():
     gateway = make_gateway(SAFE, UNSAFE, engines=1, cancelling=True, cores=1)
     gateway.step(1.0, [arrival("a"), arrival("u", "unsafe")] + [arrival(f"q{i}") for i in range(8)])
-    actions = gateway.step(2.0, [api.Closing()])
-    answers = {a.req: type(a) for a in of_type(api.Refuse, actions) + of_type(api.Fail, actions)}
-    assert set(answers) == {r for r in answers} and answers["a"] is api.Refuse and not sent(actions)
-    out = {a.req for a in of_type(api.Cancel, actions)}
-    assert out and answers["u"] is (api.Fail if "u" in out else api.Refuse)
+    actions = gateway.step(2.0, [api.ShutdownStarted()])
+    answers = {a.req: type(a) for a in of_type(api.Reject, actions) + of_type(api.Fail, actions)}
+    assert set(answers) == {r for r in answers} and answers["a"] is api.Reject and not sent(actions)
+    out = {a.req for a in of_type(api.CancelAttempt, actions)}
+    assert out and answers["u"] is (api.Fail if "u" in out else api.Reject)
     assert all(r.closed for r in gateway.requests.values())
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -25,22 +25,22 @@
 
 def draw_class(draw, name, zones):
     effect, deadline = draw.choice(list(Effect)), draw.choice([300.0, 1000.0, 5000.0, LONGEST_MS])
-    return api.ClassSpec(
+    return api.RequestClass(
         name,
-        aim=deadline * draw.choice([0.1, 0.3, 1.0]),
-        deadline=deadline,
-        worth=draw.choice([1.0, 5.0]),
-        late_worth=draw.choice([0.0, 0.5]),
-        stretch=draw.choice([0.0, 2.0]),
+        latency_objective_ms=deadline * draw.choice([0.1, 0.3, 1.0]),
+        deadline_ms=deadline,
+        priority_weight=draw.choice([1.0, 5.0]),
+        late_priority_weight=draw.choice([0.0, 0.5]),
+        objective_stretch=draw.choice([0.0, 2.0]),
         effect=effect,
-        group=draw.choice(["all", "zone", "cell"]),
-        serial=draw.random() < 0.3,
+        deduplication_scope=draw.choice(["all", "zone", "cell"]),
+        ordered_by_key=draw.random() < 0.3,
         threads=draw.choice([1, 2, 4]),
-        memory_span=draw.choice([100.0, 1000.0, LONGEST_MS]) if effect is Effect.KEYED else 0.0,
-        zones=draw.choice([None, None, (draw.choice(zones),)]),
-        kinds=draw.choice([None, None, None, ("k0",)]),
-        holds=draw.random() < 0.2,
-        yields=draw.random() < 0.3,
+        deduplication_window_ms=draw.choice([100.0, 1000.0, LONGEST_MS]) if effect is Effect.KEYED else 0.0,
+        allowed_zones=draw.choice([None, None, (draw.choice(zones),)]),
+        allowed_kinds=draw.choice([None, None, None, ("k0",)]),
+        locks_tables=draw.random() < 0.2,
+        waits_for_loads=draw.random() < 0.3,
     )
 
 
@@ -49,32 +49,32 @@
     return api.Settings(
         classes={f"c{i}": draw_class(draw, f"c{i}", zones) for i in range(draw.randint(1, 5))},
         tenants={n: api.TenantSpec(n, 0.5, draw.choice([None, 20.0])) for n in draw.choice([[], ["t0", "t1"]])},
-        me=draw.randrange(fronts),
-        fronts=fronts,
+        gateway_index=draw.randrange(fronts),
+        gateway_count=fronts,
         zone=draw.choice(zones),
-        cores={"k0": 8, "k1": draw.choice([1, 8])},
-        memory={"k0": 16384.0, "k1": 1000.0},
-        largest_share=0.4,
-        grants=draw.random() < 0.5,
-        ranks=draw.random() < 0.5,
-        progress=draw.choice([0.0, 100.0, 1000.0]),
-        over_share_worth=0.2,
-        cancelling=draw.random() < 0.7,
-        peers=draw.random() < 0.3,
+        cores_by_kind={"k0": 8, "k1": draw.choice([1, 8])},
+        memory_mb_by_kind={"k0": 16384.0, "k1": 1000.0},
+        largest_grant_fraction=0.4,
+        memory_grants=draw.random() < 0.5,
+        priorities=draw.random() < 0.5,
+        progress_interval_ms=draw.choice([0.0, 100.0, 1000.0]),
+        over_quota_weight=0.2,
+        cancellation=draw.random() < 0.7,
+        peer_messages=draw.random() < 0.3,
         retry_after=draw.random() < 0.7,
-        max_retry_after=500.0,
-        duplicates=draw.random() < 0.3,
+        max_retry_after_ms=500.0,
+        hedging=draw.random() < 0.3,
         max_attempts=draw.randint(1, 4),
-        cold_share=0.3,
-        cold=draw.choice([0.0, 5000.0]),
-        overload_factor=3.0,
-        fall=draw.choice([0.0, 1500.0]),
-        drain_grace=draw.choice([50.0, 1000.0]),
-        extra_floor=2.0,
-        extra_ratio=draw.choice([None, 0.1]),
-        extra_window=draw.choice([1000.0, 5000.0]),
-        settle=draw.choice([0.0, 300.0]),
-        tick=TICK_MS,
+        slow_start_min_fraction=0.3,
+        slow_start_window_ms=draw.choice([0.0, 5000.0]),
+        slow_start_overload_factor=3.0,
+        slow_start_budget_window_ms=draw.choice([0.0, 1500.0]),
+        drain_grace_ms=draw.choice([50.0, 1000.0]),
+        retry_budget_floor=2.0,
+        retry_budget_ratio=draw.choice([None, 0.1]),
+        retry_budget_window_ms=draw.choice([1000.0, 5000.0]),
+        key_hold_down_ms=draw.choice([0.0, 300.0]),
+        tick_ms=TICK_MS,
     )
 
 
@@ -114,11 +114,11 @@
         self.lost_weight = draw.choice([0, 10])
         for _ in range(draw.randint(1, 6)):
             self.engine(0.0)
-        self.events = [api.Members(list(self.engines.values()), True)]
+        self.events = [api.EndpointsUpdated(list(self.engines.values()), True)]
 
     def engine(self, ready_at):
         name = f"e{len(self.engines)}"
-        self.engines[name] = api.Entry(
+        self.engines[name] = api.Endpoint(
             name,
             self.draw.choice(self.zones),
             self.draw.choice(["k0", "k1"]),
@@ -127,7 +127,7 @@
             1.0,
             ready_at,
         )
-        self.events.append(api.Members([self.engines[name]], False))
+        self.events.append(api.EndpointsUpdated([self.engines[name]], False))
 
     def run(self):
         end = self.now + self.draw.choice([1000, 3000])
@@ -155,15 +155,15 @@
             name, lane = f"r{len(self.requests)}", self.draw.choice(list(self.settings.classes))
             spec = self.settings.classes[lane]
             key = self.draw.choice("xyz") if spec.serial and self.draw.random() < 0.9 else None
-            arrival = api.Arrival(
+            arrival = api.RequestArrived(
                 name,
                 lane,
                 self.draw.choice(list(self.settings.tenants) or [""]),
                 spec.deadline * self.draw.choice([1.0, 0.8, 0.1]),
                 self.draw.randint(0, 5),
                 key,
-                cost=self.draw.choice([0.0, 100.0, 5000.0]),
-                need=self.draw.choice([0.0, 100.0]),
+                estimated_work_ms=self.draw.choice([0.0, 100.0, 5000.0]),
+                estimated_memory_mb=self.draw.choice([0.0, 100.0]),
             )
             self.requests[name] = ExpectedRequest(arrival, spec, self.now)
             self.open_requests.append(self.requests[name])
@@ -177,7 +177,7 @@
             engine, phase = self.draw.choice(list(self.engines.values())), self.draw.choice(list(Phase))
             if engine.phase is not Phase.REMOVED:
                 back = phase is Phase.UP and engine.phase is not Phase.UP
-                engine = self.engines[engine.engine] = api.Entry(
+                engine = self.engines[engine.engine] = api.Endpoint(
                     engine.engine,
                     engine.zone,
                     engine.kind,
@@ -187,10 +187,10 @@
                     self.now if back else engine.ready_at,
                 )
                 if phase is Phase.UP:
-                    self.not_up_since.pop(engine.engine, None)
+                    self.not_up_since.pop(engine.engine_id, None)
                 else:
-                    self.not_up_since.setdefault(engine.engine, self.now)
-                self.events.append(api.Members([engine], False))
+                    self.not_up_since.setdefault(engine.engine_id, self.now)
+                self.events.append(api.EndpointsUpdated([engine], False))
         if self.draw.random() < 0.005:
             self.engine(self.now)
 
@@ -198,7 +198,7 @@
         for request in self.open_requests:
             if self.draw.random() < 0.0005:
                 request.end = "left"
-                self.events.append(api.Left(request.arrival.req))
+                self.events.append(api.ClientGone(request.arrival.req))
 
     def verdicts(self):
         while self.due_outcomes and self.due_outcomes[0][0] <= self.now:
@@ -206,20 +206,22 @@
             request = self.requests[name]
             attempt = request.attempts[number]
             if outcome is COMPLETION_UNCERTAIN:
-                attempt.outcome, attempt.ended = Outcome.RST, self.now
-                self.events.append(api.Doubted(request.arrival.key))
+                attempt.outcome, attempt.ended = Outcome.CONNECTION_RESET, self.now
+                self.events.append(api.CompletionUncertain(request.arrival.key))
             if attempt.outcome is not None:
                 continue
             if outcome is None:
-                self.events.append(api.Progress(name, number, self.draw.randint(1, 3), self.draw.random()))
+                self.events.append(api.AttemptProgress(name, number, self.draw.randint(1, 3), self.draw.random()))
                 continue
             attempt.outcome, attempt.ended = outcome, self.now
-            if outcome is Outcome.GOOD:
+            if outcome is Outcome.SUCCESS:
                 request.end = request.end or "served"
                 if request.arrival.key is not None and self.draw.random() < 0.2:
                     self.later(self.draw.random() * self.settings.settle, name, number, COMPLETION_UNCERTAIN)
             self.events.append(
-                api.Verdict(name, number, attempt.engine, outcome, self.now - attempt.sent + 0.001, bool(request.end))
+                api.AttemptEnded(
+                    name, number, attempt.engine, outcome, self.now - attempt.sent + 0.001, bool(request.end)
+                )
             )
 
     def later(self, wait, name, number, outcome):
@@ -228,25 +230,27 @@
         )
 
     def check(self, action):
-        if isinstance(action, api.Send):
-            request = self.requests[action.req]
-            self.violations += [f"{action.req}: {fault}" for fault, holds in self.faults(request, action) if holds]
+        if isinstance(action, api.StartAttempt):
+            request = self.requests[action.request_id]
+            self.violations += [
+                f"{action.request_id}: {fault}" for fault, holds in self.faults(request, action) if holds
+            ]
             self.send(request, action)
-        elif isinstance(action, api.Cancel):
+        elif isinstance(action, api.CancelAttempt):
             if not self.settings.cancelling:
-                self.violations.append(f"{action.req} is cancelled where nothing may be")
-            self.later(self.draw.random() * 3, action.req, action.leg, Outcome.CXL)
-        elif isinstance(action, api.Refuse | api.Fail):
-            request, refused = self.requests[action.req], isinstance(action, api.Refuse)
+                self.violations.append(f"{action.request_id} is cancelled where nothing may be")
+            self.later(self.draw.random() * 3, action.request_id, action.attempt, Outcome.CANCELLED)
+        elif isinstance(action, api.Reject | api.Fail):
+            request, refused = self.requests[action.request_id], isinstance(action, api.Reject)
             if request.end in ("refused", "failed", "lost"):
-                self.violations.append(f"{action.req} is answered twice")
+                self.violations.append(f"{action.request_id} is answered twice")
             keeps = (
                 request.spec.effect is Effect.UNSAFE
                 or request.spec.effect is Effect.KEYED
                 and request.spec.group != "all"
             )
             if refused and not request.end and request.executed() and keeps:
-                self.violations.append(f"{action.req} is refused though it may have run")
+                self.violations.append(f"{action.request_id} is refused though it may have run")
             request.end = request.end or ("refused" if refused else "failed")
 
     def faults(self, request, action):
@@ -284,11 +288,18 @@
             self.retried_at.append(self.now)
         request.attempts.append(SentAttempt(action.engine, self.now))
         wait = max(0.0, min(action.max_wait or LONGEST_MS, request.at + request.arrival.time_left - self.now))
-        kinds = Outcome.GOOD, Outcome.BAD, Outcome.FULL, Outcome.NOCONN, Outcome.RST, Outcome.LATE
+        kinds = (
+            Outcome.SUCCESS,
+            Outcome.ERROR,
+            Outcome.OVERLOADED,
+            Outcome.UNREACHABLE,
+            Outcome.CONNECTION_RESET,
+            Outcome.TIMED_OUT,
+        )
         outcome = self.draw.choices(kinds, [70, 5, 5, 5, 5, self.lost_weight])[0]
         took = self.draw.expovariate(1 / self.mean_run_ms)
-        if outcome is Outcome.LATE or took > wait:
-            outcome, took = Outcome.LATE, wait
+        if outcome is Outcome.TIMED_OUT or took > wait:
+            outcome, took = Outcome.TIMED_OUT, wait
         self.later(took, action.req, number, outcome)
         if self.settings.progress:
             self.later(self.settings.progress, action.req, number, None)
--- a/tests/test_policy_load_reports.py
+++ b/tests/test_policy_load_reports.py
@@ -26,7 +26,9 @@
         busy = gateway.step(float(now), [report(e, 90) for e in two])
         assert not sent(busy)
         two = probed_engines(busy) or two
-    gateway = polling_gateway(api.ClassSpec("safe", aim=9000.0, deadline=20000.0, effect=Effect.SAFE))
+    gateway = polling_gateway(
+        api.RequestClass("safe", latency_objective_ms=9000.0, deadline_ms=20000.0, effect=Effect.SAFE)
+    )
     actions = gateway.step(1.0, [arrival("a", left=20000.0)])
     for now in range(51, 6000, 50):
         assert not sent(actions)
@@ -39,15 +41,22 @@
 def test_limits_on_reported_load_differ_so_gateways_do_not_send_all_at_once():
     limits = set()
     for seed in range(20):
-        gateway = Gateway(api.Settings(classes={"safe": SAFE}, cores={"k": 8}, probes=True, fields=("rif",)), seed)
-        gateway.step(0.0, [api.Members([entry("e0")], True)])
+        gateway = Gateway(
+            api.Settings(
+                classes={"safe": SAFE}, cores_by_kind={"k": 8}, health_checks=True, load_report_fields=("rif",)
+            ),
+            seed,
+        )
+        gateway.step(0.0, [api.EndpointsUpdated([entry("e0")], True)])
         gateway.step(1.0, [report("e0", 3)])
         limits.add(round(gateway.engines.by_id["e0"].load_limit, 3))
     assert len(limits) > 15
 
 
 def test_probes_are_bounded_by_requests_and_never_sent_where_forbidden():
-    gateway = polling_gateway(api.ClassSpec("safe", aim=9000.0, deadline=20000.0, effect=Effect.SAFE))
+    gateway = polling_gateway(
+        api.RequestClass("safe", latency_objective_ms=9000.0, deadline_ms=20000.0, effect=Effect.SAFE)
+    )
     now, asked = probed_engines(gateway.step(1.0, [arrival("a", left=20000.0)])), 2
     for i in range(40):  # all are busy, and their reports grow too old
         now = probed_engines(gateway.step(6.0 + 200 * i, [report(e, 90) for e in now]))
@@ -61,6 +70,6 @@
 def test_an_odd_answer_to_a_probe_is_ignored():
     gateway = polling_gateway()
     two = probed_engines(gateway.step(1.0, [arrival("a")]))
-    late = api.Probed(two[1], Outcome.LATE, 250.0)
-    gateway.step(2.0, [report("unknown", 1), api.Probed(two[0], Outcome.GOOD, 1.0), late])
+    late = api.HealthCheckResult(two[1], Outcome.TIMED_OUT, 250.0)
+    gateway.step(2.0, [report("unknown", 1), api.HealthCheckResult(two[0], Outcome.SUCCESS, 1.0), late])
     assert gateway.engines.by_id[two[0]].reported_at < 0
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -10,7 +10,7 @@
 def test_a_failed_engine_is_ejected_then_tried_once():
     gateway = make_gateway(engines=2)
     first = {send.engine: send for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(4)]))}
-    gateway.step(10.0, [ended(first["e0"], Outcome.NOCONN)])
+    gateway.step(10.0, [ended(first["e0"], Outcome.UNREACHABLE)])
     assert {send.engine for send in sent(gateway.step(11.0, [arrival(f"a{i}") for i in range(6)]))} == {"e1"}
     later = [send.engine for send in sent(gateway.step(5000.0, [arrival(f"b{i}") for i in range(6)]))]
     assert later.count("e0") == 1
@@ -19,11 +19,11 @@
 def test_a_single_reset_ejects_no_engine_but_resetting_all_in_flight_does():
     gateway = make_gateway(engines=2)
     out = [send for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(6)])) if send.engine == "e0"]
-    gateway.step(10.0, [ended(out[0], Outcome.RST)])
+    gateway.step(10.0, [ended(out[0], Outcome.CONNECTION_RESET)])
     assert "e0" in {send.engine for send in sent(gateway.step(11.0, [arrival(f"a{i}") for i in range(2)]))}
     gateway = make_gateway(engines=2)
     out = [send for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(6)])) if send.engine == "e0"]
-    gateway.step(10.0, [ended(send, Outcome.RST) for send in out])
+    gateway.step(10.0, [ended(send, Outcome.CONNECTION_RESET) for send in out])
     assert {send.engine for send in sent(gateway.step(11.0, [arrival(f"a{i}") for i in range(2)]))} == {"e1"}
 
 
@@ -32,20 +32,20 @@
     gateway, now, tried = make_gateway(engines=2, extra_floor=100.0, extra_ratio=0.0), 2.0, 0
     first = sent(gateway.step(1.0, [arrival(f"f{i}") for i in range(8)]))
     gateway.step(
-        2.0, [ended(send, Outcome.GOOD) for send in first if send.engine == "e0"]
+        2.0, [ended(send, Outcome.SUCCESS) for send in first if send.engine == "e0"]
     )  # the others keep e1 the busier one
     for i in range(40):
         now += 20.0
         (send,) = sent(gateway.step(now, [arrival(f"q{i}")]))
         if bad := send.engine == "e0":
             tried += 1
-            (send,) = sent(gateway.step(now + 1, [ended(send, Outcome.BAD, rtt=1.0)]))
-        gateway.step(now + 2, [ended(send, Outcome.GOOD, leg=int(bad))])
+            (send,) = sent(gateway.step(now + 1, [ended(send, Outcome.ERROR, rtt=1.0)]))
+        gateway.step(now + 2, [ended(send, Outcome.SUCCESS, leg=int(bad))])
     assert 4 <= tried <= 6
     while send.engine == "e1":
         now += 20.0
         (send,) = sent(gateway.step(now, [arrival(f"t{now}")]))
-        gateway.step(now + 1, [ended(send, Outcome.GOOD)])
+        gateway.step(now + 1, [ended(send, Outcome.SUCCESS)])
     assert now < 3000.0 and not gateway.engines.by_id["e0"].on_trial
 
 
@@ -56,8 +56,8 @@
         actions, sends = gateway.step(now, [arrival(f"q{i}")]), 0
         while sent(actions):
             (send,) = sent(actions)
-            actions, sends = gateway.step(now + sends + 1, [ended(send, Outcome.BAD, leg=sends, rtt=1.0)]), sends + 1
-        assert sends == 2 and len(of_type(api.Refuse, actions)) == 1
+            actions, sends = gateway.step(now + sends + 1, [ended(send, Outcome.ERROR, leg=sends, rtt=1.0)]), sends + 1
+        assert sends == 2 and len(of_type(api.Reject, actions)) == 1
     assert not any(x.on_trial for x in gateway.engines.up())
 
 
@@ -65,21 +65,27 @@
     """One that said 'full' to all it got was asked again and again, 160 times a second (c225a8ac)."""
     gateway, now, tried = make_gateway(engines=2, extra_floor=100.0, extra_ratio=0.0), 2.0, 0
     first = sent(gateway.step(1.0, [arrival(f"f{i}") for i in range(8)]))
-    gateway.step(2.0, [ended(send, Outcome.GOOD) for send in first if send.engine == "e0"])
+    gateway.step(2.0, [ended(send, Outcome.SUCCESS) for send in first if send.engine == "e0"])
     for i in range(40):
         now += 20.0
         (send,) = sent(gateway.step(now, [arrival(f"q{i}")]))
         if full := send.engine == "e0":
             tried += 1
-            (send,) = sent(gateway.step(now + 1, [ended(send, Outcome.FULL, rtt=1.0)]))
-        gateway.step(now + 2, [ended(send, Outcome.GOOD, leg=int(full))])
+            (send,) = sent(gateway.step(now + 1, [ended(send, Outcome.OVERLOADED, rtt=1.0)]))
+        gateway.step(now + 2, [ended(send, Outcome.SUCCESS, leg=int(full))])
     assert 4 <= tried <= 6
 
 
 def test_a_health_check_without_connection_ejects_an_engine_and_a_good_one_admits_none():
     gateway = make_gateway(engines=2)
-    gateway.step(1.0, [api.Probed("e0", Outcome.NOCONN, 0.0), api.Probed("unknown", Outcome.NOCONN, 0.0)])
+    gateway.step(
+        1.0,
+        [
+            api.HealthCheckResult("e0", Outcome.UNREACHABLE, 0.0),
+            api.HealthCheckResult("unknown", Outcome.UNREACHABLE, 0.0),
+        ],
+    )
     assert {send.engine for send in sent(gateway.step(2.0, [arrival(str(i)) for i in range(6)]))} == {"e1"}
-    gateway.step(3.0, [api.Members([entry("e0", phase=Phase.DRAINING), entry("e1")], True)])
-    actions = gateway.step(2000.0, [api.Probed("e0", Outcome.GOOD, 1.0), arrival("late")])
+    gateway.step(3.0, [api.EndpointsUpdated([entry("e0", phase=Phase.DRAINING), entry("e1")], True)])
+    actions = gateway.step(2000.0, [api.HealthCheckResult("e0", Outcome.SUCCESS, 1.0), arrival("late")])
     assert "e0" not in {send.engine for send in sent(actions)}
--- a/tests/test_policy_retry_budget.py
+++ b/tests/test_policy_retry_budget.py
@@ -19,11 +19,11 @@
         arrival(f"f{i}", left=0.0 if flood == "turned away" else 5000.0, lane="?" if flood == "of no class" else "safe")
         for i in range(200)
     ]
-    gateway.step(1.0, many + [api.Left(e.req) for e in many if flood == "taken back"])
+    gateway.step(1.0, many + [api.ClientGone(e.req) for e in many if flood == "taken back"])
     again = 0
     for i in range(20):
         send = sent(gateway.step(10.0 + i, [arrival(f"r{i}")]))[0]
-        again += len(sent(gateway.step(10.5 + i, [ended(send, Outcome.CXL)])))
+        again += len(sent(gateway.step(10.5 + i, [ended(send, Outcome.CANCELLED)])))
     assert again == 4
 
 
@@ -32,37 +32,39 @@
     gateway = make_gateway(engines=4, extra_floor=2.0, extra_ratio=0.1, extra_window=5000.0)
     flood = sent(gateway.step(1.0, [arrival(f"f{i}") for i in range(40)]))
     assert len(flood) == 40
-    again = sent(gateway.step(2.0, [ended(send, Outcome.BAD) for send in flood]))
+    again = sent(gateway.step(2.0, [ended(send, Outcome.ERROR) for send in flood]))
     for now in range(10, 3000, 10):
         again += sent(gateway.step(float(now), []))
     assert len(again) == 2
 
 
-@pytest.mark.parametrize("outcome", [Outcome.BAD, Outcome.RST, Outcome.LATE, Outcome.CXL])
+@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.CONNECTION_RESET, Outcome.TIMED_OUT, Outcome.CANCELLED])
 def test_unsafe_work_that_may_have_run_fails_and_is_not_retried(outcome):
     gateway = make_gateway(UNSAFE)
     (send,) = sent(gateway.step(1.0, [arrival("q", "unsafe")]))
     actions = gateway.step(50.0, [ended(send, outcome)])
-    assert [a.req for a in of_type(api.Fail, actions)] == ["q"] and not sent(actions) + of_type(api.Refuse, actions)
+    assert [a.req for a in of_type(api.Fail, actions)] == ["q"] and not sent(actions) + of_type(api.Reject, actions)
 
 
 def test_unsafe_work_that_never_ran_goes_elsewhere():
     gateway = make_gateway(UNSAFE)
     (send,) = sent(gateway.step(1.0, [arrival("q", "unsafe")]))
-    (again,) = sent(gateway.step(50.0, [ended(send, Outcome.NOCONN)]))
+    (again,) = sent(gateway.step(50.0, [ended(send, Outcome.UNREACHABLE)]))
     assert again.engine != send.engine
 
 
 @pytest.mark.parametrize("group, same", [("zone", True), ("cell", True), ("all", False)])
 def test_a_keyed_retry_stays_in_its_group_and_window(group, same):
-    spec = api.ClassSpec("keyed", 1000.0, 9000.0, effect=Effect.KEYED, memory_span=2000.0, group=group)
+    spec = api.RequestClass(
+        "keyed", 1000.0, 9000.0, effect=Effect.KEYED, deduplication_window_ms=2000.0, deduplication_scope=group
+    )
     gateway = make_gateway(spec)
     (send,) = sent(gateway.step(1.0, [arrival("q", "keyed", 9000.0)]))
-    (again,) = sent(gateway.step(50.0, [ended(send, Outcome.BAD)]))
+    (again,) = sent(gateway.step(50.0, [ended(send, Outcome.ERROR)]))
     assert (again.engine == send.engine) is same
-    actions = gateway.step(2500.0, [ended(again, Outcome.BAD, leg=1)])
+    actions = gateway.step(2500.0, [ended(again, Outcome.ERROR, leg=1)])
     assert not sent(actions)
-    assert bool(of_type(api.Refuse, actions)) is (group == "all")
+    assert bool(of_type(api.Reject, actions)) is (group == "all")
     assert bool(of_type(api.Fail, actions)) is (group != "all")
 
 
@@ -73,7 +75,7 @@
     now, taken, extra, out = 10.0, [], [], []
     for i, (gap, bad) in enumerate(script):
         now += gap
-        events = [ended(send, Outcome.BAD if bad else Outcome.GOOD, leg) for send, leg in out] + [arrival(f"r{i}")]
+        events = [ended(send, Outcome.ERROR if bad else Outcome.SUCCESS, leg) for send, leg in out] + [arrival(f"r{i}")]
         legs, out = {send.req: leg + 1 for send, leg in out}, []
         taken.append(now)
         for send in sent(gateway.step(now, events)):
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -18,35 +18,37 @@
 def test_a_request_keeps_to_its_zone_while_an_engine_there_is_free():
     gateway = make_gateway(engines=4)
     assert {send.engine for send in sent(gateway.step(1.0, [arrival(str(i), zone="z2") for i in range(8)]))} == {"e2"}
-    gateway.step(2.0, [api.Probed("e2", Outcome.NOCONN, 0.0)])
+    gateway.step(2.0, [api.HealthCheckResult("e2", Outcome.UNREACHABLE, 0.0)])
     assert "e2" not in {
         send.engine for send in sent(gateway.step(3.0, [arrival("x", zone="z2"), arrival("y", zone="z2")]))
     }
 
 
 def test_a_request_never_leaves_its_allowed_zones_nor_those_of_its_class():
-    near = api.ClassSpec("near", aim=1000.0, deadline=5000.0, effect=Effect.SAFE, zones=("z0", "z1"))
+    near = api.RequestClass(
+        "near", latency_objective_ms=1000.0, deadline_ms=5000.0, effect=Effect.SAFE, allowed_zones=("z0", "z1")
+    )
     gateway = make_gateway(near, engines=4, max_attempts=4)
     send = sent(gateway.step(1.0, [arrival("a", "near", zone="z1", zones=("z1", "z2"))]))[0]
     assert send.engine == "e1"
     for leg in range(1, 4):  # another try stays too, though there is no other engine
-        again = sent(gateway.step(leg + 1.0, [ended(send, Outcome.FULL, leg=leg - 1)]))
+        again = sent(gateway.step(leg + 1.0, [ended(send, Outcome.OVERLOADED, leg=leg - 1)]))
         assert {x.engine for x in again} <= {"e1"}
-    gateway.step(10.0, [api.Probed("e1", Outcome.NOCONN, 0.0)])
+    gateway.step(10.0, [api.HealthCheckResult("e1", Outcome.UNREACHABLE, 0.0)])
     assert not sent(gateway.step(11.0, [arrival("b", "near", zones=("z1", "z3"))]))
 
 
 def test_placement_holds_when_all_allowed_engines_are_gone():
-    bound = api.ClassSpec("safe", 1000.0, 5000.0, effect=Effect.SAFE, zones=("z1",))
+    bound = api.RequestClass("safe", 1000.0, 5000.0, effect=Effect.SAFE, allowed_zones=("z1",))
     gateway = make_gateway(bound)
     assert {send.engine for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(5)]))} == {"e1"}
-    gateway.step(2.0, [api.Members([entry("e1", phase=Phase.REMOVED)], False)])
+    gateway.step(2.0, [api.EndpointsUpdated([entry("e1", phase=Phase.REMOVED)], False)])
     assert not sent(gateway.step(3.0, [arrival("x")]))
 
 
 def test_readers_go_round_an_own_load_on_their_group():
-    load = api.ClassSpec("load", 1000.0, 5000.0, effect=Effect.UNSAFE, holds=True)
-    reader = api.ClassSpec("safe", 1000.0, 5000.0, effect=Effect.SAFE, yields=True)
+    load = api.RequestClass("load", 1000.0, 5000.0, effect=Effect.UNSAFE, locks_tables=True)
+    reader = api.RequestClass("safe", 1000.0, 5000.0, effect=Effect.SAFE, waits_for_loads=True)
     gateway = make_gateway(load, reader, engines=4)
     (held,) = sent(gateway.step(1.0, [arrival("l", "load", tables=5)]))
     readers = sent(gateway.step(2.0, [arrival(f"q{i}", tables=5) for i in range(6)]))
@@ -65,8 +67,13 @@
 def test_many_gateways_with_little_in_flight_spread_ties_over_all_engines():
     firsts = []
     for seed in range(40):
-        gateway = Gateway(api.Settings(classes={"safe": SAFE}, fronts=200, me=seed, cores={"k": 8}, tick=5.0), seed)
-        gateway.step(0.0, [api.Members([entry(f"e{i}") for i in range(8)], True)])
+        gateway = Gateway(
+            api.Settings(
+                classes={"safe": SAFE}, gateway_count=200, gateway_index=seed, cores_by_kind={"k": 8}, tick_ms=5.0
+            ),
+            seed,
+        )
+        gateway.step(0.0, [api.EndpointsUpdated([entry(f"e{i}") for i in range(8)], True)])
         firsts += [send.engine for send in sent(gateway.step(1.0, [arrival("q", tables=3)]))]
     assert len(firsts) == 40 and len(set(firsts)) == 8
 
@@ -74,8 +81,8 @@
 def test_a_tie_between_two_engines_goes_by_chance():
     taken = set()
     for seed in range(20):
-        gateway = Gateway(api.Settings(classes={"safe": SAFE}, cores={"k": 8}, tick=5.0), seed)
-        gateway.step(0.0, [api.Members([entry("e0"), entry("e1")], True)])
+        gateway = Gateway(api.Settings(classes={"safe": SAFE}, cores_by_kind={"k": 8}, tick_ms=5.0), seed)
+        gateway.step(0.0, [api.EndpointsUpdated([entry("e0"), entry("e1")], True)])
         taken |= {x.engine for x in sent(gateway.step(1.0, [arrival("q")]))}
     assert taken == {"e0", "e1"}
 
--- a/tests/test_policy_settings.py
+++ b/tests/test_policy_settings.py
@@ -13,6 +13,6 @@
     with pytest.raises(ValueError):
         api.Settings(**({"classes": {"safe": SAFE}} | bad))
     with pytest.raises(ValueError):
-        api.ClassSpec("x", aim=-1.0, deadline=5.0)
+        api.RequestClass("x", latency_objective_ms=-1.0, deadline_ms=5.0)
     with pytest.raises(ValueError):
-        api.ClassSpec("x", aim=1.0, deadline=0.0)
+        api.RequestClass("x", latency_objective_ms=1.0, deadline_ms=0.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -161,7 +161,7 @@
     def test_example_alone(self):
         c = config.load(None, str(ROOT / "deploy/postgres.xml"))
         assert c.postgres is not None and c.postgres.users["reportes"].budget == 20_000.0
-        assert c.settings.classes["carga"].serial and c.settings.max_attempts == 4 and c.settings.tick == 5.0
+        assert c.settings.classes["carga"].ordered_by_key and c.settings.max_attempts == 4 and c.settings.tick_ms == 5.0
         assert [x["instanceId"] for x in c.updates[0]["endpoints"]["instances"]] == ["motor-1", "motor-2"]
 
     def test_over_the_platforms_file(self):
--- a/tests/test_stalls_and_departures.py
+++ b/tests/test_stalls_and_departures.py
@@ -29,12 +29,12 @@
         _, sink = self.ask(budget=1000.0)
         self.run_until_started(1)
         self.clock.go(900 - 3 - self.clock.now())
-        self.stand_still(lambda: self.engines.started[0].end(Outcome.GOOD, b"x"))
+        self.stand_still(lambda: self.engines.started[0].end(Outcome.SUCCESS, b"x"))
         self.assertEqual((sink.answers, self.engines.given), ([("served", b"x")], []))
 
     def test_an_engine_that_began_to_drain_during_the_stall_gets_no_attempt(self):
         self.ask()
-        self.stand_still(lambda: self.d.members([api.Entry("e3", "z", "k", 0, api.Phase.UP)]))
+        self.stand_still(lambda: self.d.members([api.Endpoint("e3", "z", "k", 0, api.Phase.UP)]))
         self.run_until_started(1)
         self.assertEqual(self.engines.started[0].engine, "e3")
 
@@ -50,7 +50,7 @@
             self.run_until_started(1)
             if not rests:
                 self.d.abandon(waits)
-            self.engines.started[0].end(Outcome.RST)
+            self.engines.started[0].end(Outcome.CONNECTION_RESET)
             self.clock.go(20)
             if rests:
                 self.d.abandon(waits)
@@ -62,6 +62,6 @@
         r, _ = self.ask()
         self.clock.go(50)
         self.d.abandon(r)
-        self.d.members([api.Entry("e3", "z", "k", 0, api.Phase.UP)])
+        self.d.members([api.Endpoint("e3", "z", "k", 0, api.Phase.UP)])
         self.clock.go(1000)
         self.assertEqual(self.engines.started, [])
