--- a/decklb/cli/running.py
+++ b/decklb/cli/running.py
@@ -14,7 +14,7 @@
 
 
 def _ask(path: str | None, settings: str | None, what: str, **more: Any) -> Any:
-    from decklb.daemon.control import ControlError, ask
+    from decklb.management.control_server import ControlError, ask
 
     if path is None:
         try:
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -14,7 +14,7 @@
 from decklb.config import Config, ConfigError
 from decklb.core.ports import Timer
 from decklb.daemon.assembly import assemble, cluster, handoff, locality, maintenance, speaker
-from decklb.daemon.garbage import Collector
+from decklb.daemon.gc_tuning import Collector
 from decklb.interface import Entry, Outcome, Phase
 from decklb.net.directory import Directory
 from decklb.wire.clock import ReactorClock
@@ -104,7 +104,7 @@
             self.clock.call_later(REOPEN, self._open_directory)
 
     def _open_control(self, path: str) -> None:
-        from decklb.daemon.control import listen
+        from decklb.management.control_server import listen
 
         plan = self.maintenance
         listen(
--- a/decklb/lab/outage.py
+++ b/decklb/lab/outage.py
@@ -23,12 +23,12 @@
 import ujson
 
 from decklb.cluster import keyfile
-from decklb.daemon.control import ControlError, ask
 from decklb.lab import ports
 from decklb.lab.apart import TRIES, apart
 from decklb.lab.faults import Fault, Kind, Link, schedule
 from decklb.lab.rig import HELD_UP, Address, Rig
 from decklb.lab.verdict import Line, Story, Verdict, judge
+from decklb.management.control_server import ControlError, ask
 from decklb.pg import messages as pg
 
 READ, LOAD = "read", "load"  # may be repeated; at most once
--- a/decklb/lab/regions.py
+++ b/decklb/lab/regions.py
@@ -18,13 +18,13 @@
 
 import ujson
 
-from decklb.daemon.control import ask
 from decklb.lab.apart import side_by_side
 from decklb.lab.faults import Link
 from decklb.lab.outage import Fleet, Process, Setup
 from decklb.lab.rig import HELD_UP
 from decklb.lab.zonal import Change, Judged, Sent, judge
 from decklb.locality.settings import LocalitySettings
+from decklb.management.control_server import ask
 from decklb.pg import messages as pg
 
 HOMES = ("z0", "z0", "z1", "z1", "z2")  # of the managers
--- a/decklb/lab/upkeep.py
+++ b/decklb/lab/upkeep.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from typing import Any
 
-from decklb.daemon.control import ControlError, ask
 from decklb.lab.apart import side_by_side
 from decklb.lab.outage import Process
 from decklb.lab.regions import REGION, Callers, Zonal
 from decklb.lab.rig import HELD_UP
 from decklb.lab.zonal import Sent
+from decklb.management.control_server import ControlError, ask
 
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
 RATE = 12.0  # requests a second of each zone's callers: 2 of 8 cores that a zone has left with one engine out
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,7 +10,7 @@
 import pytest
 import ujson
 
-from decklb.daemon import control
+from decklb.management import control_server as control
 
 
 @pytest.mark.parametrize(
--- a/tests/test_duties_program.py
+++ b/tests/test_duties_program.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from decklb.cluster import keyfile
-from decklb.daemon.control import ask
 from decklb.lab import ports
+from decklb.management.control_server import ask
 from tests.standins import ROOT, Loop, PgEngine, PingEngine, Program, known, wait_for
 
 PERIOD = 1.0  # seconds
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -10,9 +10,9 @@
 
 import psycopg
 
-from decklb.daemon.control import ask
 from decklb.lab.faults import Fault, Kind, Link
 from decklb.lab.outage import COME_BACK, Fleet, Setup, campaign
+from decklb.management.control_server import ask
 from tests.standins import wait_for
 
 SETUP = Setup()
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -27,7 +27,7 @@
     "decklb.pg",
     "decklb.bgp",
     "decklb.middleware",
-    "decklb.daemon.control",
+    "decklb.management",
     "decklb.config.xml",
     "decklb.config.operators",
     "decklb.wire.prober",
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from decklb.cluster import keyfile
-from decklb.daemon.control import ask
 from decklb.lab import ports
 from decklb.lab.faults import Link
 from decklb.lab.rig import Rig
+from decklb.management.control_server import ask
 from tests.standins import Loop, Program, known, wait_for
 
 NAMES = ["m0", "m1", "m2"]
