--- a/decklb/cli/running.py
+++ b/decklb/cli/running.py
@@ -14,7 +14,7 @@
 
 
 def _ask(path: str | None, settings: str | None, what: str, **more: Any) -> Any:
-    from decklb.management.control_server import ControlError, ask
+    from decklb.management.control_client import ControlError, query
 
     if path is None:
         try:
@@ -24,7 +24,7 @@
     if not path:
         raise click.ClickException("the settings have no <control>; give one, or --socket")
     try:
-        return ask(path, what, **more)
+        return query(path, what, **more)
     except ControlError as error:
         raise click.ClickException(str(error)) from error
 
--- a/decklb/lab/outage.py
+++ b/decklb/lab/outage.py
@@ -28,7 +28,7 @@
 from decklb.lab.faults import Fault, Kind, Link, schedule
 from decklb.lab.rig import HELD_UP, Address, Rig
 from decklb.lab.verdict import Line, Story, Verdict, judge
-from decklb.management.control_server import ControlError, ask
+from decklb.management.control_client import ControlError, query
 from decklb.pg import messages as pg
 
 READ, LOAD = "read", "load"  # may be repeated; at most once
@@ -291,7 +291,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         for name, p in self.managers.items():
             try:
-                held = ujson.dumps(ask(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
+                held = ujson.dumps(query(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
             except ControlError as error:
                 held = str(error)
             (folder / f"{name}.log").write_text("".join([*p.lines, held, "\n"]))
@@ -502,9 +502,9 @@
             before = sum(resident(p) for p in fleet.managers.values())
             await asyncio.gather(*(session(fleet, i) for i in range(at_once)))
             after = sum(resident(p) for p in fleet.managers.values())
-            held = [await asyncio.to_thread(ask, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            held = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
             await asyncio.sleep(setup.life / 1000 + 1.0)
-            left = [await asyncio.to_thread(ask, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            left = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
         finally:
             await fleet.stop()
     records = sum(h["held"] for h in held)
--- a/decklb/lab/regions.py
+++ b/decklb/lab/regions.py
@@ -24,7 +24,6 @@
 from decklb.lab.rig import HELD_UP
 from decklb.lab.zonal import Change, Judged, Sent, judge
 from decklb.locality.settings import LocalitySettings
-from decklb.management.control_server import ask
 from decklb.pg import messages as pg
 
 HOMES = ("z0", "z0", "z1", "z1", "z2")  # of the managers
@@ -128,7 +127,7 @@
         """Wait until all members know all, and may vote."""
         end = time.monotonic() + 20.0
         while time.monotonic() < end:
-            rows = [await asyncio.to_thread(ask, str(self.folder / f"{n}.sock"), "zones") for n in self.names]
+            rows = [await asyncio.to_thread(query, str(self.folder / f"{n}.sock"), "zones") for n in self.names]
             if all(r["members"] == len(self.names) for r in rows):
                 return await asyncio.sleep((LOCALITY.fresh + LOCALITY.retry) / 1000)
             await asyncio.sleep(0.1)
--- a/decklb/lab/upkeep.py
+++ b/decklb/lab/upkeep.py
@@ -23,7 +23,7 @@
 from decklb.lab.regions import REGION, Callers, Zonal
 from decklb.lab.rig import HELD_UP
 from decklb.lab.zonal import Sent
-from decklb.management.control_server import ControlError, ask
+from decklb.management.control_client import ControlError, query
 
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
 RATE = 12.0  # requests a second of each zone's callers: 2 of 8 cores that a zone has left with one engine out
@@ -135,7 +135,7 @@
 
     async def ask(self, name: str, what: str, **more: Any) -> Any:
         """A question or an order to one manager."""
-        return await asyncio.to_thread(lambda: ask(str(self.folder / f"{name}.sock"), what, **more))
+        return await asyncio.to_thread(lambda: query(str(self.folder / f"{name}.sock"), what, **more))
 
     async def plan(self) -> dict[str, Any]:
         """As the manager knows it that has come furthest."""
--- a/decklb/management/control_server.py
+++ b/decklb/management/control_server.py
@@ -1,7 +1,7 @@
-"""Answers to operators over a local Unix socket: one JSON object a line, asked and answered.
+"""The server of the control socket: operators' queries and commands over a local Unix socket.
 
-A question is `{"decklb":1,"ask":"members"}`; the answer has `decklb` (the format's version), `ok`, and `answer` or
-`error`. The socket is readable by its owner alone. Orders change something, and are answered once it is settled.
+The socket is readable by its owner alone. Queries are answered at once; commands change something and are answered when that has settled. The daemon opens the
+socket where the settings name one; each connection is a line protocol without further state.
 """
 
 from __future__ import annotations
@@ -18,135 +18,116 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
-VERSION = 1
-MOST_LINE = 4096  # bytes of a question
-MOST_CONNECTIONS = 8
-WAIT = 10.0  # seconds that a client of the socket waits
+from decklb.management import control_protocol as protocol
 
-Answers = dict[str, Callable[[], Any]]
-Orders = dict[str, Callable[[dict[str, Any]], Deferred[Any]]]  # given the whole question; raise or fail with ValueError
+MAX_REQUEST_BYTES = 4096  # a request names one thing and few arguments
+MAX_CONNECTIONS = 8  # operators are few; descriptors are for clients and engines
+SOCKET_MODE = 0o600  # whoever may open the socket may take machines out
 
+Query = Callable[[], Any]
+# Given the whole request. It raises or fails with ValueError where the command can't be carried out.
+Command = Callable[[dict[str, Any]], Deferred[Any]]
 
-class Control(LineOnlyReceiver):
+PEER_CLOSED = "peer-closed"
+TOO_MANY = "too-many"
+TOO_LONG = "too-long"
+
+
+class ControlConnection(LineOnlyReceiver):
     """One operator's connection."""
 
     delimiter = b"\n"
-    MAX_LENGTH = MOST_LINE
+    MAX_LENGTH = MAX_REQUEST_BYTES
     transport: Any
 
-    def __init__(self, factory: ControlFactory) -> None:
-        self.owner = factory
-        self.asked, self.reason = 0, "peer-closed"
+    def __init__(self, server: ControlServer) -> None:
+        self.server = server
+        self.request_count = 0
+        self.end_reason = PEER_CLOSED
 
     def connectionMade(self) -> None:
-        """Turn away those beyond the bound."""
-        self.owner.connections += 1
-        if self.owner.connections > MOST_CONNECTIONS:
-            self.reason = "too-many"
+        """Close connections beyond the bound."""
+        self.server.connections += 1
+        if self.server.connections > MAX_CONNECTIONS:
+            self.end_reason = TOO_MANY
             self.transport.loseConnection()
 
     def lineReceived(self, line: bytes) -> None:
-        """One question."""
-        self.asked += 1
-        found = self.owner.answer(line)
-        if isinstance(found, Deferred):
-            found.addCallback(self._say)
+        """Carry out one request."""
+        self.request_count += 1
+        response = self.server.respond(line)
+        if isinstance(response, Deferred):
+            response.addCallback(self._send)
         else:
-            self._say(found)
+            self._send(response)
 
-    def _say(self, answer: dict[str, Any]) -> None:
-        if self.reason == "peer-closed":  # it may have gone while an order was settled
-            self.transport.write(ujson.dumps(answer).encode() + b"\n")
+    def _send(self, response: dict[str, Any]) -> None:
+        if self.end_reason == PEER_CLOSED:  # it may have gone while a command was carried out
+            self.transport.write(protocol.encode_line(response))
 
     def lineLengthExceeded(self, line: bytes) -> Any:
-        """No question is so long."""
-        self.reason = "too-long"
+        """Close: no request is so long."""
+        self.end_reason = TOO_LONG
         return self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """One line in the log."""
-        self.owner.connections -= 1
+        """Log the end of the connection."""
+        self.server.connections -= 1
         logger.info(
-            "control connection ended: {reason} questions={questions}",
+            "control connection ended: {reason} requests={requests}",
             event="control-connection-ended",
-            reason=self.reason,
-            questions=self.asked,
+            reason=self.end_reason,
+            requests=self.request_count,
         )
 
 
-class ControlFactory(ServerFactory):
-    """What may be asked, and who answers."""
+class ControlServer(ServerFactory):
+    """The queries and commands of one process, by name, and the number of open connections."""
 
     noisy = False
 
-    def __init__(self, answers: Answers, orders: Orders | None = None) -> None:
-        self.answers, self.orders = answers, orders or {}
+    def __init__(self, queries: dict[str, Query], commands: dict[str, Command] | None = None) -> None:
+        self.queries = queries
+        self.commands = commands or {}
         self.connections = 0
 
-    def buildProtocol(self, addr: Any) -> Control:
-        """A connection."""
-        return Control(self)
+    def buildProtocol(self, addr: Any) -> ControlConnection:
+        """Make the protocol of a new connection."""
+        return ControlConnection(self)
 
-    def answer(self, line: bytes) -> dict[str, Any] | Deferred[dict[str, Any]]:
-        """The answer to one line; faults are told, never raised."""
-        made: dict[str, Any] = {"decklb": VERSION, "ok": False}
+    def respond(self, line: bytes) -> dict[str, Any] | Deferred[dict[str, Any]]:
+        """The response to one request line, later for commands. Errors become responses and are never raised."""
         try:
-            asked = ujson.loads(line)
+            request = ujson.loads(line)
         except ValueError:
-            return made | {"error": "not JSON"}
-        if not isinstance(asked, dict) or asked.get("decklb") != VERSION:
-            return made | {"error": f"this program speaks version {VERSION}"}
-        what = str(asked.get("ask"))
-        if what in self.orders:
-            return maybeDeferred(self.orders[what], asked).addCallbacks(
-                lambda answer: made | {"ok": True, "answer": answer}, lambda failure: made | {"error": _why(failure)}
-            )
-        answer = self.answers.get(what)
-        if answer is None:
-            return made | {"error": f"ask one of {', '.join(sorted([*self.answers, *self.orders]))}"}
-        return made | {"ok": True, "answer": answer()}
-
-
-def _why(failure: Failure) -> str:
-    """An order that can't be taken says so; anything else is a fault of the program."""
-    if not isinstance(failure.value, ValueError):
-        logger.error("order failed: {fault}", event="order-failed", fault=failure.getTraceback())
-    return failure.getErrorMessage()
-
-
-def listen(reactor: Any, path: str, answers: Answers, orders: Orders | None = None) -> Any:
-    """Open the socket; one that a dead process left is replaced, one that answers is not. Raises OSError."""
+            return protocol.failure("not JSON")
+        if not isinstance(request, dict) or request.get(protocol.VERSION_KEY) != protocol.VERSION:
+            return protocol.failure(f"this program speaks version {protocol.VERSION}")
+        name = str(request.get(protocol.NAME_KEY))
+        if name in self.commands:
+            return maybeDeferred(self.commands[name], request).addCallbacks(protocol.success, _command_failed)
+        query = self.queries.get(name)
+        if query is None:
+            return protocol.failure(f"ask one of {', '.join(sorted([*self.queries, *self.commands]))}")
+        return protocol.success(query())
+
+
+def _command_failed(reason: Failure) -> dict[str, Any]:
+    """A command that can't be carried out says so by ValueError; anything else is a bug, and is logged."""
+    if not isinstance(reason.value, ValueError):
+        logger.error("command failed: {error}", event="control-command-failed", error=reason.getTraceback())
+    return protocol.failure(reason.getErrorMessage())
+
+
+def listen(reactor: Any, path: str, queries: dict[str, Query], commands: dict[str, Command] | None = None) -> Any:
+    """Open the socket and return its port. A socket that a dead process left behind is replaced.
+
+    Raises:
+        OSError: Another process answers at that path, or the socket can't be made.
+    """
     if os.path.exists(path):
         with socket.socket(socket.AF_UNIX) as probe:
             if probe.connect_ex(path) == 0:
                 raise OSError(f"{path}: another process answers there")
         os.unlink(path)
-    return reactor.listenUNIX(path, ControlFactory(answers, orders), mode=0o600)
-
-
-class ControlError(Exception):
-    """A running instance can't be asked."""
-
-
-def ask(path: str, what: str, **more: Any) -> Any:
-    """Ask a running instance, from another process, or give it an order. Raises ControlError."""
-    try:
-        with socket.socket(socket.AF_UNIX) as link:
-            link.settimeout(WAIT)
-            link.connect(path)
-            link.sendall(ujson.dumps({"decklb": VERSION, "ask": what} | more).encode() + b"\n")
-            data = b""
-            while not data.endswith(b"\n"):
-                part = link.recv(65536)
-                if not part:
-                    break
-                data += part
-    except OSError as error:
-        raise ControlError(f"{path}: {error}") from error
-    try:
-        found = ujson.loads(data)
-    except ValueError as error:
-        raise ControlError(f"{path}: the answer is not JSON") from error
-    if not found.get("ok"):
-        raise ControlError(f"{path}: {found.get('error', 'no answer')}")
-    return found["answer"]
+    return reactor.listenUNIX(path, ControlServer(queries, commands), mode=SOCKET_MODE)
--- a/tests/test_control.py
+++ b/tests/test_control_socket.py
@@ -1,4 +1,4 @@
-"""The control socket's answers, and who may have its path."""
+"""The control socket: its responses, and who may have its path."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 import ujson
 
-from decklb.management import control_server as control
+from decklb.management import control_client, control_server
 
 
 @pytest.mark.parametrize(
@@ -26,12 +26,12 @@
         (b'{"decklb":1,"ask":["x"]}', "ask one of x"),
     ],
 )
-def test_bad_questions(line, words):
-    said = control.ControlFactory({"x": lambda: 1}).answer(line)
+def test_a_malformed_request_is_answered_with_an_error(line, words):
+    said = control_server.ControlServer({"x": lambda: 1}).respond(line)
     assert (said["decklb"], said["ok"]) == (1, False) and words in said["error"]
 
 
-class Path_(unittest.TestCase):
+class SocketPath(unittest.TestCase):
     def test_a_path_that_answers_is_not_taken_over_one_left_behind_is(self):
         class Reactor:
             def listenUNIX(self, path, factory, mode):
@@ -43,12 +43,12 @@
                 other.bind(path)
                 other.listen()
                 with self.assertRaisesRegex(OSError, "another process"):
-                    control.listen(Reactor(), path, {})
-            self.assertEqual(control.listen(Reactor(), path, {}), (path, 0o600))
+                    control_server.listen(Reactor(), path, {})
+            self.assertEqual(control_server.listen(Reactor(), path, {}), (path, 0o600))
 
-    def test_answer(self):
-        said = control.ControlFactory({"x": lambda: [1]}).answer(b'{"decklb":1,"ask":"x"}')
+    def test_a_query_is_answered_with_its_result(self):
+        said = control_server.ControlServer({"x": lambda: [1]}).respond(b'{"decklb":1,"ask":"x"}')
         self.assertEqual(said, {"decklb": 1, "ok": True, "answer": [1]})
         self.assertEqual(ujson.loads(ujson.dumps(said)), said)
-        with self.assertRaisesRegex(control.ControlError, "No such file"):
-            control.ask("/nowhere/at/all", "members")
+        with self.assertRaisesRegex(control_client.ControlError, "No such file"):
+            control_client.query("/nowhere/at/all", "members")
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -167,7 +167,7 @@
         trace.write(f"ready {service.ready()}")
         for name in ("members", "duties", "handoff", "zones", "plan", *orders):
             if trace.reactor.control is not None:
-                said = trace.reactor.control.answer(json.dumps({"decklb": 1, "ask": name}).encode())
+                said = trace.reactor.control.respond(json.dumps({"decklb": 1, "ask": name}).encode())
                 trace.write(f"control {name}: {getattr(said, 'result', said)}")
         trace.advance(3100)
         trace.write(f"ready {service.ready()}")
--- a/tests/test_duties_program.py
+++ b/tests/test_duties_program.py
@@ -14,7 +14,7 @@
 
 from decklb.cluster import keyfile
 from decklb.lab import ports
-from decklb.management.control_server import ask
+from decklb.management.control_client import query
 from tests.standins import ROOT, Loop, PgEngine, PingEngine, Program, known, wait_for
 
 PERIOD = 1.0  # seconds
@@ -46,10 +46,12 @@
         return Program({"known": known(*[e.port for e in self.engines])}, xml)
 
     def alive(self, i):
-        return {m["name"] for m in ask(self.socket(i), "members")["members"] if m["state"] == "alive" and m["settled"]}
+        return {
+            m["name"] for m in query(self.socket(i), "members")["members"] if m["state"] == "alive" and m["settled"]
+        }
 
     def owners(self, i):
-        return {r["subject"]: r["owner"] for r in ask(self.socket(i), "duties")}
+        return {r["subject"]: r["owner"] for r in query(self.socket(i), "duties")}
 
     def close(self):
         for program in self.programs:
@@ -142,8 +144,8 @@
                 marks = sum("keys read" in line for line in program.lines)
                 program.process.send_signal(signal.SIGHUP)
                 wait_for(lambda p=program, n=marks: sum("keys read" in x for x in p.lines) > n, "keys read")
-        heard = ask(trio.socket(0), "members")["health"]["received"]
-        wait_for(lambda: ask(trio.socket(0), "members")["health"]["received"] > heard + 20, "talk under the new key")
+        heard = query(trio.socket(0), "members")["health"]["received"]
+        wait_for(lambda: query(trio.socket(0), "members")["health"]["received"] > heard + 20, "talk under the new key")
         self.formed()
 
     def test_an_engine_that_answers_nobody_is_left_out_and_comes_back(self):
@@ -151,18 +153,20 @@
         trio.engines[0].deaf = True
         wait_for(
             lambda: all(
-                any(r["subject"] == "s-0" and r["down"] for r in ask(trio.socket(i), "duties")) for i in range(3)
+                any(r["subject"] == "s-0" and r["down"] for r in query(trio.socket(i), "duties")) for i in range(3)
             ),
             "told to all",
         )
         trio.engines[0].deaf = False
-        wait_for(lambda: not any(r["down"] for i in range(3) for r in ask(trio.socket(i), "duties")), "told again")
+        wait_for(lambda: not any(r["down"] for i in range(3) for r in query(trio.socket(i), "duties")), "told again")
 
     def test_a_drain_hands_over_at_once(self):
         trio = self.trio
         trio.programs[1].process.send_signal(signal.SIGTERM)
         wait_for(
-            lambda: next(m["state"] for m in ask(trio.socket(0), "members")["members"] if m["name"] == "m1") == "left",
+            lambda: (
+                next(m["state"] for m in query(trio.socket(0), "members")["members"] if m["name"] == "m1") == "left"
+            ),
             "leave",
         )
         wait_for(lambda: set(trio.owners(0).values()) == {"m0", "m2"}, "new owners")
@@ -182,8 +186,8 @@
             )
             program = Program({"known": known(engine.port)}, xml)
             try:
-                wait_for(lambda: any(r["up"] for r in ask(f"{folder}/s", "duties")), "a probe")
-                wait_for(lambda: ask(f"{folder}/s", "members")["health"]["duties"]["probe"]["started"] > 3, "probes")
+                wait_for(lambda: any(r["up"] for r in query(f"{folder}/s", "duties")), "a probe")
+                wait_for(lambda: query(f"{folder}/s", "members")["health"]["duties"]["probe"]["started"] > 3, "probes")
                 self.assertEqual((engine.count, engine.said("start")), (1, []))
             finally:
                 program.stop()
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -12,7 +12,7 @@
 
 from decklb.lab.faults import Fault, Kind, Link
 from decklb.lab.outage import COME_BACK, Fleet, Setup, campaign
-from decklb.management.control_server import ask
+from decklb.management.control_client import query
 from tests.standins import wait_for
 
 SETUP = Setup()
@@ -269,7 +269,7 @@
         self.assertEqual(len(self.runs("jumped")), 1)
 
         async def held():
-            return await asyncio.to_thread(ask, str(self.fleet.folder / "m1.sock"), "handoff")
+            return await asyncio.to_thread(query, str(self.fleet.folder / "m1.sock"), "handoff")
 
         for _ in range(100):  # its records lapse, which only a member whose beats go on sees to
             if self.runner.run(held())["held"] == 0:
@@ -291,7 +291,7 @@
         finally:
             self.fleet.rig.heal()
         socket = str(self.fleet.folder / "m1.sock")
-        self.during(lambda: wait_for(lambda: ask(socket, "handoff")["links"] == 2, "connections made again"))
+        self.during(lambda: wait_for(lambda: query(socket, "handoff")["links"] == 2, "connections made again"))
 
 
 class Seeded(unittest.TestCase):
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -11,7 +11,7 @@
 from decklb.lab import ports
 from decklb.lab.faults import Link
 from decklb.lab.rig import Rig
-from decklb.management.control_server import ask
+from decklb.management.control_client import query
 from tests.standins import Loop, Program, known, wait_for
 
 NAMES = ["m0", "m1", "m2"]
@@ -49,14 +49,14 @@
         self.loop.run(run())
 
     def alive(self, name):
-        members = ask(str(self.folder / f"{name}.sock"), "members")["members"]
+        members = query(str(self.folder / f"{name}.sock"), "members")["members"]
         return {m["name"] for m in members if m["state"] == "alive"}
 
     def sees(self, name, wanted, what):
         try:
             wait_for(lambda: self.alive(name) == set(wanted), f"{name} seeing {what}")
         except AssertionError:
-            print(ask(str(self.folder / f"{name}.sock"), "members"))
+            print(query(str(self.folder / f"{name}.sock"), "members"))
             raise
 
     def test_members_see_a_partition_a_one_way_cut_and_a_slow_peer_and_their_end(self):
