--- a/decklb/lab/regions.py
+++ b/decklb/lab/regions.py
@@ -24,6 +24,7 @@
 from decklb.lab.rig import HELD_UP
 from decklb.lab.zonal import Change, Judged, Sent, judge
 from decklb.locality.settings import LocalitySettings
+from decklb.management.control_client import query
 from decklb.pg import messages as pg
 
 HOMES = ("z0", "z0", "z1", "z1", "z2")  # of the managers
--- a/decklb/management/control_server.py
+++ b/decklb/management/control_server.py
@@ -1,7 +1,7 @@
 """The server of the control socket: operators' queries and commands over a local Unix socket.
 
-The socket is readable by its owner alone. Queries are answered at once; commands change something and are answered when that has settled. The daemon opens the
-socket where the settings name one; each connection is a line protocol without further state.
+The socket is readable by its owner alone. Queries are answered at once; commands change something and are answered when
+that has settled. The daemon opens the socket where the settings name one; a connection keeps no state between requests.
 """
 
 from __future__ import annotations
