--- a/decklb/daemon/__init__.py
+++ b/decklb/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The process: assembling the parts, signals, readiness, drain and reload."""
+"""The process: assembly of its parts, signals, readiness, drain and reload."""
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -1,296 +1,153 @@
-"""The process: builds the parts, opens the sockets, answers for readiness, reloads on SIGHUP, drains on SIGTERM."""
+"""The process: opens its port, answers whether it is ready, reloads on SIGHUP and drains on SIGTERM.
+
+Owns the parts that assembly has built. The command `serve` makes one and runs it.
+"""
 
 from __future__ import annotations
 
 import random
 import signal
-import time
 from collections.abc import Callable
 from typing import Any
 
 from loguru import logger
-from twisted.internet.error import CannotListenError
 
-from decklb.config import Config, ConfigError
-from decklb.core.ports import Timer
-from decklb.daemon.assembly import assemble, cluster, handoff, locality, maintenance, speaker
+from decklb.config import Config
+from decklb.daemon.assembly import assemble_core, assemble_subsystems
+from decklb.daemon.discovery import Discovery
+from decklb.daemon.drain import ACCEPT_BACKLOG, Drain
+from decklb.daemon.engine_list import EngineListUpdates
 from decklb.daemon.gc_tuning import Collector
-from decklb.interface import Entry, Outcome, Phase
-from decklb.net.directory import Directory
+from decklb.daemon.lifecycle import Lifecycle, LifecycleState
+from decklb.daemon.readiness import Readiness
+from decklb.daemon.reload import Reload
+from decklb.daemon.signals import install_signal_handlers
+from decklb.daemon.subsystems.base import Process
+from decklb.interface import Outcome
 from decklb.wire.clock import ReactorClock
 
-# SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as 3 s at the most, and 0.7 s more.
-LONGEST, LAST_CALL = 3000.0, 100.0  # ms; what is open so long before that is answered then
-GRACE = 700.0  # ms after SIGTERM in which clients that do not know yet are still taken in
-HEARD = 3000.0  # ms after which the list of the start must do where the directory does not answer
-FLUSH, AGAIN = 500.0, 50.0  # ms for last answers to leave; between looks whether some client is owed more
-REOPEN = 500.0  # ms until the directory's socket is tried again
-EMPTYING = 0.5  # seconds in which a drain takes in who waits in the machine's queue, in spite of errors
-BACKLOG = 512  # connections that may wait in the machine's queue
-
 
 class Service:
     """One workload manager."""
 
-    def __init__(self, reactor: Any, config: Config, again: Callable[[], Config]) -> None:
-        """`again` reads the configuration anew, for each SIGHUP."""
-        self.reactor, self.config, self.again = reactor, config, again
-        self.clock = ReactorClock(reactor)
-        self.rng = random.Random(config.seed)
-        parts = assemble(reactor, self.clock, config, self.rng.randrange, self.ready)
-        self.dispatcher, self.front, self.engines = parts.dispatcher, parts.front, parts.engines
-        if (unread_for := getattr(reactor, "unread_for", None)) is not None:
-            self.dispatcher.unread_for = lambda: 1000.0 * unread_for()
-        self.speaker = speaker(reactor, self.clock, config)
-        self.cluster = cluster(reactor, self.clock, config, self._probed)
-        self.handoff = handoff(reactor, self.clock, config, parts, self.cluster)
-        self.locality = locality(reactor, self.clock, config, parts, self.cluster)
-        self.maintenance = maintenance(
-            reactor, self.clock, config, parts, self.cluster, self.locality, self._relist, self.terminate
+    def __init__(self, reactor: Any, config: Config, read_config: Callable[[], Config]) -> None:
+        """Build the parts; nothing is opened yet. Raises ConfigError where a part can't use its settings.
+
+        Args:
+            reactor: Twisted's, or one like it.
+            config: What the process serves by.
+            read_config: Reads the configuration anew, for each SIGHUP; may raise ConfigError.
+        """
+        self._reactor, self._config = reactor, config
+        self._clock = ReactorClock(reactor)
+        random_below = random.Random(config.seed).randrange
+        self._lifecycle = Lifecycle()
+        self._readiness = Readiness(self._lifecycle, lambda: self._discovery.engines_known)
+        self._core = assemble_core(reactor, self._clock, config, random_below, self.ready)
+        self._measure_unread_time()
+        self._subsystems = assemble_subsystems(
+            Process(
+                reactor,
+                self._clock,
+                config,
+                self._core,
+                on_probe_result=self._probe_result,
+                on_maintenance_plan=lambda: self._engine_list.refresh(),
+                terminate=self.terminate,
+            )
+        )
+        self._engine_list = EngineListUpdates(
+            self._core, self._subsystems, self._readiness, on_updated=self._announce_readiness
+        )
+        self._discovery = Discovery(
+            reactor,
+            self._clock,
+            config,
+            self._lifecycle,
+            random_below,
+            on_list=self._engine_list.update,
+            on_timeout=self._announce_readiness,
         )
-        self.listed: tuple[list[Entry], dict[str, tuple[str, int]]] = [], {}  # the list as the directory has it
-        self.directory = Directory(
-            self.clock, config.resolver, self.rng.randrange, self._list, config.settings.drain_grace
+        self._reload = Reload(config, read_config, self._discovery, self._subsystems)
+        longest_deadline_ms = max(spec.deadline for spec in config.settings.classes.values())
+        self._drain = Drain(
+            reactor,
+            self._clock,
+            self._lifecycle,
+            self._core,
+            self._discovery,
+            self._subsystems,
+            longest_deadline_ms,
         )
-        self.up = 0  # engines that the list calls up
-        self.listening = self.stopping = self.late = False
-        self.port: Any = None
-        self.final: Timer | None = None
-        self.latest = 0.0  # by when we exit, whoever still waits: soon after we are killed
+
+    def _measure_unread_time(self) -> None:
+        """Take the time that requests lay unread in sockets off their budgets, where the reactor knows it."""
+        if (unread_for := getattr(self._reactor, "unread_for", None)) is not None:
+            self._core.dispatcher.unread_for = lambda: 1000.0 * unread_for()
 
     def start(self) -> None:
         """Open everything. Raises what Twisted raises when the address can't be had."""
-        c = self.config
-        self.directory.known(c.index, c.updates)
-        if c.resolver is None:
-            self.late = True
-        else:
-            self._open_directory()
-            self.clock.call_later(HEARD, self._no_word)
-        self.port = self.reactor.listenTCP(c.listen[1], self.front, backlog=BACKLOG, interface=c.listen[0])
-        self.front.listens(self.port)
-        self.listening = True
-        if self.speaker is not None:
-            self.speaker.start()
-        if self.cluster is not None:
-            self.cluster.start()
-        if self.handoff is not None:
-            self.handoff.start()
-        if self.locality is not None:
-            self.locality.start()
-        if self.maintenance is not None:
-            self.maintenance.start()
-        if c.control:
-            self._open_control(c.control)
-        self._say()
+        config = self._config
+        host, port = config.listen
+        self._discovery.start()
+        listening_port = self._reactor.listenTCP(port, self._core.front, backlog=ACCEPT_BACKLOG, interface=host)
+        self._core.front.listens(listening_port)
+        self._drain.port = listening_port
+        if not self._lifecycle.shutting_down:
+            self._lifecycle.state = LifecycleState.SERVING
+        self._subsystems.start()
+        if config.control:
+            self._open_control_socket(config.control)
+        self._announce_readiness()
         logger.info(
             "{name} listens on {host}:{port}, {clients} clients at most",
             event="listening",
-            name=c.name,
-            host=c.listen[0],
-            port=self.port.getHost().port,
-            clients=c.most_clients,
+            name=config.name,
+            host=host,
+            port=listening_port.getHost().port,
+            clients=config.most_clients,
         )
 
-    def _open_directory(self) -> None:
-        if self.stopping or self.directory.transport is not None:
-            return
-        try:
-            self.reactor.listenUDP(0, self.directory, interface=self.config.listen[0], maxPacketSize=65536)
-        except CannotListenError as error:  # the list of the start serves until then
-            logger.warning(
-                "directory: no socket to ask with: {error}", event="directory-no-socket", error=str(error.socketError)
-            )
-            self.clock.call_later(REOPEN, self._open_directory)
-
-    def _open_control(self, path: str) -> None:
+    def _open_control_socket(self, path: str) -> None:
         from decklb.management.control_server import listen
 
-        plan = self.maintenance
-        listen(
-            self.reactor,
-            path,
-            {
-                "members": self._members,
-                "duties": self._duties,
-                "handoff": self._handoff,
-                "zones": self._zones,
-                "plan": lambda: {} if plan is None else plan.status(),
-            },
-            {} if plan is None else {"plan-request": plan.ask, "plan-cancel": plan.cancel, "plan-back": plan.back},
-        )
-
-    def _members(self) -> dict[str, Any]:
-        if self.cluster is None:
-            return {"members": [], "health": {"minority": False, "yielding": False}}
-        return {"members": self.cluster.members(), "health": self.cluster.node.health()}
-
-    def _duties(self) -> list[dict[str, Any]]:
-        return [] if self.cluster is None else self.cluster.duties()
-
-    def _handoff(self) -> dict[str, Any]:
-        return {} if self.handoff is None else self.handoff.keeper.health()
-
-    def _zones(self) -> dict[str, Any]:
-        return {} if self.locality is None else self.locality.rows()
-
-    def _probed(self, engine: str, up: bool) -> None:
-        """What the members hold of an engine that the list calls up."""
-        self.dispatcher.probed(engine, Outcome.GOOD if up else Outcome.NOCONN)
-
-    def reload(self) -> None:
-        """SIGHUP: take the new directory and a newer list; the rest holds from the start on. No connection ends."""
-        if self.stopping:
-            return
-        try:
-            new = self.again()
-            if new.index > self.directory.index:
-                self.directory.known(new.index, new.updates)
-        except (ConfigError, LookupError, TypeError, ValueError) as error:
-            # Guards against a file that is half written or wrong: what serves goes on serving.
-            return logger.error(
-                "SIGHUP: configuration kept, the new one can't be used: {error}",
-                event="reload-refused",
-                error=repr(error),
-            )
-        kept = [
-            name
-            for name in (
-                "name",
-                "listen",
-                "sockets",
-                "memory",
-                "settings",
-                "limits",
-                "postgres",
-                "bgp",
-                "cluster",
-                "handoff",
-                "locality",
-                "maintenance",
-                "control",
-            )
-            if getattr(new, name) != getattr(self.config, name)
-        ]
-        if kept:
-            logger.warning(
-                "SIGHUP: a restart is needed for a change of {parts}", event="reload-partial", parts=", ".join(kept)
-            )
-        if new.resolver != self.directory.resolver:
-            self.directory.move(new.resolver)
-            if self.directory.transport is None:
-                self._open_directory()
-        if self.cluster is not None:
-            self.cluster.reload()
-        if self.handoff is not None:
-            self.handoff.reload()
-        logger.info(
-            "SIGHUP: configuration read, list {index}, resolver {resolver}",
-            event="reloaded",
-            index=self.directory.index,
-            resolver=new.resolver,
-        )
+        listen(self._reactor, path, self._subsystems.queries(), self._subsystems.commands())
 
     def ready(self) -> bool:
         """Whether a request sent now would be served as well as any."""
-        return self.listening and not self.stopping and self.up > 0 and (self.directory.heard or self.late)
+        return self._readiness.ready()
 
-    def _no_word(self) -> None:
-        self.late = True
-        self._say()
+    def _announce_readiness(self) -> None:
+        self._subsystems.readiness_changed(self.ready())
 
-    def _say(self) -> None:
-        """The service address is announced exactly while we are ready."""
-        if self.speaker is not None:
-            self.speaker.announce(self.ready())
-
-    def _list(self, entries: list[Entry], addresses: dict[str, tuple[str, int]]) -> None:
-        self.listed = entries, addresses
-        if self.maintenance is not None:
-            entries = self.maintenance.over(entries, addresses)
-        self.up = sum(e.phase is Phase.UP for e in entries)
-        self.engines.addresses(addresses)
-        self.dispatcher.members(entries)
-        if self.cluster is not None:
-            until = time.time() * 1000.0 - self.clock.now() + self.config.settings.cold
-            self.cluster.engines(
-                {e.engine: e.ready_at + until if e.ready_at else 0.0 for e in entries},
-                {e.engine for e in entries if e.phase is Phase.UP},
-                addresses,
-            )
-        if self.locality is not None:
-            self.locality.engines(entries, addresses)
-        self._say()
+    def _probe_result(self, engine: str, up: bool) -> None:
+        """What the members' probes find of an engine that the list calls up."""
+        self._core.dispatcher.probed(engine, Outcome.GOOD if up else Outcome.NOCONN)
 
-    def _relist(self) -> None:
-        """The plan has changed what may be used of the list."""
-        self._list(*self.listed)
+    def reload(self) -> None:
+        """SIGHUP: take what can change without a restart from a new configuration."""
+        if not self._lifecycle.shutting_down:
+            self._reload.run()
 
-    def terminate(self, *_: object) -> None:
-        """SIGTERM: not ready from now on, but what is under way to us is still taken."""
-        if self.stopping:
+    def terminate(self) -> None:
+        """SIGTERM: not ready from now on, but what is under way to us is still taken, and then the process exits."""
+        if self._lifecycle.shutting_down:
             return
-        self.stopping = True
-        logger.info("SIGTERM: draining, {open} requests open", event="draining", open=self.dispatcher.open)
-        self._say()
-        if self.handoff is None:  # else what is in hand is still answered as a member
-            self._leave()
-        self.front.announce()
-        self.clock.call_later(GRACE, self._drain)
-        longest = min(LONGEST, max(c.deadline for c in self.config.settings.classes.values()))
-        self.latest = self.clock.now() + longest + GRACE - 2 * LAST_CALL
-        self.clock.call_later(max(GRACE, longest - LAST_CALL), self.dispatcher.close)
-
-    def _leave(self) -> None:
-        if self.handoff is not None:
-            self.handoff.close()
-        if self.maintenance is not None:
-            self.maintenance.close()
-        if self.locality is not None:
-            self.locality.close()
-        if self.cluster is not None:
-            self.cluster.close()
-
-    def _drain(self) -> None:
-        self.listening = False
-        # Whoever waits in the machine's queue has been told that it is connected, and may have sent a request: closing
-        # would reset it.
-        self.port.empty_queue(BACKLOG, EMPTYING, self._close_port)
-
-    def _close_port(self) -> None:
-        self.port.stopListening()
-        self.dispatcher.on_idle = self._stop
-        self.front.close()
-        if not self.dispatcher.open:
-            self._stop()
-
-    def _stop(self) -> None:
-        if self.final is None:
-            self.directory.close()
-            self.engines.close()
-            if self.speaker is not None:
-                self.speaker.close()
-            if self.handoff is not None:
-                self.clock.call_later(FLUSH / 2, self._leave)  # last answers wait for a quorum before they are given
-            self.final = self.clock.call_later(FLUSH, self._end)
-
-    def _end(self) -> None:
-        """Exit once no client is in the middle of a message or of an answer, or when there is no time left."""
-        if self.front.owing and self.clock.now() < self.latest:
-            self.final = self.clock.call_later(AGAIN, self._end)
-        else:
-            self.reactor.stop()
+        self._lifecycle.state = LifecycleState.DRAINING
+        logger.info("SIGTERM: draining, {open} requests open", event="draining", open=self._core.dispatcher.open)
+        self._announce_readiness()
+        self._drain.begin()
 
     def run(self) -> None:
         """Serve until the end."""
-        # Before anybody can connect: the defaults, and the reactor's own for SIGTERM, would end the process at once,
-        # with what it has taken.
-        for number, call in (
-            (signal.SIGHUP, self.reload),
-            (signal.SIGTERM, self.terminate),
-            (signal.SIGINT, self.reactor.stop),
-        ):
-            signal.signal(number, lambda *_, call=call: self.reactor.callFromThread(call))
+        install_signal_handlers(
+            self._reactor,
+            {
+                signal.SIGHUP: self.reload,
+                signal.SIGTERM: self.terminate,
+                signal.SIGINT: self._reactor.stop,
+            },
+        )
         self.start()
-        Collector(self.clock, lambda: not self.dispatcher.open).start()
-        self.reactor.run(installSignalHandlers=False)
+        Collector(self._clock, lambda: not self._core.dispatcher.open).start()
+        self._reactor.run(installSignalHandlers=False)
--- /dev/null
+++ b/decklb/daemon/subsystems/cluster.py
@@ -0,0 +1,65 @@
+"""The cluster as a subsystem: membership, and the periodic duties that members share."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING, Any
+
+from decklb.cluster.keyfile import KeyFileError
+from decklb.cluster.runtime import ClusterService
+from decklb.cluster.settings import ClusterSettings
+from decklb.config import Address, ConfigError
+from decklb.daemon.subsystems.base import Process, Subsystem
+from decklb.daemon.subsystems.probers import make_prober
+from decklb.interface import Entry, Phase
+
+if TYPE_CHECKING:
+    from decklb.management.control_server import Query
+
+
+class ClusterSubsystem(Subsystem):
+    """This process as a member of a cluster."""
+
+    def __init__(self, process: Process, settings: ClusterSettings) -> None:
+        """Raises ConfigError where the key file can't be used."""
+        self._process = process
+        prober = make_prober(process, _idle_timeout_ms(settings))
+        try:
+            self.service = ClusterService(process.reactor, process.clock, settings, prober, process.on_probe_result)
+        except KeyFileError as error:
+            raise ConfigError(str(error)) from error
+
+    def start(self) -> None:
+        """Join the cluster."""
+        self.service.start()
+
+    def reload(self) -> None:
+        """Read the key file again."""
+        self.service.reload()
+
+    def stop(self) -> None:
+        """Leave the cluster."""
+        self.service.close()
+
+    def engines_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+        """Probe these engines; those that have started lately count as cold until their warm-up is over."""
+        clock, warm_up_ms = self._process.clock, self._process.config.settings.cold
+        warm_at = time.time() * 1000.0 - clock.now() + warm_up_ms  # members compare wall-clock times
+        self.service.engines(
+            {entry.engine: entry.ready_at + warm_at if entry.ready_at else 0.0 for entry in entries},
+            {entry.engine for entry in entries if entry.phase is Phase.UP},
+            addresses,
+        )
+
+    def queries(self) -> dict[str, Query]:
+        """The members, and the duties with their owners."""
+        return {"members": self._members, "duties": self.service.duties}
+
+    def _members(self) -> dict[str, Any]:
+        return {"members": self.service.members(), "health": self.service.node.health()}
+
+
+def _idle_timeout_ms(settings: ClusterSettings) -> float:
+    """Long enough that connections stay from one probe to the next, also where periods are stretched."""
+    duty = settings.probing
+    return 2.0 * duty.period * duty.minority_factor * duty.cold_factor if duty is not None else 0.0
--- /dev/null
+++ b/decklb/daemon/subsystems/handoff.py
@@ -0,0 +1,51 @@
+"""The handoff as a subsystem: members take over one another's requests in flight."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from decklb.config import ConfigError
+from decklb.daemon.subsystems.base import Process, Subsystem
+from decklb.daemon.subsystems.cluster import ClusterSubsystem
+from decklb.handoff.errors import HandoffError
+from decklb.handoff.guard import Guard
+from decklb.handoff.runtime import HandoffService
+from decklb.handoff.settings import HandoffSettings
+from decklb.pg.codec import PgCodec
+from decklb.pg.front import PgFront
+
+if TYPE_CHECKING:
+    from decklb.management.control_server import Query
+
+
+class HandoffSubsystem(Subsystem):
+    """Stands between the PostgreSQL front and the dispatcher."""
+
+    def __init__(self, process: Process, settings: HandoffSettings, cluster: ClusterSubsystem) -> None:
+        """Raises ConfigError where the store can't be opened."""
+        front = process.core.front
+        assert isinstance(front, PgFront)  # the settings are rejected without that front
+        member = cluster.service
+        name = process.config.cluster.member if process.config.cluster else ""
+        guard = Guard(process.core.dispatcher, process.clock, PgCodec(front.rid), name)
+        front.intake, front.keeps = guard, True
+        try:
+            self._service = HandoffService(process.reactor, process.clock, settings, member, guard)
+        except HandoffError as error:
+            raise ConfigError(f"<handoff>: {error}") from error
+
+    def start(self) -> None:
+        """Connect to the other members."""
+        self._service.start()
+
+    def reload(self) -> None:
+        """Take the cluster's new keys."""
+        self._service.reload()
+
+    def stop(self) -> None:
+        """Close the connections and the store."""
+        self._service.close()
+
+    def queries(self) -> dict[str, Query]:
+        """The requests in flight that this member holds for itself and for others."""
+        return {"handoff": lambda: self._service.keeper.health()}
--- /dev/null
+++ b/decklb/daemon/subsystems/locality.py
@@ -0,0 +1,43 @@
+"""Locality as a subsystem: keeps traffic in its zone while that zone is healthy."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from decklb.config import Address
+from decklb.daemon.subsystems.base import Process, Subsystem
+from decklb.daemon.subsystems.cluster import ClusterSubsystem
+from decklb.daemon.subsystems.probers import make_prober
+from decklb.interface import Entry
+from decklb.locality.runtime import LocalityService
+from decklb.locality.settings import LocalitySettings
+
+if TYPE_CHECKING:
+    from decklb.management.control_server import Query
+
+# A prober's connection stays for as many times the age up to which its finding counts.
+IDLE_FRESHNESS_PERIODS = 4
+
+
+class LocalitySubsystem(Subsystem):
+    """Stands beside the dispatcher, which asks it for the zone of each request."""
+
+    def __init__(self, process: Process, settings: LocalitySettings, cluster: ClusterSubsystem) -> None:
+        prober = make_prober(process, IDLE_FRESHNESS_PERIODS * settings.fresh)
+        self.service = LocalityService(process.clock, settings, cluster.service, process.core.dispatcher, prober)
+
+    def start(self) -> None:
+        """Begin to watch the zones."""
+        self.service.start()
+
+    def stop(self) -> None:
+        """End watching."""
+        self.service.close()
+
+    def engines_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+        """Watch these engines."""
+        self.service.engines(entries, addresses)
+
+    def queries(self) -> dict[str, Query]:
+        """The zones' states, and where this process' requests go."""
+        return {"zones": self.service.rows}
--- /dev/null
+++ b/decklb/daemon/subsystems/maintenance.py
@@ -0,0 +1,65 @@
+"""Maintenance as a subsystem: takes machines out of service for work, by a plan that the members agree on."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from decklb.config import Address, ConfigError
+from decklb.daemon.subsystems.base import Process, Subsystem
+from decklb.daemon.subsystems.cluster import ClusterSubsystem
+from decklb.daemon.subsystems.locality import IDLE_FRESHNESS_PERIODS, LocalitySubsystem
+from decklb.daemon.subsystems.probers import make_prober
+from decklb.interface import Entry
+from decklb.maintenance.errors import MaintenanceError
+from decklb.maintenance.runtime import MaintenanceService
+from decklb.maintenance.settings import MaintenanceSettings
+
+if TYPE_CHECKING:
+    from decklb.management.control_server import Command, Query
+
+
+class MaintenanceSubsystem(Subsystem):
+    """Lays the plan over the list of engines, and takes operators' commands."""
+
+    def __init__(
+        self, process: Process, settings: MaintenanceSettings, cluster: ClusterSubsystem, locality: LocalitySubsystem
+    ) -> None:
+        """Raises ConfigError where the plan's store can't be opened."""
+        prober = make_prober(process, IDLE_FRESHNESS_PERIODS * settings.fresh)
+        try:
+            self._service = MaintenanceService(
+                process.clock,
+                settings,
+                cluster.service,
+                locality.service,
+                process.core.dispatcher,
+                prober,
+                process.on_maintenance_plan,
+                process.terminate,
+            )
+        except MaintenanceError as error:
+            raise ConfigError(f"<maintenance>: {error}") from error
+
+    def start(self) -> None:
+        """Begin to carry out the plan."""
+        self._service.start()
+
+    def stop(self) -> None:
+        """End with the plan as it is."""
+        self._service.close()
+
+    def filter_engines(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
+        """The list without the machines that the plan has taken out."""
+        return self._service.over(entries, addresses)
+
+    def queries(self) -> dict[str, Query]:
+        """The plan and its progress."""
+        return {"plan": self._service.status}
+
+    def commands(self) -> dict[str, Command]:
+        """Take machines out, call a job off, and report work as done."""
+        return {
+            "plan-request": self._service.ask,
+            "plan-cancel": self._service.cancel,
+            "plan-back": self._service.back,
+        }
