--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -49,7 +49,7 @@
     c = _load(path, settings)
     click.echo(
         f"{c.name}: listens on {c.listen[0]}:{c.listen[1]}, {len(c.settings.classes)} classes, "
-        f"{len(c.settings.tenants)} tenants, {c.most_clients} clients at most, "
+        f"{len(c.settings.tenants)} tenants, {c.max_clients} clients at most, "
         f"manager {c.settings.me} of {c.settings.fronts}"
     )
     for name, x in c.settings.classes.items():
--- a/decklb/config/__init__.py
+++ b/decklb/config/__init__.py
@@ -1,6 +1,8 @@
 """Settings from files: the platform's JSON, and the operators' XML with its schema."""
 
 from decklb.config.errors import ConfigError, Fault, SettingsError
-from decklb.config.platform import Address, Config, address, from_raw, load
+from decklb.config.loading import load
+from decklb.config.model import Address, Config, parse_address
+from decklb.config.platform import from_raw
 
-__all__ = ["Address", "Config", "ConfigError", "Fault", "SettingsError", "address", "from_raw", "load"]
+__all__ = ["Address", "Config", "ConfigError", "Fault", "SettingsError", "from_raw", "load", "parse_address"]
--- /dev/null
+++ b/decklb/config/sections/__init__.py
@@ -0,0 +1,1 @@
+"""The sections of the operators' XML that the platform's JSON has too, each translated into the JSON's form."""
--- /dev/null
+++ b/decklb/config/sections/bgp.py
@@ -0,0 +1,27 @@
+"""The section `bgp`: routers and the prefixes that are announced to them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from decklb.config.document import SettingsDocument
+from decklb.config.units import duration
+
+MS_PER_S = 1000  # the raw form has the hold time in seconds, as BGP has it
+
+
+def translate_bgp(document: SettingsDocument, raw: dict[str, Any]) -> None:
+    """Put what the section says into the raw form."""
+    if (bgp := document.root.find("bgp")) is None:
+        return
+    section: dict[str, Any] = {
+        "asn": int(bgp.attrib["asn"]),
+        "router": bgp.attrib["router"],
+        "prefixes": [prefix.text or "" for prefix in bgp.findall("prefix")],
+        "peers": [{"address": peer.attrib["address"], "asn": int(peer.attrib["asn"])} for peer in bgp.findall("peer")],
+    }
+    if "next-hop" in bgp.attrib:
+        section["next_hop"] = bgp.attrib["next-hop"]
+    if "hold" in bgp.attrib:
+        section["hold"] = duration(bgp.attrib["hold"]) / MS_PER_S
+    raw["bgp"] = section
--- /dev/null
+++ b/decklb/config/sections/decisions.py
@@ -0,0 +1,119 @@
+"""The sections that decisions are made by: `classes`, `tenants`, `kinds` and `rules`."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from lxml import etree
+
+from decklb.config.document import AttributeTable, SettingsDocument, boolean, converted
+from decklb.config.units import duration, share
+
+CLASS: AttributeTable = {
+    "name": ("name", str),
+    "aim": ("aim", duration),
+    "deadline": ("deadline", duration),
+    "semantics": ("semantics", str),
+    "stretch": ("aim_stretch", float),
+    "worth": ("worth", float),
+    "late-worth": ("late_worth", float),
+    "group": ("group", str),
+    "memory-span": ("memory_span", duration),
+    "serial-by-key": ("serial_by_key", boolean),
+}
+RULES: AttributeTable = {
+    "cold": ("cold", duration),
+    "cold-share": ("cold_share", share),
+    "drain-grace": ("drain_grace", duration),
+    "extra-floor": ("extra_floor", float),
+    "extra-share": ("further_ratio", share),
+    "extra-window": ("extra_window", duration),
+    "fall": ("fall", duration),
+    "overload-factor": ("overload_factor", float),
+    "settle-after-doubt": ("settle_after_doubt", duration),
+}
+NEEDS_CLASSES = ("tenants", "kinds", "rules")
+# Shares are decimal fractions: as much over 100% is rounding.
+MAX_TOTAL_SHARE = 1.000001
+
+
+def translate_decisions(document: SettingsDocument, raw: dict[str, Any]) -> None:
+    """Put what the sections say into the settings of the raw form."""
+    root = document.root
+    classes = root.find("classes")
+    if classes is None and not _has_settings_to_change(document, raw):
+        return
+    settings = dict(raw.get("settings") or {})
+    domain = dict(settings.get("domain") or {})
+    if classes is not None:
+        _translate_classes(document, classes, settings, domain)
+    if (tenants := root.find("tenants")) is not None:
+        _translate_tenants(document, tenants, settings)
+    if (kinds := root.find("kinds")) is not None:
+        settings["kinds"] = [kind.attrib["name"] for kind in kinds]
+        domain["kind_cores"] = [int(kind.attrib["cores"]) for kind in kinds]
+        document.check_unique(kinds, "name", "kind")
+    settings["domain"] = domain
+    if (rules := root.find("rules")) is not None:
+        _translate_rules(rules, settings)
+    raw["settings"] = settings
+
+
+def _has_settings_to_change(document: SettingsDocument, raw: dict[str, Any]) -> bool:
+    """Without classes here: whether the platform's settings are there and a section changes them."""
+    given = [name for name in NEEDS_CLASSES if document.root.find(name) is not None]
+    if "settings" not in raw:
+        for name in given:
+            section = document.root.find(name)
+            assert section is not None
+            document.add_fault(section, f"<{name}> needs <classes> beside it")
+        return False
+    return bool(given)
+
+
+def _translate_classes(
+    document: SettingsDocument, classes: etree._Element, settings: dict[str, Any], domain: dict[str, Any]
+) -> None:
+    settings["categories"] = [converted(element, CLASS) for element in classes]
+    for element in classes:
+        if duration(element.attrib["aim"]) > duration(element.attrib["deadline"]):
+            document.add_fault(
+                element,
+                f"class {element.attrib['name']!r}: an aim over the deadline; at most "
+                f"{element.attrib['deadline']} would be right",
+            )
+    domain["dop"] = [int(element.get("threads", "1")) for element in classes]
+    domain["holds_tables"] = [boolean(element.get("holds-tables", "false")) for element in classes]
+    domain["yields_to_loads"] = [boolean(element.get("yields-to-loads", "false")) for element in classes]
+    document.check_unique(classes, "name", "class")
+
+
+def _translate_tenants(document: SettingsDocument, tenants: etree._Element, settings: dict[str, Any]) -> None:
+    settings["tenants"] = [_tenant(element) for element in tenants]
+    document.check_unique(tenants, "name", "tenant")
+    total = sum(share(element.attrib["share"]) for element in tenants)
+    if total > MAX_TOTAL_SHARE:
+        document.add_fault(tenants, f"<tenants>: shares come to {100 * total:g}%; at most 100% would be right")
+
+
+def _tenant(element: etree._Element) -> dict[str, Any]:
+    tenant = {"name": element.attrib["name"], "share": share(element.attrib["share"])}
+    if "quota-per-second" in element.attrib:
+        tenant["quota_per_s"] = float(element.attrib["quota-per-second"])
+    return tenant
+
+
+def _translate_rules(rules: etree._Element, settings: dict[str, Any]) -> None:
+    settings["rules"] = dict(settings.get("rules") or {}) | converted(rules, RULES)
+    limits = dict(settings.get("limits") or {})
+    if "retry-after" in rules.attrib:
+        limits |= {"retry_after": True, "max_retry_after": duration(rules.attrib["retry-after"])}
+    if "cancelling" in rules.attrib:
+        limits["cancelling"] = boolean(rules.attrib["cancelling"])
+    if "max-attempts" in rules.attrib:
+        limits["max_attempts"] = int(rules.attrib["max-attempts"])
+    settings["limits"] = limits
+    if "tick" in rules.attrib:
+        settings["tick"] = duration(rules.attrib["tick"])
+    if "balancers" in rules.attrib:
+        settings["balancers"] = int(rules.attrib["balancers"])
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -21,16 +21,16 @@
         from decklb.net.engines import RespEngines
         from decklb.net.front import Front
 
-        resp = RespEngines(reactor, clock, config.limits)
+        resp = RespEngines(reactor, clock, config.connection_limits)
         dispatcher = Dispatcher(config.settings, config.seed, clock, resp)
-        front = Front(dispatcher, ready, config.most_clients, config.spare_clients, config.most_held)
+        front = Front(dispatcher, ready, config.max_clients, config.max_extra_clients, config.max_client_bytes)
         return CoreParts(dispatcher, front, resp)
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
 
     pg = PgEngines(reactor, clock, config.postgres)
     dispatcher = Dispatcher(config.settings, config.seed, clock, pg)
-    return CoreParts(dispatcher, PgFront(dispatcher, config.postgres, random_below, config.most_clients), pg)
+    return CoreParts(dispatcher, PgFront(dispatcher, config.postgres, random_below, config.max_clients), pg)
 
 
 def assemble_subsystems(process: Process) -> Subsystems:
--- a/decklb/daemon/discovery.py
+++ b/decklb/daemon/discovery.py
@@ -51,7 +51,7 @@
 
     def start(self) -> None:
         """Take the configuration's list and begin to poll, where there is a directory."""
-        self.directory.known(self._config.index, self._config.updates)
+        self.directory.known(self._config.list_number, self._config.list_updates)
         if self._config.resolver is None:
             self._first_answer_overdue = True
         else:
@@ -60,8 +60,8 @@
 
     def take_newer_list(self, config: Config) -> None:
         """Take the list of a new configuration if its number is higher than that of the present one."""
-        if config.index > self.directory.index:
-            self.directory.known(config.index, config.updates)
+        if config.list_number > self.directory.index:
+            self.directory.known(config.list_number, config.list_updates)
 
     def change_resolver(self, resolver: Address | None) -> None:
         """Poll another directory from now on, or none. The list stays until the new one answers."""
--- a/decklb/daemon/reload.py
+++ b/decklb/daemon/reload.py
@@ -14,22 +14,22 @@
 from decklb.daemon.discovery import Discovery
 from decklb.daemon.subsystems.registry import Subsystems
 
-# Fields of the configuration that only a restart applies.
-RESTART_FIELDS = (
-    "name",
-    "listen",
-    "sockets",
-    "memory",
-    "settings",
-    "limits",
-    "postgres",
-    "bgp",
-    "cluster",
-    "handoff",
-    "locality",
-    "maintenance",
-    "control",
-)
+# Fields of the configuration that only a restart applies, and what operators know them as.
+RESTART_FIELDS = {
+    "name": "name",
+    "listen": "listen",
+    "max_descriptors": "sockets",
+    "memory_mb": "memory",
+    "settings": "settings",
+    "connection_limits": "limits",
+    "postgres": "postgres",
+    "bgp": "bgp",
+    "cluster": "cluster",
+    "handoff": "handoff",
+    "locality": "locality",
+    "maintenance": "maintenance",
+    "control": "control",
+}
 
 
 class Reload:
@@ -72,5 +72,5 @@
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """The fields that differ and that only a restart applies."""
-    return [name for name in RESTART_FIELDS if getattr(new, name) != getattr(old, name)]
+    """What differs and only a restart applies, as operators know it."""
+    return [known_as for field, known_as in RESTART_FIELDS.items() if getattr(new, field) != getattr(old, field)]
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -105,7 +105,7 @@
             name=config.name,
             host=host,
             port=listening_port.getHost().port,
-            clients=config.most_clients,
+            clients=config.max_clients,
         )
 
     def _open_control_socket(self, path: str) -> None:
--- a/tests/test_config_wire_format.py
+++ b/tests/test_config_wire_format.py
@@ -25,7 +25,15 @@
     "tests/golden/config_every_key.xml",
 ]
 # Name of a field in the code -> its name in the recorded values, by class. A renamed field is entered here alone.
-RECORDED_NAMES: dict[str, dict[str, str]] = {}
+RECORDED_NAMES: dict[str, dict[str, str]] = {
+    "Config": {
+        "max_descriptors": "sockets",
+        "memory_mb": "memory",
+        "connection_limits": "limits",
+        "list_number": "index",
+        "list_updates": "updates",
+    }
+}
 KEYED = {"name": "keyed", "aim": 500.0, "deadline": 900.0, "semantics": "deduplicated", "memory_span": 700.0}
 PLATFORM = {
     "name": "n",
@@ -60,7 +68,7 @@
 
 
 def properties(loaded):
-    return [loaded.most_clients, loaded.spare_clients, loaded.most_held]
+    return [loaded.max_clients, loaded.max_extra_clients, loaded.max_client_bytes]
 
 
 @pytest.mark.parametrize("path", FILES)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -36,6 +36,8 @@
     "decklb.daemon.subsystems.probers",
     "decklb.config.xml",
     "decklb.config.operators",
+    "decklb.config.document",
+    "decklb.config.sections",
     "decklb.wire.prober",
     "decklb.net.prober",
 )
