--- a/decklb/cli/__init__.py
+++ b/decklb/cli/__init__.py
@@ -4,7 +4,7 @@
 
 import click
 
-from decklb.cli import injection, keys, lab, maint, running, serve, trial
+from decklb.cli import duties, handoff, injection, keys, lab, maint, members, serve, trial, zones
 
 
 @click.group()
@@ -17,10 +17,10 @@
     serve.check,
     serve.schema,
     serve.version,
-    running.members,
-    running.duties,
-    running.handoff,
-    running.zones,
+    members.members,
+    duties.duties,
+    handoff.handoff,
+    zones.zones,
     maint.maint,
     keys.keys,
     lab.lab,
--- a/decklb/cli/maint.py
+++ b/decklb/cli/maint.py
@@ -1,14 +1,21 @@
-"""Taking machines out for work: what operators ask of the fleet's plan, at any running instance."""
+"""The commands `maint ...`: take machines out for work, and look at the plan, at any running process."""
 
 from __future__ import annotations
 
 import os
 import time
+from typing import Any
 
 import click
 
-from decklb.cli.running import JSON, SOCKET, _ago, _ask, _table
-from decklb.cli.serve import SETTINGS
+from decklb.cli.control import query_process
+from decklb.cli.options import JSON, SETTINGS, SOCKET
+from decklb.cli.tables import format_age, print_table
+
+STATUS_HEADS = ["JOB", "MACHINE", "ZONE", "STAGE", "SINCE", "REASON"]
+PLAN_HEADS = ["", "MACHINE", "ZONE", "STAGE", "JOB"]
+MS_PER_S = 1000
+FINISHED_STAGES = ("done", "cancelled")
 
 
 @click.group()
@@ -33,14 +40,14 @@
 ) -> None:
     """Ask for MACHINES to be taken out: engines by id, zone or pattern, managers as manager:NAME."""
     name = job or f"job-{int(time.time())}-{os.getpid()}"
-    _ask(
+    query_process(
         socket,
         settings,
         "plan-request",
         job=name,
         machines=list(machines),
         reason=reason,
-        window=1000 * window if window else 0,
+        window=MS_PER_S * window if window else 0,
     )
     click.echo(f"{name}: taken into the plan")
 
@@ -51,7 +58,7 @@
 @click.argument("job")
 def cancel(socket: str | None, settings: str | None, job: str) -> None:
     """End JOB at once: what waits or drains takes work again, and so does what is out and up."""
-    _ask(socket, settings, "plan-cancel", job=job)
+    query_process(socket, settings, "plan-cancel", job=job)
     click.echo(f"{job}: cancelled")
 
 
@@ -61,7 +68,7 @@
 @click.argument("machine")
 def back(socket: str | None, settings: str | None, machine: str) -> None:
     """Say that the work on MACHINE is done, where the members can't see it: one that went down and came up is seen."""
-    _ask(socket, settings, "plan-back", machine=machine)
+    query_process(socket, settings, "plan-back", machine=machine)
     click.echo(f"{machine}: back")
 
 
@@ -73,28 +80,14 @@
     """The plan as this instance knows it: each machine's stage, and why nothing goes on."""
     import ujson
 
-    found = _ask(socket, settings, "plan")
+    found = query_process(socket, settings, "plan")
     if as_json:
         return click.echo(ujson.dumps(found))
     if not found:
         return click.echo("no plan here: the settings have no <maintenance>")
-    _table(
-        [["JOB", "MACHINE", "ZONE", "STAGE", "SINCE", "REASON"]]
-        + [
-            [
-                j["job"],
-                m["machine"],
-                m["zone"],
-                m["stage"] + (" (overdue)" if m["overdue"] else ""),
-                _ago(m["since_ms"]),
-                j["reason"] or "-",
-            ]
-            for j in found["jobs"]
-            for m in j["machines"]
-        ]
-    )
-    if found["hold"]:
-        click.echo(f"waiting: {found['hold']}")
+    rows = [_status_row(job, machine) for job in found["jobs"] for machine in job["machines"]]
+    print_table([STATUS_HEADS, *rows])
+    _print_hold(found)
     click.echo(f"{found['steps']} steps done so far; the next is {found['driver']}'s to do")
     if not found["remembers"]:
         click.echo("this instance has started and does not know the plan yet")
@@ -105,14 +98,36 @@
 @SETTINGS
 def plan(socket: str | None, settings: str | None) -> None:
     """What is still to go, in the order in which it will: those under way first."""
-    found = _ask(socket, settings, "plan") or {"jobs": [], "hold": ""}
-    left = [(j["job"], m) for j in found["jobs"] for m in j["machines"] if m["stage"] not in ("done", "cancelled")]
-    left.sort(key=lambda x: x[1]["stage"] == "waiting")
-    if not left:
+    found = query_process(socket, settings, "plan") or {"jobs": [], "hold": ""}
+    machines = [
+        (job["job"], machine)
+        for job in found["jobs"]
+        for machine in job["machines"]
+        if machine["stage"] not in FINISHED_STAGES
+    ]
+    machines.sort(key=lambda pair: pair[1]["stage"] == "waiting")
+    if not machines:
         return click.echo("nothing is to go")
-    _table(
-        [["", "MACHINE", "ZONE", "STAGE", "JOB"]]
-        + [[str(i), m["machine"], m["zone"], m["stage"], job] for i, (job, m) in enumerate(left, 1)]
-    )
+    rows = [
+        [str(number), machine["machine"], machine["zone"], machine["stage"], job]
+        for number, (job, machine) in enumerate(machines, 1)
+    ]
+    print_table([PLAN_HEADS, *rows])
+    _print_hold(found)
+
+
+def _status_row(job: dict[str, Any], machine: dict[str, Any]) -> list[str]:
+    return [
+        job["job"],
+        machine["machine"],
+        machine["zone"],
+        machine["stage"] + (" (overdue)" if machine["overdue"] else ""),
+        format_age(machine["since_ms"]),
+        job["reason"] or "-",
+    ]
+
+
+def _print_hold(found: dict[str, Any]) -> None:
+    """Why the plan does not go on, if it does not."""
     if found["hold"]:
         click.echo(f"waiting: {found['hold']}")
--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -8,9 +8,7 @@
 
 from decklb import config as configuration
 from decklb import log
-
-CONFIG = click.option("--config", "path", help="The platform's configuration file; LB_CONFIG names it otherwise.")
-SETTINGS = click.option("--settings", help="Operators' settings in XML; DECKLB_SETTINGS names them otherwise.")
+from decklb.cli.options import CONFIG, SETTINGS
 
 
 @click.command()
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -117,7 +117,7 @@
 STANDING_FOR = {"rules": "policy", "state": "policy"}
 # What breaks the rule, with the reason. Each must still exist, so that this list shrinks.
 UPWARD_IMPORTS = {
-    ("X.settings", "pg"): "the start-up message is encoded once, with the settings",
+    ("X.settings", "pg"): "a rejected value has the error code that clients get",
     ("X.settings", "bgp"): "prefixes are parsed as the protocol has them",
 }
 NEIGHBOUR_IMPORTS = {
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -449,7 +449,7 @@
             "hold": "zone b is not well",
             "jobs": [{"job": "j", "machines": [{"machine": n, "zone": "z", "stage": s} for n, s in rows]}],
         }
-        with mock.patch("decklb.cli.maint._ask", return_value=answer):
+        with mock.patch("decklb.cli.maint.query_process", return_value=answer):
             said = CliRunner().invoke(maint, ["plan"]).output
         self.assertEqual([line.split()[1:2] for line in said.splitlines()[1:3]], [["e2"], ["e1"]])
         self.assertNotIn("e0", said)
