--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -28,7 +28,7 @@
     from decklb.wire.reactor import install
 
     reactor = install()  # before anything imports Twisted's default one
-    log.take_over_twisted()
+    log.redirect_twisted()
     from decklb.daemon.service import Service
     from decklb.wire.clock import steady
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 
 LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3  # faults that may wait for their fix at a time
+MAX_FAILURES = 3  # faults that may wait for their fix at a time
+PARTS_A_LINE = 3
 
 
 @dataclass(frozen=True)
@@ -30,11 +31,11 @@
     failures = []
     for line in filter(None, map(str.strip, text.splitlines())):
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts):
+        if len(parts) != PARTS_A_LINE or not all(parts):
             raise ValueError(f"KNOWN-RED.txt: 'test | cause | issue' is expected, not {line!r}")
         failures.append(KnownFailure(*parts))
-    if len(failures) > MOST:
-        raise ValueError(f"KNOWN-RED.txt: {len(failures)} lines, {MOST} at most")
+    if len(failures) > MAX_FAILURES:
+        raise ValueError(f"KNOWN-RED.txt: {len(failures)} lines, {MAX_FAILURES} at most")
     return failures
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -14,7 +14,7 @@
     assert not failure.covers("tests/test_a.py::test_bc")
 
 
-@pytest.mark.parametrize("text", ["tests/test_a.py::test_b", "a | b | ", "a | b | c\n" * (known_red.MOST + 1)])
-def test_what_is_no_list_is_refused(text):
+@pytest.mark.parametrize("text", ["tests/test_a.py::test_b", "a | b | ", "a | b | c\n" * (known_red.MAX_FAILURES + 1)])
+def test_a_malformed_or_too_long_list_is_rejected(text):
     with pytest.raises(ValueError, match="KNOWN-RED"):
         known_red.read(text)
