--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -203,14 +203,13 @@
         self.clock.go(20)
         self.assertEqual((r.attempts, self.d.live, self.d.gateway.requests), ([], {}, {}))
 
-
-if __name__ == "__main__":
-    unittest.main()
-
     def test_a_doubt_about_an_answer_lets_its_key_rest_anew(self):
-        settle = self.d.settings.settle
+        settle = 300.0  # ms, well over the 50 ms between the module's own looks at what may start
+        rules = SETTINGS["rules"] | {"settle_after_doubt": settle}
         for doubted in (False, True):
             self.setUp()
+            self.d = Dispatcher(settings_from(SETTINGS | {"rules": rules}), 1, self.clock, self.engines)
+            self.d.members([api.Entry(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(3)])
             self.ask("load", key="k")
             self.run_until_started(1)
             first = self.engines.started[0]
