--- a/decklb/config/errors.py
+++ b/decklb/config/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a file of settings."""
+"""Errors of settings files."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fault:
-    """One fault of a file; `line` 0 is the file as a whole."""
+    """One fault of a file."""
 
     file: str
-    line: int
-    text: str
+    line: int  # 0 for the file as a whole
+    text: str  # what is wrong, and what would be right
 
     def __str__(self) -> str:
         return f"{self.file}:{self.line}: {self.text}"
