--- a/tests/test_config_wire_format.py
+++ b/tests/test_config_wire_format.py
@@ -13,7 +13,7 @@
 from decklb import config
 from decklb.config.xml import schema_text
 from tests.standins import ROOT, SETTINGS, known
-from tests.test_settings import BROKEN, HEAD
+from tests.test_settings_files import BROKEN, HEAD
 
 GOLDEN = ROOT / "tests" / "golden"
 FILES = [
