--- a/decklb/config/model.py
+++ b/decklb/config/model.py
@@ -40,8 +40,8 @@
     settings: Settings
     connection_limits: dict[str, Any]  # the settings' limits as they are written; those of connections decide nothing
     resolver: Address | None  # of the directory that is polled
-    list_number: int  # of the list of engines in `list_updates`
-    list_updates: list[dict[str, Any]]  # the list at the start, in the directory's form
+    endpoint_list_version: int  # of the list of engines in `endpoint_list_updates`
+    endpoint_list_updates: list[dict[str, Any]]  # the list at the start, in the directory's form
     postgres: PgSettings | None  # given: this front serves instead of the platform's
     bgp: BgpSettings | None
     cluster: ClusterSettings | None = None
--- a/decklb/config/platform.py
+++ b/decklb/config/platform.py
@@ -36,8 +36,8 @@
             settings=settings,
             connection_limits=dict(raw["settings"].get("limits") or {}),
             resolver=parse_address(raw["resolver"]) if raw.get("resolver") else None,
-            list_number=int(known.get("index", 0)),
-            list_updates=list(known.get("updates") or []),
+            endpoint_list_version=int(known.get("index", 0)),
+            endpoint_list_updates=list(known.get("updates") or []),
             postgres=_postgres(raw["postgres"], settings) if raw.get("postgres") else None,
             bgp=_bgp(raw["bgp"]) if raw.get("bgp") else None,
         )
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -8,14 +8,14 @@
 from decklb.config import Config
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock
-from decklb.daemon.core_parts import CoreParts
+from decklb.daemon.request_path import RequestPath
 from decklb.daemon.subsystems.base import Process
 from decklb.daemon.subsystems.registry import Subsystems
 
 
-def assemble_core(
+def assemble_request_path(
     reactor: Any, clock: Clock, config: Config, random_below: Callable[[int], int], ready: Callable[[], bool]
-) -> CoreParts:
+) -> RequestPath:
     """The platform's front and engine client, or those of PostgreSQL where its section is given."""
     if config.postgres is None:
         from decklb.net.engines import RespEngines
@@ -24,13 +24,13 @@
         resp = RespEngines(reactor, clock, config.connection_limits)
         dispatcher = Dispatcher(config.settings, config.seed, clock, resp)
         front = Front(dispatcher, ready, config.max_clients, config.max_extra_clients, config.max_client_bytes)
-        return CoreParts(dispatcher, front, resp)
+        return RequestPath(dispatcher, front, resp)
     from decklb.pg.engines import PgEngines
     from decklb.pg.front import PgFront
 
     pg = PgEngines(reactor, clock, config.postgres)
     dispatcher = Dispatcher(config.settings, config.seed, clock, pg)
-    return CoreParts(dispatcher, PgFront(dispatcher, config.postgres, random_below, config.max_clients), pg)
+    return RequestPath(dispatcher, PgFront(dispatcher, config.postgres, random_below, config.max_clients), pg)
 
 
 def assemble_subsystems(process: Process) -> Subsystems:
--- a/decklb/daemon/discovery.py
+++ b/decklb/daemon/discovery.py
@@ -26,7 +26,7 @@
 
 
 class Discovery:
-    """Keeps the list of engines current; `on_list` gets entries and addresses each time they change."""
+    """Keeps the list of engines current; `on_endpoints` gets entries and addresses each time they change."""
 
     def __init__(
         self,
@@ -35,14 +35,14 @@
         config: Config,
         lifecycle: Lifecycle,
         random_below: Callable[[int], int],
-        on_list: Callable[[list[Entry], dict[str, Address]], None],
+        on_endpoints: Callable[[list[Entry], dict[str, Address]], None],
         on_timeout: Callable[[], None],
     ) -> None:
         """`on_timeout` is called when the first answer has stayed away, and the configuration's list has to do."""
         self._reactor, self._clock, self._config, self._lifecycle = reactor, clock, config, lifecycle
         self._on_timeout = on_timeout
         self._first_answer_overdue = False
-        self.directory = Directory(clock, config.resolver, random_below, on_list, config.settings.drain_grace)
+        self.directory = Directory(clock, config.resolver, random_below, on_endpoints, config.settings.drain_grace)
 
     @property
     def engines_known(self) -> bool:
@@ -51,17 +51,17 @@
 
     def start(self) -> None:
         """Take the configuration's list and begin to poll, where there is a directory."""
-        self.directory.known(self._config.list_number, self._config.list_updates)
+        self.directory.known(self._config.endpoint_list_version, self._config.endpoint_list_updates)
         if self._config.resolver is None:
             self._first_answer_overdue = True
         else:
             self._open_socket()
             self._clock.call_later(FIRST_ANSWER_TIMEOUT_MS, self._first_answer_timed_out)
 
-    def take_newer_list(self, config: Config) -> None:
+    def take_newer_endpoints(self, config: Config) -> None:
         """Take the list of a new configuration if its number is higher than that of the present one."""
-        if config.list_number > self.directory.index:
-            self.directory.known(config.list_number, config.list_updates)
+        if config.endpoint_list_version > self.directory.index:
+            self.directory.known(config.endpoint_list_version, config.endpoint_list_updates)
 
     def change_resolver(self, resolver: Address | None) -> None:
         """Poll another directory from now on, or none. The list stays until the new one answers."""
--- a/decklb/daemon/drain.py
+++ b/decklb/daemon/drain.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from decklb.core.ports import Clock
-from decklb.daemon.core_parts import CoreParts
 from decklb.daemon.discovery import Discovery
 from decklb.daemon.lifecycle import Lifecycle, LifecycleState
+from decklb.daemon.request_path import RequestPath
 from decklb.daemon.subsystems.registry import Subsystems
 
 # ms: SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as this at the most, plus the grace.
@@ -37,13 +37,13 @@
         reactor: Any,
         clock: Clock,
         lifecycle: Lifecycle,
-        core: CoreParts,
+        request_path: RequestPath,
         discovery: Discovery,
         subsystems: Subsystems,
         longest_deadline_ms: float,
     ) -> None:
         self._reactor, self._clock, self._lifecycle = reactor, clock, lifecycle
-        self._dispatcher, self._front, self._engines = core.dispatcher, core.front, core.engines
+        self._dispatcher, self._front, self._engines = request_path.dispatcher, request_path.front, request_path.engines
         self._discovery, self._subsystems = discovery, subsystems
         self._longest_deadline_ms = min(MAX_DEADLINE_MS, longest_deadline_ms)
         self._exit_by_ms = 0.0  # the process exits then, whoever still waits: it is killed soon after
--- a/decklb/daemon/engine_list.py
+++ b/decklb/daemon/endpoint_updates.py
@@ -8,30 +8,30 @@
 from collections.abc import Callable
 
 from decklb.config import Address
-from decklb.daemon.core_parts import CoreParts
 from decklb.daemon.readiness import Readiness
+from decklb.daemon.request_path import RequestPath
 from decklb.daemon.subsystems.registry import Subsystems
 from decklb.interface import Entry, Phase
 
 
-class EngineListUpdates:
+class EndpointUpdates:
     """Hands each list on. `on_updated` is called when all have it."""
 
     def __init__(
-        self, core: CoreParts, subsystems: Subsystems, readiness: Readiness, on_updated: Callable[[], None]
+        self, request_path: RequestPath, subsystems: Subsystems, readiness: Readiness, on_updated: Callable[[], None]
     ) -> None:
-        self._core, self._subsystems, self._readiness = core, subsystems, readiness
+        self._request_path, self._subsystems, self._readiness = request_path, subsystems, readiness
         self._on_updated = on_updated
         self._discovered: tuple[list[Entry], dict[str, Address]] = [], {}
 
     def update(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """A new list from discovery."""
         self._discovered = entries, addresses
-        usable = self._subsystems.filter_engines(entries, addresses)
+        usable = self._subsystems.filter_endpoints(entries, addresses)
         self._readiness.engines_up = sum(entry.phase is Phase.UP for entry in usable)
-        self._core.engines.addresses(addresses)
-        self._core.dispatcher.members(usable)
-        self._subsystems.engines_changed(usable, addresses)
+        self._request_path.engines.addresses(addresses)
+        self._request_path.dispatcher.members(usable)
+        self._subsystems.endpoints_changed(usable, addresses)
         self._on_updated()
 
     def refresh(self) -> None:
--- a/decklb/daemon/reload.py
+++ b/decklb/daemon/reload.py
@@ -46,7 +46,7 @@
         """Reload once."""
         try:
             new = self._read_config()
-            self._discovery.take_newer_list(new)
+            self._discovery.take_newer_endpoints(new)
         except (ConfigError, LookupError, TypeError, ValueError) as error:
             # Guards against a file that is half written or wrong: what serves goes on serving.
             return logger.error(
--- a/decklb/daemon/core_parts.py
+++ b/decklb/daemon/request_path.py
@@ -1,4 +1,4 @@
-"""The parts that every process has: one dispatcher between a front and the client of its engines."""
+"""The parts on the way of each request: one dispatcher between a front and the client of its engines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoreParts:
+class RequestPath:
     """A dispatcher, the front that submits requests to it, and the engine client that runs its attempts."""
 
     dispatcher: Dispatcher
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -13,10 +13,10 @@
 from loguru import logger
 
 from decklb.config import Config
-from decklb.daemon.assembly import assemble_core, assemble_subsystems
+from decklb.daemon.assembly import assemble_request_path, assemble_subsystems
 from decklb.daemon.discovery import Discovery
 from decklb.daemon.drain import ACCEPT_BACKLOG, Drain
-from decklb.daemon.engine_list import EngineListUpdates
+from decklb.daemon.endpoint_updates import EndpointUpdates
 from decklb.daemon.gc_tuning import Collector
 from decklb.daemon.lifecycle import Lifecycle, LifecycleState
 from decklb.daemon.readiness import Readiness
@@ -43,21 +43,11 @@
         random_below = random.Random(config.seed).randrange
         self._lifecycle = Lifecycle()
         self._readiness = Readiness(self._lifecycle, lambda: self._discovery.engines_known)
-        self._core = assemble_core(reactor, self._clock, config, random_below, self.ready)
+        self._request_path = assemble_request_path(reactor, self._clock, config, random_below, self.ready)
         self._measure_unread_time()
-        self._subsystems = assemble_subsystems(
-            Process(
-                reactor,
-                self._clock,
-                config,
-                self._core,
-                on_probe_result=self._probe_result,
-                on_maintenance_plan=lambda: self._engine_list.refresh(),
-                terminate=self.terminate,
-            )
-        )
-        self._engine_list = EngineListUpdates(
-            self._core, self._subsystems, self._readiness, on_updated=self._announce_readiness
+        self._subsystems = assemble_subsystems(self._process())
+        self._endpoint_updates = EndpointUpdates(
+            self._request_path, self._subsystems, self._readiness, on_updated=self._announce_readiness
         )
         self._discovery = Discovery(
             reactor,
@@ -65,33 +55,39 @@
             config,
             self._lifecycle,
             random_below,
-            on_list=self._engine_list.update,
+            on_endpoints=self._endpoint_updates.update,
             on_timeout=self._announce_readiness,
         )
         self._reload = Reload(config, read_config, self._discovery, self._subsystems)
-        longest_deadline_ms = max(spec.deadline for spec in config.settings.classes.values())
+        longest = max(spec.deadline for spec in config.settings.classes.values())
         self._drain = Drain(
-            reactor,
+            reactor, self._clock, self._lifecycle, self._request_path, self._discovery, self._subsystems, longest
+        )
+
+    def _process(self) -> Process:
+        """What subsystems are built from."""
+        return Process(
+            self._reactor,
             self._clock,
-            self._lifecycle,
-            self._core,
-            self._discovery,
-            self._subsystems,
-            longest_deadline_ms,
+            self._config,
+            self._request_path,
+            on_health_check=self._health_checked,
+            on_maintenance_plan=lambda: self._endpoint_updates.refresh(),
+            terminate=self.terminate,
         )
 
     def _measure_unread_time(self) -> None:
         """Take the time that requests lay unread in sockets off their budgets, where the reactor knows it."""
         if (unread_for := getattr(self._reactor, "unread_for", None)) is not None:
-            self._core.dispatcher.unread_for = lambda: 1000.0 * unread_for()
+            self._request_path.dispatcher.unread_for = lambda: 1000.0 * unread_for()
 
     def start(self) -> None:
         """Open everything. Raises what Twisted raises when the address can't be had."""
         config = self._config
         host, port = config.listen
         self._discovery.start()
-        listening_port = self._reactor.listenTCP(port, self._core.front, backlog=ACCEPT_BACKLOG, interface=host)
-        self._core.front.listens(listening_port)
+        listening_port = self._reactor.listenTCP(port, self._request_path.front, backlog=ACCEPT_BACKLOG, interface=host)
+        self._request_path.front.listens(listening_port)
         self._drain.port = listening_port
         if not self._lifecycle.shutting_down:
             self._lifecycle.state = LifecycleState.SERVING
@@ -120,9 +116,9 @@
     def _announce_readiness(self) -> None:
         self._subsystems.readiness_changed(self.ready())
 
-    def _probe_result(self, engine: str, up: bool) -> None:
+    def _health_checked(self, engine: str, up: bool) -> None:
         """What the members' probes find of an engine that the list calls up."""
-        self._core.dispatcher.probed(engine, Outcome.GOOD if up else Outcome.NOCONN)
+        self._request_path.dispatcher.probed(engine, Outcome.GOOD if up else Outcome.NOCONN)
 
     def reload(self) -> None:
         """SIGHUP: take what can change without a restart from a new configuration."""
@@ -134,7 +130,9 @@
         if self._lifecycle.shutting_down:
             return
         self._lifecycle.state = LifecycleState.DRAINING
-        logger.info("SIGTERM: draining, {open} requests open", event="draining", open=self._core.dispatcher.open)
+        logger.info(
+            "SIGTERM: draining, {open} requests open", event="draining", open=self._request_path.dispatcher.open
+        )
         self._announce_readiness()
         self._drain.begin()
 
@@ -149,5 +147,5 @@
             },
         )
         self.start()
-        Collector(self._clock, lambda: not self._core.dispatcher.open).start()
+        Collector(self._clock, lambda: not self._request_path.dispatcher.open).start()
         self._reactor.run(installSignalHandlers=False)
--- a/decklb/daemon/subsystems/base.py
+++ b/decklb/daemon/subsystems/base.py
@@ -8,7 +8,7 @@
 
 from decklb.config import Address, Config
 from decklb.core.ports import Clock
-from decklb.daemon.core_parts import CoreParts
+from decklb.daemon.request_path import RequestPath
 from decklb.interface import Entry
 
 if TYPE_CHECKING:
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """What a subsystem is built from: the reactor, the configuration, the core, and calls back into the process."""
+    """What a subsystem is built from: reactor, configuration and request path, and calls back into the process."""
 
     reactor: Any
     clock: Clock
     config: Config
-    core: CoreParts
-    on_probe_result: Callable[[str, bool], None]  # an engine id, and whether probes of any member find it up
+    request_path: RequestPath
+    on_health_check: Callable[[str, bool], None]  # an engine id, and whether probes of any member find it up
     on_maintenance_plan: Callable[[], None]  # the plan has changed what may be used of the list of engines
     terminate: Callable[[], None]  # drain and exit, as on SIGTERM
 
@@ -40,11 +40,11 @@
     def stop(self) -> None:
         """Say goodbye to others and close sockets and files."""
 
-    def filter_engines(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
+    def filter_endpoints(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
         """The list as others may use it, before they get it."""
         return entries
 
-    def engines_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """A new list of engines, already filtered."""
 
     def readiness_changed(self, ready: bool) -> None:
--- a/decklb/daemon/subsystems/cluster.py
+++ b/decklb/daemon/subsystems/cluster.py
@@ -25,7 +25,7 @@
         self._process = process
         prober = make_prober(process, _idle_timeout_ms(settings))
         try:
-            self.service = ClusterService(process.reactor, process.clock, settings, prober, process.on_probe_result)
+            self.service = ClusterService(process.reactor, process.clock, settings, prober, process.on_health_check)
         except KeyFileError as error:
             raise ConfigError(str(error)) from error
 
@@ -41,7 +41,7 @@
         """Leave the cluster."""
         self.service.close()
 
-    def engines_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """Probe these engines; those that have started lately count as cold until their warm-up is over."""
         clock, warm_up_ms = self._process.clock, self._process.config.settings.cold
         warm_at = time.time() * 1000.0 - clock.now() + warm_up_ms  # members compare wall-clock times
--- a/decklb/daemon/subsystems/handoff.py
+++ b/decklb/daemon/subsystems/handoff.py
@@ -23,11 +23,11 @@
 
     def __init__(self, process: Process, settings: HandoffSettings, cluster: ClusterSubsystem) -> None:
         """Raises ConfigError where the store can't be opened."""
-        front = process.core.front
+        front = process.request_path.front
         assert isinstance(front, PgFront)  # the settings are rejected without that front
         member = cluster.service
         name = process.config.cluster.member if process.config.cluster else ""
-        guard = Guard(process.core.dispatcher, process.clock, PgCodec(front.rid), name)
+        guard = Guard(process.request_path.dispatcher, process.clock, PgCodec(front.rid), name)
         front.intake, front.keeps = guard, True
         try:
             self._service = HandoffService(process.reactor, process.clock, settings, member, guard)
--- a/decklb/daemon/subsystems/locality.py
+++ b/decklb/daemon/subsystems/locality.py
@@ -24,7 +24,9 @@
 
     def __init__(self, process: Process, settings: LocalitySettings, cluster: ClusterSubsystem) -> None:
         prober = make_prober(process, IDLE_FRESHNESS_PERIODS * settings.fresh)
-        self.service = LocalityService(process.clock, settings, cluster.service, process.core.dispatcher, prober)
+        self.service = LocalityService(
+            process.clock, settings, cluster.service, process.request_path.dispatcher, prober
+        )
 
     def start(self) -> None:
         """Begin to watch the zones."""
@@ -34,7 +36,7 @@
         """End watching."""
         self.service.close()
 
-    def engines_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """Watch these engines."""
         self.service.engines(entries, addresses)
 
--- a/decklb/daemon/subsystems/maintenance.py
+++ b/decklb/daemon/subsystems/maintenance.py
@@ -32,7 +32,7 @@
                 settings,
                 cluster.service,
                 locality.service,
-                process.core.dispatcher,
+                process.request_path.dispatcher,
                 prober,
                 process.on_maintenance_plan,
                 process.terminate,
@@ -48,7 +48,7 @@
         """End with the plan as it is."""
         self._service.close()
 
-    def filter_engines(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
+    def filter_endpoints(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
         """The list without the machines that the plan has taken out."""
         return self._service.over(entries, addresses)
 
--- a/decklb/daemon/subsystems/registry.py
+++ b/decklb/daemon/subsystems/registry.py
@@ -61,16 +61,16 @@
         if self.bgp is not None:
             self.bgp.stop()
 
-    def filter_engines(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
+    def filter_endpoints(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
         """The list as the dispatcher and the subsystems may use it."""
         for subsystem in self._in_start_order():
-            entries = subsystem.filter_engines(entries, addresses)
+            entries = subsystem.filter_endpoints(entries, addresses)
         return entries
 
-    def engines_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """Hand a new list to all."""
         for subsystem in self._in_start_order():
-            subsystem.engines_changed(entries, addresses)
+            subsystem.endpoints_changed(entries, addresses)
 
     def readiness_changed(self, ready: bool) -> None:
         """Tell all whether the process is ready."""
--- a/tests/test_config_wire_format.py
+++ b/tests/test_config_wire_format.py
@@ -30,8 +30,8 @@
         "max_descriptors": "sockets",
         "memory_mb": "memory",
         "connection_limits": "limits",
-        "list_number": "index",
-        "list_updates": "updates",
+        "endpoint_list_version": "index",
+        "endpoint_list_updates": "updates",
     }
 }
 KEYED = {"name": "keyed", "aim": 500.0, "deadline": 900.0, "semantics": "deduplicated", "memory_span": 700.0}
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -199,11 +199,11 @@
     "no handoff": lambda: play(loaded("handoff"), loaded("handoff")),
     "cluster alone": lambda: play(
         loaded("bgp", "handoff", "locality", "maintenance"),
-        loaded("bgp", "handoff", "locality", "maintenance", list_number=8),
+        loaded("bgp", "handoff", "locality", "maintenance", endpoint_list_version=8),
     ),
     "control alone": lambda: play(
         loaded("bgp", "cluster", "handoff", "locality", "maintenance"),
-        SimpleNamespace(list_number="wrong"),
+        SimpleNamespace(endpoint_list_version="wrong"),
         ("nothing",),
     ),
     "platform": lambda: play(platform(), platform(resolver="127.0.0.1:9", listen="127.0.0.1:8")),
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -159,7 +159,7 @@
         c = config.load(None, str(ROOT / "deploy/postgres.xml"))
         assert c.postgres is not None and c.postgres.users["reportes"].budget == 20_000.0
         assert c.settings.classes["carga"].serial and c.settings.max_attempts == 4 and c.settings.tick == 5.0
-        assert [x["instanceId"] for x in c.list_updates[0]["endpoints"]["instances"]] == ["motor-1", "motor-2"]
+        assert [x["instanceId"] for x in c.endpoint_list_updates[0]["endpoints"]["instances"]] == ["motor-1", "motor-2"]
 
     def test_settings_replace_those_of_the_platforms_file(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -170,7 +170,7 @@
                 '<probing period="250ms" timeout="50ms" doubt-share="75%"/><control socket="c.sock"/></decklb>'
             )
             c = config.load(write(folder, json.dumps(raw), "c.json"), write(folder, xml))
-            assert (c.name, c.memory_mb, c.list_number) == ("n", 64.0, 1)
+            assert (c.name, c.memory_mb, c.endpoint_list_version) == ("n", 64.0, 1)
             assert c.cluster is not None and c.cluster.probing is not None
             assert c.cluster.keys == str(Path(folder).resolve() / "sub/k.json")
             assert (c.cluster.member, c.cluster.seeds) == ("n", (("127.0.0.1", 8),))
