--- a/tests/test_control_socket.py
+++ b/tests/test_control_socket.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 import socket
-import tempfile
-import unittest
-from pathlib import Path
 
 import pytest
 import ujson
+from loguru import logger
+from twisted.internet import defer
 
-from decklb.management import control_client, control_server
+from decklb.management import control_client, control_protocol, control_server
 
 
 @pytest.mark.parametrize(
@@ -27,28 +26,55 @@
     ],
 )
 def test_a_malformed_request_is_answered_with_an_error(line, words):
-    said = control_server.ControlServer({"x": lambda: 1}).respond(line)
-    assert (said["decklb"], said["ok"]) == (1, False) and words in said["error"]
-
-
-class SocketPath(unittest.TestCase):
-    def test_a_path_that_answers_is_not_taken_over_one_left_behind_is(self):
-        class Reactor:
-            def listenUNIX(self, path, factory, mode):
-                return path, mode
-
-        with tempfile.TemporaryDirectory() as folder:
-            path = str(Path(folder) / "s")
-            with socket.socket(socket.AF_UNIX) as other:
-                other.bind(path)
-                other.listen()
-                with self.assertRaisesRegex(OSError, "another process"):
-                    control_server.listen(Reactor(), path, {})
-            self.assertEqual(control_server.listen(Reactor(), path, {}), (path, 0o600))
-
-    def test_a_query_is_answered_with_its_result(self):
-        said = control_server.ControlServer({"x": lambda: [1]}).respond(b'{"decklb":1,"ask":"x"}')
-        self.assertEqual(said, {"decklb": 1, "ok": True, "answer": [1]})
-        self.assertEqual(ujson.loads(ujson.dumps(said)), said)
-        with self.assertRaisesRegex(control_client.ControlError, "No such file"):
-            control_client.query("/nowhere/at/all", "members")
+    response = control_server.ControlServer({"x": lambda: 1}).respond(line)
+    assert (response["decklb"], response["ok"]) == (1, False) and words in response["error"]
+
+
+class Reactor:
+    def listenUNIX(self, path, factory, mode):
+        return path, mode
+
+
+def test_a_path_that_answers_is_not_taken_over_one_left_behind_is(tmp_path):
+    path = str(tmp_path / "s")
+    with socket.socket(socket.AF_UNIX) as other:
+        other.bind(path)
+        other.listen()
+        with pytest.raises(OSError, match="another process"):
+            control_server.listen(Reactor(), path, {})
+    assert control_server.listen(Reactor(), path, {}) == (path, 0o600)
+
+
+def test_a_query_is_answered_with_its_result():
+    response = control_server.ControlServer({"x": lambda: [1]}).respond(b'{"decklb":1,"ask":"x"}')
+    assert response == {"decklb": 1, "ok": True, "answer": [1]}
+    assert ujson.loads(ujson.dumps(response)) == response
+    with pytest.raises(control_client.ControlError, match="No such file"):
+        control_client.query("/nowhere/at/all", "members")
+
+
+def test_requests_and_responses_are_the_recorded_lines():
+    assert control_protocol.encode_request("plan-back", {"machine": "e1"}) == (
+        b'{"decklb":1,"ask":"plan-back","machine":"e1"}\n'
+    )
+    server = control_server.ControlServer(
+        {"x": lambda: {"a": 1}}, {"order": lambda request: defer.succeed(request["n"])}
+    )
+    lines = [control_protocol.encode_line(server.respond(line)) for line in (b'{"decklb":1,"ask":"x"}', b"?")]
+    assert lines == [b'{"decklb":1,"ok":true,"answer":{"a":1}}\n', b'{"decklb":1,"ok":false,"error":"not JSON"}\n']
+    told = []
+    server.respond(b'{"decklb":1,"ask":"order","n":5}').addCallback(told.append)
+    assert control_protocol.encode_line(told[0]) == b'{"decklb":1,"ok":true,"answer":5}\n'
+
+
+@pytest.mark.parametrize(("error", "logged"), [(ValueError("no such job"), 0), (KeyError("bug"), 1)])
+def test_a_command_that_fails_is_answered_and_only_a_bug_is_logged(error, logged):
+    lines, told = [], []
+    number = logger.add(lambda message: lines.append(message.record["extra"]["event"]), level="ERROR")
+    try:
+        server = control_server.ControlServer({}, {"order": lambda request: defer.fail(error)})
+        server.respond(b'{"decklb":1,"ask":"order"}').addCallback(told.append)
+    finally:
+        logger.remove(number)
+    assert told == [{"decklb": 1, "ok": False, "error": str(error)}]
+    assert lines == ["control-command-failed"] * logged
