--- a/decklb/daemon/subsystems/base.py
+++ b/decklb/daemon/subsystems/base.py
@@ -9,7 +9,7 @@
 from decklb.config import Address, Config
 from decklb.core.ports import Clock
 from decklb.daemon.request_path import RequestPath
-from decklb.interface import Entry
+from decklb.interface import Endpoint
 
 if TYPE_CHECKING:
     from decklb.management.control_server import Command, Query
@@ -40,11 +40,11 @@
     def stop(self) -> None:
         """Say goodbye to others and close sockets and files."""
 
-    def filter_endpoints(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
+    def filter_endpoints(self, entries: list[Endpoint], addresses: dict[str, Address]) -> list[Endpoint]:
         """The list as others may use it, before they get it."""
         return entries
 
-    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
         """A new list of engines, already filtered."""
 
     def readiness_changed(self, ready: bool) -> None:
--- a/decklb/daemon/subsystems/cluster.py
+++ b/decklb/daemon/subsystems/cluster.py
@@ -11,7 +11,7 @@
 from decklb.config import Address, ConfigError
 from decklb.daemon.subsystems.base import Process, Subsystem
 from decklb.daemon.subsystems.probers import make_prober
-from decklb.interface import Entry, Phase
+from decklb.interface import Endpoint, Phase
 
 if TYPE_CHECKING:
     from decklb.management.control_server import Query
@@ -41,13 +41,13 @@
         """Leave the cluster."""
         self.service.close()
 
-    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
         """Probe these engines; those that have started lately count as cold until their warm-up is over."""
-        clock, warm_up_ms = self._process.clock, self._process.config.settings.cold
+        clock, warm_up_ms = self._process.clock, self._process.config.settings.slow_start_window_ms
         warm_at = time.time() * 1000.0 - clock.now() + warm_up_ms  # members compare wall-clock times
         self.service.engines(
-            {entry.engine: entry.ready_at + warm_at if entry.ready_at else 0.0 for entry in entries},
-            {entry.engine for entry in entries if entry.phase is Phase.UP},
+            {entry.engine_id: entry.started_at_ms + warm_at if entry.started_at_ms else 0.0 for entry in entries},
+            {entry.engine_id for entry in entries if entry.phase is Phase.UP},
             addresses,
         )
 
--- a/decklb/daemon/subsystems/locality.py
+++ b/decklb/daemon/subsystems/locality.py
@@ -8,7 +8,7 @@
 from decklb.daemon.subsystems.base import Process, Subsystem
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
 from decklb.daemon.subsystems.probers import make_prober
-from decklb.interface import Entry
+from decklb.interface import Endpoint
 from decklb.locality.runtime import LocalityService
 from decklb.locality.settings import LocalitySettings
 
@@ -36,7 +36,7 @@
         """End watching."""
         self.service.close()
 
-    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
         """Watch these engines."""
         self.service.engines(entries, addresses)
 
