--- a/decklb/middleware/asgi.py
+++ b/decklb/middleware/asgi.py
@@ -15,7 +15,8 @@
 
 from loguru import logger
 
-from decklb.core.dispatcher import EARLY, Attempt, Dispatcher
+from decklb.core.attempts import Attempt
+from decklb.core.dispatcher import ANSWER_MARGIN_MS, Dispatcher
 from decklb.core.ports import IncomingRequest, RequestHandler, Timer
 from decklb.interface import Endpoint, Outcome, Settings
 
@@ -28,7 +29,9 @@
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-EARLIEST = (EARLY + 5.0) / 1000  # seconds before its deadline from which a failure counts as running out of time
+EARLIEST = (
+    ANSWER_MARGIN_MS + 5.0
+) / 1000  # seconds before its deadline from which a failure counts as running out of time
 
 
 @dataclass(slots=True)
--- a/decklb/net/engines.py
+++ b/decklb/net/engines.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Outcome
 from decklb.net import resp
--- a/decklb/net/front.py
+++ b/decklb/net/front.py
@@ -12,7 +12,8 @@
 from twisted.internet.protocol import Protocol, ServerFactory
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import Dispatcher, Request
+from decklb.core.attempts import Request
+from decklb.core.dispatcher import Dispatcher
 from decklb.net import frames
 from decklb.net.frames import BadRequest, ProtocolError
 from decklb.wire.connections import FIRST, HALF, LINGER, unread
--- a/decklb/pg/front.py
+++ b/decklb/pg/front.py
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import Protocol, ServerFactory
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import EARLY, Dispatcher
+from decklb.core.dispatcher import ANSWER_MARGIN_MS, Dispatcher
 from decklb.core.ports import RequestHandler, Timer
 from decklb.interface import Effect
 from decklb.pg import messages as pg
@@ -30,7 +30,7 @@
 
 MOST_QUEUED = 1 << 20  # bytes of messages that wait for the one in hand
 MOST_NAMED = 1000  # statements and portals of one session
-EARLIEST = EARLY + 5.0  # ms before its deadline from which a failure counts as running out of time
+EARLIEST = ANSWER_MARGIN_MS + 5.0  # ms before its deadline from which a failure counts as running out of time
 
 
 @dataclass(slots=True)
--- a/decklb/wire/pools.py
+++ b/decklb/wire/pools.py
@@ -4,7 +4,7 @@
 
 from typing import Generic, Protocol, TypeVar
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.interface import Outcome
 
 
--- a/decklb/wire/reactor.py
+++ b/decklb/wire/reactor.py
@@ -22,7 +22,7 @@
 from twisted.internet.error import MessageLengthError, getConnectError
 from twisted.python import log
 
-from decklb.core.timers import HELD
+from decklb.core.timers import STALL_THRESHOLD_MS
 from decklb.wire.local_faults import GONE_BEFORE_ACCEPT, RETRY, SHORTAGES
 
 LONGEST_WAIT = 0.1  # seconds of one wait for events
@@ -281,9 +281,9 @@
         """A pass of reading begins."""
         began, longest = self._wait
         since = None
-        if self._read is not None and began - self._read > HELD / 1000:
+        if self._read is not None and began - self._read > STALL_THRESHOLD_MS / 1000:
             since = self._read
-        elif now - began - longest > HELD / 1000:
+        elif now - began - longest > STALL_THRESHOLD_MS / 1000:
             since = began
         self._recent.append(since)
         self._read = now
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,9 +18,10 @@
 from twisted.python.failure import Failure
 
 from decklb import interface as api
-from decklb.core.dispatcher import Attempt, Dispatcher, Request
+from decklb.core.attempts import Attempt, Request
+from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import IncomingRequest
-from decklb.core.timers import HELD
+from decklb.core.timers import STALL_THRESHOLD_MS
 from decklb.daemon.drain import Drain
 from decklb.interface import Effect, Outcome
 from decklb.net import frames, resp
@@ -35,7 +36,7 @@
 class HeldUp(Rig):
     """The process stood still; what others did meanwhile lies unread beside its own timers, which are all due."""
 
-    def stand_still(self, meanwhile, ms=4 * HELD):
+    def stand_still(self, meanwhile, ms=4 * STALL_THRESHOLD_MS):
         self.clock.call_later(ms, meanwhile)  # read in the first pass after the standstill
         self.clock.clock.advance(ms / 1000)
 
@@ -95,7 +96,7 @@
         self.d.settings.classes["load"] = spec
 
     def again(self, r, engine="e2"):
-        self.d._act(api.StartAttempt(r.request_id, engine))
+        self.d._carry_out(api.StartAttempt(r.request_id, engine))
         return len(self.engines.started)
 
     def test_where_settings_allow_copies_a_lost_attempt_is_called_off_not_copied_in_vain(self):
@@ -302,8 +303,8 @@
                 self.answer(a, link, word)
                 lost = partial(link.connectionLost, Failure(ConnectionLost()))
                 if crossing == "standstill":
-                    self.clock.call_later(HOLD + HELD + 1, lost)
-                    self.clock.clock.advance((HOLD + HELD + 1) / 1000)
+                    self.clock.call_later(HOLD + STALL_THRESHOLD_MS + 1, lost)
+                    self.clock.clock.advance((HOLD + STALL_THRESHOLD_MS + 1) / 1000)
                 elif crossing == "reset":
                     lost()
                 self.clock.go(HOLD - 1)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -129,7 +129,6 @@
 }
 # Packages that have a cycle of modules that import one another, likewise.
 IMPORT_CYCLES = {
-    "core": "the dispatcher and its attempts are one module, which the ports name",
     "lab": "the emulator, its probes and its records",
     "middleware": "the application's codec and its members",
 }
