--- a/decklb/core/final_answers.py
+++ b/decklb/core/final_answers.py
@@ -33,7 +33,10 @@
     def serve(self, request: Request, result: bytes) -> None:
         """Answer with a complete result."""
         self.close(request)
-        _deliver(request, lambda: request.sink.served(result))
+        try:  # as in _deliver, without a call more: this is the way of nearly every request
+            request.sink.served(result)
+        except Exception:
+            _log_failed_delivery(request)
 
     def reject(self, request: Request, retry_after_ms: float) -> None:
         """Answer that it was not served, and that a retry is harmless."""
@@ -68,4 +71,8 @@
     try:
         answer()
     except Exception:  # a front's fault with one client must not stop the others
-        logger.exception("answer to {request} failed", event="answer-failed", request=request.request_id)
+        _log_failed_delivery(request)
+
+
+def _log_failed_delivery(request: Request) -> None:
+    logger.exception("answer to {request} failed", event="answer-failed", request=request.request_id)
