--- a/decklb/daemon/discovery.py
+++ b/decklb/daemon/discovery.py
@@ -14,7 +14,7 @@
 from decklb.config import Address, Config
 from decklb.core.ports import Clock
 from decklb.daemon.lifecycle import Lifecycle
-from decklb.interface import Endpoint
+from decklb.interface import Entry
 from decklb.net.directory import Directory
 
 # ms after which the list of the configuration must do where the directory does not answer.
@@ -35,14 +35,14 @@
         config: Config,
         lifecycle: Lifecycle,
         random_below: Callable[[int], int],
-        on_endpoints: Callable[[list[Endpoint], dict[str, Address]], None],
+        on_endpoints: Callable[[list[Entry], dict[str, Address]], None],
         on_timeout: Callable[[], None],
     ) -> None:
         """`on_timeout` is called when the first answer has stayed away, and the configuration's list has to do."""
         self._reactor, self._clock, self._config, self._lifecycle = reactor, clock, config, lifecycle
         self._on_timeout = on_timeout
         self._first_answer_overdue = False
-        self.directory = Directory(clock, config.resolver, random_below, on_endpoints, config.settings.drain_grace_ms)
+        self.directory = Directory(clock, config.resolver, random_below, on_endpoints, config.settings.drain_grace)
 
     @property
     def engines_known(self) -> bool:
--- a/decklb/daemon/drain.py
+++ b/decklb/daemon/drain.py
@@ -57,7 +57,7 @@
         self._clock.call_later(GRACE_MS, self._empty_accept_queue)
         self._exit_by_ms = self._clock.now() + self._longest_deadline_ms + GRACE_MS - 2 * LAST_ANSWERS_MARGIN_MS
         last_answers_after = max(GRACE_MS, self._longest_deadline_ms - LAST_ANSWERS_MARGIN_MS)
-        self._clock.call_later(last_answers_after, self._dispatcher.shut_down)
+        self._clock.call_later(last_answers_after, self._dispatcher.close)
 
     def _empty_accept_queue(self) -> None:
         # Whoever waits there has been told that it is connected, and may have sent a request: closing would reset it.
@@ -67,7 +67,7 @@
         self.port.stopListening()
         self._dispatcher.on_idle = self._last_request_answered
         self._front.close()
-        if not self._dispatcher.open_requests:
+        if not self._dispatcher.open:
             self._last_request_answered()
 
     def _last_request_answered(self) -> None:
--- a/decklb/daemon/endpoint_updates.py
+++ b/decklb/daemon/endpoint_updates.py
@@ -11,7 +11,7 @@
 from decklb.daemon.readiness import Readiness
 from decklb.daemon.request_path import RequestPath
 from decklb.daemon.subsystems.registry import Subsystems
-from decklb.interface import Endpoint, Phase
+from decklb.interface import Entry, Phase
 
 
 class EndpointUpdates:
@@ -22,15 +22,15 @@
     ) -> None:
         self._request_path, self._subsystems, self._readiness = request_path, subsystems, readiness
         self._on_updated = on_updated
-        self._discovered: tuple[list[Endpoint], dict[str, Address]] = [], {}
+        self._discovered: tuple[list[Entry], dict[str, Address]] = [], {}
 
-    def update(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
+    def update(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """A new list from discovery."""
         self._discovered = entries, addresses
         usable = self._subsystems.filter_endpoints(entries, addresses)
         self._readiness.engines_up = sum(entry.phase is Phase.UP for entry in usable)
         self._request_path.engines.addresses(addresses)
-        self._request_path.dispatcher.update_endpoints(usable)
+        self._request_path.dispatcher.members(usable)
         self._subsystems.endpoints_changed(usable, addresses)
         self._on_updated()
 
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -59,7 +59,7 @@
             on_timeout=self._announce_readiness,
         )
         self._reload = Reload(config, read_config, self._discovery, self._subsystems)
-        longest = max(spec.deadline_ms for spec in config.settings.classes.values())
+        longest = max(spec.deadline for spec in config.settings.classes.values())
         self._drain = Drain(
             reactor, self._clock, self._lifecycle, self._request_path, self._discovery, self._subsystems, longest
         )
@@ -79,7 +79,7 @@
     def _measure_unread_time(self) -> None:
         """Take the time that requests lay unread in sockets off their budgets, where the reactor knows it."""
         if (unread_for := getattr(self._reactor, "unread_for", None)) is not None:
-            self._request_path.dispatcher.unread_for_ms = lambda: 1000.0 * unread_for()
+            self._request_path.dispatcher.unread_for = lambda: 1000.0 * unread_for()
 
     def start(self) -> None:
         """Open everything. Raises what Twisted raises when the address can't be had."""
@@ -118,7 +118,7 @@
 
     def _health_checked(self, engine: str, up: bool) -> None:
         """What the members' probes find of an engine that the list calls up."""
-        self._request_path.dispatcher.health_checked(engine, Outcome.SUCCESS if up else Outcome.UNREACHABLE)
+        self._request_path.dispatcher.probed(engine, Outcome.GOOD if up else Outcome.NOCONN)
 
     def reload(self) -> None:
         """SIGHUP: take what can change without a restart from a new configuration."""
@@ -131,9 +131,7 @@
             return
         self._lifecycle.state = LifecycleState.DRAINING
         logger.info(
-            "SIGTERM: draining, {open} requests open",
-            event="draining",
-            open=self._request_path.dispatcher.open_requests,
+            "SIGTERM: draining, {open} requests open", event="draining", open=self._request_path.dispatcher.open
         )
         self._announce_readiness()
         self._drain.begin()
@@ -149,5 +147,5 @@
             },
         )
         self.start()
-        Collector(self._clock, lambda: not self._request_path.dispatcher.open_requests).start()
+        Collector(self._clock, lambda: not self._request_path.dispatcher.open).start()
         self._reactor.run(installSignalHandlers=False)
--- a/decklb/daemon/subsystems/maintenance.py
+++ b/decklb/daemon/subsystems/maintenance.py
@@ -9,7 +9,7 @@
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
 from decklb.daemon.subsystems.locality import IDLE_FRESHNESS_PERIODS, LocalitySubsystem
 from decklb.daemon.subsystems.probers import make_prober
-from decklb.interface import Endpoint
+from decklb.interface import Entry
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.runtime import MaintenanceService
 from decklb.maintenance.settings import MaintenanceSettings
@@ -48,7 +48,7 @@
         """End with the plan as it is."""
         self._service.close()
 
-    def filter_endpoints(self, entries: list[Endpoint], addresses: dict[str, Address]) -> list[Endpoint]:
+    def filter_endpoints(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
         """The list without the machines that the plan has taken out."""
         return self._service.over(entries, addresses)
 
--- a/decklb/daemon/subsystems/registry.py
+++ b/decklb/daemon/subsystems/registry.py
@@ -9,7 +9,7 @@
 
 from decklb.config import Address
 from decklb.daemon.subsystems.base import Subsystem
-from decklb.interface import Endpoint
+from decklb.interface import Entry
 
 if TYPE_CHECKING:
     from decklb.management.control_server import Command, Query
@@ -61,13 +61,13 @@
         if self.bgp is not None:
             self.bgp.stop()
 
-    def filter_endpoints(self, entries: list[Endpoint], addresses: dict[str, Address]) -> list[Endpoint]:
+    def filter_endpoints(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
         """The list as the dispatcher and the subsystems may use it."""
         for subsystem in self._in_start_order():
             entries = subsystem.filter_endpoints(entries, addresses)
         return entries
 
-    def endpoints_changed(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
+    def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """Hand a new list to all."""
         for subsystem in self._in_start_order():
             subsystem.endpoints_changed(entries, addresses)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from decklb import interface as api
 from decklb.cli import main
 from decklb.config import SettingsError
-from decklb.core.attempt_runner import AttemptRunner
+from decklb.core.dispatcher import Dispatcher
 from decklb.interface import Outcome
 from decklb.lab import experiment, policies, statistics, theory
 from decklb.lab.checkers import RULES
@@ -125,9 +125,7 @@
         self.loop.run(10.0)
         e.die()
         e.submit(self.query("b", 1.0))
-        self.assertEqual(
-            [(n, o) for n, o, _ in self.ended], [("a", Outcome.CONNECTION_RESET), ("b", Outcome.UNREACHABLE)]
-        )
+        self.assertEqual([(n, o) for n, o, _ in self.ended], [("a", Outcome.RST), ("b", Outcome.NOCONN)])
         e.start()
         e.submit(self.query("c", 100.0))
         e.die(silent=True)
@@ -149,7 +147,7 @@
         for i in range(12):
             e.submit(self.query(f"q{i}", 100.0))
         self.assertEqual(e.book.falls, 1)
-        self.assertIn(Outcome.CONNECTION_RESET, {o for _, o, _ in self.ended[1:]})
+        self.assertIn(Outcome.RST, {o for _, o, _ in self.ended[1:]})
 
 
 class Draws(unittest.TestCase):
@@ -261,7 +259,7 @@
     def _arrive(self, a):
         if self.rule == "key":
             self.taken.append(self.now)
-            r = self.open[a.request_id] = policies.Open(a, self.s.classes[a.request_class], self.now)
+            r = self.open[a.req] = policies.Open(a, self.s.classes[a.lane], self.now)
             return self._send(r)
         super()._arrive(a)
 
@@ -281,7 +279,7 @@
 
     def pick(self, r):
         if self.rule == "cold":
-            return max(self.ups, key=lambda x: x.started_at_ms).engine_id
+            return max(self.ups, key=lambda x: x.ready_at).engine
         return super().pick(r)
 
 
@@ -304,7 +302,7 @@
         )
     if rule == "repeat":  # the dispatcher holds these back, whatever the policy says; then the checker has to see them
         assert Run(w, 1).run().get("broken_repeat", 0) == 0
-        monkeypatch.setattr(AttemptRunner, "_repeatable_until", lambda self, request: math.inf)
+        monkeypatch.setattr(Dispatcher, "_repeatable", lambda self, r: math.inf)
     s = Run(w, 1).run()
     assert s.get(f"broken_{rule}", 0) > 0
     good = Run(replace(w, policy="random"), 1).run()
