--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -23,12 +23,12 @@
 import ujson
 
 from decklb.cluster import keyfile
-from decklb.daemon.control import ControlError, ask
 from decklb.lab.checks.execution_verdict import Line, Story, Verdict, judge
 from decklb.lab.fault_runs.isolation import TRIES, apart
 from decklb.lab.faults import free_ports as ports
 from decklb.lab.faults.fault_schedule import Fault, Kind, Link, schedule
 from decklb.lab.faults.network_proxy import HELD_UP, Address, Rig
+from decklb.management.control_client import ControlError, query
 from decklb.pg import messages as pg
 
 READ, LOAD = "read", "load"  # may be repeated; at most once
@@ -294,7 +294,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         for name, p in self.managers.items():
             try:
-                held = ujson.dumps(ask(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
+                held = ujson.dumps(query(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
             except ControlError as error:
                 held = str(error)
             (folder / f"{name}.log").write_text("".join([*p.lines, held, "\n"]))
@@ -505,9 +505,9 @@
             before = sum(resident(p) for p in fleet.managers.values())
             await asyncio.gather(*(session(fleet, i) for i in range(at_once)))
             after = sum(resident(p) for p in fleet.managers.values())
-            held = [await asyncio.to_thread(ask, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            held = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
             await asyncio.sleep(setup.life / 1000 + 1.0)
-            left = [await asyncio.to_thread(ask, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            left = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
         finally:
             await fleet.stop()
     records = sum(h["held"] for h in held)
