--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -30,10 +30,11 @@
     reactor = install()  # before anything imports Twisted's default one
     log.redirect_twisted()
     from decklb.daemon.service import Service
-    from decklb.wire.clock import steady
+    from decklb.wire.clock import use_monotonic_time
 
     try:
-        service = Service(steady(reactor), _load(path, settings), lambda: configuration.load(path, settings))
+        use_monotonic_time(reactor)
+        service = Service(reactor, _load(path, settings), lambda: configuration.load(path, settings))
     except configuration.ConfigError as error:
         raise click.ClickException(str(error)) from error
     service.run()
@@ -64,30 +65,31 @@
     if (k := c.cluster) is not None:
         m = k.membership
         click.echo(
-            f"cluster {m.cluster}: member {k.member} on {k.bind[0]}:{k.bind[1]}, {len(k.seeds)} seeds, "
-            f"keys in {k.keys}, a probe of a member each {m.interval:g}ms"
+            f"cluster {m.cluster_name}: member {k.member} on {k.bind_address[0]}:{k.bind_address[1]}, "
+            f"{len(k.seeds)} seeds, keys in {k.key_file}, a probe of a member each {m.probe_interval_ms:g}ms"
         )
-        if (d := k.probing) is not None:
+        if (d := k.health_checks) is not None:
             click.echo(
-                f"probing: each engine each {d.period:g}ms, {d.timeout:g}ms for an answer, {d.most} at a time, "
-                f"handed on after {d.hand_on} failures"
+                f"probing: each engine each {d.period_ms:g}ms, {d.timeout_ms:g}ms for an answer, "
+                f"{d.max_concurrent} at a time, handed on after {d.failures_to_decline} failures"
             )
     if (h := c.handoff) is not None:
         click.echo(
-            f"handoff: {h.copies} voters a key among {h.members} members, a lease of {h.lease:g}ms, budgets "
-            f"up to {h.longest:g}ms; records live {h.life:.0f}ms at most"
+            f"handoff: {h.voter_count} voters a key among {h.fleet_size} members, a lease of {h.lease_ms:g}ms, budgets "
+            f"up to {h.max_budget_ms:g}ms; records live {h.record_lifetime_ms:.0f}ms at most"
         )
     if (y := c.locality) is not None:
         click.echo(
-            f"locality: zone {y.zone} of {len(y.region_of)} zones in {len(y.regions)} regions, judged "
-            f"{'by ' + str(y.members // 2 + 1) + ' members at least' if y.judge == 'common' else 'alone'}, "
-            f"a state holds {y.hold:g}ms at least"
+            f"locality: zone {y.home_zone} of {len(y.region_of)} zones in {len(y.regions)} regions, judged "
+            f"{f'by {y.member_count // 2 + 1} members at least' if y.decision_mode == 'common' else 'alone'}, "
+            f"a state holds {y.min_state_duration_ms:g}ms at least"
         )
     if (n := c.maintenance) is not None:
         click.echo(
-            f"maintenance: {n.most} machines out at a time, {n.most_zone} of a zone, {100 * n.most_share:g}% "
-            f"of its cores, agreed on by {n.members // 2 + 1} of {n.members} members; {n.drain:g}ms to drain, "
-            f"{n.warm:g}ms to warm"
+            f"maintenance: {n.max_unavailable} machines out at a time, {n.max_unavailable_per_zone} of a zone, "
+            f"{100 * n.max_unavailable_zone_fraction:g}% of its cores, "
+            f"agreed on by {n.member_count // 2 + 1} of {n.member_count} members; "
+            f"{n.drain_timeout_ms:g}ms to drain, {n.warm_up_ms:g}ms to warm"
         )
     if c.control:
         click.echo(f"control: {c.control}")
--- a/decklb/config/operators.py
+++ b/decklb/config/operators.py
@@ -27,7 +27,7 @@
 from decklb.config.units import duration, share, size, written
 from decklb.config.xml import read
 from decklb.handoff.settings import HandoffSettings
-from decklb.locality.settings import LocalitySettings
+from decklb.locality.settings import DecisionMode, LocalitySettings
 from decklb.maintenance.settings import MaintenanceSettings
 
 Json = dict[str, Any]
@@ -37,90 +37,90 @@
 SECTIONS = ("postgres", "bgp")  # of the raw form, each checked by its own part
 MAX_SOCKET_PATH_BYTES = 100  # sockaddr_un holds 108 bytes
 MEMBERSHIP: dict[str, tuple[str, Convert]] = {
-    "name": ("cluster", str),
+    "name": ("cluster_name", str),
     "weight": ("weight", float),
-    "interval": ("interval", duration),
-    "timeout": ("timeout", duration),
-    "gossip": ("gossip", duration),
-    "fanout": ("fanout", int),
-    "indirect": ("indirect", int),
-    "suspicion": ("suspicion", float),
-    "suspicion-most": ("suspicion_most", float),
-    "exchange": ("exchange", duration),
-    "settle": ("settle", duration),
-    "lately": ("lately", duration),
-    "skew": ("skew", duration),
+    "interval": ("probe_interval_ms", duration),
+    "timeout": ("probe_timeout_ms", duration),
+    "gossip": ("gossip_interval_ms", duration),
+    "fanout": ("gossip_fanout", int),
+    "indirect": ("indirect_probes", int),
+    "suspicion": ("suspicion_multiplier", float),
+    "suspicion-most": ("suspicion_max_multiplier", float),
+    "exchange": ("push_pull_interval_ms", duration),
+    "settle": ("settle_time_ms", duration),
+    "lately": ("dead_retention_ms", duration),
+    "skew": ("max_clock_skew_ms", duration),
 }
 PROBING: dict[str, tuple[str, Convert]] = {
-    "period": ("period", duration),
-    "timeout": ("timeout", duration),
-    "connections": ("most", int),
-    "hand-on": ("hand_on", int),
-    "hands": ("hands", int),
-    "rest": ("rest", duration),
-    "cold-factor": ("cold_factor", float),
+    "period": ("period_ms", duration),
+    "timeout": ("timeout_ms", duration),
+    "connections": ("max_concurrent", int),
+    "hand-on": ("failures_to_decline", int),
+    "hands": ("max_declines", int),
+    "rest": ("decline_hold_ms", duration),
+    "cold-factor": ("warming_up_factor", float),
     "minority-factor": ("minority_factor", float),
-    "refresh": ("refresh", duration),
-    "doubt": ("doubt", duration),
-    "doubt-share": ("doubt_share", share),
+    "refresh": ("repeat_interval_ms", duration),
+    "doubt": ("mass_failure_hold_ms", duration),
+    "doubt-share": ("mass_failure_ratio", share),
 }
 
 
 HANDOFF: dict[str, tuple[str, Convert]] = {
-    "copies": ("copies", int),
-    "members": ("members", int),
-    "patience": ("patience", duration),
-    "beat": ("beat", duration),
-    "resend": ("resend", duration),
-    "stagger": ("stagger", duration),
-    "longest": ("longest", duration),
-    "room": ("room", size),
-    "capacity": ("capacity", int),
-    "answer-bytes": ("answer_bytes", size),
-    "lease": ("lease", duration),
-    "drift": ("drift", share),
-    "linger": ("linger", duration),
-    "slack": ("slack", duration),
+    "copies": ("voter_count", int),
+    "members": ("fleet_size", int),
+    "patience": ("quorum_timeout_ms", duration),
+    "beat": ("heartbeat_interval_ms", duration),
+    "resend": ("resend_interval_ms", duration),
+    "stagger": ("claim_stagger_ms", duration),
+    "longest": ("max_budget_ms", duration),
+    "room": ("max_bytes", size),
+    "capacity": ("max_records", int),
+    "answer-bytes": ("max_answer_bytes", size),
+    "lease": ("lease_ms", duration),
+    "drift": ("max_clock_drift", share),
+    "linger": ("answer_retention_ms", duration),
+    "slack": ("deadline_grace_ms", duration),
 }
 
 
 LOCALITY: dict[str, tuple[str, Convert]] = {
-    "zone": ("zone", str),
-    "members": ("members", int),
-    "judge": ("judge", str),
-    "misses": ("misses", int),
-    "slow": ("slow", float),
-    "tick": ("tick", duration),
-    "look": ("look", duration),
-    "timeout": ("timeout", duration),
-    "fresh": ("fresh", duration),
-    "settle": ("settle", duration),
-    "hold": ("hold", duration),
-    "retry": ("retry", duration),
-    "keep": ("keep", duration),
-    "ramp": ("ramp", duration),
-    "ramp-floor": ("ramp_floor", share),
-    "out": ("out", share),
-    "degraded": ("degraded", share),
-    "full": ("full", share),
-    "panic": ("panic", share),
+    "zone": ("home_zone", str),
+    "members": ("member_count", int),
+    "judge": ("decision_mode", DecisionMode),
+    "misses": ("unhealthy_threshold", int),
+    "slow": ("degraded_latency_ratio", float),
+    "tick": ("tick_ms", duration),
+    "look": ("health_check_interval_ms", duration),
+    "timeout": ("health_check_timeout_ms", duration),
+    "fresh": ("observation_ttl_ms", duration),
+    "settle": ("stabilization_ms", duration),
+    "hold": ("min_state_duration_ms", duration),
+    "retry": ("vote_timeout_ms", duration),
+    "keep": ("isolation_grace_ms", duration),
+    "ramp": ("recovery_ramp_ms", duration),
+    "ramp-floor": ("recovery_min_fraction", share),
+    "out": ("out_threshold", share),
+    "degraded": ("degraded_threshold", share),
+    "full": ("max_utilization", share),
+    "panic": ("panic_threshold", share),
 }
 
 
 MAINTENANCE: dict[str, tuple[str, Convert]] = {
-    "members": ("members", int),
-    "most": ("most", int),
-    "most-zone": ("most_zone", int),
-    "most-share": ("most_share", share),
-    "reserve": ("reserve", share),
-    "drain": ("drain", duration),
-    "warm": ("warm", duration),
-    "window": ("window", duration),
-    "tick": ("tick", duration),
-    "patience": ("patience", duration),
-    "fresh": ("fresh", duration),
-    "absent": ("absent", duration),
-    "kept": ("kept", int),
+    "members": ("member_count", int),
+    "most": ("max_unavailable", int),
+    "most-zone": ("max_unavailable_per_zone", int),
+    "most-share": ("max_unavailable_zone_fraction", share),
+    "reserve": ("max_utilization", share),
+    "drain": ("drain_timeout_ms", duration),
+    "warm": ("warm_up_ms", duration),
+    "window": ("default_window_ms", duration),
+    "tick": ("tick_ms", duration),
+    "patience": ("round_timeout_ms", duration),
+    "fresh": ("report_ttl_ms", duration),
+    "absent": ("absent_after_ms", duration),
+    "kept": ("retained_jobs", int),
 }
 
 
@@ -143,8 +143,8 @@
         raise SettingsError([Fault(path, 0, str(error))]) from error
     config.cluster, config.control = book.cluster(config.name), book.control()
     config.handoff, config.locality, config.maintenance = book.handoff(), book.locality(), book.maintenance()
-    if config.maintenance is not None and config.handoff is not None and not config.handoff.data:
-        config.maintenance = replace(config.maintenance, memory=config.handoff.life)
+    if config.maintenance is not None and config.handoff is not None and not config.handoff.store_folder:
+        config.maintenance = replace(config.maintenance, manager_voting_delay_ms=config.handoff.record_lifetime_ms)
     book.raise_faults()
     return config
 
@@ -207,7 +207,7 @@
                 self.add_fault(
                     element, f"<handoff> needs <{other}>: it copies statements of that front between members"
                 )
-        more = {"data": self._path(element.attrib["data"])} if "data" in element.attrib else {}
+        more = {"store_folder": self._path(element.attrib["data"])} if "data" in element.attrib else {}
         made: HandoffSettings | None = self.check(
             element, lambda: HandoffSettings(**converted(element, HANDOFF) | more)
         )
@@ -216,12 +216,12 @@
             made is not None
             and cluster is not None
             and "lately" in cluster.attrib
-            and duration(cluster.attrib["lately"]) < made.life
+            and duration(cluster.attrib["lately"]) < made.record_lifetime_ms
         ):
             self.add_fault(
                 cluster,
                 f"<cluster> lately: members must be known for as long as records live; at least "
-                f"{written(made.life)} would be right",
+                f"{written(made.record_lifetime_ms)} would be right",
             )
         return made
 
@@ -257,7 +257,7 @@
             )
         if self.root.find("control") is None:
             self.add_fault(element, "<maintenance> needs <control>: operators ask for machines over it")
-        more = {"data": self._path(element.attrib["data"])} if "data" in element.attrib else {}
+        more = {"data_directory": self._path(element.attrib["data"])} if "data" in element.attrib else {}
         made: MaintenanceSettings | None = self.check(
             element, lambda: MaintenanceSettings(**converted(element, MAINTENANCE) | more)
         )
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -19,18 +19,20 @@
     """The platform's front and engine client, or those of PostgreSQL where its section is given."""
     if config.postgres is None:
         from decklb.net.engines import RespEngines
-        from decklb.net.front import Front
+        from decklb.net.listener import FrameListener
 
         resp = RespEngines(reactor, clock, config.connection_limits)
         dispatcher = Dispatcher(config.settings, config.seed, clock, resp)
-        front = Front(dispatcher, ready, config.max_clients, config.max_extra_clients, config.max_client_bytes)
-        return RequestPath(dispatcher, front, resp)
+        listener = FrameListener(
+            dispatcher, ready, config.max_clients, config.max_extra_clients, config.max_client_bytes
+        )
+        return RequestPath(dispatcher, listener, resp)
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
+    from decklb.pg.listener import PgListener
 
     pg = PgEngines(reactor, clock, config.postgres)
     dispatcher = Dispatcher(config.settings, config.seed, clock, pg)
-    return RequestPath(dispatcher, PgFront(dispatcher, config.postgres, random_below, config.max_clients), pg)
+    return RequestPath(dispatcher, PgListener(dispatcher, config.postgres, random_below, config.max_clients), pg)
 
 
 def assemble_subsystems(process: Process) -> Subsystems:
--- a/decklb/daemon/discovery.py
+++ b/decklb/daemon/discovery.py
@@ -15,7 +15,7 @@
 from decklb.core.ports import Clock
 from decklb.daemon.lifecycle import Lifecycle
 from decklb.interface import Entry
-from decklb.net.directory import Directory
+from decklb.net.directory_client import DirectoryClient
 
 # ms after which the list of the configuration must do where the directory does not answer.
 FIRST_ANSWER_TIMEOUT_MS = 3000.0
@@ -42,16 +42,18 @@
         self._reactor, self._clock, self._config, self._lifecycle = reactor, clock, config, lifecycle
         self._on_timeout = on_timeout
         self._first_answer_overdue = False
-        self.directory = Directory(clock, config.resolver, random_below, on_endpoints, config.settings.drain_grace)
+        self.directory = DirectoryClient(
+            clock, config.resolver, random_below, on_endpoints, config.settings.drain_grace
+        )
 
     @property
     def engines_known(self) -> bool:
         """Whether the directory has answered, or is not waited for any more."""
-        return self.directory.heard or self._first_answer_overdue
+        return self.directory.synchronized or self._first_answer_overdue
 
     def start(self) -> None:
         """Take the configuration's list and begin to poll, where there is a directory."""
-        self.directory.known(self._config.endpoint_list_version, self._config.endpoint_list_updates)
+        self.directory.load_updates(self._config.endpoint_list_version, self._config.endpoint_list_updates)
         if self._config.resolver is None:
             self._first_answer_overdue = True
         else:
@@ -60,20 +62,20 @@
 
     def take_newer_endpoints(self, config: Config) -> None:
         """Take the list of a new configuration if its number is higher than that of the present one."""
-        if config.endpoint_list_version > self.directory.index:
-            self.directory.known(config.endpoint_list_version, config.endpoint_list_updates)
+        if config.endpoint_list_version > self.directory.serial:
+            self.directory.load_updates(config.endpoint_list_version, config.endpoint_list_updates)
 
     def change_resolver(self, resolver: Address | None) -> None:
         """Poll another directory from now on, or none. The list stays until the new one answers."""
         if resolver == self.directory.resolver:
             return
-        self.directory.move(resolver)
+        self.directory.change_resolver(resolver)
         if self.directory.transport is None:
             self._open_socket()
 
     def stop(self) -> None:
         """End polling."""
-        self.directory.close()
+        self.directory.stop()
 
     def _open_socket(self) -> None:
         if self._lifecycle.shutting_down or self.directory.transport is not None:
--- a/decklb/daemon/drain.py
+++ b/decklb/daemon/drain.py
@@ -61,7 +61,7 @@
 
     def _empty_accept_queue(self) -> None:
         # Whoever waits there has been told that it is connected, and may have sent a request: closing would reset it.
-        self.port.empty_queue(ACCEPT_BACKLOG, ACCEPT_QUEUE_TIMEOUT_S, self._close_port)
+        self.port.drain_accept_queue(ACCEPT_BACKLOG, ACCEPT_QUEUE_TIMEOUT_S, self._close_port)
 
     def _close_port(self) -> None:
         self.port.stopListening()
--- a/decklb/daemon/endpoint_updates.py
+++ b/decklb/daemon/endpoint_updates.py
@@ -29,7 +29,7 @@
         self._discovered = entries, addresses
         usable = self._subsystems.filter_endpoints(entries, addresses)
         self._readiness.engines_up = sum(entry.phase is Phase.UP for entry in usable)
-        self._request_path.engines.addresses(addresses)
+        self._request_path.engines.update_endpoints(addresses)
         self._request_path.dispatcher.members(usable)
         self._subsystems.endpoints_changed(usable, addresses)
         self._on_updated()
--- a/decklb/daemon/reload.py
+++ b/decklb/daemon/reload.py
@@ -60,7 +60,7 @@
         logger.info(
             "SIGHUP: configuration read, list {index}, resolver {resolver}",
             event="reloaded",
-            index=self._discovery.directory.index,
+            index=self._discovery.directory.serial,
             resolver=new.resolver,
         )
 
--- a/decklb/daemon/request_path.py
+++ b/decklb/daemon/request_path.py
@@ -8,9 +8,9 @@
 if TYPE_CHECKING:
     from decklb.core.dispatcher import Dispatcher
     from decklb.net.engines import RespEngines
-    from decklb.net.front import Front
+    from decklb.net.listener import FrameListener
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
+    from decklb.pg.listener import PgListener
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,5 +18,5 @@
     """A dispatcher, the front that submits requests to it, and the engine client that runs its attempts."""
 
     dispatcher: Dispatcher
-    front: Front | PgFront
+    front: FrameListener | PgListener
     engines: RespEngines | PgEngines
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -78,8 +78,8 @@
 
     def _measure_unread_time(self) -> None:
         """Take the time that requests lay unread in sockets off their budgets, where the reactor knows it."""
-        if (unread_for := getattr(self._reactor, "unread_for", None)) is not None:
-            self._request_path.dispatcher.unread_for = lambda: 1000.0 * unread_for()
+        if (unread_for_s := getattr(self._reactor, "unread_for_s", None)) is not None:
+            self._request_path.dispatcher.unread_for = lambda: 1000.0 * unread_for_s()
 
     def start(self) -> None:
         """Open everything. Raises what Twisted raises when the address can't be had."""
--- a/decklb/daemon/subsystems/cluster.py
+++ b/decklb/daemon/subsystems/cluster.py
@@ -5,12 +5,12 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from decklb.cluster.keyfile import KeyFileError
+from decklb.cluster.errors import KeyFileError
 from decklb.cluster.runtime import ClusterService
 from decklb.cluster.settings import ClusterSettings
 from decklb.config import Address, ConfigError
 from decklb.daemon.subsystems.base import Process, Subsystem
-from decklb.daemon.subsystems.probers import make_prober
+from decklb.daemon.subsystems.health_checkers import make_health_checker
 from decklb.interface import Entry, Phase
 
 if TYPE_CHECKING:
@@ -23,9 +23,11 @@
     def __init__(self, process: Process, settings: ClusterSettings) -> None:
         """Raises ConfigError where the key file can't be used."""
         self._process = process
-        prober = make_prober(process, _idle_timeout_ms(settings))
+        health_checker = make_health_checker(process, _idle_timeout_ms(settings))
         try:
-            self.service = ClusterService(process.reactor, process.clock, settings, prober, process.on_health_check)
+            self.service = ClusterService(
+                process.reactor, process.clock, settings, health_checker, process.on_health_check
+            )
         except KeyFileError as error:
             raise ConfigError(str(error)) from error
 
@@ -45,7 +47,7 @@
         """Probe these engines; those that have started lately count as cold until their warm-up is over."""
         clock, warm_up_ms = self._process.clock, self._process.config.settings.cold
         warm_at = time.time() * 1000.0 - clock.now() + warm_up_ms  # members compare wall-clock times
-        self.service.engines(
+        self.service.set_engines(
             {entry.engine: entry.ready_at + warm_at if entry.ready_at else 0.0 for entry in entries},
             {entry.engine for entry in entries if entry.phase is Phase.UP},
             addresses,
@@ -53,13 +55,13 @@
 
     def queries(self) -> dict[str, Query]:
         """The members, and the duties with their owners."""
-        return {"members": self._members, "duties": self.service.duties}
+        return {"members": self._members, "duties": self.service.duty_rows}
 
     def _members(self) -> dict[str, Any]:
-        return {"members": self.service.members(), "health": self.service.node.health()}
+        return {"members": self.service.member_rows(), "health": self.service.health()}
 
 
 def _idle_timeout_ms(settings: ClusterSettings) -> float:
     """Long enough that connections stay from one probe to the next, also where periods are stretched."""
-    duty = settings.probing
-    return 2.0 * duty.period * duty.minority_factor * duty.cold_factor if duty is not None else 0.0
+    duty = settings.health_checks
+    return 2.0 * duty.period_ms * duty.minority_factor * duty.warming_up_factor if duty is not None else 0.0
--- a/decklb/daemon/subsystems/handoff.py
+++ b/decklb/daemon/subsystems/handoff.py
@@ -8,11 +8,11 @@
 from decklb.daemon.subsystems.base import Process, Subsystem
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
 from decklb.handoff.errors import HandoffError
-from decklb.handoff.guard import Guard
+from decklb.handoff.protected_dispatcher import Guard
 from decklb.handoff.runtime import HandoffService
 from decklb.handoff.settings import HandoffSettings
 from decklb.pg.codec import PgCodec
-from decklb.pg.front import PgFront
+from decklb.pg.listener import PgListener
 
 if TYPE_CHECKING:
     from decklb.management.control_server import Query
@@ -24,11 +24,11 @@
     def __init__(self, process: Process, settings: HandoffSettings, cluster: ClusterSubsystem) -> None:
         """Raises ConfigError where the store can't be opened."""
         front = process.request_path.front
-        assert isinstance(front, PgFront)  # the settings are rejected without that front
+        assert isinstance(front, PgListener)  # the settings are rejected without that front
         member = cluster.service
         name = process.config.cluster.member if process.config.cluster else ""
-        guard = Guard(process.request_path.dispatcher, process.clock, PgCodec(front.rid), name)
-        front.intake, front.keeps = guard, True
+        guard = Guard(process.request_path.dispatcher, process.clock, PgCodec(front.new_request_id), name)
+        front.enable_handoff(guard)
         try:
             self._service = HandoffService(process.reactor, process.clock, settings, member, guard)
         except HandoffError as error:
@@ -48,4 +48,4 @@
 
     def queries(self) -> dict[str, Query]:
         """The requests in flight that this member holds for itself and for others."""
-        return {"handoff": lambda: self._service.keeper.health()}
+        return {"handoff": lambda: self._service.coordinator.figures()}
--- a/decklb/daemon/subsystems/locality.py
+++ b/decklb/daemon/subsystems/locality.py
@@ -7,7 +7,7 @@
 from decklb.config import Address
 from decklb.daemon.subsystems.base import Process, Subsystem
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
-from decklb.daemon.subsystems.probers import make_prober
+from decklb.daemon.subsystems.health_checkers import make_health_checker
 from decklb.interface import Entry
 from decklb.locality.runtime import LocalityService
 from decklb.locality.settings import LocalitySettings
@@ -23,9 +23,9 @@
     """Stands beside the dispatcher, which asks it for the zone of each request."""
 
     def __init__(self, process: Process, settings: LocalitySettings, cluster: ClusterSubsystem) -> None:
-        prober = make_prober(process, IDLE_FRESHNESS_PERIODS * settings.fresh)
+        health_checker = make_health_checker(process, IDLE_FRESHNESS_PERIODS * settings.observation_ttl_ms)
         self.service = LocalityService(
-            process.clock, settings, cluster.service, process.request_path.dispatcher, prober
+            process.clock, settings, cluster.service, process.request_path.dispatcher, health_checker
         )
 
     def start(self) -> None:
@@ -38,8 +38,8 @@
 
     def endpoints_changed(self, entries: list[Entry], addresses: dict[str, Address]) -> None:
         """Watch these engines."""
-        self.service.engines(entries, addresses)
+        self.service.update_engines(entries, addresses)
 
     def queries(self) -> dict[str, Query]:
         """The zones' states, and where this process' requests go."""
-        return {"zones": self.service.rows}
+        return {"zones": self.service.status}
--- a/decklb/daemon/subsystems/maintenance.py
+++ b/decklb/daemon/subsystems/maintenance.py
@@ -7,8 +7,8 @@
 from decklb.config import Address, ConfigError
 from decklb.daemon.subsystems.base import Process, Subsystem
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
+from decklb.daemon.subsystems.health_checkers import make_health_checker
 from decklb.daemon.subsystems.locality import IDLE_FRESHNESS_PERIODS, LocalitySubsystem
-from decklb.daemon.subsystems.probers import make_prober
 from decklb.interface import Entry
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.runtime import MaintenanceService
@@ -25,7 +25,7 @@
         self, process: Process, settings: MaintenanceSettings, cluster: ClusterSubsystem, locality: LocalitySubsystem
     ) -> None:
         """Raises ConfigError where the plan's store can't be opened."""
-        prober = make_prober(process, IDLE_FRESHNESS_PERIODS * settings.fresh)
+        health_checker = make_health_checker(process, IDLE_FRESHNESS_PERIODS * settings.report_ttl_ms)
         try:
             self._service = MaintenanceService(
                 process.clock,
@@ -33,7 +33,7 @@
                 cluster.service,
                 locality.service,
                 process.request_path.dispatcher,
-                prober,
+                health_checker,
                 process.on_maintenance_plan,
                 process.terminate,
             )
@@ -50,7 +50,7 @@
 
     def filter_endpoints(self, entries: list[Entry], addresses: dict[str, Address]) -> list[Entry]:
         """The list without the machines that the plan has taken out."""
-        return self._service.over(entries, addresses)
+        return self._service.apply_plan(entries, addresses)
 
     def queries(self) -> dict[str, Query]:
         """The plan and its progress."""
@@ -59,7 +59,7 @@
     def commands(self) -> dict[str, Command]:
         """Take machines out, call a job off, and report work as done."""
         return {
-            "plan-request": self._service.ask,
+            "plan-request": self._service.request_maintenance,
             "plan-cancel": self._service.cancel,
-            "plan-back": self._service.back,
+            "plan-back": self._service.mark_returned,
         }
--- a/decklb/lab/upkeep.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -18,11 +18,11 @@
 from pathlib import Path
 from typing import Any
 
-from decklb.lab.apart import side_by_side
-from decklb.lab.outage import Process
-from decklb.lab.regions import REGION, Callers, Zonal
-from decklb.lab.rig import HELD_UP
-from decklb.lab.zonal import Sent
+from decklb.lab.checks.zone_verdict import Sent
+from decklb.lab.fault_runs.handoff_run import Process
+from decklb.lab.fault_runs.isolation import side_by_side
+from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
+from decklb.lab.faults.network_proxy import HELD_UP
 from decklb.management.control_client import ControlError, query
 
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
@@ -38,7 +38,7 @@
     '<handoff members="5" copies="3" lease="600ms" beat="100ms" patience="300ms" resend="60ms" stagger="250ms" '
     'longest="4s" linger="1500ms" slack="500ms"/>\n  '
 )
-LINE = "plan-step job="
+LINE = "maintenance-step "
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,7 +198,7 @@
         for name, p in self.ever:
             for line, at in zip(p.lines, p.stamps, strict=False):
                 if LINE in line:
-                    f = dict(x.split("=", 1) for x in line[line.index(LINE) + 10 :].split())
+                    f = dict(x.split("=", 1) for x in line.split(LINE, 1)[1].split())
                     made.append(Step(name, f["job"], f["machine"], f["stage"], int(f["step"]), at - start))
         return sorted(made, key=lambda s: s.at)
 
--- a/decklb/lab/injection/matrix.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
-from decklb.lab.injection.cases import SPANS, USUAL, Case
-from decklb.lab.injection.interposer import Interposer
-from decklb.lab.injection.peers import Directory, Engine, PgPeer, RespPeer
+from decklb.lab.faults.interposer import Interposer
+from decklb.lab.faults.system_call_cases import SPANS, USUAL, Case
+from decklb.lab.standins.recording_peers import Directory, Engine, PgPeer, RespPeer
 from decklb.net import frames
 from decklb.pg import messages as pg
 
@@ -345,7 +345,7 @@
             size, kind, stream = struct.unpack(">IBI", await self.reader.readexactly(9))
             payload = await self.reader.readexactly(size - 5)
             if kind == frames.ANSWER and stream == self._stream:
-                return {frames.SERVED: "served", frames.REFUSED: "refused"}.get(payload[0], "failed")
+                return {frames.SERVED: "served", frames.REJECTED: "refused"}.get(payload[0], "failed")
 
 
 class PgClientLink(Link):
--- a/decklb/lab/injection/peers.py
+++ b/decklb/lab/standins/recording_peers.py
@@ -110,16 +110,18 @@
         """See Engine."""
         size, code = struct.unpack(">II", await reader.readexactly(8))
         await reader.readexactly(size - 8)
-        if code == pg.CANCEL:
+        if code == pg.CANCEL_REQUEST_CODE:
             return
-        writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", struct.pack(">II", 1, 1)) + pg.READY)
+        writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", struct.pack(">II", 1, 1)) + pg.READY_FOR_QUERY)
         while (kind := await reader.readexactly(1)) != b"X":
             body = await reader.readexactly(int.from_bytes(await reader.readexactly(4), "big") - 4)
             if kind == b"Q":
                 run = self.begin(body[:-1].decode().partition("'")[2][:-1], running)
                 await asyncio.sleep(self.work)
                 run.ended = time.monotonic()
-                answer = pg.pack(b"D", struct.pack(">hi", 1, 1) + b"x") + pg.pack(b"C", b"SELECT 1\0") + pg.READY
+                answer = (
+                    pg.pack(b"D", struct.pack(">hi", 1, 1) + b"x") + pg.pack(b"C", b"SELECT 1\0") + pg.READY_FOR_QUERY
+                )
                 self.answer_size = len(answer)
                 writer.write(answer)
 
@@ -161,7 +163,7 @@
 
 def answer(question: bytes, rows: dict[str, int], starts: dict[str, int], serial: int) -> bytes:
     """The whole list, as RFC 1035 and RFC 2782 have it, for the question in a datagram."""
-    asked = question[dns.HEAD.size :]
+    asked = question[dns.HEADER.size :]
     records = b""
     for engine, port in rows.items():
         target = _name(f"{engine}.z.hosts")
@@ -171,7 +173,7 @@
             target, dns.TXT, b"".join(_text(t) for t in ("kind=k", "cell=0", f"started={starts.get(engine, 0)}"))
         )
     records += _record(b"\xc0\x0c", dns.SOA, _name("ns") + _name("me") + struct.pack(">5I", serial, 0, 0, 0, 0))
-    head = dns.HEAD.pack(int.from_bytes(question[:2], "big"), 0x8400, 1, 3 * len(rows), 1, 0)
+    head = dns.HEADER.pack(int.from_bytes(question[:2], "big"), 0x8400, 1, 3 * len(rows), 1, 0)
     return head + asked + records
 
 
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -1,11 +1,16 @@
-"""The plan on the cluster's datagrams, the engines' connections and a clock; does here what it says of this member."""
+"""The I/O of maintenance: datagrams of the cluster, health checks of engines, the clock, the log, the store.
+
+Owns the orchestrator, its timer, the health checks of engines in the plan, and the store where the settings name a
+folder. Lays the plan over the endpoint list (`apply_plan`) and ends this manager at its turn. Made by
+`daemon.assembly`; the management listener passes operators' requests to it.
+"""
 
 from __future__ import annotations
 
 import os
 import random
 from collections.abc import Callable, Mapping
-from dataclasses import replace
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from loguru import logger
@@ -14,28 +19,31 @@
 from decklb.cluster.runtime import ClusterService, log_notices, wall
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
-from decklb.interface import Entry, Phase
+from decklb.interface import Entry
+from decklb.locality.health_observer import engine_capacities
 from decklb.locality.runtime import LocalityService
-from decklb.locality.sight import in_use
-from decklb.locality.zones import State
-from decklb.maintenance.conductor import Conductor, Own
+from decklb.maintenance.endpoint_overlay import EndpointOverlay
 from decklb.maintenance.errors import MaintenanceError
+from decklb.maintenance.fleet_observer import LocalObservation
+from decklb.maintenance.fleet_status import MachineStatus
+from decklb.maintenance.health_checks import PlanHealthChecks
 from decklb.maintenance.messages import TOPIC
-from decklb.maintenance.plan import Plan, Stage
-from decklb.maintenance.register import Memory
+from decklb.maintenance.operator_requests import MaintenanceRequest
+from decklb.maintenance.orchestrator import MaintenanceOrchestrator, PlanResult
+from decklb.maintenance.paxos_messages import AcceptorState
+from decklb.maintenance.plan import Plan
 from decklb.maintenance.settings import MaintenanceSettings
-from decklb.wire.prober import Address, Prober
+from decklb.wire.health_check import Address, HealthChecker
 
 if TYPE_CHECKING:
     from decklb.maintenance.store import PlanStore
 
-WAIT = 8000.0  # ms after which an operator is told that no majority has answered
-MISSES = 2  # probes in a row without an answer, after which a machine of the plan is down
+REQUEST_TIMEOUT_MS = 8000.0  # after which a request fails with QuorumUnavailableError
+INCARNATION_BITS = 48
 
 
 class MaintenanceService:
-    """One member. `changed` is called when the list of engines has to be read over again, `leave` when this manager is
-    to end for a restart."""
+    """One member."""
 
     def __init__(
         self,
@@ -44,181 +52,193 @@
         cluster: ClusterService,
         locality: LocalityService,
         dispatcher: Dispatcher,
-        prober: Prober,
-        changed: Callable[[], None],
-        leave: Callable[[], None],
+        health_checker: HealthChecker,
+        on_plan_changed: Callable[[], None],
+        restart: Callable[[], None],
     ) -> None:
-        self.clock, self.s, self.cluster, self.locality = clock, settings, cluster, locality
-        self.dispatcher, self.prober, self.changed, self.leave = dispatcher, prober, changed, leave
-        self.store: PlanStore | None = None
-        me, memory = cluster.settings.member, None
-        if settings.data:
-            from decklb.maintenance.store import PlanStore
-
-            self.store = PlanStore(settings.data, me)
-            memory = self.store.read()
-        self._failed = False  # the store could not be written the last time
-        self.conductor = Conductor(
+        """Reads the store, where there is one.
+
+        Args:
+            clock: Monotonic time and timers.
+            settings: See MaintenanceSettings.
+            cluster: Carries the datagrams, and knows the members.
+            locality: Knows the zones' states, their load and engines that can't be reached.
+            dispatcher: Knows the attempts in flight.
+            health_checker: For engines in the plan.
+            on_plan_changed: Called when the endpoint list has to be applied again.
+            restart: Ends this manager gracefully; its supervisor starts it again.
+
+        Raises:
+            PlanStoreError: The folder can't be used.
+        """
+        self.clock, self.settings, self.cluster, self.locality = clock, settings, cluster, locality
+        self.dispatcher, self.health_checker = dispatcher, health_checker
+        self.on_plan_changed, self.restart = on_plan_changed, restart
+        self.store = self._open_store()
+        self._store_failing = False  # the last write failed
+        self.orchestrator = MaintenanceOrchestrator(
             settings,
-            me,
-            random.SystemRandom().getrandbits(48) or 1,
+            cluster.settings.member,
+            random.SystemRandom().getrandbits(INCARNATION_BITS) or 1,
             random.Random(os.urandom(16)),
             clock.now(),
-            memory,
-            self._keep,
+            None if self.store is None else self.store.read(),
+            self._persist,
         )
         self.addresses: Mapping[str, Address] = {}
         self.timer: Timer | None = None
-        self._misses: dict[str, int] = {}  # of machines that the plan watches
-        self._asked: set[str] = set()
-        self._told: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()
-        self._warm: dict[str, float] = {}  # since when each machine warms, on this member's clock
+        self._health_checks = PlanHealthChecks()
+        self._overlay = EndpointOverlay()
         self.closed = False
 
     def start(self) -> None:
-        """Listen for words, and look from now on."""
-        self.cluster.topics[TOPIC] = self._heard
-        self._arm()
-
-    # The list of engines.
+        """Take datagrams, and tick from now on."""
+        self.cluster.subscribe(TOPIC, self._receive)
+        self._schedule_tick()
 
-    def over(self, entries: list[Entry], addresses: Mapping[str, Address]) -> list[Entry]:
-        """The list as the plan lets it be used: what is away drains, what has come back is cold."""
+    def apply_plan(self, entries: list[Entry], addresses: Mapping[str, Address]) -> list[Entry]:
+        """The endpoint list as the plan lets it be used: unavailable engines drain, those just back start slowly."""
         self.addresses = addresses
-        self.conductor.engines = in_use(entries, self.dispatcher.settings.cores)
-        away = self.conductor.away()
-        return [
-            replace(e, phase=Phase.DRAINING)
-            if e.engine in away and e.phase is Phase.UP
-            else replace(e, ready_at=self._warm[e.engine])
-            if e.engine in self._warm
-            else e
-            for e in entries
-        ]
-
-    # What operators ask; each Deferred ends with the count of steps done, or MaintenanceError.
-
-    def ask(self, asked: Mapping[str, Any]) -> Deferred[Any]:
-        """`job`, `machines`, `reason`, `window` (ms)."""
-        job, names = str(asked.get("job", "")), asked.get("machines")
-        if not job or len(job) > 64 or not isinstance(names, list) or not names:
-            raise MaintenanceError("a request needs a job's name of at most 64 characters, and machines")
-        window = asked.get("window") or 0
-        if not isinstance(window, int | float) or window < 0:
-            raise MaintenanceError("window is a number of ms above 0")
-        return self._agreed(
-            lambda until, done: self.conductor.ask(
-                job, [str(x) for x in names], str(asked.get("reason", ""))[:200], window, until, done
-            )
+        engines = engine_capacities(entries, self.dispatcher.settings.cores)
+        self.orchestrator.update_engines(
+            {name: MachineStatus(name, capacity.zone, capacity.cores) for name, capacity in engines.items()}
         )
+        return self._overlay.apply(entries, self.orchestrator.unavailable_machines())
 
-    def cancel(self, asked: Mapping[str, Any]) -> Deferred[Any]:
-        """`job`."""
-        return self._agreed(lambda until, done: self.conductor.cancel(str(asked.get("job", "")), wall(), until, done))
+    def request_maintenance(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
+        """Take machines out.
 
-    def back(self, asked: Mapping[str, Any]) -> Deferred[Any]:
-        """`machine`."""
-        return self._agreed(lambda until, done: self.conductor.back(str(asked.get("machine", "")), wall(), until, done))
+        Args:
+            request: See MaintenanceRequest.parse.
+
+        Returns:
+            Fires with the count of steps done so far, or fails with MaintenanceError.
+
+        Raises:
+            InvalidRequestError: The request is malformed.
+        """
+        parsed = MaintenanceRequest.parse(request)
+        return self._propose(
+            lambda deadline, on_result: self.orchestrator.request_maintenance(parsed, deadline, on_result)
+        )
+
+    def cancel(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
+        """End the job named by `job` at once; see request_maintenance for the result."""
+        job_id = str(request.get("job", ""))
+        return self._propose(lambda deadline, on_result: self.orchestrator.cancel(job_id, wall(), deadline, on_result))
+
+    def mark_returned(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
+        """The work on the machine named by `machine` is done; see request_maintenance for the result."""
+        name = str(request.get("machine", ""))
+        return self._propose(
+            lambda deadline, on_result: self.orchestrator.mark_returned(name, wall(), deadline, on_result)
+        )
 
     def status(self) -> dict[str, Any]:
-        """See Conductor.rows."""
-        return self.conductor.rows(self.clock.now(), wall())
+        """The plan, for operators."""
+        return self.orchestrator.status(self.clock.now(), wall())
+
+    def close(self) -> None:
+        """End with the program."""
+        self.closed = True
+        self.cluster.unsubscribe(TOPIC)
+        if self.timer is not None:
+            self.timer.cancel()
+        self.health_checker.close()
+        if self.store is not None:
+            self.store.close()
+            self.store = None
+
+    def _open_store(self) -> PlanStore | None:
+        if not self.settings.data_directory:
+            return None
+        from decklb.maintenance.store import PlanStore
 
-    # Inside.
+        return PlanStore(self.settings.data_directory, self.cluster.settings.member)
 
-    def _keep(self, memory: Memory) -> bool:
-        """Whether it is on disk, where there is a folder: a member that can't keep its word gives none."""
+    def _persist(self, state: AcceptorState) -> bool:
+        """Write the state where there is a folder; a member that can't takes no part in agreements."""
         if self.store is None:
-            return not self.s.data  # or it is closed
+            return not self.settings.data_directory  # or it is closed
         try:
-            self.store.write(memory)
+            self.store.write(state)
         except MaintenanceError as error:
-            if not self._failed:
+            if not self._store_failing:
                 logger.error(
                     "the plan's store can't be written, this member takes no part: {error}",
-                    event="plan-store-failed",
+                    event="maintenance-store-failed",
                     error=str(error),
                 )
-            self._failed = True
+            self._store_failing = True
             return False
-        self._failed = False
+        self._store_failing = False
         return True
 
-    def _agreed(self, propose: Callable[[float, Callable[[Plan | Exception], None]], None]) -> Deferred[Any]:
-        made: Deferred[Any] = Deferred()
+    def _propose(self, propose: Callable[[float, PlanResult], None]) -> Deferred[dict[str, int]]:
+        result: Deferred[dict[str, int]] = Deferred()
 
-        def done(plan: Plan | Exception) -> None:
+        def on_result(plan: Plan | Exception) -> None:
             if isinstance(plan, Plan):
-                made.callback({"steps": plan.steps})
+                result.callback({"steps": plan.step_count})
             else:
-                made.errback(plan)
+                result.errback(plan)
 
-        propose(self.clock.now() + WAIT, done)
-        return made
+        propose(self.clock.now() + REQUEST_TIMEOUT_MS, on_result)
+        return result
 
-    def _arm(self) -> None:
-        self.timer = self.clock.call_later(self.s.tick, self._tick)
+    def _schedule_tick(self) -> None:
+        self.timer = self.clock.call_later(self.settings.tick_ms, self._tick)
 
     def _tick(self) -> None:
         self.timer = None
         now = self.clock.now()
-        membership = self.cluster.node.membership
-        self.conductor.members(now, membership.live.items, self.cluster.node.known())
-        council = self.locality.council
-        unwell = frozenset(z for z in council.common.zones if council.state(z)[0] is not State.HEALTHY)
-        busy = {name: len(x.out) for name, x in self.dispatcher.gateway.fleet.engines.items() if x.out}
-        watched = self.conductor.watched()
-        self._misses = {n: c for n, c in self._misses.items() if n in watched}
-        down = {n for n, c in self._misses.items() if c >= MISSES}
-        down |= {n for n in self.locality.sight.down() if n not in watched}
-        self.conductor.tick(now, wall(), Own(busy, frozenset(down), council.demand(now), unwell))
-        for name in watched - self._asked:
+        self.orchestrator.update_members(
+            now, self.cluster.node.membership.live_names(), self.cluster.node.known_members()
+        )
+        checked = self.orchestrator.checked_engines()
+        self.orchestrator.tick(now, wall(), self._observe(now, checked))
+        self._check_health(checked)
+        self._send_and_log()
+        self._follow_plan(now)
+        if not self.closed:  # it may have been this manager's turn to restart
+            self._schedule_tick()
+
+    def _observe(self, now: float, checked: frozenset[str]) -> LocalObservation:
+        """What this member sees by itself. Engines in the plan are checked here, the others by locality."""
+        engines = self.dispatcher.gateway.engines.by_id
+        in_flight = {name: len(engine.attempts) for name, engine in engines.items() if engine.attempts}
+        self._health_checks.retain(checked)
+        unreachable = self._health_checks.unreachable()
+        unreachable |= {name for name in self.locality.observer.unreachable_engines() if name not in checked}
+        zones = self.locality.coordinator
+        return LocalObservation(in_flight, frozenset(unreachable), zones.load_cores(now), zones.unhealthy_zones())
+
+    def _check_health(self, engines: frozenset[str]) -> None:
+        for name in self._health_checks.due(engines):
             if (address := self.addresses.get(name)) is not None:
-                self._asked.add(name)
-                self.prober.probe(name, address, self.s.tick, self._probed(name))
-        self._pump()
-        self._obey(now)
-        if not self.closed:  # it may have been this manager's turn
-            self._arm()
-
-    def _obey(self, now: float) -> None:
-        """What the plan says of the list, and of this manager."""
-        plan = self.conductor.plan
-        warm = frozenset(x.name for j in plan.jobs for x in j.machines if x.stage is Stage.WARMING)
-        self._warm = {n: self._warm.get(n, now) for n in warm}
-        if (told := (self.conductor.away(), warm)) != self._told:
-            self._told = told
-            self.changed()
-        if self.conductor.leaving():
-            logger.info("this manager is to be restarted by the plan", event="plan-leaves")
-            self.leave()
-
-    def _probed(self, name: str) -> Callable[[bool], None]:
-        def done(ok: bool) -> None:
-            self._asked.discard(name)
-            if not self.closed:
-                self._misses[name] = 0 if ok else self._misses.get(name, 0) + 1
-
-        return done
-
-    def _heard(self, sender: str, data: bytes) -> None:
-        self.conductor.hear(self.clock.now(), sender, data)
-        self._pump()
-
-    def _pump(self) -> None:
-        out, self.conductor.out = self.conductor.out, []
-        for to, data in out:
-            self.cluster.carry(TOPIC, data, to)
-        notices, self.conductor.notices = self.conductor.notices, []
-        log_notices("plan", notices)
-
-    def close(self) -> None:
-        """The program ends."""
-        self.closed = True
-        self.cluster.topics.pop(TOPIC, None)
-        if self.timer is not None:
-            self.timer.cancel()
-        self.prober.close()
-        if self.store is not None:
-            self.store.close()
-            self.store = None
+                self._health_checks.started(name)
+                on_result = partial(self._on_health_check_result, name)
+                self.health_checker.check(name, address, self.settings.tick_ms, on_result)
+
+    def _on_health_check_result(self, name: str, answered: bool) -> None:
+        if not self.closed:
+            self._health_checks.ended(name, answered)
+
+    def _follow_plan(self, now: float) -> None:
+        """Carry out the plan on the endpoint list, and on this manager."""
+        if self._overlay.follow(now, self.orchestrator.plan, self.orchestrator.unavailable_machines()):
+            self.on_plan_changed()
+        if self.orchestrator.claim_restart():
+            logger.info("this manager restarts by the maintenance plan", event="maintenance-restart")
+            self.restart()
+
+    def _receive(self, sender: str, data: bytes) -> None:
+        self.orchestrator.receive(self.clock.now(), sender, data)
+        self._send_and_log()
+
+    def _send_and_log(self) -> None:
+        datagrams, self.orchestrator.outgoing = self.orchestrator.outgoing, []
+        for member, datagram in datagrams:
+            self.cluster.send_user_message(TOPIC, datagram, member)
+        notices, self.orchestrator.notices = self.orchestrator.notices, []
+        log_notices("maintenance", notices)
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -20,30 +20,36 @@
 # Stand in for the subsystems: recorded name -> class, and its methods' recorded names where they have another now.
 SUBSYSTEMS = {
     "speaker": ("decklb.daemon.subsystems.bgp.Speaker", {}),
-    "cluster": ("decklb.daemon.subsystems.cluster.ClusterService", {}),
-    "handoff": ("decklb.daemon.subsystems.handoff.HandoffService", {}),
-    "locality": ("decklb.daemon.subsystems.locality.LocalityService", {}),
-    "maintenance": ("decklb.daemon.subsystems.maintenance.MaintenanceService", {}),
+    "cluster": (
+        "decklb.daemon.subsystems.cluster.ClusterService",
+        {"set_engines": "engines", "member_rows": "members", "duty_rows": "duties"},
+    ),
+    "handoff": ("decklb.daemon.subsystems.handoff.HandoffService", {"coordinator": "keeper", "figures": "health"}),
+    "locality": ("decklb.daemon.subsystems.locality.LocalityService", {"update_engines": "engines", "status": "rows"}),
+    "maintenance": (
+        "decklb.daemon.subsystems.maintenance.MaintenanceService",
+        {"apply_plan": "over", "request_maintenance": "ask", "mark_returned": "back"},
+    ),
 }
 # Recorded codes of log events that have another now.
 EVENTS = {"reload-rejected": "reload-refused"}
 # Recorded name -> method of the real parts.
 METHODS = {
-    "directory.known": "decklb.net.directory.Directory.known",
-    "directory.move": "decklb.net.directory.Directory.move",
-    "directory.close": "decklb.net.directory.Directory.close",
+    "directory.known": "decklb.net.directory_client.DirectoryClient.load_updates",
+    "directory.move": "decklb.net.directory_client.DirectoryClient.change_resolver",
+    "directory.close": "decklb.net.directory_client.DirectoryClient.stop",
     "dispatcher.members": "decklb.core.dispatcher.Dispatcher.members",
     "dispatcher.close": "decklb.core.dispatcher.Dispatcher.close",
     "dispatcher.probed": "decklb.core.dispatcher.Dispatcher.probed",
-    "pg front.listens": "decklb.pg.front.PgFront.listens",
-    "pg front.announce": "decklb.pg.front.PgFront.announce",
-    "pg front.close": "decklb.pg.front.PgFront.close",
-    "pg engines.addresses": "decklb.pg.engines.PgEngines.addresses",
+    "pg front.listens": "decklb.pg.listener.PgListener.listens",
+    "pg front.announce": "decklb.pg.listener.PgListener.announce",
+    "pg front.close": "decklb.pg.listener.PgListener.close",
+    "pg engines.addresses": "decklb.pg.engines.PgEngines.update_endpoints",
     "pg engines.close": "decklb.pg.engines.PgEngines.close",
-    "front.listens": "decklb.net.front.Front.listens",
-    "front.announce": "decklb.net.front.Front.announce",
-    "front.close": "decklb.net.front.Front.close",
-    "engines.addresses": "decklb.net.engines.RespEngines.addresses",
+    "front.listens": "decklb.net.listener.FrameListener.listens",
+    "front.announce": "decklb.net.listener.FrameListener.announce",
+    "front.close": "decklb.net.listener.FrameListener.close",
+    "engines.addresses": "decklb.net.engines.RespEngines.update_endpoints",
     "engines.close": "decklb.net.engines.RespEngines.close",
 }
 
@@ -80,7 +86,7 @@
     def getHost(self):
         return SimpleNamespace(port=1)
 
-    def empty_queue(self, most, seconds, done):
+    def drain_accept_queue(self, most, seconds, done):
         self.write(f"port.empty_queue {most} {seconds}")
         done()
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -34,13 +34,13 @@
     "decklb.daemon.subsystems.handoff",
     "decklb.daemon.subsystems.locality",
     "decklb.daemon.subsystems.maintenance",
-    "decklb.daemon.subsystems.probers",
+    "decklb.daemon.subsystems.health_checkers",
     "decklb.config.xml",
     "decklb.config.operators",
     "decklb.config.document",
     "decklb.config.sections",
-    "decklb.wire.prober",
-    "decklb.net.prober",
+    "decklb.wire.health_check",
+    "decklb.net.health_check",
 )
 CODE = """
 import sys
@@ -59,7 +59,7 @@
 def test_serve_on_the_platform_imports_nothing_that_is_off():
     out = subprocess.run([sys.executable, "-c", CODE], cwd=ROOT, capture_output=True, text=True, check=True).stdout
     loaded = set(out.strip().split(","))
-    assert {"decklb.net.front", "decklb.rules"} <= loaded
+    assert {"decklb.net.listener", "decklb.policy.gateway"} <= loaded
     assert not [name for name in OFF if name in loaded]
 
 
@@ -87,7 +87,7 @@
 
 def test_decisions_of_handoff_locality_and_maintenance_know_no_io():
     for package, io in (
-        ("handoff", {"runtime.py", "store.py", "guard.py"}),
+        ("handoff", {"runtime.py", "peer_connection.py", "store.py", "protected_dispatcher.py"}),
         ("locality", {"runtime.py"}),
         ("maintenance", {"runtime.py", "store.py"}),
     ):
@@ -113,8 +113,6 @@
     ("cli",),
     ("__main__",),
 )
-# Modules that stand for a package until they have moved there.
-STANDING_FOR = {"rules": "policy", "state": "policy"}
 # What breaks the rule, with the reason. Each must still exist, so that this list shrinks.
 UPWARD_IMPORTS = {
     ("X.settings", "pg"): "a rejected value has the error code that clients get",
@@ -130,8 +128,11 @@
 # Packages that have a cycle of modules that import one another, likewise.
 IMPORT_CYCLES = {
     "core": "the dispatcher and its attempts are one module, which the ports name",
-    "lab": "the emulator, its probes and its records",
-    "middleware": "the application's codec and its members",
+    "handoff": "connections to peers and the service that owns them",
+    "lab": "the emulator, its health checks and its records",
+    "net": "connections and the listener or pool that owns them, on both sides",
+    "pg": "connections to engines and the pool that owns them",
+    "wire": "connections to engines and the pool that owns them",
 }
 
 
@@ -161,7 +162,7 @@
 def package(module):
     """The name of a module in FLOORS."""
     parts = module.split(".")
-    return "X.settings" if parts[2:] == ["settings"] else STANDING_FOR.get(parts[1], parts[1])
+    return "X.settings" if parts[2:] == ["settings"] else parts[1]
 
 
 def floor(name):
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -139,25 +139,26 @@
 class SettingsFile(unittest.TestCase):
     def test_the_example_of_the_handoff_is_accepted(self):
         c = config.load(None, str(ROOT / "deploy/handoff.xml"))
-        assert c.handoff is not None and c.handoff.members == 3 and c.postgres is not None
-        assert c.handoff.data == str(ROOT / "deploy/reportes-1.data")
+        assert c.handoff is not None and c.handoff.fleet_size == 3 and c.postgres is not None
+        assert c.handoff.store_folder == str(ROOT / "deploy/reportes-1.data")
 
     def test_the_example_of_locality_is_accepted(self):
         c = config.load(None, str(ROOT / "deploy/locality.xml"))
-        assert c.locality is not None and c.locality.zone == "sala-lima" and c.locality.members == 5
+        assert c.locality is not None and c.locality.home_zone == "sala-lima" and c.locality.member_count == 5
         assert c.locality.region_of == {"sala-lima": "costa", "sala-callao": "costa", "sala-cusco": "sierra"}
 
     def test_the_example_of_maintenance_is_accepted(self):
         c = config.load(None, str(ROOT / "deploy/maintenance.xml"))
-        assert c.maintenance is not None and c.maintenance.members == 5 and c.maintenance.most_share == 1.0
+        assert c.maintenance is not None and c.maintenance.member_count == 5
+        assert c.maintenance.max_unavailable_zone_fraction == 1.0
 
     def test_cluster_example(self):
         c = config.load(None, str(ROOT / "deploy/cluster.xml"))
-        assert c.cluster is not None and c.cluster.probing is not None and len(c.cluster.seeds) == 3
+        assert c.cluster is not None and c.cluster.health_checks is not None and len(c.cluster.seeds) == 3
 
     def test_example_alone(self):
         c = config.load(None, str(ROOT / "deploy/postgres.xml"))
-        assert c.postgres is not None and c.postgres.users["reportes"].budget == 20_000.0
+        assert c.postgres is not None and c.postgres.users["reportes"].budget_ms == 20_000.0
         assert c.settings.classes["carga"].serial and c.settings.max_attempts == 4 and c.settings.tick == 5.0
         assert [x["instanceId"] for x in c.endpoint_list_updates[0]["endpoints"]["instances"]] == ["motor-1", "motor-2"]
 
@@ -171,10 +172,13 @@
             )
             c = config.load(write(folder, json.dumps(raw), "c.json"), write(folder, xml))
             assert (c.name, c.memory_mb, c.endpoint_list_version) == ("n", 64.0, 1)
-            assert c.cluster is not None and c.cluster.probing is not None
-            assert c.cluster.keys == str(Path(folder).resolve() / "sub/k.json")
+            assert c.cluster is not None and c.cluster.health_checks is not None
+            assert c.cluster.key_file == str(Path(folder).resolve() / "sub/k.json")
             assert (c.cluster.member, c.cluster.seeds) == ("n", (("127.0.0.1", 8),))
-            assert (c.cluster.membership.interval, c.cluster.probing.doubt_share) == (1000.0, 0.75)
+            assert (c.cluster.membership.probe_interval_ms, c.cluster.health_checks.mass_failure_ratio) == (
+                1000.0,
+                0.75,
+            )
             assert c.control == str(Path(folder).resolve() / "c.sock")
 
     def test_units_are_converted_and_malformed_values_rejected(self):
