--- a/decklb/locality/health_observer.py
+++ b/decklb/locality/health_observer.py
@@ -58,12 +58,12 @@
     latency_ms: dict[str, float] = field(default_factory=dict)  # mean, by request class
 
 
-def engine_capacities(entries: Iterable[Endpoint], cores_by_kind: Mapping[str, int]) -> dict[str, EngineCapacity]:
+def engine_capacities(endpoints: Iterable[Endpoint], cores_by_kind: Mapping[str, int]) -> dict[str, EngineCapacity]:
     """Zone and cores of each engine that the endpoint list calls up."""
     return {
-        entry.engine_id: EngineCapacity(entry.zone, float(max(1, cores_by_kind.get(entry.kind, 1))))
-        for entry in entries
-        if entry.phase is Phase.UP
+        endpoint.engine_id: EngineCapacity(endpoint.zone, float(max(1, cores_by_kind.get(endpoint.kind, 1))))
+        for endpoint in endpoints
+        if endpoint.phase is Phase.UP
     }
 
 
@@ -99,10 +99,10 @@
             self.zones[zone].checked_engines = tuple(names[:CHECKED_ENGINES])
 
     def attempt_ended(
-        self, now: float, engine_name: str, request_class: str, outcome: Outcome, duration_ms: float
+        self, now: float, engine_id: str, request_class: str, outcome: Outcome, duration_ms: float
     ) -> None:
         """Take the end of a request's attempt."""
-        engine = self.engines.get(engine_name)
+        engine = self.engines.get(engine_id)
         if engine is None or outcome not in ANSWERED + UNANSWERED:
             return
         zone = self.zones[engine.zone]
@@ -115,9 +115,9 @@
         if outcome is Outcome.SUCCESS:
             self._add_latency(zone, request_class, duration_ms)
 
-    def health_check_ended(self, now: float, engine_name: str, answered: bool, duration_ms: float) -> bool:
+    def health_check_ended(self, now: float, engine_id: str, answered: bool, duration_ms: float) -> bool:
         """Take the end of a health check; returns whether the engine has become unreachable by it."""
-        engine = self.engines.get(engine_name)
+        engine = self.engines.get(engine_id)
         if engine is None:
             return False
         if not answered:
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -33,7 +33,7 @@
 
 
 class LocalityService:
-    """One member; the dispatcher's `places`."""
+    """One member; the dispatcher's zone router."""
 
     def __init__(
         self,
@@ -64,12 +64,14 @@
         self.dispatcher.zone_router = self
         self._schedule_tick()
 
-    def update_engines(self, entries: list[Endpoint], addresses: Mapping[str, Address]) -> None:
+    def update_engines(self, endpoints: list[Endpoint], addresses: Mapping[str, Address]) -> None:
         """Take over the endpoint list."""
         self.addresses = addresses
-        self.observer.update_engines(engine_capacities(entries, self.dispatcher.settings.cores_by_kind))
-        self.selector.update_engines(entries)
-        for zone in sorted({e.zone for e in entries} - self.selector.region_of.keys() - self._unknown_zones):
+        self.observer.update_engines(engine_capacities(endpoints, self.dispatcher.settings.cores_by_kind))
+        self.selector.update_engines(endpoints)
+        for zone in sorted(
+            {endpoint.zone for endpoint in endpoints} - self.selector.region_of.keys() - self._unknown_zones
+        ):
             self._unknown_zones.add(zone)
             logger.warning(
                 "zone {zone!r} is in no <region>: its state is never decided, and it counts as a region of its own",
@@ -78,18 +80,16 @@
             )
 
     def route(self, request_class: str) -> tuple[str, Collection[str] | None]:
-        """For one request of a class: the zone to use first, and all that it may use; see `core.ports`."""
+        """For one request of a class: the zone to prefer, and all that it may use; see `core.ports.ZoneRouter`."""
         self._request_counts[request_class] += 1
-        statistics, spec = (
-            self.dispatcher.gateway.statistics.get(request_class),
-            self.dispatcher.settings.classes.get(request_class),
-        )
+        statistics = self.dispatcher.gateway.statistics.get(request_class)
+        spec = self.dispatcher.settings.classes.get(request_class)
         # The mean, not the least that a request takes, by which a budget would be overdrawn.
         work_ms = statistics.run_ms * spec.threads if statistics is not None and spec is not None else 0.0
         return self.selector.select(self.clock.now(), request_class, work_ms, self.coordinator)
 
     def attempt_ended(self, engine_id: str, request_class: str, outcome: Outcome, duration_ms: float) -> None:
-        """How an attempt ended; see `core.ports`."""
+        """How an attempt ended; see `core.ports.ZoneRouter`."""
         self.observer.attempt_ended(self.clock.now(), engine_id, request_class, outcome, duration_ms)
 
     def status(self) -> dict[str, Any]:
--- a/decklb/locality/zone_selector.py
+++ b/decklb/locality/zone_selector.py
@@ -60,14 +60,14 @@
         self._routing: dict[str, ClassRouting] = {}  # by request class
         self._budgets: dict[str, RecoveryBudget] = {}  # by zone that returns
 
-    def update_engines(self, entries: Sequence[Endpoint]) -> None:
+    def update_engines(self, endpoints: Sequence[Endpoint]) -> None:
         """Take over the endpoint list."""
         self._capacity = {}
-        for entry in entries:
-            if entry.phase is Phase.UP:
-                kinds = self._capacity.setdefault(entry.zone, {})
-                cores = max(1, self._cores_by_kind.get(entry.kind, 1))
-                kinds[entry.kind] = kinds.get(entry.kind, 0.0) + cores
+        for endpoint in endpoints:
+            if endpoint.phase is Phase.UP:
+                kinds = self._capacity.setdefault(endpoint.zone, {})
+                cores = max(1, self._cores_by_kind.get(endpoint.kind, 1))
+                kinds[endpoint.kind] = kinds.get(endpoint.kind, 0.0) + cores
         self._routing.clear()
 
     def select(self, now: float, request_class: str, work_ms: float, coordinator: ZoneCoordinator) -> ZoneSelection:
--- a/decklb/maintenance/endpoint_overlay.py
+++ b/decklb/maintenance/endpoint_overlay.py
@@ -26,13 +26,13 @@
         previous, self._seen = self._seen, (unavailable, warming)
         return self._seen != previous
 
-    def apply(self, entries: list[Endpoint], unavailable: frozenset[str]) -> list[Endpoint]:
+    def apply(self, endpoints: list[Endpoint], unavailable: frozenset[str]) -> list[Endpoint]:
         """The endpoint list as the plan lets it be used."""
-        return [self._apply_to(entry, unavailable) for entry in entries]
-
-    def _apply_to(self, entry: Endpoint, unavailable: frozenset[str]) -> Endpoint:
-        if entry.engine_id in unavailable and entry.phase is Phase.UP:
-            return replace(entry, phase=Phase.DRAINING)
-        if entry.engine_id in self._warming_since:
-            return replace(entry, started_at_ms=self._warming_since[entry.engine_id])
-        return entry
+        return [self._apply_to(endpoint, unavailable) for endpoint in endpoints]
+
+    def _apply_to(self, endpoint: Endpoint, unavailable: frozenset[str]) -> Endpoint:
+        if endpoint.engine_id in unavailable and endpoint.phase is Phase.UP:
+            return replace(endpoint, phase=Phase.DRAINING)
+        if endpoint.engine_id in self._warming_since:
+            return replace(endpoint, started_at_ms=self._warming_since[endpoint.engine_id])
+        return endpoint
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -76,7 +76,8 @@
             incarnation: Random number of this run of its process.
             rng: For jitter and message ids.
             now: The time, ms.
-            state, persist: See ReplicatedRegister.
+            state: See ReplicatedRegister.
+            persist: See ReplicatedRegister.
         """
         codec, member_count = ValueCodec(Plan(), encode_plan, decode_plan), settings.member_count
         self.register: ReplicatedRegister[Plan] = ReplicatedRegister(
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -96,14 +96,14 @@
         self.cluster.subscribe(TOPIC, self._receive)
         self._schedule_tick()
 
-    def apply_plan(self, entries: list[Endpoint], addresses: Mapping[str, Address]) -> list[Endpoint]:
+    def apply_plan(self, endpoints: list[Endpoint], addresses: Mapping[str, Address]) -> list[Endpoint]:
         """The endpoint list as the plan lets it be used: unavailable engines drain, those just back start slowly."""
         self.addresses = addresses
-        engines = engine_capacities(entries, self.dispatcher.settings.cores_by_kind)
+        engines = engine_capacities(endpoints, self.dispatcher.settings.cores_by_kind)
         self.orchestrator.update_engines(
             {name: MachineStatus(name, capacity.zone, capacity.cores) for name, capacity in engines.items()}
         )
-        return self._overlay.apply(entries, self.orchestrator.unavailable_machines())
+        return self._overlay.apply(endpoints, self.orchestrator.unavailable_machines())
 
     def request_maintenance(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
         """Take machines out.
--- a/tests/test_maintenance_endpoint_overlay.py
+++ b/tests/test_maintenance_endpoint_overlay.py
@@ -9,7 +9,7 @@
     return Plan((Job("j", "", 0, tuple(Machine(name, "z", stage) for name, stage in stages.items())),))
 
 
-def entry(name, phase=Phase.UP, ready_at=0):
+def endpoint(name, phase=Phase.UP, ready_at=0):
     return Endpoint(name, "z", "k", 0, phase, started_at_ms=ready_at)
 
 
@@ -17,12 +17,12 @@
     overlay, plan = EndpointOverlay(), plan_with(e0=Stage.OUT, e1=Stage.WARMING)
     assert overlay.follow(1000.0, plan, plan.unavailable_machines())
     assert not overlay.follow(2000.0, plan, plan.unavailable_machines())  # nothing new
-    entries = [entry("e0"), entry("e1"), entry("e2")]
-    assert overlay.apply(entries, plan.unavailable_machines()) == [
-        entry("e0", Phase.DRAINING),
-        entry("e1", ready_at=1000.0),
-        entry("e2"),
+    endpoints = [endpoint("e0"), endpoint("e1"), endpoint("e2")]
+    assert overlay.apply(endpoints, plan.unavailable_machines()) == [
+        endpoint("e0", Phase.DRAINING),
+        endpoint("e1", ready_at=1000.0),
+        endpoint("e2"),
     ]
     done = plan_with(e0=Stage.DONE, e1=Stage.DONE)
     assert overlay.follow(3000.0, done, frozenset())
-    assert overlay.apply(entries, frozenset()) == entries
+    assert overlay.apply(endpoints, frozenset()) == endpoints
