--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -20,7 +20,7 @@
 REFUSED = getConnectError((errno.ECONNREFUSED, "refused"))
 
 
-class Dialed:
+class DialedConnection:
     """A dial whose tries fail or come up when the test says so."""
 
     def __init__(self):
@@ -34,7 +34,7 @@
             lambda reason: self.refused.append(reason.type),
         )
 
-    def fail(self, error):
+    def fail_try(self, error):
         self.reactor.tcpClients.pop(0)[2].clientConnectionFailed(None, Failure(error))
 
     def come_up(self):
@@ -46,53 +46,53 @@
 
 @pytest.mark.parametrize("error", [EMFILE, BUSY])
 def test_a_local_error_is_retried_until_the_connection_comes_up(error):
-    d = Dialed()
-    d.fail(error)
-    d.clock.go(REDIAL_DELAY_MS - 1)
-    assert (d.tries(), d.refused) == (0, [])
-    d.clock.go(2)
-    d.come_up()
-    d.clock.go(2 * TIMEOUT)
-    assert (d.protocol.connected, d.refused) == (1, [])
+    dialed = DialedConnection()
+    dialed.fail_try(error)
+    dialed.clock.go(REDIAL_DELAY_MS - 1)
+    assert (dialed.tries(), dialed.refused) == (0, [])
+    dialed.clock.go(2)
+    dialed.come_up()
+    dialed.clock.go(2 * TIMEOUT)
+    assert (dialed.protocol.connected, dialed.refused) == (1, [])
 
 
 @pytest.mark.parametrize("error", [EMFILE, BUSY])
 def test_a_lasting_local_error_is_reported_once_at_the_time_out(error):
-    d = Dialed()
+    dialed = DialedConnection()
     for _ in range(int(TIMEOUT)):
-        if d.tries():
-            d.fail(error)
-        d.clock.go(1)
-    d.clock.go(TIMEOUT)
-    assert d.refused == [type(error)]
+        if dialed.tries():
+            dialed.fail_try(error)
+        dialed.clock.go(1)
+    dialed.clock.go(TIMEOUT)
+    assert dialed.refused == [type(error)]
 
 
 def test_a_refusal_by_the_peer_is_reported_at_once():
-    d = Dialed()
-    d.fail(REFUSED)
-    d.clock.go(TIMEOUT)
-    assert (d.refused, d.tries()) == ([type(REFUSED)], 0)
+    dialed = DialedConnection()
+    dialed.fail_try(REFUSED)
+    dialed.clock.go(TIMEOUT)
+    assert (dialed.refused, dialed.tries()) == ([type(REFUSED)], 0)
 
 
 def test_silence_is_a_time_out_even_after_a_local_error():
-    d = Dialed()
-    d.fail(BUSY)
-    d.clock.go(TIMEOUT + 1)
-    assert d.refused == [TimeoutError]
+    dialed = DialedConnection()
+    dialed.fail_try(BUSY)
+    dialed.clock.go(TIMEOUT + 1)
+    assert dialed.refused == [TimeoutError]
 
 
 def test_after_a_stall_a_connection_that_came_up_is_read_before_the_time_out():
-    d = Dialed()
+    dialed = DialedConnection()
     late = TIMEOUT + HELD + 1
-    d.clock.call_later(late, d.come_up)  # read in the first pass after the standstill
-    d.clock.clock.advance(late / 1000)
-    d.clock.go(TIMEOUT)
-    assert (d.protocol.connected, d.refused) == (1, [])
+    dialed.clock.call_later(late, dialed.come_up)  # read in the first pass after the standstill
+    dialed.clock.clock.advance(late / 1000)
+    dialed.clock.go(TIMEOUT)
+    assert (dialed.protocol.connected, dialed.refused) == (1, [])
 
 
 def test_a_dial_cancelled_between_tries_is_reported_once():
-    d = Dialed()
-    d.fail(BUSY)
-    d.dial.cancel()
-    d.clock.go(2 * TIMEOUT)
-    assert (len(d.refused), d.tries()) == (1, 0)
+    dialed = DialedConnection()
+    dialed.fail_try(BUSY)
+    dialed.dial.cancel()
+    dialed.clock.go(2 * TIMEOUT)
+    assert (len(dialed.refused), dialed.tries()) == (1, 0)
--- a/tests/test_directory_client.py
+++ b/tests/test_directory_client.py
@@ -22,7 +22,7 @@
     return dns.HEADER.pack(ident, 0x8400, 1, 1, 0, 0) + question + soa
 
 
-class Wire:
+class PolledDirectory:
     """A directory client whose questions are kept with the time they were asked."""
 
     def __init__(self, seed=1, known=40):
@@ -64,28 +64,28 @@
 
 
 def test_a_directory_that_answers_is_polled_steadily_with_jitter():
-    wires = [Wire(seed) for seed in range(20)]
-    for w in wires:
+    clients = [PolledDirectory(seed) for seed in range(20)]
+    for polled in clients:
         for _ in range(400):
-            if w.directory.query_id is not None:
-                w.answer()
-            w.clock.go(10)
-        assert max(w.gaps()) <= 1.2 * POLL_INTERVAL_MS + 11 and min(w.gaps()) >= 0.8 * POLL_INTERVAL_MS - 1
-    assert len({round(w.asked[10][0]) for w in wires}) > 10
+            if polled.directory.query_id is not None:
+                polled.answer()
+            polled.clock.go(10)
+        assert max(polled.gaps()) <= 1.2 * POLL_INTERVAL_MS + 11 and min(polled.gaps()) >= 0.8 * POLL_INTERVAL_MS - 1
+    assert len({round(polled.asked[10][0]) for polled in clients}) > 10
 
 
 def test_a_silent_directory_is_polled_with_bounded_backoff_and_steadily_after_recovery(log):
-    w = Wire()
-    w.clock.go(60_000)
-    gaps = w.gaps()
+    polled = PolledDirectory()
+    polled.clock.go(60_000)
+    gaps = polled.gaps()
     assert gaps[0] < gaps[1] < gaps[2] and max(gaps) <= MAX_WAIT_MS + 1 < NEWS_BINDS
-    assert len(w.asked) < 80  # it was 150 a minute
-    assert log.count("directory-timeout") == 1 and w.lists == [["s-0"]]
-    questions = len(w.asked)
-    w.answer()
-    assert w.lists[-1] == ["s-1"] and log.count("directory-recovered") == 1
-    w.clock.go(1.2 * POLL_INTERVAL_MS + 2)
-    assert len(w.asked) == questions + 1
+    assert len(polled.asked) < 80  # it was 150 a minute
+    assert log.count("directory-timeout") == 1 and polled.lists == [["s-0"]]
+    questions = len(polled.asked)
+    polled.answer()
+    assert polled.lists[-1] == ["s-1"] and log.count("directory-recovered") == 1
+    polled.clock.go(1.2 * POLL_INTERVAL_MS + 2)
+    assert len(polled.asked) == questions + 1
 
 
 def test_a_query_waits_no_longer_than_a_fraction_of_the_drain_grace():
@@ -111,46 +111,46 @@
     ],
 )
 def test_an_invalid_or_stale_answer_changes_nothing_and_is_logged_once(log, event, make):
-    w = Wire()
+    polled = PolledDirectory()
     for _ in range(10):
-        w.answer(make)
-        w.clock.go(MAX_WAIT_MS)
-    assert w.lists == [["s-0"]] and log.count(event) == 1 and len(w.asked) > 8
-    w.answer()
-    w.answer()  # a second copy
-    assert w.lists == [["s-0"], ["s-1"]]
+        polled.answer(make)
+        polled.clock.go(MAX_WAIT_MS)
+    assert polled.lists == [["s-0"]] and log.count(event) == 1 and len(polled.asked) > 8
+    polled.answer()
+    polled.answer()  # a second copy
+    assert polled.lists == [["s-0"], ["s-1"]]
 
 
 def test_an_answer_to_another_query_is_ignored(log):
-    w = Wire()
-    late = w.asked[-1][1]
-    w.clock.go(700)
-    assert w.asked[-1][1] != late
-    w.directory.datagramReceived(reply(ident=late), None)
-    assert w.lists == [["s-0"]]
+    polled = PolledDirectory()
+    late = polled.asked[-1][1]
+    polled.clock.go(700)
+    assert polled.asked[-1][1] != late
+    polled.directory.datagramReceived(reply(ident=late), None)
+    assert polled.lists == [["s-0"]]
 
 
 def test_after_a_change_of_resolver_answers_of_the_old_one_are_ignored():
-    w = Wire()
-    _, old = w.asked[-1]
-    w.directory.change_resolver(("127.0.0.1", 54))
-    assert len(w.asked) == 2  # at once
-    w.directory.datagramReceived(reply(ident=old), None)
-    assert w.lists == [["s-0"]]
-    w.answer()
-    assert w.lists[-1] == ["s-1"]
+    polled = PolledDirectory()
+    _, old = polled.asked[-1]
+    polled.directory.change_resolver(("127.0.0.1", 54))
+    assert len(polled.asked) == 2  # at once
+    polled.directory.datagramReceived(reply(ident=old), None)
+    assert polled.lists == [["s-0"]]
+    polled.answer()
+    assert polled.lists[-1] == ["s-1"]
 
 
 def test_a_newer_empty_list_is_taken():
     """No engine may be sent to after it was told to be gone, however odd the list."""
-    w = Wire()
-    w.answer(lambda ident: empty(ident, 41))
-    assert w.lists[-1] == []
+    polled = PolledDirectory()
+    polled.answer(lambda ident: empty(ident, 41))
+    assert polled.lists[-1] == []
 
 
 def test_a_refused_query_is_logged_once_and_sent_again(log):
-    w = Wire()
+    polled = PolledDirectory()
     for _ in range(5):
-        w.directory.connectionRefused()
-        w.clock.go(MAX_WAIT_MS)
-    assert log.count("directory-refused") == 1 and len(w.asked) > 4
+        polled.directory.connectionRefused()
+        polled.clock.go(MAX_WAIT_MS)
+    assert log.count("directory-refused") == 1 and len(polled.asked) > 4
--- a/tests/test_engine_connection.py
+++ b/tests/test_engine_connection.py
@@ -64,30 +64,30 @@
         self.engines.start(a)
         return a
 
-    def up(self, same_pass=lambda: None):
+    def connect(self, same_pass=lambda: None):
         """The oldest connection comes up; what is read in the same pass."""
         factory = self.reactor.tcpClients.pop(0)[2]
-        link, transport = factory.buildProtocol(None), GatedTransport()
-        link.makeConnection(transport)
+        connection, transport = factory.buildProtocol(None), GatedTransport()
+        connection.makeConnection(transport)
         same_pass()
         self.clock.go(1)
-        return link._wrappedProtocol, transport
+        return connection._wrappedProtocol, transport
 
-    def gone(self, a):
+    def give_up(self, a):
         a.given_up = True
         self.engines.give_up(a, lambda: None)
 
     def test_a_request_cancelled_while_its_connection_comes_up_is_never_sent(self):
         a, b, c = self.start(), self.start(), self.start()
-        self.gone(a)
-        _, transport = self.up(same_pass=lambda: self.gone(b))
+        self.give_up(a)
+        _, transport = self.connect(same_pass=lambda: self.give_up(b))
         self.assertEqual([p[:2] for p in transport.flush()], [[b"do", c.request.work.rid.encode()]])
 
     def test_an_attempt_that_waited_too_long_for_its_connection_is_never_sent(self):
         a, b = self.start(), self.start()
         a.latest = 100.0
         self.clock.go(150)
-        _, transport = self.up()
+        _, transport = self.connect()
         self.assertEqual([p[1] for p in transport.flush()], [b.request.work.rid.encode()])
         self.assertEqual(self.ends, [(a, Outcome.NOP)])
 
@@ -99,26 +99,26 @@
 
     def test_no_attempt_is_sent_behind_bytes_that_the_engine_does_not_read(self):
         first = self.start()
-        link, transport = self.up()
+        connection, transport = self.connect()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
         left, stays = self.start(), self.start()
-        self.gone(left)
+        self.give_up(left)
         self.assertEqual([p[1] for p in transport.flush()], [first.request.work.rid.encode()])
         self.assertEqual([p[:2] for p in transport.flush()], [[b"do", stays.request.work.rid.encode()]])
 
     def test_a_reset_ends_attempts_that_were_not_sent_as_no_connection(self):
         sent = self.start()
-        link, _ = self.up()
+        connection, _ = self.connect()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
         waits = self.start()
-        link.connectionLost(Failure(ConnectionLost()))
+        connection.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(self.ends, [(sent, Outcome.RST), (waits, Outcome.NOCONN)])
 
     def test_an_attempt_on_a_connection_that_we_abort_ends_once_its_engine_knows(self):
         """Another attempt of it elsewhere could overtake our reset."""
         sent = self.start()
-        link, _ = self.up()
-        link.dataReceived(b"rubbish\r\n")
+        connection, _ = self.connect()
+        connection.dataReceived(b"rubbish\r\n")
         self.clock.go(CANCEL_SETTLE_MS - 2)
         self.assertEqual(self.ends, [])
         self.clock.go(3)
@@ -129,16 +129,16 @@
         self.reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
         b = self.start()
         self.reactor.tcpClients.pop(0)
-        self.up()[0].connectionLost(Failure(ConnectionLost()))
+        self.connect()[0].connectionLost(Failure(ConnectionLost()))
         c = self.start()
-        link, _ = self.up()
-        link.dataReceived(resp.pack(c.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
-        link.connectionLost(Failure(ConnectionLost()))
+        connection, _ = self.connect()
+        connection.dataReceived(resp.pack(c.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
+        connection.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(self.ends, [(a, Outcome.NOCONN), (b, Outcome.RST), (c, Outcome.GOOD)])
         self.assertEqual(self.doubted, [c])
 
-    def answer(self, a, link, word=b"data", body=b"a\tb\tc\n"):
-        link.dataReceived(resp.pack(a.request.work.rid.encode(), word, b"-", body if word == b"data" else b""))
+    def answer(self, a, connection, word=b"data", body=b"a\tb\tc\n"):
+        connection.dataReceived(resp.pack(a.request.work.rid.encode(), word, b"-", body if word == b"data" else b""))
 
     def test_a_retryable_answer_counts_as_a_reset_if_one_comes_right_behind_it(self):
         """Whether in the same pass of reading or, after a standstill, with the timer that lets the answer go."""
@@ -146,9 +146,9 @@
             for crossing in ("reset", "nothing", "standstill"):
                 self.setUp()
                 a = self.start()
-                link, _ = self.up()
-                self.answer(a, link, word)
-                lost = partial(link.connectionLost, Failure(ConnectionLost()))
+                connection, _ = self.connect()
+                self.answer(a, connection, word)
+                lost = partial(connection.connectionLost, Failure(ConnectionLost()))
                 if crossing == "standstill":
                     self.clock.call_later(RETRYABLE_ANSWER_DELAY_MS + HELD + 1, lost)
                     self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + HELD + 1) / 1000)
@@ -161,36 +161,36 @@
 
     def test_our_own_orderly_close_makes_no_answer_uncertain(self):
         a = self.start()
-        link, transport = self.up()
-        self.answer(a, link)
+        connection, transport = self.connect()
+        self.answer(a, connection)
         self.engines.update_endpoints({})  # its engine has gone: unused connections close at once
         self.clock.go(1)
-        link.connectionLost(Failure(ConnectionDone()))
+        connection.connectionLost(Failure(ConnectionDone()))
         self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD)], []))
 
     def test_a_connection_that_we_abort_makes_its_earlier_answers_uncertain(self):
         a, b = self.start(), self.start()
-        link, _ = self.up()
-        self.answer(a, link)
-        self.answer(b, link, b"failed")
-        link.dataReceived(b"rubbish\r\n")
+        connection, _ = self.connect()
+        self.answer(a, connection)
+        self.answer(b, connection, b"failed")
+        connection.dataReceived(b"rubbish\r\n")
         self.clock.go(CANCEL_SETTLE_MS + 1)
         self.assertEqual((self.ends, self.doubted), ([(a, Outcome.GOOD), (b, Outcome.RST)], [a]))
 
     def test_a_late_answer_is_ignored_and_its_request_id_is_not_used_again_on_that_connection(self):
         a = self.start()
-        link, _ = self.up()
-        self.gone(a)
+        connection, _ = self.connect()
+        self.give_up(a)
         ident = a.request.work.rid.encode()
-        link.dataReceived(resp.pack(ident, b"data", b"-", b"a\tb\tc\n") * 2)
-        self.assertEqual((self.ends, link.accepts(ident), link.accepts(b"0" * 16)), ([], False, True))
+        connection.dataReceived(resp.pack(ident, b"data", b"-", b"a\tb\tc\n") * 2)
+        self.assertEqual((self.ends, connection.accepts(ident), connection.accepts(b"0" * 16)), ([], False, True))
 
     def test_an_answer_to_an_attempt_that_was_not_sent_is_ignored(self):
         self.start()
-        link, _ = self.up()
+        connection, _ = self.connect()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
         waits = self.start()
-        link.dataReceived(resp.pack(waits.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
+        connection.dataReceived(resp.pack(waits.request.work.rid.encode(), b"data", b"-", b"a\tb\tc\n"))
         self.assertEqual(self.ends, [])
 
     def test_an_engine_that_has_shown_that_a_request_ran_cannot_say_that_it_did_not(self):
@@ -206,8 +206,8 @@
         ]:
             self.setUp()
             a = self.start()
-            link, _ = self.up()
+            connection, _ = self.connect()
             both = before + resp.pack(b"ID", word, b"-", b"")
-            link.dataReceived(both.replace(b"$2\r\nID", b"$16\r\n" + a.request.work.rid.encode()))
+            connection.dataReceived(both.replace(b"$2\r\nID", b"$16\r\n" + a.request.work.rid.encode()))
             self.clock.go(RETRYABLE_ANSWER_DELAY_MS + 1)
             self.assertEqual(self.ends, [(a, outcome)], (before, word))
