--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -245,7 +245,7 @@
         Returns:
             Whether it was closed.
         """
-        if self.closing or self.requests or self.unsent_bytes or not self.input_failed and self.has_unread_input():
+        if self.closing or self.requests or self.unsent_bytes or (not self.input_failed and self.has_unread_input()):
             return False
         self._end_reason, self.closing = reason, True
         with suppress(OSError):  # the client was quicker
--- a/decklb/net/engine_connection.py
+++ b/decklb/net/engine_connection.py
@@ -200,7 +200,7 @@
         if kind is not None:
             try:
                 level = float(fields.get(protocol.PROGRESS_LEVEL_FIELD, ""))
-                call.has_run = call.has_run or kind != protocol.PROGRESS_WAITING and level > 0
+                call.has_run = call.has_run or (kind != protocol.PROGRESS_WAITING and level > 0)
                 call.attempt.note(kind, level)
             except ValueError:
                 logger.debug(
