--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -21,6 +21,7 @@
 from decklb.pg.cancel_request import CANCEL_TIMEOUT_MS, BackendKey
 from decklb.pg.engine_prepared_statements import PreparedStatements
 from decklb.pg.errors import PgError
+from decklb.pg.messages import BackendType, FrontendType
 from decklb.pg.work import PgWork
 from decklb.wire.engine_connection import IDLE_TIMEOUT, EngineConnection
 
@@ -34,9 +35,19 @@
 AUTHENTICATION_OK_PAYLOAD = b"\0\0\0\0"  # of the Authentication message that asks for nothing
 NO_KEY = BackendKey(0, 0)
 KEY_FORMAT = struct.Struct(">II")  # process id and secret
-# Messages that are passed to the client: ParameterDescription, RowDescription, NoData, DataRow, CommandComplete,
-# EmptyQueryResponse, PortalSuspended.
-RESULT_MESSAGES = (b"t", b"T", b"n", b"D", b"C", b"I", b"s")
+TRANSACTION_IDLE = b"I"  # status in ReadyForQuery: in no transaction block
+RESULT_MESSAGES = frozenset(  # passed to the client
+    (
+        BackendType.PARAMETER_DESCRIPTION,
+        BackendType.ROW_DESCRIPTION,
+        BackendType.NO_DATA,
+        BackendType.DATA_ROW,
+        BackendType.COMMAND_COMPLETE,
+        BackendType.EMPTY_QUERY_RESPONSE,
+        BackendType.PORTAL_SUSPENDED,
+    )
+)
+COPY_RESPONSES = frozenset((b"G", b"H", b"W"))  # CopyInResponse, CopyOutResponse, CopyBothResponse
 
 
 class PgConnection(EngineConnection):
@@ -134,21 +145,21 @@
             self._abort(f"protocol: {error}")
 
     def _handle(self, message: pg.Message) -> None:
-        if message.type == b"Z":
+        if message.type in RESULT_MESSAGES:
+            self._keep(message.raw)
+        elif message.type == BackendType.READY_FOR_QUERY:
             self._ready_for_query(message.payload)
-        elif message.type == b"E":
+        elif message.type == BackendType.ERROR_RESPONSE:
             self._error = pg.read_error(message.payload)
             self._keep(message.raw)
-        elif message.type == b"K" and len(message.payload) == KEY_FORMAT.size:
+        elif message.type == BackendType.BACKEND_KEY_DATA and len(message.payload) == KEY_FORMAT.size:
             self._backend_key = BackendKey(*KEY_FORMAT.unpack(message.payload))
-        elif message.type == b"R" and message.payload != AUTHENTICATION_OK_PAYLOAD:
+        elif message.type == BackendType.AUTHENTICATION and message.payload != AUTHENTICATION_OK_PAYLOAD:
             self._abort("authentication-requested")
-        elif message.type in b"GHW":
+        elif message.type in COPY_RESPONSES:
             self._abort("copy-refused")  # the front lets none through; whatever began it is not let run on
-        elif message.type == b"1":
+        elif message.type == BackendType.PARSE_COMPLETE:
             self._statements.parse_complete()
-        elif message.type in RESULT_MESSAGES:
-            self._keep(message.raw)
 
     def _keep(self, raw: bytes) -> None:
         if not self.sent or self._freed is not None:
@@ -162,7 +173,7 @@
 
     def _ready_for_query(self, transaction_status: bytes) -> None:
         self._statements.statement_ended(failed=self._error is not None)
-        if transaction_status != b"I":
+        if transaction_status != TRANSACTION_IDLE:
             self._abort("left-in-transaction")
             return
         self.ready = True
@@ -209,7 +220,7 @@
         self._close_idle(IDLE_TIMEOUT)
 
     def _before_close(self) -> None:
-        self.transport.write(pg.pack(b"X"))
+        self.transport.write(pg.pack(FrontendType.TERMINATE))
 
     def retire(self) -> None:
         """Its engine has gone, or has moved: close now if it is not in use; what is out ends before it closes.
--- a/decklb/pg/engine_prepared_statements.py
+++ b/decklb/pg/engine_prepared_statements.py
@@ -7,8 +7,11 @@
 from __future__ import annotations
 
 from decklb.pg import messages as pg
+from decklb.pg.messages import FrontendType
 from decklb.pg.work import PgWork
 
+STATEMENT = b"S"  # what Describe and Close mean by a name
+PORTAL = b"P"
 MAX_PREPARED = 200  # statements kept on one connection
 
 
@@ -27,13 +30,13 @@
         """The messages that run a statement, with a Parse if it is new to this connection."""
         self._unconfirmed = None
         if work.simple:
-            return pg.pack(b"Q", work.statement + b"\0")
+            return pg.pack(FrontendType.QUERY, work.statement + b"\0")
         out, name = self._prepare(work)
         if work.bind is None:
-            out += pg.pack(b"D", b"S" + name + b"\0")
+            out += pg.pack(FrontendType.DESCRIBE, STATEMENT + name + b"\0")
         else:
-            out += pg.pack(b"B", b"\0" + name + b"\0" + work.bind)
-            out += pg.pack(b"D", b"P\0") if work.describe else b""
+            out += pg.pack(FrontendType.BIND, b"\0" + name + b"\0" + work.bind)
+            out += pg.pack(FrontendType.DESCRIBE, PORTAL + b"\0") if work.describe else b""
             out += pg.EXECUTE_ALL if work.execute else b""
         return out + pg.SYNC
 
@@ -45,10 +48,10 @@
             return b"", name
         out = b""
         if len(self._names) >= MAX_PREPARED:
-            out += pg.pack(b"C", b"S" + self._names.pop(next(iter(self._names))) + b"\0")
+            out += pg.pack(FrontendType.CLOSE, STATEMENT + self._names.pop(next(iter(self._names))) + b"\0")
         self._count += 1
         name = b"d%d" % self._count
-        out += pg.pack(b"P", name + b"\0" + work.statement + b"\0" + work.types)
+        out += pg.pack(FrontendType.PARSE, name + b"\0" + work.statement + b"\0" + work.types)
         self._unconfirmed = statement
         self._names[statement] = name
         return out, name
--- a/decklb/pg/health_check.py
+++ b/decklb/pg/health_check.py
@@ -8,6 +8,7 @@
 from decklb.pg import messages as pg
 from decklb.pg.engine_connection import AUTHENTICATION_OK_PAYLOAD
 from decklb.pg.errors import PgError
+from decklb.pg.messages import BackendType
 from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
 MOST_MESSAGE = 1 << 16  # bytes of one message: an idle session sends parameters, notices and errors alone
@@ -41,11 +42,11 @@
             self.fail(f"protocol: {error}")
 
     def _handle(self, message: pg.Message) -> None:
-        if message.type == b"Z" and not self.ready:
+        if message.type == BackendType.READY_FOR_QUERY and not self.ready:
             self.session_ready()
-        elif message.type == b"Z":
+        elif message.type == BackendType.READY_FOR_QUERY:
             self.check_succeeded()
-        elif message.type == b"E":
+        elif message.type == BackendType.ERROR_RESPONSE:
             self.fail(f"error-{pg.read_error(message.payload).get('C', '')}")
-        elif message.type == b"R" and message.payload != AUTHENTICATION_OK_PAYLOAD:
+        elif message.type == BackendType.AUTHENTICATION and message.payload != AUTHENTICATION_OK_PAYLOAD:
             self.fail("authentication-requested")
