--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -18,13 +18,13 @@
 
 import ujson
 
-from decklb.daemon.control import ask
 from decklb.lab.checks.zone_verdict import Change, Judged, Sent, judge
 from decklb.lab.fault_runs.handoff_run import Fleet, Process, Setup
 from decklb.lab.fault_runs.isolation import side_by_side
 from decklb.lab.faults.fault_schedule import Link
 from decklb.lab.faults.network_proxy import HELD_UP
 from decklb.locality.settings import LocalitySettings
+from decklb.management.control_client import query
 from decklb.pg import messages as pg
 
 HOMES = ("z0", "z0", "z1", "z1", "z2")  # of the managers
@@ -138,7 +138,7 @@
         """Wait until all members know all, and may vote."""
         end = time.monotonic() + 20.0
         while time.monotonic() < end:
-            rows = [await asyncio.to_thread(ask, str(self.folder / f"{n}.sock"), "zones") for n in self.names]
+            rows = [await asyncio.to_thread(query, str(self.folder / f"{n}.sock"), "zones") for n in self.names]
             if all(r["members"] == len(self.names) for r in rows):
                 return await asyncio.sleep((LOCALITY.observation_ttl_ms + LOCALITY.vote_timeout_ms) / 1000)
             await asyncio.sleep(0.1)
