--- a/decklb/daemon/drain.py
+++ b/decklb/daemon/drain.py
@@ -53,7 +53,7 @@
         """Tell clients, and answer what is under way. The state is DRAINING already and readiness gone."""
         if self._subsystems.handoff is None:  # else requests in flight are still answered as a member
             self._subsystems.leave_cluster()
-        self._front.announce()
+        self._front.announce_drain()
         self._clock.call_later(GRACE_MS, self._empty_accept_queue)
         self._exit_by_ms = self._clock.now() + self._longest_deadline_ms + GRACE_MS - 2 * LAST_ANSWERS_MARGIN_MS
         last_answers_after = max(GRACE_MS, self._longest_deadline_ms - LAST_ANSWERS_MARGIN_MS)
@@ -66,7 +66,7 @@
     def _close_port(self) -> None:
         self.port.stopListening()
         self._dispatcher.on_idle = self._last_request_answered
-        self._front.close()
+        self._front.drain()
         if not self._dispatcher.open_requests:
             self._last_request_answered()
 
@@ -83,7 +83,7 @@
 
     def _exit_when_flushed(self) -> None:
         """Exit once no client is in the middle of a message or of an answer, or when there is no time left."""
-        if self._front.owing and self._clock.now() < self._exit_by_ms:
+        if self._front.has_pending_clients and self._clock.now() < self._exit_by_ms:
             self._clock.call_later(FLUSH_POLL_MS, self._exit_when_flushed)
         else:
             self._reactor.stop()
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -87,7 +87,7 @@
         host, port = config.listen
         self._discovery.start()
         listening_port = self._reactor.listenTCP(port, self._request_path.front, backlog=ACCEPT_BACKLOG, interface=host)
-        self._request_path.front.listens(listening_port)
+        self._request_path.front.attach_port(listening_port)
         self._drain.port = listening_port
         if not self._lifecycle.shutting_down:
             self._lifecycle.state = LifecycleState.SERVING
--- a/decklb/net/listener.py
+++ b/decklb/net/listener.py
@@ -51,7 +51,7 @@
         self.requests: dict[str, Request] = {}  # open ones by their clients' ids
         self.draining = False
 
-    def listens(self, port: Any) -> None:
+    def attach_port(self, port: Any) -> None:
         """Where connections come in."""
         self.limits.attach_port(port)
 
@@ -59,12 +59,12 @@
         """One object for a connection."""
         return ClientConnection(self)
 
-    def announce(self) -> None:
+    def announce_drain(self) -> None:
         """Tell every client to send nothing new, and still take what comes."""
         for client in list(self.limits.clients):
             client.go_away()
 
-    def close(self) -> None:
+    def drain(self) -> None:
         """Take nothing new; connections end with their last answer."""
         self.draining = True
         self.limits.detach_port()
@@ -72,6 +72,6 @@
             client.go_away()
 
     @property
-    def owing(self) -> bool:
+    def has_pending_clients(self) -> bool:
         """Whether some client still waits for something."""
         return any(client.has_work_pending for client in self.limits.clients)
--- a/decklb/pg/listener.py
+++ b/decklb/pg/listener.py
@@ -46,17 +46,17 @@
         """One object for a connection."""
         return ClientConnection(self.context)
 
-    def listens(self, port: object) -> None:
+    def attach_port(self, port: object) -> None:
         """The socket is open. Clients that are too many are accepted and told so, so the port is not needed."""
 
-    def announce(self) -> None:
+    def announce_drain(self) -> None:
         """The program will drain soon. No message of this protocol says that ahead of the end."""
 
     @property
-    def owing(self) -> bool:
+    def has_pending_clients(self) -> bool:
         """Whether some client has not read yet all that it was sent."""
         return self._registry.any_write_paused
 
-    def close(self) -> None:
+    def drain(self) -> None:
         """Take nothing new; sessions end with what they have under way."""
         self._registry.drain()
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -240,7 +240,7 @@
         core = Dispatcher(settings_from(SETTINGS), 1, self.clock, self)
         core.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.UP)])
         self.front = FrameListener(core, lambda: True, self.PLACES, self.SPARE, most_buffered)
-        self.front.listens(ListeningPort(lambda what: self.done.append(what)))
+        self.front.attach_port(ListeningPort(lambda what: self.done.append(what)))
 
     def play(self, script):
         """The steps, each with what it led to."""
@@ -303,15 +303,15 @@
         self.clock.go(ms)
 
     def step_announce(self):
-        self.front.announce()
+        self.front.announce_drain()
         self.done.sort()  # clients are told in no certain order
 
     def step_close(self):
-        self.front.close()
+        self.front.drain()
         self.done.sort()
 
     def step_owing(self):
-        self.done.append(self.front.owing)
+        self.done.append(self.front.has_pending_clients)
 
 
 class ProbeExchange(EngineExchange):
--- a/tests/test_client_connection_close.py
+++ b/tests/test_client_connection_close.py
@@ -106,7 +106,7 @@
 
     def test_the_last_answer_is_sent_before_the_connection_closes(self):
         client, transport = self.idle()
-        self.front.close()
+        self.front.drain()
         client.dataReceived(request(1, b"rows 1"))
         self.assertIn(b"backoff", transport.value())
         self.assertFalse(transport.half_closed())
@@ -116,21 +116,21 @@
     def test_requests_that_come_before_the_close_are_answered(self):
         client, transport = self.idle()
         transport.theirs.sendall(b"x")  # something lies unread
-        self.front.close()
+        self.front.drain()
         transport.flush()
         self.assertFalse(client.closing)
         transport.ours.recv(1)
         whole = request(1, b"rows 1")
         client.dataReceived(whole[:-1])  # in the middle of a message
         transport.flush()
-        self.assertTrue(self.front.owing and not client.closing)
+        self.assertTrue(self.front.has_pending_clients and not client.closing)
         client.dataReceived(whole[-1:])
         transport.flush()
-        self.assertTrue(client.closing and not self.front.owing)
+        self.assertTrue(client.closing and not self.front.has_pending_clients)
 
     def test_a_lingering_close_ends_without_a_reset_where_the_client_does_not_close(self):
         client, transport = self.idle()
-        self.front.close()
+        self.front.drain()
         transport.flush()
         self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertEqual((transport.closed, transport.aborted), (True, False))
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -231,7 +231,7 @@
         elif step == "disconnect":
             connections[-1].connectionLost()
         elif step == "close-front":
-            listener.close()
+            listener.drain()
         else:
             raise AssertionError(step)
         recorded.append([step, events[:]])
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -19,11 +19,11 @@
 class FakeFront:
     """A front whose clients wait, and a reactor that is told to stop."""
 
-    def __init__(self, owing, clock, stopped):
-        self.now, self.stop = lambda: owing(clock.now()), lambda: stopped.append(clock.now())
+    def __init__(self, pending, clock, stopped):
+        self.now, self.stop = lambda: pending(clock.now()), lambda: stopped.append(clock.now())
 
     @property
-    def owing(self):
+    def has_pending_clients(self):
         return self.now()
 
 
@@ -31,11 +31,11 @@
     """When the process exits."""
 
     def test_the_process_waits_for_clients_with_pending_work_until_its_last_moment(self):
-        for owing, after in ((lambda now: now < 400, 400), (lambda now: True, 1000)):
+        for pending, after in ((lambda now: now < 400, 400), (lambda now: True, 1000)):
             shutdown, clock, stopped = drain.Drain.__new__(drain.Drain), TestClock(), []
 
             shutdown._clock, shutdown._exit_by_ms = clock, 1000.0
-            shutdown._front = shutdown._reactor = FakeFront(owing, clock, stopped)
+            shutdown._front = shutdown._reactor = FakeFront(pending, clock, stopped)
             shutdown._exit_when_flushed()
             clock.go(2000)
             self.assertEqual(len(stopped), 1)
