--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -29,10 +29,20 @@
 from decklb.pg.work import PgWork
 from decklb.settings import settings_from
 from decklb.wire.health_check import HealthChecker
-from decklb.wirehost import OUTCOME_BY_WORD, WORD_BY_OUTCOME
 from tests.standins import SETTINGS
 
 POSTGRES = {"user": "u", "database": "db", "connections": 2, "most_result": 200}
+# Outcomes as the records name them.
+RECORDED_OUTCOMES = {
+    Outcome.SUCCESS: "GOOD",
+    Outcome.ERROR: "BAD",
+    Outcome.OVERLOADED: "FULL",
+    Outcome.TIMED_OUT: "LATE",
+    Outcome.UNREACHABLE: "NOCONN",
+    Outcome.CONNECTION_RESET: "RST",
+    Outcome.CANCELLED: "CXL",
+    Outcome.NEVER_SENT: "NOP",
+}
 LONGEST_SHOWN = 100  # bytes of one write that are kept as they are; of longer ones the beginning and a checksum
 BUDGET = 5000.0  # ms that each request of a script may take
 
@@ -96,7 +106,7 @@
     # What the owner of the attempts is told.
 
     def attempt_ended(self, attempt, outcome, result):
-        self.done.append(["end", self._name(attempt), WORD_BY_OUTCOME[outcome], result.decode("latin-1")])
+        self.done.append(["end", self._name(attempt), RECORDED_OUTCOMES[outcome], result.decode("latin-1")])
 
     def attempt_uncertain(self, attempt):
         self.done.append(["doubt", self._name(attempt)])
@@ -119,7 +129,8 @@
             bind = None if bind is None else bind.encode("latin-1")
             work = PgWork(rid, "read", "cusco", BUDGET, statement.encode(), bind=bind, **more)
         else:
-            work = IncomingRequest(rid, "read", "cusco", BUDGET, statement.encode(), **more)
+            token = more.get("token", "")
+            work = IncomingRequest(rid, "read", "cusco", BUDGET, statement.encode(), deduplication_token=token)
         now = self.clock.now()
         request = Request(name, work, Sink(), now + BUDGET)
         attempt = self.attempts[name] = Attempt(self, request, "e1", now, BUDGET)
@@ -228,7 +239,7 @@
         core = Dispatcher(settings_from(SETTINGS), 1, self.clock, self)
         core.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.UP)])
         self.front = FrameListener(core, lambda: True, self.PLACES, self.SPARE, most_buffered)
-        self.front.listens(ListeningPort(lambda what: self.done.append(what)))
+        self.front.attach_port(ListeningPort(lambda what: self.done.append(what)))
 
     def play(self, script):
         """The steps, each with what it led to."""
@@ -284,21 +295,22 @@
         self.connections[number].connectionLost(Failure(reason))
 
     def step_end(self, number, outcome, size):
-        self.attempts[number].end(OUTCOME_BY_WORD[outcome], b"x" * size)
+        outcomes = {text: known for known, text in RECORDED_OUTCOMES.items()}
+        self.attempts[number].end(outcomes[outcome], b"x" * size)
 
     def step_wait(self, ms):
         self.clock.go(ms)
 
     def step_announce(self):
-        self.front.announce()
+        self.front.announce_drain()
         self.done.sort()  # clients are told in no certain order
 
     def step_close(self):
-        self.front.close()
+        self.front.drain()
         self.done.sort()
 
     def step_owing(self):
-        self.done.append(self.front.owing)
+        self.done.append(self.front.has_pending_clients)
 
 
 class ProbeExchange(EngineExchange):
