--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -18,8 +18,8 @@
 from decklb.handoff.guard import Guard
 from decklb.handoff.runtime import HandoffService
 from decklb.middleware.codec import AsgiCodec
-from decklb.wire.clock import steady
-from decklb.wire.prober import Prober
+from decklb.wire.clock import use_monotonic_time
+from decklb.wire.health_check import HealthChecker
 
 # Headers that proxies, tracing and clients' retries set anew each time: they don't make another request of it.
 PASSING = frozenset(
@@ -66,10 +66,14 @@
 
     def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> Guard:
         """Open the sockets on the running loop; returns the intake that stands before the dispatcher."""
-        reactor: Any = steady(AsyncioSelectorReactor(loop))
+        reactor: Any = use_monotonic_time(AsyncioSelectorReactor(loop))
         guard = Guard(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
-            reactor, clock, self.cluster_settings, Prober(reactor, clock, _no_probes, 0.0), lambda _engine, _up: None
+            reactor,
+            clock,
+            self.cluster_settings,
+            HealthChecker(reactor, clock, _no_probes, 0.0),
+            lambda _engine, _up: None,
         )
         self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, guard)
         self.cluster.start()
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from decklb.core.ports import Work
-from decklb.pg.engines import PgWork
+from decklb.pg.work import PgWork
 
 
 class _StatementRecord(msgspec.Struct, array_like=True, frozen=True):
--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -21,7 +21,6 @@
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
 from decklb.pg.connection_registry import ConnectionRegistry
-from decklb.pg.engines import PgWork
 from decklb.pg.errors import PgError, Severity
 from decklb.pg.parameters import IDEMPOTENCY_KEY_PARAMETER
 from decklb.pg.running_statement import RunningStatement
@@ -36,7 +35,8 @@
     read_startup,
     startup_reply,
 )
-from decklb.wire.connections import FIRST, HALF, LINGER
+from decklb.pg.work import PgWork
+from decklb.wire.client_timeouts import FIRST_MESSAGE_TIMEOUT_MS, LINGERING_CLOSE_TIMEOUT_MS, PARTIAL_MESSAGE_TIMEOUT_MS
 
 MAX_PENDING_BYTES = 1 << 20  # of messages that wait while a statement runs
 MAX_UNREAD_RESULTS = 2  # largest results that a client may leave unread before it is disconnected
@@ -86,7 +86,7 @@
         """Nothing is sent before the client's first message."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._start_timer(FIRST, self._message_timed_out)
+        self._start_timer(FIRST_MESSAGE_TIMEOUT_MS, self._message_timed_out)
         self._registry.add(self)
 
     def dataReceived(self, data: bytes) -> None:
@@ -112,7 +112,7 @@
         if not self._reader.buffer:
             self._cancel_timer()
         elif any_complete or self._timer is None:
-            self._start_timer(HALF, self._message_timed_out)
+            self._start_timer(PARTIAL_MESSAGE_TIMEOUT_MS, self._message_timed_out)
 
     def _receive_startup(self, message: pg.Message) -> None:
         request = read_startup(message.payload)
@@ -181,7 +181,7 @@
         self._closed, self._end_reason = True, reason
         self._registry.startup_ended(self)
         self._abandon_running()
-        self._start_timer(LINGER, self._linger_ended)
+        self._start_timer(LINGERING_CLOSE_TIMEOUT_MS, self._linger_ended)
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
@@ -235,7 +235,7 @@
             self._end_with_error(PgError(sqlstate.ADMIN_SHUTDOWN, text, fatal=True))
 
     def _end_with_error(self, error: PgError) -> None:
-        """Send a fatal error; what still comes is discarded until the client closes, or for LINGER ms."""
+        """Send a fatal error; what still comes is discarded until the client closes, within a bound of time."""
         self.write(pg.pack_error(error.sqlstate, error.message, error.hint, Severity.FATAL))
         self._closed, self._end_reason = True, error.sqlstate
         self._abandon_running()
@@ -243,7 +243,7 @@
         self._pending.clear()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
-        self._start_timer(LINGER, self._linger_ended)
+        self._start_timer(LINGERING_CLOSE_TIMEOUT_MS, self._linger_ended)
 
     def _abandon_running(self) -> None:
         statement, self._running = self._running, None
--- a/decklb/pg/connection_registry.py
+++ b/decklb/pg/connection_registry.py
@@ -12,7 +12,7 @@
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
 from decklb.pg.startup import BackendKey
-from decklb.wire.connections import unread
+from decklb.wire.connection_end import has_unread_bytes
 
 MAX_PROCESS_ID = 0x7FFFFFFF  # positive also to clients that read a signed number
 SECRET_KEY_BOUND = 1 << 32  # four octets in BackendKeyData
@@ -49,7 +49,7 @@
     def add(self, connection: Connection) -> None:
         """A new connection. If there are too many, the oldest that has sent nothing makes room."""
         if len(self._connections) >= self._max_connections:
-            silent = next((other for other in self._in_startup if not unread(other.transport)), None)
+            silent = next((other for other in self._in_startup if not has_unread_bytes(other.transport)), None)
             if silent is not None:
                 silent.close("evicted-silent")
                 self._connections.discard(silent)
--- a/decklb/pg/session.py
+++ b/decklb/pg/session.py
@@ -20,14 +20,14 @@
 from decklb.interface import Effect, Settings
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
-from decklb.pg.engines import PgWork
 from decklb.pg.errors import PgError
 from decklb.pg.messages import BackendType, FrontendType, Message, PayloadReader
 from decklb.pg.parameters import SessionParameters
 from decklb.pg.prepared import NamedObjects, Portal, PreparedStatement
 from decklb.pg.settings import PgSettings
 from decklb.pg.statements import Classification, LocalCommand, classify
-from decklb.wire.tables import table_group
+from decklb.pg.work import PgWork
+from decklb.wire.table_group import table_group
 
 DESCRIBE_STATEMENT, DESCRIBE_PORTAL = ord("S"), ord("P")  # kinds of object in Describe and Close
 TEXT_OID = 25  # of the type `text`
--- a/decklb/pg/statements.py
+++ b/decklb/pg/statements.py
@@ -12,9 +12,9 @@
 
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
-from decklb.wire.tables import names
+from decklb.wire.table_group import tokenize
 
-# First words of statements, as `decklb.wire.tables` cuts them: in lower case.
+# First words of statements, as `decklb.wire.table_group` cuts them: in lower case.
 TRANSACTION_COMMANDS = frozenset(
     (b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release")
 )
@@ -110,7 +110,7 @@
     """The first word of each statement (b"" where it is no word), and whether any statement writes."""
     first_words: list[bytes] = []
     writes, at_start = False, True
-    for kind, word in names(sql.encode()):
+    for kind, word in tokenize(sql.encode()):
         if kind == b"sign" and word == b";":
             at_start = True
         elif at_start:
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -10,12 +10,12 @@
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
 from decklb.pg.codec import PgCodec
-from decklb.pg.engines import PgWork
 from decklb.pg.errors import PgError
 from decklb.pg.listener import PgListener
 from decklb.pg.parameters import SessionParameters
 from decklb.pg.settings import PgSettings
 from decklb.pg.statements import classify
+from decklb.pg.work import PgWork
 from decklb.settings import settings_from
 from tests.standins import ROOT, SETTINGS
 
