--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -61,7 +61,8 @@
     for name, t in c.settings.tenants.items():
         click.echo(f"tenant {name}: share {100 * t.share:g}%")
     if c.postgres is not None:
-        click.echo(f"postgres: {len(c.postgres.users)} users named, {c.postgres.connections} connections to an engine")
+        connections = c.postgres.max_connections_per_engine
+        click.echo(f"postgres: {len(c.postgres.users)} users named, {connections} connections to an engine")
     if c.bgp is not None:
         click.echo(f"bgp: AS {c.bgp.asn} announces {', '.join(c.bgp.prefixes)} to {len(c.bgp.peers)} peers")
     if (k := c.cluster) is not None:
--- a/decklb/pg/cancel_request.py
+++ b/decklb/pg/cancel_request.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any
 
 from loguru import logger
 from twisted.internet.protocol import Protocol
@@ -14,17 +14,11 @@
 
 from decklb.core.ports import Clock, Timer
 from decklb.pg import messages as pg
+from decklb.pg.messages import BackendKey
 
 CANCEL_TIMEOUT_MS = 500.0  # for the engine to read a cancel request, and to be ready again after one
 
 
-class BackendKey(NamedTuple):
-    """The identity of an engine's session, as BackendKeyData gives it. Zeros: the engine named none."""
-
-    pid: int
-    secret: int
-
-
 class CancelRequest(Protocol):
     """A connection that carries one CancelRequest."""
 
@@ -58,5 +52,5 @@
             "cancel connection ended: {reason} pid={pid}",
             event="cancel-connection-ended",
             reason="cancel-sent",
-            pid=self._key.pid,
+            pid=self._key.process_id,
         )
--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -22,12 +22,12 @@
 from decklb.pg import sqlstate
 from decklb.pg.connection_registry import ConnectionRegistry
 from decklb.pg.errors import PgError, Severity
+from decklb.pg.messages import BackendKey
 from decklb.pg.parameters import IDEMPOTENCY_KEY_PARAMETER
 from decklb.pg.running_statement import RunningStatement
 from decklb.pg.session import Session, SessionContext
 from decklb.pg.startup import (
     ENCRYPTION_REFUSED,
-    BackendKey,
     CancelRequest,
     EncryptionRequest,
     StartupMessage,
@@ -156,7 +156,7 @@
         self.transport.write(data)
         if self.write_paused:
             self._unread_bytes += len(data)
-            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.session_context.postgres.most_result:
+            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.session_context.postgres.max_result_bytes:
                 self._closed, self._end_reason = True, "slow-reader"
                 self.transport.abortConnection()
 
--- a/decklb/pg/connection_registry.py
+++ b/decklb/pg/connection_registry.py
@@ -11,7 +11,7 @@
 
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
-from decklb.pg.startup import BackendKey
+from decklb.pg.messages import BackendKey
 from decklb.wire.connection_end import has_unread_bytes
 
 MAX_PROCESS_ID = 0x7FFFFFFF  # positive also to clients that read a signed number
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -18,8 +18,9 @@
 from decklb.interface import Outcome
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
-from decklb.pg.cancel_request import CANCEL_TIMEOUT_MS, BackendKey
+from decklb.pg.cancel_request import CANCEL_TIMEOUT_MS
 from decklb.pg.errors import PgError
+from decklb.pg.messages import BackendKey
 from decklb.pg.prepared_statements import PreparedStatements
 from decklb.pg.work import PgWork
 from decklb.wire.engine_connection import IDLE_TIMEOUT, EngineConnection
@@ -31,7 +32,6 @@
 MESSAGE_OVERHEAD = 1 << 20  # bytes by which one message may be larger than the largest result
 # Classes of SQLSTATE that are the engine's own errors, not the statement's: another engine may do better.
 ENGINE_ERRORS = ("53", "57P", "58", "XX", "08")
-AUTHENTICATION_OK_PAYLOAD = b"\0\0\0\0"  # of the Authentication message that asks for nothing
 NO_KEY = BackendKey(0, 0)
 KEY_FORMAT = struct.Struct(">II")  # process id and secret
 # Messages that are passed to the client: ParameterDescription, RowDescription, NoData, DataRow, CommandComplete,
@@ -56,7 +56,7 @@
         self._result = list[bytes]()  # messages for the client
         self._result_size = 0  # bytes of them
         self._error: dict[str, str] | None = None  # the last ErrorResponse, by its fields' letters
-        self._reader = pg.MessageReader(pool.client.settings.most_result + MESSAGE_OVERHEAD, startup=False)
+        self._reader = pg.MessageReader(pool.client.settings.max_result_bytes + MESSAGE_OVERHEAD, startup=False)
 
     # Attempts.
 
@@ -141,7 +141,7 @@
             self._keep(message.raw)
         elif message.type == b"K" and len(message.payload) == KEY_FORMAT.size:
             self._backend_key = BackendKey(*KEY_FORMAT.unpack(message.payload))
-        elif message.type == b"R" and message.payload != AUTHENTICATION_OK_PAYLOAD:
+        elif message.type == b"R" and message.payload != pg.AUTHENTICATION_OK_PAYLOAD:
             self._abort("authentication-requested")
         elif message.type in b"GHW":
             self._abort("copy-refused")  # the front lets none through; whatever began it is not let run on
@@ -155,7 +155,7 @@
             return
         self._result.append(raw)
         self._result_size += len(raw)
-        if self._result_size > self.pool.client.settings.most_result and self.attempt is not None:
+        if self._result_size > self.pool.client.settings.max_result_bytes and self.attempt is not None:
             attempt, self.attempt = self.attempt, None
             self._abort("result-too-large")
             attempt.end(Outcome.GOOD, pg.pack_error(sqlstate.PROGRAM_LIMIT_EXCEEDED, "the result is too large"))
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -15,8 +15,9 @@
 from decklb.core.dispatcher import Attempt
 from decklb.core.ports import Clock
 from decklb.interface import Outcome
-from decklb.pg.cancel_request import BackendKey, CancelRequest
+from decklb.pg.cancel_request import CancelRequest
 from decklb.pg.engine_connection import KEY_FORMAT, PgConnection
+from decklb.pg.messages import BackendKey
 from decklb.pg.settings import PgSettings
 from decklb.wire.connection_end import end_reason
 from decklb.wire.dialing import Dial
@@ -43,7 +44,7 @@
         available = [connection for connection in self.connections if connection.available]
         # One that is ready comes before one that is still coming up.
         connection = max(available, key=lambda one: one.ready, default=None)
-        if connection is None and len(self.connections) >= self.client.settings.connections:
+        if connection is None and len(self.connections) >= self.client.settings.max_connections_per_engine:
             attempt.end(Outcome.FULL)
             return
         connection = connection or self.connect()
--- a/decklb/pg/health_check.py
+++ b/decklb/pg/health_check.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 from decklb.pg import messages as pg
-from decklb.pg.engine_connection import AUTHENTICATION_OK_PAYLOAD
 from decklb.pg.errors import PgError
 from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
@@ -47,5 +46,5 @@
             self.check_succeeded()
         elif message.type == b"E":
             self.fail(f"error-{pg.read_error(message.payload).get('C', '')}")
-        elif message.type == b"R" and message.payload != AUTHENTICATION_OK_PAYLOAD:
+        elif message.type == b"R" and message.payload != pg.AUTHENTICATION_OK_PAYLOAD:
             self.fail("authentication-requested")
--- a/decklb/pg/messages.py
+++ b/decklb/pg/messages.py
@@ -11,7 +11,7 @@
 import struct
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Final
+from typing import Final, NamedTuple
 
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError, Severity
@@ -75,6 +75,13 @@
     HINT: Final = b"H"
 
 
+class BackendKey(NamedTuple):
+    """What names a session in a CancelRequest, as its BackendKeyData told."""
+
+    process_id: int
+    secret_key: int
+
+
 @dataclass(slots=True)
 class Message:
     """One message.
@@ -186,7 +193,7 @@
 
 
 def pack_cancel(process_id: int, secret_key: int) -> bytes:
-    """A CancelRequest for the session whose BackendKeyData held these."""
+    """A CancelRequest for the session of this key."""
     return struct.pack(">IIII", 16, CANCEL_REQUEST_CODE, process_id, secret_key)
 
 
@@ -216,7 +223,8 @@
     return pack(BackendType.PARAMETER_STATUS, pack_string(name) + pack_string(value))
 
 
-AUTHENTICATION_OK = pack(BackendType.AUTHENTICATION, b"\0\0\0\0")
+AUTHENTICATION_OK_PAYLOAD = b"\0\0\0\0"
+AUTHENTICATION_OK = pack(BackendType.AUTHENTICATION, AUTHENTICATION_OK_PAYLOAD)
 READY_FOR_QUERY = pack(BackendType.READY_FOR_QUERY, b"I")  # I: idle, in no transaction block
 PARSE_COMPLETE = pack(BackendType.PARSE_COMPLETE)
 BIND_COMPLETE = pack(BackendType.BIND_COMPLETE)
--- a/decklb/pg/settings.py
+++ b/decklb/pg/settings.py
@@ -22,8 +22,8 @@
         users: The same for those who connect under one of these names.
         write_class: Class of writing statements where the session's class may be repeated; "": they keep theirs.
         startup: User and database at the engines, as their StartupMessage has them.
-        connections: Bound on connections to one engine.
-        most_result: Bound on an engine's result, in bytes.
+        max_connections_per_engine: Bound on connections to one engine.
+        max_result_bytes: Bound on an engine's result, in bytes.
         max_message_bytes: Bound on one message of a client, in bytes.
     """
 
@@ -31,8 +31,8 @@
     users: dict[str, SessionParameters]
     write_class: str
     startup: dict[str, str]
-    connections: int = DEFAULT_CONNECTIONS_PER_ENGINE
-    most_result: int = DEFAULT_MAX_RESULT_BYTES
+    max_connections_per_engine: int = DEFAULT_CONNECTIONS_PER_ENGINE
+    max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES
     max_message_bytes: int = DEFAULT_MAX_MESSAGE_BYTES
 
     @classmethod
@@ -53,8 +53,8 @@
             users={name: _parameters(section, defaults, settings) for name, section in users.items()},
             write_class=write_class,
             startup={"user": raw["user"], "database": raw.get("database", raw["user"])},
-            connections=int(raw.get("connections", DEFAULT_CONNECTIONS_PER_ENGINE)),
-            most_result=int(raw.get("most_result", DEFAULT_MAX_RESULT_BYTES)),
+            max_connections_per_engine=int(raw.get("connections", DEFAULT_CONNECTIONS_PER_ENGINE)),
+            max_result_bytes=int(raw.get("most_result", DEFAULT_MAX_RESULT_BYTES)),
             max_message_bytes=int(raw.get("most_message", DEFAULT_MAX_MESSAGE_BYTES)),
         )
 
--- a/decklb/pg/startup.py
+++ b/decklb/pg/startup.py
@@ -16,7 +16,7 @@
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
-from decklb.pg.messages import BackendType
+from decklb.pg.messages import BackendKey, BackendType
 from decklb.pg.parameters import PARAMETER_PREFIX, REPORTED_PARAMETERS, STATEMENT_TIMEOUT, SessionParameters
 from decklb.pg.settings import PgSettings
 
@@ -25,14 +25,6 @@
 PROTOCOL_OPTION_PREFIX = "_pq_."  # parameters that are options of the protocol; none is supported
 
 
-@dataclass(frozen=True, slots=True)
-class BackendKey:
-    """What names a session in a CancelRequest, as its BackendKeyData told."""
-
-    process_id: int
-    secret_key: int
-
-
 @dataclass(slots=True)
 class EncryptionRequest:
     """SSLRequest or GSSENCRequest: another first message follows."""
