--- a/decklb/pg/session.py
+++ b/decklb/pg/session.py
@@ -23,7 +23,7 @@
 from decklb.pg.errors import PgError
 from decklb.pg.messages import BackendType, FrontendType, Message, PayloadReader
 from decklb.pg.parameters import SessionParameters
-from decklb.pg.prepared import NamedObjects, Portal, PreparedStatement
+from decklb.pg.prepared_statements import NamedObjects, Portal, PreparedStatement
 from decklb.pg.settings import PgSettings
 from decklb.pg.statements import Classification, LocalCommand, classify
 from decklb.pg.work import PgWork
@@ -303,11 +303,11 @@
             self._context.new_request_id(),
             request_class,
             parameters.tenant,
-            parameters.budget_ms or self._context.workload.classes[request_class].deadline,
+            parameters.budget_ms or self._context.workload.classes[request_class].deadline_ms,
             text_bytes,
             table_group(text_bytes),
             parameters.ordering_key or None,
-            once=idempotency_key,
+            idempotency_key=idempotency_key,
             simple=simple,
             types=parameter_types,
             bind=bind,
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -113,13 +113,13 @@
 
 def work_fields(work):
     return {
-        "request_class": work.lane,
+        "request_class": work.request_class,
         "tenant": work.tenant,
-        "budget_ms": work.budget,
+        "budget_ms": work.budget_ms,
         "statement": work.statement.decode(),
-        "table_group": work.tables,
-        "ordering_key": work.key,
-        "idempotency_key": work.once,
+        "table_group": work.table_group,
+        "ordering_key": work.ordering_key,
+        "idempotency_key": work.idempotency_key,
         "simple": work.simple,
         "parameter_types": work.types.hex(),
         "bind": None if work.bind is None else work.bind.hex(),
@@ -172,8 +172,8 @@
     def submit(self, work, sink):
         self.events.append(["submit", work_fields(work)])
         self.sinks.append(sink)
-        if work.once == "auto":
-            work.once = "made"
+        if work.idempotency_key == "auto":
+            work.idempotency_key = "made"
         return len(self.sinks) - 1
 
     def abandon(self, taken):
@@ -219,7 +219,7 @@
         elif step == "served":
             intake.sinks[-1].served(bytes.fromhex(arguments[0]))
         elif step == "refused":
-            intake.sinks[-1].refused(arguments[0])
+            intake.sinks[-1].rejected(arguments[0])
         elif step in ("failed", "conflict"):
             getattr(intake.sinks[-1], step)()
         elif step == "advance-ms":
@@ -280,7 +280,7 @@
     assert codec.encode(WORKS[name]).hex() == GOLDEN["handoff"][name]
     decoded = codec.decode(bytes.fromhex(GOLDEN["handoff"][name]), 9.0)
     assert work_fields(decoded) == work_fields(WORKS[name]) | {"budget_ms": 9.0}
-    assert decoded.rid == "drawn"
+    assert decoded.client_request_id == "drawn"
 
 
 @pytest.mark.parametrize("case", SESSIONS, ids=lambda case: case["name"])
