--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -9,7 +9,7 @@
 import pytest
 from test_dispatcher import TestClock
 
-from decklb.daemon.service import Service
+from decklb.daemon import drain
 from decklb.net import frames
 from decklb.net.connection_limits import ACCEPT_BATCH
 from tests.frame_standins import Client, OneEngineTest, RespEngine, request
@@ -32,11 +32,11 @@
 
     def test_the_process_waits_for_clients_with_pending_work_until_its_last_moment(self):
         for owing, after in ((lambda now: now < 400, 400), (lambda now: True, 1000)):
-            service, clock, stopped = Service.__new__(Service), TestClock(), []
+            shutdown, clock, stopped = drain.Drain.__new__(drain.Drain), TestClock(), []
 
-            service.clock, service.latest = clock, 1000.0
-            service.front = service.reactor = FakeFront(owing, clock, stopped)
-            service._end()
+            shutdown._clock, shutdown._exit_by_ms = clock, 1000.0
+            shutdown._front = shutdown._reactor = FakeFront(owing, clock, stopped)
+            shutdown._exit_when_flushed()
             clock.go(2000)
             self.assertEqual(len(stopped), 1)
             self.assertTrue(after <= stopped[0] <= after + 100)
