--- a/decklb/middleware/answers.py
+++ b/decklb/middleware/answers.py
@@ -23,16 +23,16 @@
     Attributes:
         kind: How the request ended.
         response_record: Of SERVED in a fleet, the response as `AsgiCodec` encodes it; b"" if this process has it.
-        backoff_ms: Of REJECTED, after how many ms to retry.
+        retry_after_ms: Of REJECTED, after how many ms to retry.
     """
 
     kind: AnswerKind
     response_record: bytes = b""
-    backoff_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 class AnswerFuture:
-    """Takes the final answer (`decklb.core.ports.AnswerSink`) and sets a future to it."""
+    """Takes the final answer (`decklb.core.ports.ResponseSink`) and sets a future to it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.future: asyncio.Future[Answer] = loop.create_future()
@@ -43,7 +43,7 @@
 
     def rejected(self, retry_after_ms: float) -> None:
         """A retry is harmless, after that many ms."""
-        self._set(Answer(AnswerKind.REJECTED, backoff_ms=retry_after_ms))
+        self._set(Answer(AnswerKind.REJECTED, retry_after_ms=retry_after_ms))
 
     def failed(self) -> None:
         """Over, or unknown."""
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -65,7 +65,7 @@
         self.handoff: HandoffService | None = None
 
     def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> Guard:
-        """Open the sockets on the running loop; returns the intake that stands before the dispatcher."""
+        """Open the sockets on the running loop; returns the request handler that stands before the dispatcher."""
         reactor: Any = use_monotonic_time(AsyncioSelectorReactor(loop))
         guard = Guard(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
--- a/decklb/middleware/middleware.py
+++ b/decklb/middleware/middleware.py
@@ -67,7 +67,7 @@
             fleet: Makes this process one of several that take over one another's requests; see docs/operations.
         """
         self.dispatcher: Dispatcher | None = None
-        self.intake: RequestHandler | None = None  # the dispatcher, or the handoff before it
+        self.request_handler: RequestHandler | None = None  # the dispatcher, or the handoff before it
         self.app, self.settings, self.fleet = app, settings, fleet
         self._classify, self._seed = classify, seed
         self._max_body_bytes, self._max_response_bytes = most_body, most_response
@@ -107,11 +107,11 @@
     async def _manage(self, spec: RequestSpec, scope: Scope, body: bytes, receive: Receive, send: Send) -> None:
         """Submit a request, and respond with its final answer unless its client leaves first."""
         loop = asyncio.get_running_loop()
-        intake = self._start(loop)
+        request_handler = self._start(loop)
         work = self._new_work(spec, scope, body)
         answer_future = AnswerFuture(loop)
         started_s = loop.time()
-        handle = intake.submit(work, answer_future)
+        handle = request_handler.submit(work, answer_future)
         disconnect = asyncio.ensure_future(wait_for_disconnect(receive))
         waits: set[asyncio.Future[Any]] = {answer_future.future, disconnect}
         try:
@@ -129,7 +129,7 @@
                 )
         finally:
             disconnect.cancel()
-            intake.abandon(handle)  # has no effect if it has been answered
+            request_handler.abandon(handle)  # has no effect if it has been answered
 
     def _new_work(self, spec: RequestSpec, scope: Scope, body: bytes) -> AsgiWork:
         self._request_count += 1
@@ -158,18 +158,18 @@
         elif timed_out:
             await send_empty_response(send, GATEWAY_TIMEOUT)
         elif answer.kind is AnswerKind.REJECTED:
-            retry_after_s = max(1, math.ceil(answer.backoff_ms / MS_PER_S))
+            retry_after_s = max(1, math.ceil(answer.retry_after_ms / MS_PER_S))
             await send_empty_response(send, SERVICE_UNAVAILABLE, retry_after_s)
         else:
             await send_empty_response(send, BAD_GATEWAY)
 
     def _start(self, loop: asyncio.AbstractEventLoop) -> RequestHandler:
         """Make the dispatcher and join the fleet, on the first call; returns where requests go."""
-        if self.intake is None:
+        if self.request_handler is None:
             clock, fleet = EventLoopClock(loop), self.fleet
             encode_response = fleet.codec.encode_response if fleet is not None else None
             client = ApplicationClient(self.app, self._max_response_bytes, encode_response)
             self.dispatcher = Dispatcher(self.settings, self._seed, clock, client)
             self.dispatcher.update_endpoints(self._engines)
-            self.intake = fleet.attach(self.dispatcher, clock, loop) if fleet is not None else self.dispatcher
-        return self.intake
+            self.request_handler = fleet.attach(self.dispatcher, clock, loop) if fleet is not None else self.dispatcher
+        return self.request_handler
--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -50,13 +50,13 @@
         session_context: What their sessions share.
         registry: Where connections enter and leave.
         clock: Monotonic time and timers.
-        intake: Where statements go: the dispatcher, or the handoff before it.
+        request_handler: Where statements go: the dispatcher, or the handoff before it.
     """
 
     session_context: SessionContext
     registry: ConnectionRegistry
     clock: Clock
-    intake: RequestHandler
+    request_handler: RequestHandler
 
 
 class ClientConnection(Protocol):
@@ -167,7 +167,7 @@
         deadline_ms = self.now_ms() + work.budget_ms
         statement = RunningStatement(self, deadline_ms, on_result, has_idempotency_key=bool(idempotency_key))
         self._running = statement
-        statement.handle = self._context.intake.submit(work, statement)
+        statement.handle = self._context.request_handler.submit(work, statement)
         if work.idempotency_key != idempotency_key:  # the key that was made for it
             self.write(pg.pack_parameter_status(IDEMPOTENCY_KEY_PARAMETER, work.idempotency_key))
 
@@ -208,7 +208,7 @@
         """A CancelRequest came: the running statement is answered now, and its work is freed."""
         statement, self._running = self._running, None
         if statement is not None and statement.handle is not None:
-            self._context.intake.cancel(statement.handle)
+            self._context.request_handler.cancel(statement.handle)
             error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to user request")
             self.complete(lambda: self.report_error(error))
 
@@ -249,7 +249,7 @@
         statement, self._running = self._running, None
         if statement is not None and statement.handle is not None:
             self._abandoned_count += 1
-            self._context.intake.abandon(statement.handle)
+            self._context.request_handler.abandon(statement.handle)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Free what this client waited for."""
--- a/decklb/pg/listener.py
+++ b/decklb/pg/listener.py
@@ -33,9 +33,9 @@
         self._session_context = SessionContext(dispatcher.settings, settings, self.new_request_id)
         self.context = ConnectionContext(self._session_context, self._registry, dispatcher.clock, dispatcher)
 
-    def enable_handoff(self, intake: RequestHandler) -> None:
-        """Bring statements to an intake that keeps answers for clients that come back."""
-        self.context.intake = intake
+    def enable_handoff(self, request_handler: RequestHandler) -> None:
+        """Hand statements to a request handler that keeps answers for clients that come back."""
+        self.context.request_handler = request_handler
         self._session_context.handoff_enabled = True
 
     def new_request_id(self) -> str:
--- a/decklb/pg/running_statement.py
+++ b/decklb/pg/running_statement.py
@@ -1,7 +1,7 @@
 """The request that a session waits for: turns its one final answer into messages for the client.
 
 Made by `decklb.pg.connection` for each submitted request; the dispatcher, or the handoff before it, calls one of
-`served`, `refused`, `failed` and `conflict` once (`decklb.core.ports.AnswerSink`).
+`served`, `rejected`, `failed` and `conflict` once (`decklb.core.ports.ResponseSink`).
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
         receiver: Whom to tell of the answer.
         deadline_ms: When its budget ends, in ms of the monotonic clock.
         on_result: Takes the messages of an engine's whole answer.
-        handle: What names it at the intake; None until the intake has taken it.
+        handle: What names it at the request handler; None until that has taken it.
         has_idempotency_key: Whether its client may come back for the answer.
     """
 
@@ -55,13 +55,13 @@
         self.receiver.complete(lambda: self.on_result(result))
 
     def rejected(self, retry_after_ms: float) -> None:
-        """It never ran, or may run again; a retry should wait for `retry_after_ms` ms."""
-        backoff_ms = max(1, round(retry_after_ms))
+        """It never ran, or may run again; a retry should wait that long."""
+        hinted_ms = max(1, round(retry_after_ms))
         if self.has_idempotency_key:  # also past its deadline: this is no answer, and one may still be given
-            hint = f"Ask again under the same decklb.request in {backoff_ms} ms."
+            hint = f"Ask again under the same decklb.request in {hinted_ms} ms."
             self._report(PgError(sqlstate.INSUFFICIENT_RESOURCES, "the statement has no answer here yet", hint))
         else:
-            text, hint = "the engines are too busy for this statement now", f"Come back in {backoff_ms} ms."
+            text, hint = "the engines are too busy for this statement now", f"Come back in {hinted_ms} ms."
             self._report_failure(PgError(sqlstate.INSUFFICIENT_RESOURCES, text, hint))
 
     def failed(self) -> None:
--- a/tests/test_middleware_wire_format.py
+++ b/tests/test_middleware_wire_format.py
@@ -74,7 +74,7 @@
         middleware = WorkloadMiddleware(
             None, settings_from(SETTINGS), [], lambda scope: RequestSpec("read", "", budget_ms)
         )
-        middleware.intake = FakeIntake()
+        middleware.request_handler = FakeIntake()
         sent, received = [], [{"type": "http.request", "body": b"", "more_body": False}]
 
         async def receive():
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -203,7 +203,7 @@
     dispatcher = FakeDispatcher(clock)
     settings = PgSettings.from_raw(POSTGRES, dispatcher.settings)
     listener = PgListener(dispatcher, settings, lambda bound: 77 % bound, max_clients=2)
-    intake = listener.context.intake = FakeIntake(events)
+    intake = listener.context.request_handler = FakeIntake(events)
     connections, recorded = [], []
     for step, *arguments in script:
         if step == "connect":
