--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -22,12 +22,12 @@
 from decklb.pg import sqlstate
 from decklb.pg.connection_registry import ConnectionRegistry
 from decklb.pg.errors import PgError, Severity
+from decklb.pg.messages import BackendKey
 from decklb.pg.parameters import IDEMPOTENCY_KEY_PARAMETER
 from decklb.pg.running_statement import RunningStatement
 from decklb.pg.session import Session, SessionContext
 from decklb.pg.startup import (
     ENCRYPTION_REFUSED,
-    BackendKey,
     CancelRequest,
     EncryptionRequest,
     StartupMessage,
@@ -50,13 +50,13 @@
         session_context: What their sessions share.
         registry: Where connections enter and leave.
         clock: Monotonic time and timers.
-        intake: Where statements go: the dispatcher, or the handoff before it.
+        request_handler: Where statements go: the dispatcher, or the handoff before it.
     """
 
     session_context: SessionContext
     registry: ConnectionRegistry
     clock: Clock
-    intake: RequestHandler
+    request_handler: RequestHandler
 
 
 class ClientConnection(Protocol):
@@ -156,7 +156,7 @@
         self.transport.write(data)
         if self.write_paused:
             self._unread_bytes += len(data)
-            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.session_context.postgres.most_result:
+            if self._unread_bytes > MAX_UNREAD_RESULTS * self._context.session_context.postgres.max_result_bytes:
                 self._closed, self._end_reason = True, "slow-reader"
                 self.transport.abortConnection()
 
@@ -167,7 +167,7 @@
         deadline_ms = self.now_ms() + work.budget_ms
         statement = RunningStatement(self, deadline_ms, on_result, has_idempotency_key=bool(idempotency_key))
         self._running = statement
-        statement.handle = self._context.intake.submit(work, statement)
+        statement.handle = self._context.request_handler.submit(work, statement)
         if work.idempotency_key != idempotency_key:  # the key that was made for it
             self.write(pg.pack_parameter_status(IDEMPOTENCY_KEY_PARAMETER, work.idempotency_key))
 
@@ -208,7 +208,7 @@
         """A CancelRequest came: the running statement is answered now, and its work is freed."""
         statement, self._running = self._running, None
         if statement is not None and statement.handle is not None:
-            self._context.intake.cancel(statement.handle)
+            self._context.request_handler.cancel(statement.handle)
             error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to user request")
             self.complete(lambda: self.report_error(error))
 
@@ -249,7 +249,7 @@
         statement, self._running = self._running, None
         if statement is not None and statement.handle is not None:
             self._abandoned_count += 1
-            self._context.intake.abandon(statement.handle)
+            self._context.request_handler.abandon(statement.handle)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Free what this client waited for."""
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -20,6 +20,7 @@
 from decklb import interface as api
 from decklb.core.dispatcher import Attempt, Dispatcher, Request
 from decklb.core.ports import IncomingRequest
+from decklb.interface import Outcome
 from decklb.net.engines import RespEngines
 from decklb.net.health_check import RespHealthCheckConnection
 from decklb.net.listener import FrameListener
