--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -138,16 +138,18 @@
     if config.handoff is None or member is None:
         return None
     from decklb.handoff.errors import HandoffError
-    from decklb.handoff.protected_dispatcher import Guard
+    from decklb.handoff.protected_dispatcher import ProtectedDispatcher
     from decklb.handoff.runtime import HandoffService
     from decklb.pg.codec import PgCodec
     from decklb.pg.front import PgFront
 
     front = parts.front
     assert isinstance(front, PgFront)  # the settings are refused without that front
-    guard = Guard(parts.dispatcher, clock, PgCodec(front.rid), config.cluster.member if config.cluster else "")
-    front.intake, front.keeps = guard, True
+    protected = ProtectedDispatcher(
+        parts.dispatcher, clock, PgCodec(front.rid), config.cluster.member if config.cluster else ""
+    )
+    front.intake, front.keeps = protected, True
     try:
-        return HandoffService(reactor, clock, config.handoff, member, guard)
+        return HandoffService(reactor, clock, config.handoff, member, protected)
     except HandoffError as error:
         raise ConfigError(f"<handoff>: {error}") from error
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -1,336 +1,302 @@
-"""Between a front and the dispatcher: requests with a key are protected, all others pass by.
+"""Between a front and the dispatcher: requests with an idempotency key are protected, all others pass through.
 
-The guard knows no wire. A protected request is taken once a quorum has its record, an attempt goes out once a quorum
-knows of it, and its final answer is given once a quorum has it. Its client may leave and come back with the key, here
-or to another manager. Whatever can't be vouched for is told as `refused`: with its key, coming back is always harmless.
+This module knows no wire. A protected request runs once a quorum has its record, an attempt is sent once a quorum knows
+of it, and its final answer is given once a quorum has that. Its client may leave and come back with the key, here or to
+another member. Whatever can't be vouched for is rejected: with its key, coming back is always harmless.
+
+`ProtectedDispatcher` owns the protected requests that this member runs. Fronts call it in place of the dispatcher, and
+the `HandoffCoordinator` calls `run` and `stop`. It does no I/O but for lines of the log at DEBUG.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
 from loguru import logger
 
-from decklb.core.dispatcher import Attempt, Dispatcher, Request
-from decklb.core.ports import AnswerSink, Clock, EngineClient, Work
+from decklb.core.dispatcher import Dispatcher, Request
+from decklb.core.ports import AnswerSink, Clock, Work
 from decklb.handoff.admission_result import AdmissionResult, AdmissionState
 from decklb.handoff.coordinator import HandoffCoordinator
+from decklb.handoff.held_request import QuorumCallback
+from decklb.handoff.protected_attempts import AttemptPhase, ProtectedAttempt, ProtectedEngineClient
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
-from decklb.interface import Outcome as End
 
-BACK = 200.0  # ms after which a client whose request still runs had better ask again
-MADE = "auto"  # the key by which a client asks the manager to make one
+RETRY_AFTER_MS = 200.0  # told to a client whose request still runs, or can't be vouched for now
+GENERATED_KEY = "auto"  # the key by which a client asks this member to generate one
+MIN_BUDGET_MS = 1.0  # of a request that is run: what is past its deadline is the dispatcher's to end
 
 
-class Codec(Protocol):
-    """How a front's requests are written down for another manager of the same front."""
+class RequestCodec(Protocol):
+    """How a front encodes its requests for another member with the same front."""
 
     def encode(self, work: Work) -> bytes:
-        """All that another manager needs to run it, without its budget; the same for the same request."""
+        """All that another member needs to run it, but for its budget; the same for the same request."""
 
     def decode(self, body: bytes, budget: float) -> Work:
         """The request again, with what is left of its budget."""
 
 
 @dataclass(eq=False, slots=True)
-class Protected:
-    """One request with a key, from its arrival here until its answer is given, or until it is another's."""
+class ProtectedRequest:
+    """One request with a key, from its arrival until its answer is given, or until another member holds it.
+
+    It is the dispatcher's `AnswerSink` for the request.
+    """
 
-    guard: Guard
+    dispatcher: ProtectedDispatcher
     key: str
-    sink: AnswerSink | None  # none: nobody waits here, but the answer is kept
-    request: Request | None = None
-    carried: Carried | None = None  # the attempt that is out
-    after: list[Callable[[], None]] = field(default_factory=list)  # once it is out no longer
-    unwanted: bool = False  # cancelled before it was taken
+    sink: AnswerSink | None  # None: no client waits here, but the answer is retained
+    request: Request | None = None  # the dispatcher's, while it runs
+    attempt: ProtectedAttempt | None = None  # the one that is out
+    after_attempt: list[Callable[[], None]] = field(default_factory=list)  # called once none is out
+    cancelled: bool = False  # by its client, before it was admitted
 
     def served(self, result: bytes) -> None:
-        """The core's word: an engine's whole answer."""
-        self.guard.final(self, Outcome.SERVED, result)
+        """The dispatcher: an engine's complete answer."""
+        self.dispatcher.complete(self, Outcome.SERVED, result)
 
     def failed(self) -> None:
-        """The core's word: no promise."""
-        self.guard.final(self, Outcome.FAILED, b"")
+        """The dispatcher: failed, with no promise about what was done."""
+        self.dispatcher.complete(self, Outcome.FAILED, b"")
 
-    def refused(self, backoff: float) -> None:
-        """The core's word: a retry is harmless, so the key is free again."""
-        self.guard.turned_away(self, backoff)
+    def refused(self, retry_after_ms: float) -> None:
+        """The dispatcher: not run, so that the key is free again."""
+        self.dispatcher.reject(self, retry_after_ms)
 
-    def tell(self, call: Callable[[AnswerSink], None]) -> None:
-        """To whoever waits, once."""
+    def respond(self, answer: Callable[[AnswerSink], None]) -> None:
+        """Give whoever waits an answer, once."""
         sink, self.sink = self.sink, None
         if sink is not None:
-            call(sink)
-
-
-class Carried:
-    """An attempt as the engine client sees it, where its start waits for a quorum and its end is looked at first."""
-
-    __slots__ = ("attempt", "owner", "handle", "state", "trace")
-
-    def __init__(self, attempt: Attempt, owner: Protected) -> None:
-        self.attempt, self.owner = attempt, owner
-        self.handle: object = None
-        self.state = "waiting"  # then "out", "gone"
-        self.trace = b""  # by which it can be called off, as the record says
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self.attempt, name)  # request, engine, deadline and the like
-
-    @property
-    def begun(self) -> bool:
-        """Whether it has been given to a transport, which the engine client tells."""
-        return self.attempt.begun
-
-    @begun.setter
-    def begun(self, value: bool) -> None:
-        self.attempt.begun = value
-
-    def traced(self, trace: bytes) -> None:
-        """It has gone out on a connection by which it can be called off, also by whoever takes it over."""
-        guard = self.owner.guard
-        if self.state == "out" and trace != self.trace:
-            guard.coordinator.set_cancel_token(guard.clock.now(), self.owner.key, self.attempt.engine, trace)
-            guard.pump()
-
-    def end(self, outcome: End, result: bytes = b"") -> None:
-        """How it ended."""
-        guard = self.owner.guard
-        guard.say(self.owner, f"attempt ended {outcome.value}")
-        if outcome in (End.FULL, End.NOCONN, End.NOP):  # it provably never ran
-            guard.coordinator.attempt_rejected(guard.clock.now(), self.owner.key)
-            guard.pump()
-        guard.ended(self)
-        self.attempt.end(outcome, result)
-
-
-class Engines:
-    """The engine client of a guarded core."""
-
-    def __init__(self, inner: EngineClient, guard: Guard) -> None:
-        self.inner, self.guard = inner, guard
-
-    def start(self, attempt: Attempt) -> None:
-        """Send it, a protected one once a quorum knows."""
-        owner = self.guard.running.get(attempt.request.ident)
-        if owner is None:
-            return self.inner.start(attempt)
-        carried = owner.carried = Carried(attempt, owner)
-        attempt.handle = carried
-        reserve = getattr(self.inner, "reserve", None)
-        if reserve is not None:  # so that the record can say how to call it off
-            carried.trace = reserve(carried)
-        self.guard.coordinator.begin_attempt(
-            self.guard.clock.now(), owner.key, attempt.engine, lambda ok: self._go(carried, ok), carried.trace
-        )
-        self.guard.pump()
+            answer(sink)
 
-    def _go(self, carried: Carried, ok: bool) -> None:
-        self.guard.say(carried.owner, f"quorum for the attempt: {ok}, {carried.state}")
-        if carried.state != "waiting":
-            return
-        if not ok:
-            return self.guard.hold_back(carried.owner)
-        carried.state = "out"
-        self.inner.start(carried)  # type: ignore[arg-type]
-
-    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Call it off; one that waits never goes out."""
-        carried = attempt.handle
-        if not isinstance(carried, Carried):
-            return self.inner.give_up(attempt, freed)
-        self.guard.say(carried.owner, f"attempt called off, {carried.state}")
-        waiting, carried.state = carried.state == "waiting", "gone"
-        if waiting:
-            self.guard.ended(carried)
-            if carried.trace:
-                self.inner.give_up(carried, freed)  # type: ignore[arg-type]
-            else:
-                self.guard.clock.call_later(0, freed)
-        else:
-            self.inner.give_up(carried, lambda: (self.guard.ended(carried), freed())[1])  # type: ignore[arg-type,func-returns-value]
+    def respond_retry(self) -> None:
+        """Tell whoever waits to come back."""
+        self.respond(lambda sink: sink.refused(RETRY_AFTER_MS))
 
 
-class Guard:
+class ProtectedDispatcher:
     """Protects the requests of one dispatcher."""
 
-    def __init__(self, dispatcher: Dispatcher, clock: Clock, codec: Codec, name: str) -> None:
-        self.dispatcher, self.clock, self.codec, self.name = dispatcher, clock, codec, name
-        self.coordinator: HandoffCoordinator  # given by whoever runs it, whose hooks we are
-        self.pump: Callable[[], None] = lambda: None
-        self.running: dict[str, Protected] = {}  # by the core's name of the request
-        self.by_key: dict[str, Protected] = {}
-        self._made = 0
-        self._called: set[str] = set()  # keys of which an attempt of another is being called off
-        self.engines = dispatcher.engines = Engines(dispatcher.engines, self)
+    def __init__(self, dispatcher: Dispatcher, clock: Clock, codec: RequestCodec, member: str) -> None:
+        """Stand before a dispatcher, and wrap its engine client.
+
+        Args:
+            dispatcher: Runs the requests.
+            clock: The dispatcher's.
+            codec: The front's.
+            member: This member's name, which begins the keys that it generates.
+        """
+        self.dispatcher, self.clock, self._codec, self._member = dispatcher, clock, codec, member
+        self.coordinator: HandoffCoordinator  # by `attach`
+        self.flush: Callable[[], None] = lambda: None  # sends what the coordinator put out
+        self.running: dict[str, ProtectedRequest] = {}  # by the dispatcher's request id
+        self._by_key: dict[str, ProtectedRequest] = {}
+        self._generated_keys = 0
+        self._cancelling_keys: set[str] = set()  # whose former holder's attempt is being cancelled
+        self._engines = dispatcher.engines = ProtectedEngineClient(dispatcher.engines, self)
+
+    def attach(self, coordinator: HandoffCoordinator, flush: Callable[[], None]) -> None:
+        """Give it the coordinator, and how to send what that puts out; before the first request."""
+        self.coordinator, self.flush = coordinator, flush
 
     # What fronts call.
 
-    def submit(self, work: Work, sink: AnswerSink) -> Request | Protected:
+    def submit(self, work: Work, sink: AnswerSink) -> Request | ProtectedRequest:
         """Take a request; its sink gets one answer, unless it is abandoned."""
         if not work.once:
             return self.dispatcher.submit(work, sink)
-        made = work.once == MADE
-        if made:
-            self._made += 1
-            work.once = f"{self.name}.{self.coordinator.incarnation:x}.{self._made}"
+        generated = work.once == GENERATED_KEY
+        if generated:
+            work.once = self._generate_key()
         work.budget = min(work.budget, self.coordinator.settings.max_budget_ms)
-        body, now = self.codec.encode(work), self.clock.now()
-        p = Protected(self, work.once, sink)
+        body, now = self._codec.encode(work), self.clock.now()
+        protected = ProtectedRequest(self, work.once, sink)
         record = Record(
-            work.once,
-            "",
-            0,
-            0,
-            work.tenant,
-            work.lane,
-            self.dispatcher.settings.classes[work.lane].effect,
-            now + work.budget,
-            fingerprint(body),
-            key_generated=made,
+            key=work.once,
+            holder="",
+            term=0,
+            version=0,
+            tenant=work.tenant,
+            request_class=work.lane,
+            effect=self.dispatcher.settings.classes[work.lane].effect,
+            deadline_ms=now + work.budget,
+            request_digest=fingerprint(body),
+            key_generated=generated,
         )
-        self.coordinator.admit(now, record, body, lambda result: self._admitted(p, work, result, now))
-        self.pump()
-        return p
+        self.coordinator.admit(now, record, body, lambda result: self._on_admission(protected, work, result, now))
+        self.flush()
+        return protected
+
+    def _generate_key(self) -> str:
+        self._generated_keys += 1
+        return f"{self._member}.{self.coordinator.incarnation:x}.{self._generated_keys}"
 
-    def abandon(self, taken: Request | Protected) -> None:
-        """Its client has left. A protected request goes on: the client may come back for the answer."""
-        if isinstance(taken, Protected):
+    def abandon(self, taken: Request | ProtectedRequest) -> None:
+        """The client has disconnected. A protected request goes on: the client may come back for the answer."""
+        if isinstance(taken, ProtectedRequest):
             taken.sink = None
         else:
             self.dispatcher.abandon(taken)
 
-    def cancel(self, taken: Request | Protected) -> None:
-        """Its client wants it no more, and is told so by its front."""
-        if not isinstance(taken, Protected):
-            return self.dispatcher.abandon(taken)
-        taken.sink, taken.unwanted = None, True
+    def cancel(self, taken: Request | ProtectedRequest) -> None:
+        """The client has cancelled the request, and is told so by its front."""
+        if not isinstance(taken, ProtectedRequest):
+            self.dispatcher.abandon(taken)
+            return
+        taken.sink, taken.cancelled = None, True
         if taken.request is not None and not taken.request.answered:
             self.dispatcher.abandon(taken.request)
             self._forget(taken)
-            self.coordinator.complete(self.clock.now(), taken.key, Outcome.FAILED, b"", "cancelled", lambda ok: None)
-            self.pump()
+            self.coordinator.complete(
+                self.clock.now(), taken.key, Outcome.FAILED, b"", "cancelled", lambda reached: None
+            )
+            self.flush()
 
     # What the coordinator calls.
 
-    def adopt(self, record: Record, body: bytes) -> None:
-        """A request taken over, or taken up again, is run here."""
-        earlier = self.by_key.get(record.key)
-        if earlier is not None and earlier.carried is not None:  # what was called off is not out of the engine yet
-            earlier.after.append(lambda: self.adopt(record, body))
+    def _on_admission(self, protected: ProtectedRequest, work: Work, result: AdmissionResult, since_ms: float) -> None:
+        self.log_step(protected, f"{result.state.value} {result.reason}")
+        match result.state:
+            case AdmissionState.ADMITTED if protected.cancelled:
+                self.coordinator.release(protected.key)
+            case AdmissionState.ADMITTED:
+                work.budget = max(MIN_BUDGET_MS, work.budget - (self.clock.now() - since_ms))
+                self._start(protected, work)
+            case AdmissionState.ANSWERED if result.outcome is Outcome.SERVED:
+                protected.respond(lambda sink: sink.served(result.answer))
+            case AdmissionState.ANSWERED:
+                protected.respond(lambda sink: sink.failed())
+            case AdmissionState.KEY_REUSED:  # fronts that can say so have a method of their own
+                protected.respond(lambda sink: getattr(sink, "conflict", sink.failed)())
+            case AdmissionState.RUNNING | AdmissionState.REJECTED:
+                protected.respond_retry()
+
+    def run(self, record: Record, body: bytes) -> None:
+        """Run a request that was taken over, or is taken up again."""
+        earlier = self._by_key.get(record.key)
+        if earlier is not None and earlier.attempt is not None:  # what was cancelled is not out of the engine yet
+            earlier.after_attempt.append(lambda: self.run(record, body))
             return
-        if self.coordinator.held(record.key) is None or record.key in self._called:
+        if self.coordinator.held(record.key) is None or record.key in self._cancelling_keys:
             return
-        call_off = getattr(self.engines.inner, "call_off", None)
+        call_off = getattr(self._engines.inner, "call_off", None)
         if not record.cancel_token or call_off is None:
-            return self._again(record, body)
-        # Its engine goes on with what a lost manager sent; two runs at once are one too many, also where both may be.
-        self.say(Protected(self, record.key, None), f"called off at {record.engine}")
-        self._called.add(record.key)
+            self._run_again(record, body)
+            return
+        # The engine goes on with what a lost member sent; two runs at once are one too many, also where both may be.
+        self.log_step(ProtectedRequest(self, record.key, None), f"cancelled at {record.engine}")
+        self._cancelling_keys.add(record.key)
+        settle_ms = self.dispatcher.settings.settle
         call_off(
             record.engine,
             record.cancel_token,
-            lambda: self.clock.call_later(self.dispatcher.settings.settle, lambda: self._called_off(record, body)),
+            lambda: self.clock.call_later(settle_ms, lambda: self._on_cancelled(record, body)),
         )
 
-    def _called_off(self, record: Record, body: bytes) -> None:
-        self._called.discard(record.key)
+    def _on_cancelled(self, record: Record, body: bytes) -> None:
+        self._cancelling_keys.discard(record.key)
         held = self.coordinator.held(record.key)
         # Where it may not be acted on now, it is taken up again, and comes here once more.
         if held is not None and not held.suspended and held.record.stage < Stage.ANSWERED:
             if held.record.term == record.term:
-                self._again(record, body)
+                self._run_again(record, body)
             else:
-                self.adopt(held.record, body)  # lost and won again meanwhile
+                self.run(held.record, body)  # lost and won again meanwhile
 
-    def _again(self, record: Record, body: bytes) -> None:
-        now = self.clock.now()
-        work = self.codec.decode(body, max(1.0, record.deadline_ms - now))
+    def _run_again(self, record: Record, body: bytes) -> None:
+        work = self._codec.decode(body, max(MIN_BUDGET_MS, record.deadline_ms - self.clock.now()))
         work.once = record.key
-        self._run(Protected(self, record.key, None), work)
+        self._start(ProtectedRequest(self, record.key, None), work)
 
     def stop(self, key: str) -> None:
-        """This member may not act on it now: what is out is called off, and its client asks again."""
-        p = self.by_key.get(key)
-        if p is not None:
-            self.hold_back(p)
-
-    # What the parts above call.
-
-    def hold_back(self, p: Protected) -> None:
-        """Nobody can vouch for it here at the moment."""
-        self.say(p, "held back")
-        if p.request is not None and not p.request.answered:
-            self.dispatcher.abandon(p.request)
-        self._forget(p)
-        p.tell(lambda sink: sink.refused(BACK))
-
-    def ended(self, carried: Carried) -> None:
-        """An attempt is out no longer."""
-        p, carried.state = carried.owner, "gone"
-        if p.carried is carried:
-            p.carried = None
-            after, p.after = p.after, []
-            for call in after:
-                call()
-            if p.request is None and self.by_key.get(p.key) is p:
-                del self.by_key[p.key]
-
-    def final(self, p: Protected, outcome: Outcome, answer: bytes) -> None:
-        """The core has its final answer; it is given once a quorum has it."""
-
-        def told(ok: bool) -> None:
-            self.say(p, f"quorum for the answer: {ok}")
-            if not ok:
-                return p.tell(lambda sink: sink.refused(BACK))
-            p.tell(lambda sink: sink.served(answer) if outcome is Outcome.SERVED else sink.failed())
-
-        self.say(p, f"final: {outcome.name}")
-        self._forget(p)
-        self.coordinator.complete(self.clock.now(), p.key, outcome, answer, "", told)
-        self.pump()
-
-    def turned_away(self, p: Protected, backoff: float) -> None:
-        """The core turned it away."""
-        self.say(p, "turned away")
-        self._forget(p)
-        self.coordinator.release(p.key)
-        self.pump()
-        p.tell(lambda sink: sink.refused(backoff))
-
-    def say(self, p: Protected, what: str) -> None:
-        """For whoever follows one key, at the level DEBUG."""
-        logger.debug("key {key}: {what}", event="handoff-step", key=p.key, what=what)
-
-    # Inside.
-
-    def _admitted(self, p: Protected, work: Work, result: AdmissionResult, since: float) -> None:
-        self.say(p, f"{result.state.value} {result.reason}")
-        match result.state:
-            case AdmissionState.ADMITTED if p.unwanted:
-                self.coordinator.release(p.key)
-            case AdmissionState.ADMITTED:
-                work.budget = max(1.0, work.budget - (self.clock.now() - since))
-                self._run(p, work)
-            case AdmissionState.ANSWERED if result.outcome is Outcome.SERVED:
-                p.tell(lambda sink: sink.served(result.answer))
-            case AdmissionState.ANSWERED:
-                p.tell(lambda sink: sink.failed())
-            case AdmissionState.KEY_REUSED:
-                p.tell(lambda sink: getattr(sink, "conflict", sink.failed)())
-            case AdmissionState.RUNNING | AdmissionState.REJECTED:
-                p.tell(lambda sink: sink.refused(BACK))
-
-    def _run(self, p: Protected, work: Work) -> None:
-        self.by_key[p.key] = p
-        p.request = self.dispatcher.submit(work, p)
-        self.running[p.request.ident] = p
-
-    def _forget(self, p: Protected) -> None:
-        if p.request is not None:
-            self.running.pop(p.request.ident, None)
-            p.request = None
-        if p.carried is None and self.by_key.get(p.key) is p:
-            del self.by_key[p.key]
+        """This member may not act on a request now: what is out is cancelled, and its client comes back."""
+        protected = self._by_key.get(key)
+        if protected is not None:
+            self.suspend(protected)
+
+    # What protected requests and their attempts call.
+
+    def begin_attempt(self, attempt: ProtectedAttempt, on_quorum: QuorumCallback) -> None:
+        """Write an attempt into its record; `on_quorum` is told whether it may be sent."""
+        self.coordinator.begin_attempt(
+            self.clock.now(), attempt.protected.key, attempt.engine, on_quorum, attempt.cancel_token
+        )
+        self.flush()
+
+    def attempt_cancellable(self, attempt: ProtectedAttempt, cancel_token: bytes) -> None:
+        """Write into the record how an attempt that is out can be cancelled."""
+        self.coordinator.set_cancel_token(self.clock.now(), attempt.protected.key, attempt.engine, cancel_token)
+        self.flush()
+
+    def attempt_ended(self, attempt: ProtectedAttempt, outcome: str, never_ran: bool) -> None:
+        """An attempt ended at its engine; `outcome` is for the log."""
+        self.log_step(attempt.protected, f"attempt ended {outcome}")
+        if never_ran:
+            self.coordinator.attempt_rejected(self.clock.now(), attempt.protected.key)
+            self.flush()
+        self.attempt_out_of_engine(attempt)
+
+    def attempt_out_of_engine(self, attempt: ProtectedAttempt) -> None:
+        """An attempt is out no longer, so that another may be sent."""
+        protected, attempt.phase = attempt.protected, AttemptPhase.ENDED
+        if protected.attempt is not attempt:
+            return
+        protected.attempt = None
+        after_attempt, protected.after_attempt = protected.after_attempt, []
+        for call in after_attempt:
+            call()
+        if protected.request is None and self._by_key.get(protected.key) is protected:
+            del self._by_key[protected.key]
+
+    def suspend(self, protected: ProtectedRequest) -> None:
+        """Nobody can vouch for a request here now: stop it, and tell its client to come back."""
+        self.log_step(protected, "suspended")
+        if protected.request is not None and not protected.request.answered:
+            self.dispatcher.abandon(protected.request)
+        self._forget(protected)
+        protected.respond_retry()
+
+    def complete(self, protected: ProtectedRequest, outcome: Outcome, answer: bytes) -> None:
+        """The dispatcher has the final answer; it is given once a quorum has it."""
+
+        def on_quorum(reached: bool) -> None:
+            self.log_step(protected, f"quorum for the answer: {reached}")
+            if not reached:
+                protected.respond_retry()
+            elif outcome is Outcome.SERVED:
+                protected.respond(lambda sink: sink.served(answer))
+            else:
+                protected.respond(lambda sink: sink.failed())
+
+        self.log_step(protected, f"final: {outcome.name}")
+        self._forget(protected)
+        self.coordinator.complete(self.clock.now(), protected.key, outcome, answer, "", on_quorum)
+        self.flush()
+
+    def reject(self, protected: ProtectedRequest, retry_after_ms: float) -> None:
+        """The dispatcher rejected the request: its key is free again."""
+        self.log_step(protected, "rejected")
+        self._forget(protected)
+        self.coordinator.release(protected.key)
+        self.flush()
+        protected.respond(lambda sink: sink.refused(retry_after_ms))
+
+    def log_step(self, protected: ProtectedRequest, step: str) -> None:
+        """Log a step of one key at DEBUG."""
+        logger.debug("key {key}: {what}", event="handoff-step", key=protected.key, what=step)
+
+    def _start(self, protected: ProtectedRequest, work: Work) -> None:
+        self._by_key[protected.key] = protected
+        protected.request = self.dispatcher.submit(work, protected)
+        self.running[protected.request.ident] = protected
+
+    def _forget(self, protected: ProtectedRequest) -> None:
+        """The dispatcher runs it no longer; an attempt may still be out."""
+        if protected.request is not None:
+            self.running.pop(protected.request.ident, None)
+            protected.request = None
+        if protected.attempt is None and self._by_key.get(protected.key) is protected:
+            del self._by_key[protected.key]
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -27,7 +27,7 @@
 from decklb.handoff.member_state import HandoffEvent, RequestRunner
 from decklb.handoff.messages import MAX_FRAME_BYTES, Message, encode_message
 from decklb.handoff.peer_connection import PeerConnection, PeerConnectionFactory
-from decklb.handoff.protected_dispatcher import Guard
+from decklb.handoff.protected_dispatcher import ProtectedDispatcher
 from decklb.handoff.settings import HandoffSettings
 
 if TYPE_CHECKING:
@@ -58,9 +58,14 @@
     """One member's handoff on real connections, a clock and a disk."""
 
     def __init__(
-        self, reactor: Any, clock: Clock, settings: HandoffSettings, cluster: ClusterService, guard: Guard
+        self,
+        reactor: Any,
+        clock: Clock,
+        settings: HandoffSettings,
+        cluster: ClusterService,
+        dispatcher: ProtectedDispatcher,
     ) -> None:
-        """Read the store and wire the coordinator to the front's guard.
+        """Read the store and wire the coordinator to the front's dispatcher.
 
         Raises:
             StoreError: The store's folder can't be used.
@@ -76,9 +81,9 @@
         self.store: Store | None = None
         now = clock.now()
         memory = self._open_store(now)
-        self.coordinator = self._make_coordinator(now, memory, guard)
+        self.coordinator = self._make_coordinator(now, memory, RequestRunner(dispatcher.run, dispatcher.stop))
         self._restored_keys = len(memory.entries) if memory is not None else 0
-        guard.coordinator, guard.pump = self.coordinator, self.flush
+        dispatcher.attach(self.coordinator, self.flush)
         self.sealer = self._make_sealer()
 
     def _open_store(self, now: float) -> StoredMemory | None:
@@ -91,7 +96,7 @@
         self.store = Store(self.settings.store_folder, self.settings.max_bytes)
         return self.store.open(member.name, member.run_id, now, boot_id())
 
-    def _make_coordinator(self, now: float, memory: StoredMemory | None, guard: Guard) -> HandoffCoordinator:
+    def _make_coordinator(self, now: float, memory: StoredMemory | None, runner: RequestRunner) -> HandoffCoordinator:
         member = self.cluster.node.membership.local
         coordinator = HandoffCoordinator(
             self.settings,
@@ -101,7 +106,7 @@
             now - memory.since_ms if memory is not None else 0.0,
             random.Random(os.urandom(16)),
             now,
-            RequestRunner(guard.adopt, guard.stop),
+            runner,
         )
         for entry in memory.entries if memory is not None else ():
             coordinator.restore(entry.key, entry.record, entry.body, entry.granted, now)
--- a/decklb/middleware/codec.py
+++ b/decklb/middleware/codec.py
@@ -32,7 +32,7 @@
 
 
 class AsgiCodec:
-    """See `decklb.handoff.protected_dispatcher.Codec`. Headers that differ from one sending to the next are left out."""
+    """A `RequestCodec` of the handoff. Headers that differ from one sending to the next are left out."""
 
     def __init__(self, passing: frozenset[bytes]) -> None:
         """`passing`: names of headers, in small letters, that are no part of what a request asks."""
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -14,7 +14,7 @@
 from decklb.config.operators import members as settings_of
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock
-from decklb.handoff.protected_dispatcher import Guard
+from decklb.handoff.protected_dispatcher import ProtectedDispatcher
 from decklb.handoff.runtime import HandoffService
 from decklb.middleware.codec import AsgiCodec
 from decklb.wire.clock import steady
@@ -48,17 +48,17 @@
         self.cluster: ClusterService | None = None
         self.handoff: HandoffService | None = None
 
-    def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> Guard:
+    def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> ProtectedDispatcher:
         """Open the sockets on the running loop, and stand before the dispatcher."""
         reactor: Any = steady(AsyncioSelectorReactor(loop))
-        guard = Guard(dispatcher, clock, self.codec, self.cluster_settings.member)
+        protected = ProtectedDispatcher(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
             reactor, clock, self.cluster_settings, Prober(reactor, clock, _none, 0.0), lambda engine, up: None
         )
-        self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, guard)
+        self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, protected)
         self.cluster.start()
         self.handoff.start()
-        return guard
+        return protected
 
     def close(self) -> None:
         """Leave: others take over at once what is held here."""
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -24,7 +24,7 @@
 
 
 class PgCodec:
-    """See `decklb.handoff.protected_dispatcher.Codec`. `rid` draws names for the log."""
+    """See `decklb.handoff.protected_dispatcher.RequestCodec`. `rid` draws names for the log."""
 
     def __init__(self, rid: Callable[[], str]) -> None:
         self.rid = rid
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -111,9 +111,9 @@
         assert isinstance(work, PgWork)
         self.ready, self.sent = False, True
         self.attempt.begun = True
-        traced = getattr(self.attempt, "traced", None)
-        if traced is not None and self.trace:  # another manager may take it over
-            traced(self.trace)
+        set_cancel_token = getattr(self.attempt, "set_cancel_token", None)
+        if set_cancel_token is not None and self.trace:  # another manager may take it over
+            set_cancel_token(self.trace)
         self.result, self.size, self.error, self.parsing = [], 0, None, []
         if work.simple:
             self.transport.write(pg.pack(b"Q", work.statement + b"\0"))
