--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from decklb.config import Config, ConfigError
@@ -17,10 +18,10 @@
     from decklb.locality.runtime import LocalityService
     from decklb.maintenance.runtime import MaintenanceService
     from decklb.net.engines import RespEngines
-    from decklb.net.front import Front
+    from decklb.net.listener import FrameListener
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
-    from decklb.wire.prober import Prober
+    from decklb.pg.listener import PgListener
+    from decklb.wire.health_check import HealthChecker
 
 
 @dataclass(slots=True)
@@ -28,7 +29,7 @@
     """One core between a front and its engines."""
 
     dispatcher: Dispatcher
-    front: Front | PgFront
+    front: FrameListener | PgListener
     engines: RespEngines | PgEngines
 
 
@@ -38,17 +39,18 @@
     """The platform's front, or that of PostgreSQL where its section is given."""
     if config.postgres is None:
         from decklb.net.engines import RespEngines
-        from decklb.net.front import Front
+        from decklb.net.listener import FrameListener
 
         resp = RespEngines(reactor, clock, config.limits)
         core = Dispatcher(config.settings, config.seed, clock, resp)
-        return Parts(core, Front(core, ready, config.most_clients, config.spare_clients, config.most_held), resp)
+        listener = FrameListener(core, ready, config.most_clients, config.spare_clients, config.most_held)
+        return Parts(core, listener, resp)
     from decklb.pg.engines import PgEngines
-    from decklb.pg.front import PgFront
+    from decklb.pg.listener import PgListener
 
     pg = PgEngines(reactor, clock, config.postgres)
     core = Dispatcher(config.settings, config.seed, clock, pg)
-    return Parts(core, PgFront(core, config.postgres, draw, config.most_clients), pg)
+    return Parts(core, PgListener(core, config.postgres, draw, config.most_clients), pg)
 
 
 def speaker(reactor: Any, clock: Clock, config: Config) -> Speaker | None:
@@ -79,20 +81,20 @@
         raise ConfigError(str(error)) from error
 
 
-def prober(reactor: Any, clock: Clock, config: Config, idle: float) -> Prober:
-    """Probes that speak as the engines do; `idle`: ms without one after which a connection closes."""
-    from decklb.wire.prober import ProbeLink, Prober
+def prober(reactor: Any, clock: Clock, config: Config, idle: float) -> HealthChecker:
+    """Health checks that speak as the engines do; `idle`: ms without one after which a connection closes."""
+    from decklb.wire.health_check import HealthCheckConnection, HealthChecker
 
-    link: type[ProbeLink]
+    make_connection: Callable[..., HealthCheckConnection]
     if config.postgres is None:
-        from decklb.net.prober import RespProbe
+        from decklb.net.health_check import RespHealthCheckConnection
 
-        link = RespProbe
+        make_connection = RespHealthCheckConnection
     else:
-        from decklb.pg.prober import links
+        from decklb.pg.health_check import PgHealthCheckConnection
 
-        link = links(config.postgres.startup)
-    return Prober(reactor, clock, link, idle)
+        make_connection = partial(PgHealthCheckConnection, config.postgres.startup)
+    return HealthChecker(reactor, clock, make_connection, idle)
 
 
 def locality(
@@ -104,7 +106,7 @@
     from decklb.locality.runtime import LocalityService
 
     s = config.locality
-    return LocalityService(clock, s, member, parts.dispatcher, prober(reactor, clock, config, 4 * s.fresh))
+    return LocalityService(clock, s, member, parts.dispatcher, prober(reactor, clock, config, 4 * s.observation_ttl_ms))
 
 
 def maintenance(
@@ -124,7 +126,7 @@
     from decklb.maintenance.runtime import MaintenanceService
 
     s = config.maintenance
-    probes = prober(reactor, clock, config, 4 * s.fresh)
+    probes = prober(reactor, clock, config, 4 * s.report_ttl_ms)
     try:
         return MaintenanceService(clock, s, member, near, parts.dispatcher, probes, changed, leave)
     except MaintenanceError as error:
@@ -141,14 +143,14 @@
     from decklb.handoff.protected_dispatcher import ProtectedDispatcher
     from decklb.handoff.runtime import HandoffService
     from decklb.pg.codec import PgCodec
-    from decklb.pg.front import PgFront
+    from decklb.pg.listener import PgListener
 
     front = parts.front
-    assert isinstance(front, PgFront)  # the settings are refused without that front
+    assert isinstance(front, PgListener)  # the settings are refused without that front
     protected = ProtectedDispatcher(
-        parts.dispatcher, clock, PgCodec(front.rid), config.cluster.member if config.cluster else ""
+        parts.dispatcher, clock, PgCodec(front.new_request_id), config.cluster.member if config.cluster else ""
     )
-    front.intake, front.keeps = protected, True
+    front.enable_handoff(protected)
     try:
         return HandoffService(reactor, clock, config.handoff, member, protected)
     except HandoffError as error:
--- a/decklb/handoff/protected_attempts.py
+++ b/decklb/handoff/protected_attempts.py
@@ -67,7 +67,7 @@
     """The engine client of a dispatcher whose requests are protected."""
 
     def __init__(self, inner: EngineClient, dispatcher: ProtectedDispatcher) -> None:
-        """`inner` sends attempts; where its protocol can cancel them by a token, it has `reserve` and `call_off`."""
+        """`inner` may have `reserve` and `cancel_by_token`, where its protocol can cancel attempts by a token."""
         self.inner, self._dispatcher = inner, dispatcher
 
     def start(self, attempt: Attempt) -> None:
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -182,15 +182,15 @@
             return
         if self.coordinator.held(record.key) is None or record.key in self._cancelling_keys:
             return
-        call_off = getattr(self._engines.inner, "call_off", None)
-        if not record.cancel_token or call_off is None:
+        cancel_by_token = getattr(self._engines.inner, "cancel_by_token", None)
+        if not record.cancel_token or cancel_by_token is None:
             self._run_again(record, body)
             return
         # The engine goes on with what a lost member sent; two runs at once are one too many, also where both may be.
         self.log_step(ProtectedRequest(self, record.key, None), f"cancelled at {record.engine}")
         self._cancelling_keys.add(record.key)
         settle_ms = self.dispatcher.settings.settle
-        call_off(
+        cancel_by_token(
             record.engine,
             record.cancel_token,
             lambda: self.clock.call_later(settle_ms, lambda: self._on_cancelled(record, body)),
--- /dev/null
+++ b/decklb/pg/health_check.py
@@ -0,0 +1,51 @@
+"""Health checks over PostgreSQL: Sync on a session of its own, answered by ReadyForQuery. No statement runs.
+
+See `decklb.wire.health_check`.
+"""
+
+from __future__ import annotations
+
+from decklb.pg import messages as pg
+from decklb.pg.engine_connection import AUTHENTICATION_OK_PAYLOAD
+from decklb.pg.errors import PgError
+from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
+
+MOST_MESSAGE = 1 << 16  # bytes of one message: an idle session sends parameters, notices and errors alone
+
+
+class PgHealthCheckConnection(HealthCheckConnection):
+    """A session at an engine, for health checks alone."""
+
+    def __init__(self, startup: dict[str, str], checker: HealthChecker, engine: str, address: Address) -> None:
+        """`startup`: the session's parameters, user and database among them."""
+        super().__init__(checker, engine, address)
+        self._startup = startup
+        self._reader = pg.MessageReader(MOST_MESSAGE, startup=False)
+
+    def start_session(self) -> None:
+        """Send the startup message; the session is usable at its first ReadyForQuery."""
+        self.transport.write(pg.pack_startup(self._startup | {"application_name": "decklb probe"}))
+
+    def send_check(self) -> None:
+        """Send a Sync: the least that an engine answers."""
+        self.transport.write(pg.SYNC)
+
+    def dataReceived(self, data: bytes) -> None:
+        """The engine's messages, split anywhere."""
+        try:
+            for message in self._reader.feed(data):
+                if self.closed:
+                    return
+                self._handle(message)
+        except PgError as error:
+            self.fail(f"protocol: {error}")
+
+    def _handle(self, message: pg.Message) -> None:
+        if message.type == b"Z" and not self.ready:
+            self.session_ready()
+        elif message.type == b"Z":
+            self.check_succeeded()
+        elif message.type == b"E":
+            self.fail(f"error-{pg.read_error(message.payload).get('C', '')}")
+        elif message.type == b"R" and message.payload != AUTHENTICATION_OK_PAYLOAD:
+            self.fail("authentication-requested")
--- a/tests/test_handoff_message_trace.py
+++ b/tests/test_handoff_message_trace.py
@@ -1,8 +1,8 @@
 """Seeded runs on the simulated network deliver the same messages, in the same order, as an earlier version did.
 
 A trace is each message received, with its time, sender, receiver and packed bytes, then each member's counters. It
-depends on the order of random draws and on every float expression of the handoff and of the simulated network
-(`decklb.lab.emulation.simulated_handoff`).
+depends on the order of random draws and on every float expression of the handoff and of
+`decklb.lab.emulation.simulated_handoff`.
 """
 
 import json
