--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -8,9 +8,7 @@
 
 from decklb import config as configuration
 from decklb import log
-
-CONFIG = click.option("--config", "path", help="The platform's configuration file; LB_CONFIG names it otherwise.")
-SETTINGS = click.option("--settings", help="Operators' settings in XML; DECKLB_SETTINGS names them otherwise.")
+from decklb.cli.options import CONFIG, SETTINGS
 
 
 @click.command()
@@ -30,7 +28,7 @@
     from decklb.wire.reactor import install
 
     reactor = install()  # before anything imports Twisted's default one
-    log.take_over_twisted()
+    log.redirect_twisted()
     from decklb.daemon.service import Service
     from decklb.wire.clock import use_monotonic_time
 
@@ -50,13 +48,13 @@
     c = _load(path, settings)
     click.echo(
         f"{c.name}: listens on {c.listen[0]}:{c.listen[1]}, {len(c.settings.classes)} classes, "
-        f"{len(c.settings.tenants)} tenants, {c.most_clients} clients at most, "
-        f"manager {c.settings.me} of {c.settings.fronts}"
+        f"{len(c.settings.tenants)} tenants, {c.max_clients} clients at most, "
+        f"manager {c.settings.gateway_index} of {c.settings.gateway_count}"
     )
     for name, x in c.settings.classes.items():
         click.echo(
-            f"class {name}: aim {x.aim:g}ms, deadline {x.deadline:g}ms, {x.effect.value}, "
-            f"{x.threads} threads{', in order by key' if x.serial else ''}"
+            f"class {name}: aim {x.latency_objective_ms:g}ms, deadline {x.deadline_ms:g}ms, {x.effect.value}, "
+            f"{x.threads} threads{', in order by key' if x.ordered_by_key else ''}"
         )
     for name, t in c.settings.tenants.items():
         click.echo(f"tenant {name}: share {100 * t.share:g}%")
--- a/decklb/handoff/protected_attempts.py
+++ b/decklb/handoff/protected_attempts.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from decklb.handoff.protected_dispatcher import ProtectedDispatcher, ProtectedRequest
 
-NEVER_RAN = (Outcome.FULL, Outcome.NOCONN, Outcome.NOP)  # ends by which an attempt provably never ran
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)  # ends by which an attempt provably never ran
 
 
 class AttemptPhase(Enum):
@@ -41,16 +41,16 @@
         self.cancel_token = b""  # as the record has it
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.attempt, name)  # request, engine, deadline and the like
+        return getattr(self.attempt, name)  # request, engine_id, deadline_ms and the like
 
     @property
-    def begun(self) -> bool:
+    def sent(self) -> bool:
         """Whether a transport has it, which the engine client tells."""
-        return self.attempt.begun
+        return self.attempt.sent
 
-    @begun.setter
-    def begun(self, value: bool) -> None:
-        self.attempt.begun = value
+    @sent.setter
+    def sent(self, value: bool) -> None:
+        self.attempt.sent = value
 
     def set_cancel_token(self, cancel_token: bytes) -> None:
         """It went out on a connection by which it can be cancelled, also by whoever takes the request over."""
@@ -72,7 +72,7 @@
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt, a protected one once a quorum knows of it."""
-        protected = self._dispatcher.running.get(attempt.request.ident)
+        protected = self._dispatcher.running.get(attempt.request.request_id)
         if protected is None:
             self.inner.start(attempt)
             return
@@ -93,11 +93,11 @@
         attempt.phase = AttemptPhase.SENT
         self.inner.start(attempt)  # type: ignore[arg-type]
 
-    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel an attempt; one that waits for its quorum is never sent."""
         protected_attempt = attempt.handle
         if not isinstance(protected_attempt, ProtectedAttempt):
-            self.inner.give_up(attempt, freed)
+            self.inner.abandon(attempt, freed)
             return
         phase = protected_attempt.phase
         self._dispatcher.log_step(protected_attempt.protected, f"attempt cancelled, {phase.value}")
@@ -107,7 +107,7 @@
             return
         self._dispatcher.attempt_out_of_engine(protected_attempt)
         if protected_attempt.cancel_token:  # gives the reserved connection back
-            self.inner.give_up(protected_attempt, freed)  # type: ignore[arg-type]
+            self.inner.abandon(protected_attempt, freed)  # type: ignore[arg-type]
         else:
             self._dispatcher.clock.call_later(0, freed)
 
@@ -116,4 +116,4 @@
             self._dispatcher.attempt_out_of_engine(attempt)
             freed()
 
-        self.inner.give_up(attempt, out_of_engine)  # type: ignore[arg-type]
+        self.inner.abandon(attempt, out_of_engine)  # type: ignore[arg-type]
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from decklb.core.dispatcher import Dispatcher, Request
-from decklb.core.ports import AnswerSink, Clock, Work
+from decklb.core.ports import Clock, IncomingRequest, ResponseSink
 from decklb.handoff.admission_result import AdmissionResult, AdmissionState
 from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.handoff.held_request import QuorumCallback
@@ -32,10 +32,10 @@
 class RequestCodec(Protocol):
     """How a front encodes its requests for another member with the same front."""
 
-    def encode(self, work: Work) -> bytes:
+    def encode(self, work: IncomingRequest) -> bytes:
         """All that another member needs to run it, but for its budget; the same for the same request."""
 
-    def decode(self, body: bytes, budget: float) -> Work:
+    def decode(self, body: bytes, budget_ms: float) -> IncomingRequest:
         """The request again, with what is left of its budget."""
 
 
@@ -43,12 +43,12 @@
 class ProtectedRequest:
     """One request with a key, from its arrival until its answer is given, or until another member holds it.
 
-    It is the dispatcher's `AnswerSink` for the request.
+    It is the dispatcher's `ResponseSink` for the request.
     """
 
     dispatcher: ProtectedDispatcher
     key: str
-    sink: AnswerSink | None  # None: no client waits here, but the answer is retained
+    sink: ResponseSink | None  # None: no client waits here, but the answer is retained
     request: Request | None = None  # the dispatcher's, while it runs
     attempt: ProtectedAttempt | None = None  # the one that is out
     after_attempt: list[Callable[[], None]] = field(default_factory=list)  # called once none is out
@@ -62,11 +62,11 @@
         """The dispatcher: failed, with no promise about what was done."""
         self.dispatcher.complete(self, Outcome.FAILED, b"")
 
-    def refused(self, retry_after_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """The dispatcher: not run, so that the key is free again."""
         self.dispatcher.reject(self, retry_after_ms)
 
-    def respond(self, answer: Callable[[AnswerSink], None]) -> None:
+    def respond(self, answer: Callable[[ResponseSink], None]) -> None:
         """Give whoever waits an answer, once."""
         sink, self.sink = self.sink, None
         if sink is not None:
@@ -74,7 +74,7 @@
 
     def respond_retry(self) -> None:
         """Tell whoever waits to come back."""
-        self.respond(lambda sink: sink.refused(RETRY_AFTER_MS))
+        self.respond(lambda sink: sink.rejected(RETRY_AFTER_MS))
 
 
 class ProtectedDispatcher:
@@ -104,25 +104,25 @@
 
     # What fronts call.
 
-    def submit(self, work: Work, sink: AnswerSink) -> Request | ProtectedRequest:
+    def submit(self, work: IncomingRequest, sink: ResponseSink) -> Request | ProtectedRequest:
         """Take a request; its sink gets one answer, unless it is abandoned."""
-        if not work.once:
+        if not work.idempotency_key:
             return self.dispatcher.submit(work, sink)
-        generated = work.once == GENERATED_KEY
+        generated = work.idempotency_key == GENERATED_KEY
         if generated:
-            work.once = self._generate_key()
-        work.budget = min(work.budget, self.coordinator.settings.max_budget_ms)
+            work.idempotency_key = self._generate_key()
+        work.budget_ms = min(work.budget_ms, self.coordinator.settings.max_budget_ms)
         body, now = self._codec.encode(work), self.clock.now()
-        protected = ProtectedRequest(self, work.once, sink)
+        protected = ProtectedRequest(self, work.idempotency_key, sink)
         record = Record(
-            key=work.once,
+            key=work.idempotency_key,
             holder="",
             term=0,
             version=0,
             tenant=work.tenant,
-            request_class=work.lane,
-            effect=self.dispatcher.settings.classes[work.lane].effect,
-            deadline_ms=now + work.budget,
+            request_class=work.request_class,
+            effect=self.dispatcher.settings.classes[work.request_class].effect,
+            deadline_ms=now + work.budget_ms,
             request_digest=fingerprint(body),
             key_generated=generated,
         )
@@ -157,13 +157,15 @@
 
     # What the coordinator calls.
 
-    def _on_admission(self, protected: ProtectedRequest, work: Work, result: AdmissionResult, since_ms: float) -> None:
+    def _on_admission(
+        self, protected: ProtectedRequest, work: IncomingRequest, result: AdmissionResult, since_ms: float
+    ) -> None:
         self.log_step(protected, f"{result.state.value} {result.reason}")
         match result.state:
             case AdmissionState.ADMITTED if protected.cancelled:
                 self.coordinator.release(protected.key)
             case AdmissionState.ADMITTED:
-                work.budget = max(MIN_BUDGET_MS, work.budget - (self.clock.now() - since_ms))
+                work.budget_ms = max(MIN_BUDGET_MS, work.budget_ms - (self.clock.now() - since_ms))
                 self._start(protected, work)
             case AdmissionState.ANSWERED if result.outcome is Outcome.SERVED:
                 protected.respond(lambda sink: sink.served(result.answer))
@@ -189,11 +191,11 @@
         # The engine goes on with what a lost member sent; two runs at once are one too many, also where both may be.
         self.log_step(ProtectedRequest(self, record.key, None), f"cancelled at {record.engine}")
         self._cancelling_keys.add(record.key)
-        settle_ms = self.dispatcher.settings.settle
+        hold_down_ms = self.dispatcher.settings.key_hold_down_ms
         cancel_by_token(
             record.engine,
             record.cancel_token,
-            lambda: self.clock.call_later(settle_ms, lambda: self._on_cancelled(record, body)),
+            lambda: self.clock.call_later(hold_down_ms, lambda: self._on_cancelled(record, body)),
         )
 
     def _on_cancelled(self, record: Record, body: bytes) -> None:
@@ -208,7 +210,7 @@
 
     def _run_again(self, record: Record, body: bytes) -> None:
         work = self._codec.decode(body, max(MIN_BUDGET_MS, record.deadline_ms - self.clock.now()))
-        work.once = record.key
+        work.idempotency_key = record.key
         self._start(ProtectedRequest(self, record.key, None), work)
 
     def stop(self, key: str) -> None:
@@ -222,13 +224,13 @@
     def begin_attempt(self, attempt: ProtectedAttempt, on_quorum: QuorumCallback) -> None:
         """Write an attempt into its record; `on_quorum` is told whether it may be sent."""
         self.coordinator.begin_attempt(
-            self.clock.now(), attempt.protected.key, attempt.engine, on_quorum, attempt.cancel_token
+            self.clock.now(), attempt.protected.key, attempt.engine_id, on_quorum, attempt.cancel_token
         )
         self.flush()
 
     def attempt_cancellable(self, attempt: ProtectedAttempt, cancel_token: bytes) -> None:
         """Write into the record how an attempt that is out can be cancelled."""
-        self.coordinator.set_cancel_token(self.clock.now(), attempt.protected.key, attempt.engine, cancel_token)
+        self.coordinator.set_cancel_token(self.clock.now(), attempt.protected.key, attempt.engine_id, cancel_token)
         self.flush()
 
     def attempt_ended(self, attempt: ProtectedAttempt, outcome: str, never_ran: bool) -> None:
@@ -282,21 +284,21 @@
         self._forget(protected)
         self.coordinator.release(protected.key)
         self.flush()
-        protected.respond(lambda sink: sink.refused(retry_after_ms))
+        protected.respond(lambda sink: sink.rejected(retry_after_ms))
 
     def log_step(self, protected: ProtectedRequest, step: str) -> None:
         """Log a step of one key at DEBUG."""
         logger.debug("key {key}: {what}", event="handoff-step", key=protected.key, what=step)
 
-    def _start(self, protected: ProtectedRequest, work: Work) -> None:
+    def _start(self, protected: ProtectedRequest, work: IncomingRequest) -> None:
         self._by_key[protected.key] = protected
         protected.request = self.dispatcher.submit(work, protected)
-        self.running[protected.request.ident] = protected
+        self.running[protected.request.request_id] = protected
 
     def _forget(self, protected: ProtectedRequest) -> None:
         """The dispatcher runs it no longer; an attempt may still be out."""
         if protected.request is not None:
-            self.running.pop(protected.request.ident, None)
+            self.running.pop(protected.request.request_id, None)
             protected.request = None
         if protected.attempt is None and self._by_key.get(protected.key) is protected:
             del self._by_key[protected.key]
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from typing import Any
 
-from decklb.daemon.control import ControlError, ask
 from decklb.lab.checks.zone_verdict import Sent
 from decklb.lab.fault_runs.handoff_run import Process
 from decklb.lab.fault_runs.isolation import side_by_side
 from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
 from decklb.lab.faults.network_proxy import HELD_UP
+from decklb.management.control_client import ControlError, query
 
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
 RATE = 12.0  # requests a second of each zone's callers: 2 of 8 cores that a zone has left with one engine out
@@ -135,7 +135,7 @@
 
     async def ask(self, name: str, what: str, **more: Any) -> Any:
         """A question or an order to one manager."""
-        return await asyncio.to_thread(lambda: ask(str(self.folder / f"{name}.sock"), what, **more))
+        return await asyncio.to_thread(lambda: query(str(self.folder / f"{name}.sock"), what, **more))
 
     async def plan(self) -> dict[str, Any]:
         """As the manager knows it that has come furthest."""
@@ -268,7 +268,7 @@
             told.doubled, told.over_budget = doubled(steps), budget(steps) + fleet.over
             told.unsafe, told.late_ms = fleet.unsafe, fleet.late(start)
             told.overlapping, told.again = _overlapping(fleet)
-            told.faults = sum(fleet.logged(x) for x in ("Traceback", "module-failed", "order failed"))
+            told.faults = sum(fleet.logged(x) for x in ("Traceback", "module-failed", "command failed"))
             return told
         finally:
             if logs:  # also of a run that came to no end
