--- a/decklb/handoff/records.py
+++ b/decklb/handoff/records.py
@@ -23,7 +23,7 @@
 class Stage(IntEnum):
     """How far a request has come, in the order of its life. The values are stored and sent to other members."""
 
-    QUEUED = 0  # admitted and never sent, or sent and proven not to have run (the engine answered FULL)
+    QUEUED = 0  # admitted and never sent, or sent and proven not to have run (the engine was overloaded)
     SENT = 1  # sent to `Record.engine`, where it may have run
     ANSWERED = 2  # its final answer is known, and retained for a client that comes back
 
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -15,7 +15,7 @@
 from decklb.config.operators import members as settings_of
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock
-from decklb.handoff.protected_dispatcher import Guard
+from decklb.handoff.protected_dispatcher import ProtectedDispatcher
 from decklb.handoff.runtime import HandoffService
 from decklb.middleware.codec import AsgiCodec
 from decklb.wire.clock import use_monotonic_time
@@ -64,10 +64,10 @@
         self.cluster: ClusterService | None = None
         self.handoff: HandoffService | None = None
 
-    def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> Guard:
+    def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> ProtectedDispatcher:
         """Open the sockets on the running loop; returns the request handler that stands before the dispatcher."""
         reactor: Any = use_monotonic_time(AsyncioSelectorReactor(loop))
-        guard = Guard(dispatcher, clock, self.codec, self.cluster_settings.member)
+        protected = ProtectedDispatcher(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
             reactor,
             clock,
@@ -75,10 +75,10 @@
             HealthChecker(reactor, clock, _no_probes, 0.0),
             lambda _engine, _up: None,
         )
-        self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, guard)
+        self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, protected)
         self.cluster.start()
         self.handoff.start()
-        return guard
+        return protected
 
     def close(self) -> None:
         """Leave: other members take over at once what is held here."""
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -120,9 +120,9 @@
         assert isinstance(work, PgWork)
         self.ready, self.sent = False, True
         self.attempt.sent = True
-        traced = getattr(self.attempt, "traced", None)
-        if traced is not None and self.cancel_key:  # another manager may take it over
-            traced(self.cancel_key)
+        set_cancel_token = getattr(self.attempt, "set_cancel_token", None)
+        if set_cancel_token is not None and self.cancel_key:  # another manager may take it over
+            set_cancel_token(self.cancel_key)
         self._result, self._result_size, self._error = [], 0, None
         self.transport.write(self._statements.encode(work))
 
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -113,13 +113,13 @@
         else:
             super().start(attempt)
 
-    def call_off(self, engine: str, trace: bytes, done: Callable[[], None]) -> None:
-        """Cancel what another manager has running, by the key that it told; `done` is called once, later."""
+    def cancel_by_token(self, engine: str, cancel_token: bytes, done: Callable[[], None]) -> None:
+        """Cancel what another manager has running, by the token that it told; `done` is called once, later."""
         pool = self.pools.get(engine)
-        if pool is None or len(trace) != KEY_FORMAT.size:
+        if pool is None or len(cancel_token) != KEY_FORMAT.size:
             self.clock.call_later(0, done)
         else:
-            pool.cancel(BackendKey(*KEY_FORMAT.unpack(trace)), done)
+            pool.cancel(BackendKey(*KEY_FORMAT.unpack(cancel_token)), done)
 
     def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel an attempt on its engine; `freed` is called when it is no longer out."""
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -153,7 +153,7 @@
         self.engines.abandon(attempt, lambda: self.done.append(["freed", name]))
 
     def step_call_off(self, engine, trace):
-        self.engines.call_off(engine, trace.encode("latin-1"), lambda: self.done.append(["called-off", trace]))
+        self.engines.cancel_by_token(engine, trace.encode("latin-1"), lambda: self.done.append(["called-off", trace]))
 
     def step_connect(self, number):
         """The connection comes up."""
