--- a/decklb/daemon/subsystems/handoff.py
+++ b/decklb/daemon/subsystems/handoff.py
@@ -8,7 +8,7 @@
 from decklb.daemon.subsystems.base import Process, Subsystem
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
 from decklb.handoff.errors import HandoffError
-from decklb.handoff.protected_dispatcher import Guard
+from decklb.handoff.protected_dispatcher import ProtectedDispatcher
 from decklb.handoff.runtime import HandoffService
 from decklb.handoff.settings import HandoffSettings
 from decklb.pg.codec import PgCodec
@@ -27,10 +27,12 @@
         assert isinstance(front, PgListener)  # the settings are rejected without that front
         member = cluster.service
         name = process.config.cluster.member if process.config.cluster else ""
-        guard = Guard(process.request_path.dispatcher, process.clock, PgCodec(front.new_request_id), name)
-        front.enable_handoff(guard)
+        protected = ProtectedDispatcher(
+            process.request_path.dispatcher, process.clock, PgCodec(front.new_request_id), name
+        )
+        front.enable_handoff(protected)
         try:
-            self._service = HandoffService(process.reactor, process.clock, settings, member, guard)
+            self._service = HandoffService(process.reactor, process.clock, settings, member, protected)
         except HandoffError as error:
             raise ConfigError(f"<handoff>: {error}") from error
 
--- a/decklb/handoff/takeover_policy.py
+++ b/decklb/handoff/takeover_policy.py
@@ -1,6 +1,6 @@
 """What the new holder of a record does with it, and which voter claims it first. Free of state.
 
-A request is never sent again on a guess: only where it is proven not to have run (never sent, or rejected with FULL),
+A request is never sent again on a guess: only where it is proven not to have run (never sent, or rejected at once),
 or where its class lets it be repeated; otherwise it ends as failed, in doubt. A request past its deadline ends as
 failed at once. `leases.py` carries the decisions out, `takeover.py` the order of claims.
 """
--- a/decklb/pg/listener.py
+++ b/decklb/pg/listener.py
@@ -33,9 +33,9 @@
         self._session_context = SessionContext(dispatcher.settings, settings, self.new_request_id)
         self.context = ConnectionContext(self._session_context, self._registry, dispatcher.clock, dispatcher)
 
-    def enable_handoff(self, intake: RequestHandler) -> None:
-        """Bring statements to an intake that keeps answers for clients that come back."""
-        self.context.intake = intake
+    def enable_handoff(self, request_handler: RequestHandler) -> None:
+        """Hand statements to a request handler that keeps answers for clients that come back."""
+        self.context.request_handler = request_handler
         self._session_context.handoff_enabled = True
 
     def new_request_id(self) -> str:
@@ -46,17 +46,17 @@
         """One object for a connection."""
         return ClientConnection(self.context)
 
-    def listens(self, port: object) -> None:
+    def attach_port(self, port: object) -> None:
         """The socket is open. Clients that are too many are accepted and told so, so the port is not needed."""
 
-    def announce(self) -> None:
+    def announce_drain(self) -> None:
         """The program will drain soon. No message of this protocol says that ahead of the end."""
 
     @property
-    def owing(self) -> bool:
+    def has_pending_clients(self) -> bool:
         """Whether some client has not read yet all that it was sent."""
         return self._registry.any_write_paused
 
-    def close(self) -> None:
+    def drain(self) -> None:
         """Take nothing new; sessions end with what they have under way."""
         self._registry.drain()
