--- a/tests/test_config_wire_format.py
+++ b/tests/test_config_wire_format.py
@@ -173,7 +173,12 @@
         "manager_voting_delay_ms": "memory",
         "data_directory": "data",
     },
-    "PgSettings": {"write_class": "writes", "max_message_bytes": "most_message"},
+    "PgSettings": {
+        "write_class": "writes",
+        "max_connections_per_engine": "connections",
+        "max_result_bytes": "most_result",
+        "max_message_bytes": "most_message",
+    },
     "BgpSettings": {"bgp_identifier": "router", "hold_time_s": "hold"},
 }
 KEYED = {"name": "keyed", "aim": 500.0, "deadline": 900.0, "semantics": "deduplicated", "memory_span": 700.0}
