--- a/decklb/core/ports.py
+++ b/decklb/core/ports.py
@@ -8,13 +8,10 @@
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 from decklb.interface import Outcome
 
-if TYPE_CHECKING:
-    from decklb.core.dispatcher import Attempt
-
 
 @dataclass(slots=True)
 class IncomingRequest:
@@ -85,16 +82,3 @@
 
     def attempt_ended(self, engine_id: str, request_class: str, outcome: Outcome, duration_ms: float) -> None:
         """How an attempt of that class ended at an engine."""
-
-
-class EngineClient(Protocol):
-    """Runs attempts at engines; it calls `attempt.end` once for each, unless the attempt was abandoned before."""
-
-    def start(self, attempt: Attempt) -> None:
-        """Send the attempt to its engine."""
-
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel the attempt at its engine, and never call it again.
-
-        `freed` is called once, later: when the attempt is no longer out, so that another may be sent elsewhere.
-        """
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -13,8 +13,10 @@
 
 from loguru import logger
 
-from decklb.core.dispatcher import Attempt, Dispatcher, Request
-from decklb.core.ports import Clock, EngineClient, IncomingRequest, ResponseSink
+from decklb.core.attempts import Attempt, Request
+from decklb.core.dispatcher import Dispatcher
+from decklb.core.engine_client import EngineClient
+from decklb.core.ports import Clock, IncomingRequest, ResponseSink
 from decklb.handoff.admission_result import AdmissionResult, AdmissionState
 from decklb.handoff.coordinator import HandoffCoordinator
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
--- a/decklb/lab/emulation/emulator.py
+++ b/decklb/lab/emulation/emulator.py
@@ -12,7 +12,8 @@
 from typing import TYPE_CHECKING, Any
 
 from decklb import interface as api
-from decklb.core.dispatcher import Attempt, Dispatcher, Request
+from decklb.core.attempts import Attempt, Request
+from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import IncomingRequest
 from decklb.interface import Effect, Endpoint, Outcome, Phase, Settings
 from decklb.lab.checks.request_invariants import Checker
@@ -234,7 +235,7 @@
             self.listed |= {e.engine_id: e.phase for e in entries}
             self.listed = {n: p for n, p in self.listed.items() if p is not Phase.REMOVED}
             self.heard = self.run.loop.now()
-            self.core._post(api.EndpointsUpdated(entries, complete))
+            self.core.post_event(api.EndpointsUpdated(entries, complete))
             if self.run.probing is not None:
                 born = ((e.name, e.born) for e in self.run.engines.values())
                 self.run.probing.listed(self, self.listed, born)
--- a/decklb/lab/emulation/run_records.py
+++ b/decklb/lab/emulation/run_records.py
@@ -11,7 +11,7 @@
 from decklb.wirehost import WORD_BY_OUTCOME
 
 if TYPE_CHECKING:
-    from decklb.core.dispatcher import Attempt
+    from decklb.core.attempts import Attempt
     from decklb.lab.emulation.emulator import Client, Run
 
 LOOK = 1000.0  # ms between looks at the engines
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -407,7 +407,7 @@
     return verdict, faults
 
 
-COUNTED = ("handoff-taken-over", "handoff-fenced", "handoff-lease-ended", "backstop", "module-failed", "Traceback")
+COUNTED = ("handoff-taken-over", "handoff-fenced", "handoff-lease-ended", "backstop", "policy-failed", "Traceback")
 
 
 @dataclass(slots=True)
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -268,7 +268,7 @@
             told.doubled, told.over_budget = doubled(steps), budget(steps) + fleet.over
             told.unsafe, told.late_ms = fleet.unsafe, fleet.late(start)
             told.overlapping, told.again = _overlapping(fleet)
-            told.faults = sum(fleet.logged(x) for x in ("Traceback", "module-failed", "command failed"))
+            told.faults = sum(fleet.logged(x) for x in ("Traceback", "policy-failed", "command failed"))
             return told
         finally:
             if logs:  # also of a run that came to no end
--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -333,7 +333,7 @@
                 frozenset((lie,)),
             )
             told.late_ms = fleet.late(start)
-            told.faults = sum(fleet.logged(x) for x in ("Traceback", "module-failed"))
+            told.faults = sum(fleet.logged(x) for x in ("Traceback", "policy-failed"))
             if logs:
                 keep = Path(logs) / f"{case}-{way}-{seed}"
                 keep.mkdir(parents=True, exist_ok=True)
--- a/decklb/middleware/application_client.py
+++ b/decklb/middleware/application_client.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.interface import Outcome
 from decklb.middleware.asgi import App, Message, is_complete
 from decklb.middleware.requests import AsgiWork
--- a/decklb/middleware/middleware.py
+++ b/decklb/middleware/middleware.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from decklb.core.dispatcher import EARLY, Dispatcher
+from decklb.core.dispatcher import ANSWER_MARGIN_MS, Dispatcher
 from decklb.core.ports import RequestHandler
 from decklb.interface import Endpoint, Settings
 from decklb.middleware.answers import Answer, AnswerFuture, AnswerKind
@@ -29,8 +29,9 @@
 DEFAULT_MAX_BODY_BYTES = 1 << 20
 DEFAULT_MAX_RESPONSE_BYTES = 4 << 20
 MS_PER_S = 1000
-# In seconds before its deadline, from which a failure counts as a timeout: the dispatcher ends requests EARLY ms ahead.
-TIMEOUT_MARGIN_S = (EARLY + 5.0) / MS_PER_S
+# In seconds before its deadline, from which a failure counts as a timeout: the dispatcher ends requests
+# ANSWER_MARGIN_MS ahead.
+TIMEOUT_MARGIN_S = (ANSWER_MARGIN_MS + 5.0) / MS_PER_S
 
 # HTTP statuses of final answers that are not the application's own.
 CONTENT_TOO_LARGE = 413
--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import Request
+from decklb.core.attempts import Request
 from decklb.net import frames
 from decklb.net.frames import FrameError, InvalidRequestError
 from decklb.wire.connection_end import has_unread_bytes
--- a/decklb/net/engines.py
+++ b/decklb/net/engines.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.core.ports import Clock
 from decklb.net.engine_connection import CANCEL_SETTLE_MS, RespConnection
 from decklb.net.resp_call import RespCall
--- a/decklb/net/listener.py
+++ b/decklb/net/listener.py
@@ -11,7 +11,8 @@
 
 from twisted.internet.protocol import ServerFactory
 
-from decklb.core.dispatcher import Dispatcher, Request
+from decklb.core.attempts import Request
+from decklb.core.dispatcher import Dispatcher
 from decklb.net import frames
 from decklb.net.client_connection import ClientConnection
 from decklb.net.connection_limits import ConnectionLimits
--- a/decklb/net/resp_call.py
+++ b/decklb/net/resp_call.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.net.resp import RespError
 
 if TYPE_CHECKING:
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.interface import Outcome
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -12,7 +12,7 @@
 from loguru import logger
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.core.ports import Clock
 from decklb.interface import Outcome
 from decklb.pg.cancel_request import BackendKey, CancelRequest
--- a/decklb/pg/running_statement.py
+++ b/decklb/pg/running_statement.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from decklb.core.dispatcher import EARLY
+from decklb.core.dispatcher import ANSWER_MARGIN_MS
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
 
-# Before its deadline, in ms, from which a failure is told as running out of time: the dispatcher ends requests EARLY ms
-# ahead, and a little before it.
-TIMEOUT_MARGIN_MS = EARLY + 5.0
+# Before its deadline, in ms, from which a failure is told as running out of time: the dispatcher ends requests
+# ANSWER_MARGIN_MS ahead, and a little before it.
+TIMEOUT_MARGIN_MS = ANSWER_MARGIN_MS + 5.0
 
 
 class AnswerReceiver(Protocol):
--- a/decklb/wire/engine_pool.py
+++ b/decklb/wire/engine_pool.py
@@ -9,7 +9,7 @@
 
 from typing import Any, Generic, TypeVar
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.core.ports import Clock
 from decklb.interface import Outcome
 from decklb.wire.engine_connection import EngineConnection
--- a/decklb/wire/recent_answers.py
+++ b/decklb/wire/recent_answers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from decklb.core.dispatcher import Attempt
+from decklb.core.attempts import Attempt
 from decklb.core.ports import Clock
 from decklb.core.timers import call_after_reading
 from decklb.interface import Outcome
--- a/decklb/wire/stall_detector.py
+++ b/decklb/wire/stall_detector.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from decklb.core.timers import HELD
+from decklb.core.timers import STALL_THRESHOLD_MS
 
 # Passes of reading after a stall whose input counts as old: a connection is accepted in the first, read in the second.
 STALE_PASSES = 3
@@ -36,9 +36,9 @@
     def reading_begins(self, now: float) -> None:
         """The wait is over and a pass of reading begins."""
         stalled_since = None
-        if self._last_read_at is not None and self._wait_began_at - self._last_read_at > HELD / 1000:
+        if self._last_read_at is not None and self._wait_began_at - self._last_read_at > STALL_THRESHOLD_MS / 1000:
             stalled_since = self._last_read_at
-        elif now - self._wait_began_at - self._wait_limit > HELD / 1000:
+        elif now - self._wait_began_at - self._wait_limit > STALL_THRESHOLD_MS / 1000:
             stalled_since = self._wait_began_at
         self._recent_stalls.append(stalled_since)
         self._last_read_at = now
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -18,7 +18,8 @@
 from twisted.python.failure import Failure
 
 from decklb import interface as api
-from decklb.core.dispatcher import Attempt, Dispatcher, Request
+from decklb.core.attempts import Attempt, Request
+from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import IncomingRequest
 from decklb.interface import Outcome
 from decklb.net.engines import RespEngines
--- a/tests/test_attempt_guards.py
+++ b/tests/test_attempt_guards.py
@@ -19,7 +19,7 @@
         self.d.settings.classes["load"] = spec
 
     def again(self, r, engine="e2"):
-        self.d._act(api.StartAttempt(r.ident, engine))
+        self.d._carry_out(api.StartAttempt(r.ident, engine))
         return len(self.engines.started)
 
     def test_where_settings_allow_hedging_a_lost_attempt_is_cancelled_not_hedged_in_vain(self):
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -11,7 +11,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from decklb.core.timers import HELD
+from decklb.core.timers import STALL_THRESHOLD_MS
 from decklb.wire.dialing import REDIAL_DELAY_MS, Dial
 
 TIMEOUT = 250.0
@@ -83,7 +83,7 @@
 
 def test_after_a_stall_a_connection_that_came_up_is_read_before_the_time_out():
     d = Dialed()
-    late = TIMEOUT + HELD + 1
+    late = TIMEOUT + STALL_THRESHOLD_MS + 1
     d.clock.call_later(late, d.come_up)  # read in the first pass after the standstill
     d.clock.clock.advance(late / 1000)
     d.clock.go(TIMEOUT)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -130,8 +130,8 @@
         r, _ = self.ask()
         self.run_until_started(1)
         self.engines.hold = True
-        self.d._act(api.CancelAttempt(r.request_id, 0))
-        self.d._act(api.StartAttempt(r.request_id, "e2"))  # whatever the module says
+        self.d._carry_out(api.CancelAttempt(r.request_id, 0))
+        self.d._carry_out(api.StartAttempt(r.request_id, "e2"))  # whatever the module says
         self.clock.go(300)
         self.assertEqual(len(self.engines.started), 1)
         self.engines.freed[0]()
--- a/tests/test_engine_connection.py
+++ b/tests/test_engine_connection.py
@@ -10,9 +10,9 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from decklb.core.dispatcher import Attempt, Request
+from decklb.core.attempts import Attempt, Request
 from decklb.core.ports import IncomingRequest
-from decklb.core.timers import HELD
+from decklb.core.timers import STALL_THRESHOLD_MS
 from decklb.interface import Outcome
 from decklb.net import resp
 from decklb.net.engine_connection import CANCEL_SETTLE_MS, WRITE_BLOCKED_LIMIT_MS
@@ -152,8 +152,8 @@
                 self.answer(a, link, word)
                 lost = partial(link.connectionLost, Failure(ConnectionLost()))
                 if crossing == "standstill":
-                    self.clock.call_later(RETRYABLE_ANSWER_DELAY_MS + HELD + 1, lost)
-                    self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + HELD + 1) / 1000)
+                    self.clock.call_later(RETRYABLE_ANSWER_DELAY_MS + STALL_THRESHOLD_MS + 1, lost)
+                    self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + STALL_THRESHOLD_MS + 1) / 1000)
                 elif crossing == "reset":
                     lost()
                 self.clock.go(RETRYABLE_ANSWER_DELAY_MS - 1)
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -282,4 +282,4 @@
             4,
         )
         self.assertGreater(counts["handoff-taken-over"], 0)
-        self.assertEqual((counts["backstop"], counts["module-failed"], counts["Traceback"]), (0, 0, 0))
+        self.assertEqual((counts["backstop"], counts["policy-failed"], counts["Traceback"]), (0, 0, 0))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -127,7 +127,6 @@
 }
 # Packages that have a cycle of modules that import one another, likewise.
 IMPORT_CYCLES = {
-    "core": "the dispatcher and its attempts are one module, which the ports name",
     "handoff": "connections to peers and the service that owns them",
     "lab": "the emulator, its health checks and its records",
     "net": "connections and the listener or pool that owns them, on both sides",
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from decklb import interface as api
 from decklb.cli import main
 from decklb.config import SettingsError
-from decklb.core.dispatcher import Dispatcher
+from decklb.core.attempt_runner import AttemptRunner
 from decklb.interface import Outcome
 from decklb.lab.checks.request_invariants import RULES
 from decklb.lab.emulation import policies
@@ -306,7 +306,7 @@
         )
     if rule == "repeat":  # the dispatcher holds these back, whatever the policy says; then the checker has to see them
         assert Run(w, 1).run().get("broken_repeat", 0) == 0
-        monkeypatch.setattr(Dispatcher, "_repeatable", lambda self, r: math.inf)
+        monkeypatch.setattr(AttemptRunner, "_repeatable_until", lambda self, request: math.inf)
     s = Run(w, 1).run()
     assert s.get(f"broken_{rule}", 0) > 0
     good = Run(replace(w, policy="random"), 1).run()
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from decklb.core.timers import HELD
+from decklb.core.timers import STALL_THRESHOLD_MS
 from decklb.net import frames, resp
 from decklb.wire.stall_detector import STALE_PASSES, StallDetector
 from tests.frame_standins import Client, RespEngine, request
@@ -65,7 +65,10 @@
 
 
 def test_an_ordinary_loop_reads_nothing_old():
-    assert passes((0.001, 0.1, 0.1), (0.0, 0.1, 0.02), (HELD / 1000, 0.0, 0.0), (0.01, 0.05, 0.05)) == [0.0] * 4
+    assert (
+        passes((0.001, 0.1, 0.1), (0.0, 0.1, 0.02), (STALL_THRESHOLD_MS / 1000, 0.0, 0.0), (0.01, 0.05, 0.05))
+        == [0.0] * 4
+    )
 
 
 @pytest.mark.parametrize(("step", "unread"), [((0.5, 0.0, 0.0), 0.5), ((0.5, 0.1, 0.0), 0.5), ((0.0, 0.1, 1.1), 1.1)])
--- a/tests/test_stalls_and_departures.py
+++ b/tests/test_stalls_and_departures.py
@@ -8,14 +8,14 @@
 from test_dispatcher import Rig
 
 from decklb import interface as api
-from decklb.core.timers import HELD
+from decklb.core.timers import STALL_THRESHOLD_MS
 from decklb.interface import Outcome
 
 
 class ProcessStalls(Rig):
     """The process stood still; what others did meanwhile lies unread beside its own timers, which are all due."""
 
-    def stand_still(self, meanwhile, ms=4 * HELD):
+    def stand_still(self, meanwhile, ms=4 * STALL_THRESHOLD_MS):
         self.clock.call_later(ms, meanwhile)  # read in the first pass after the standstill
         self.clock.clock.advance(ms / 1000)
 
