--- a/decklb/middleware/codec.py
+++ b/decklb/middleware/codec.py
@@ -1,7 +1,7 @@
 """Requests and responses in the form in which another process of the application takes them over.
 
 MessagePack arrays, whose order of fields is part of the wire form. Used by the handoff
-(`decklb.handoff.protected_dispatcher.Codec`) and by `decklb.middleware.middleware`.
+(as its `RequestCodec`) and by `decklb.middleware.middleware`.
 """
 
 from __future__ import annotations
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -1,7 +1,7 @@
 """Statements in the form in which another manager of this wire takes them over.
 
 A MessagePack array, whose order of fields is part of the wire form. Used by the handoff
-(`decklb.handoff.protected_dispatcher.Codec`).
+(as its `RequestCodec`).
 """
 
 from __future__ import annotations
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -15,8 +15,9 @@
 from decklb.core.attempts import Attempt
 from decklb.core.ports import Clock
 from decklb.interface import Outcome
-from decklb.pg.cancel_request import BackendKey, CancelRequest
+from decklb.pg.cancel_request import CancelRequest
 from decklb.pg.engine_connection import KEY_FORMAT, PgConnection
+from decklb.pg.messages import BackendKey
 from decklb.pg.settings import PgSettings
 from decklb.wire.connection_end import end_reason
 from decklb.wire.dialing import Dial
@@ -43,7 +44,7 @@
         available = [connection for connection in self.connections if connection.available]
         # One that is ready comes before one that is still coming up.
         connection = max(available, key=lambda one: one.ready, default=None)
-        if connection is None and len(self.connections) >= self.client.settings.connections:
+        if connection is None and len(self.connections) >= self.client.settings.max_connections_per_engine:
             attempt.end(Outcome.OVERLOADED)
             return
         connection = connection or self.connect()
@@ -112,13 +113,13 @@
         else:
             super().start(attempt)
 
-    def call_off(self, engine: str, trace: bytes, done: Callable[[], None]) -> None:
-        """Cancel what another manager has running, by the key that it told; `done` is called once, later."""
+    def cancel_by_token(self, engine: str, cancel_token: bytes, done: Callable[[], None]) -> None:
+        """Cancel what another manager has running, by the token that it told; `done` is called once, later."""
         pool = self.pools.get(engine)
-        if pool is None or len(trace) != KEY_FORMAT.size:
+        if pool is None or len(cancel_token) != KEY_FORMAT.size:
             self.clock.call_later(0, done)
         else:
-            pool.cancel(BackendKey(*KEY_FORMAT.unpack(trace)), done)
+            pool.cancel(BackendKey(*KEY_FORMAT.unpack(cancel_token)), done)
 
     def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel an attempt on its engine; `freed` is called when it is no longer out."""
