--- a/decklb/handoff/protected_attempts.py
+++ b/decklb/handoff/protected_attempts.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any
 
-from decklb.core.dispatcher import Attempt
-from decklb.core.ports import EngineClient
+from decklb.core.attempts import Attempt
+from decklb.core.engine_client import EngineClient
 from decklb.interface import Outcome
 
 if TYPE_CHECKING:
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -16,7 +16,8 @@
 
 from loguru import logger
 
-from decklb.core.dispatcher import Dispatcher, Request
+from decklb.core.attempts import Request
+from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, IncomingRequest, ResponseSink
 from decklb.handoff.admission_result import AdmissionResult, AdmissionState
 from decklb.handoff.coordinator import HandoffCoordinator
