--- /dev/null
+++ b/tests/test_lab_recorded_figures.py
@@ -0,0 +1,164 @@
+"""Figures of seeded experiments of the laboratory, its records and its examples, as recorded in `tests/golden/`."""
+
+import dataclasses
+import hashlib
+import json
+from dataclasses import replace
+from enum import Enum
+from pathlib import Path
+
+import numpy as np
+import pytest
+
+from decklb.lab.checks.execution_verdict import total
+from decklb.lab.emulation.emulator import Fault, Run
+from decklb.lab.emulation.random_streams import Streams
+from decklb.lab.emulation.simulated_handoff import play as play_handoff
+from decklb.lab.emulation.simulated_quorum_register import World as RegisterWorld
+from decklb.lab.emulation.workload import Swell, draw
+from decklb.lab.experiments import experiment, queueing_theory, statistics, zone_agreement
+from decklb.lab.experiments.bundled import world
+from decklb.lab.experiments.shared_duties import Experiment, run
+from decklb.lab.faults.fault_schedule import Kind, schedule
+from decklb.lab.faults.system_call_cases import all_cases, some_cases
+from tests.standins import ROOT
+
+GOLDEN = ROOT / "tests" / "golden"
+KILLS = (
+    Fault(1000.0, "kill", 1500.0, count=1),
+    Fault(1500.0, "drain", 1000.0, share=0.2),
+    Fault(2000.0, "slow", 1500.0, count=1, times=3.0),
+    Fault(2500.0, "manager", 800.0, count=1),
+    Fault(3500.0, "vanish", 1500.0, count=1),
+)
+EMULATED = {
+    "quiet": lambda: world(2, 4, 100.0, 4000.0),
+    "faults": lambda: replace(world(3, 6, 150.0, 6000.0), faults=KILLS, loss=0.02, list_partial=0.5, warm=500.0),
+    "probing": lambda: replace(world(3, 4, 80.0, 6000.0), probing=500.0, faults=KILLS[:1]),
+    "swells": lambda: with_swells(world(2, 4, 60.0, 4000.0)),
+    "sampled": lambda: replace(world(2, 4, 100.0, 3000.0), sample=50),
+    **{
+        policy: (lambda policy=policy: replace(world(2, 4, 100.0, 3000.0, policy), faults=KILLS[:2], loss=0.01))
+        for policy in ("random", "round-robin", "least-outstanding", "power-of-two", "weighted", "oracle")
+    },
+}
+
+
+def with_swells(start):
+    swells = (Swell(500.0, 1000.0, 2.0), Swell(1000.0, 1500.0, 3.0, tenant="cusco"), Swell(0.0, 2000.0, 0.5, tables=3))
+    return replace(start, workload=replace(start.workload, swells=swells, patience=0.4, day=0.5, day_length=3000.0))
+
+
+def plain(value):
+    """Values without the names of fields: these may change, what they hold may not."""
+    if dataclasses.is_dataclass(value):
+        return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, dict):
+        return {str(key): plain(each) for key, each in value.items()}
+    if isinstance(value, list | tuple):
+        return [plain(each) for each in value]
+    if isinstance(value, set | frozenset):
+        return sorted(map(plain, value))
+    if isinstance(value, np.ndarray):
+        return plain(value.tolist())
+    if isinstance(value, np.generic):
+        return value.item()
+    return value
+
+
+def digest(value):
+    return hashlib.sha256(json.dumps(plain(value)).encode()).hexdigest()[:16]
+
+
+def without_costs(summary):
+    return {key: value for key, value in summary.items() if not key.startswith("cost_") and key != "took_s"}
+
+
+def emulated(name):
+    played = Run(EMULATED[name](), 7)
+    summary = without_costs(played.run())
+    records = played.records
+    tables = {
+        "requests": records.requests,
+        "attempts": records.attempts,
+        "engines": records.engines,
+        "seconds": sorted(records.seconds.items()),
+    }
+    return {
+        "summary": plain(summary),
+        "outcomes": dict(sorted(records.outcomes.items())),
+        "rows": {table: [len(rows), digest(rows)] for table, rows in tables.items()},
+    }
+
+
+def example(name):
+    read = experiment.load(str(ROOT / "examples" / name))
+    return {"name": read.name, "digest": read.digest, "cells": [cell.name for cell in read.cells()]}
+
+
+def recorded_columns(folder):
+    """Names and order of columns, of a small experiment's tables and metadata."""
+    import pyarrow.parquet as pq
+
+    read = experiment.load(str(ROOT / "examples" / "small.xml"))
+    first = next(read.cells())
+    short = replace(first, world=replace(first.world, span=1500.0))
+    summary = experiment.keep(short, str(folder), read.name, read.digest)
+    experiment.write_summaries(read, str(folder), [summary])
+    files = sorted(folder.rglob("*.parquet"))
+    kept = json.loads((folder / "cells" / f"{first.name}.json").read_text())
+    return {
+        "columns": {str(file.relative_to(folder)): pq.read_schema(file).names for file in files},
+        "metadata": {
+            str(file.relative_to(folder)): sorted(key.decode() for key in pq.read_schema(file).metadata)
+            for file in files
+        },
+        "cell": {"digest": kept["digest"], "keys": list(kept["summary"])},
+    }
+
+
+SIMULATED = {
+    "arrivals": lambda: {name: digest(draw(w().workload, Streams(5), 3000.0)) for name, w in EMULATED.items()},
+    "duties": lambda: without_costs(run(Experiment(6, 12, 8, loss=0.02, kill=1, partition=0.3, seed=3))),
+    "duties, joining": lambda: without_costs(run(Experiment(4, 8, 8, join=True))),
+    "handoff": lambda: plain([play_handoff(seed) for seed in (1, 2, 3)]),
+    "handoff, harsh": lambda: plain([play_handoff(seed, harsh=True) for seed in (1, 2)]),
+    "handoff, total": lambda: plain(total(play_handoff(seed) for seed in (4, 5))),
+    "quorum register": lambda: plain([RegisterWorld(seed, 5, harsh=True).run() for seed in (1, 2)]),
+    "quorum register, stored": lambda: plain([RegisterWorld(3, 3, harsh=False, kept=True).run()]),
+    "zones": lambda: [
+        digest(zone_agreement.play(case, 2, common, managers=6)) for case in zone_agreement.CASES for common in (0, 1)
+    ],
+    "zones, table": lambda: plain(
+        zone_agreement.table([zone_agreement.play("lost", 1, common, managers=6) for common in (True, False)])
+    ),
+    "theory": lambda: list(queueing_theory.table(4000, 1)),
+    "interval": lambda: plain(statistics.interval(np.arange(20.0), Streams(1).get("bootstrap"))),
+    "fault schedule": lambda: plain(schedule(9, ["m0", "m1", "m2"], 8000.0, 6, tuple(Kind)[:8])),
+    "system calls": lambda: [len(all_cases()), digest([str(case) for case in all_cases()]), str(some_cases(4, 0.1)[7])],
+}
+
+
+def golden(name):
+    return json.loads((GOLDEN / name).read_text())
+
+
+@pytest.mark.parametrize("name", EMULATED)
+def test_figures_and_records_of_an_emulated_world_are_as_recorded(name):
+    assert emulated(name) == golden("lab_emulation.json")[name]
+
+
+@pytest.mark.parametrize("name", SIMULATED)
+def test_results_of_a_seeded_simulation_are_as_recorded(name):
+    assert json.loads(json.dumps(plain(SIMULATED[name]()))) == golden("lab_simulations.json")[name]
+
+
+@pytest.mark.parametrize("path", sorted(Path(ROOT / "examples").glob("*.xml")), ids=lambda path: path.name)
+def test_an_example_reads_as_the_same_cells_with_the_same_digest(path):
+    assert example(path.name) == golden("lab_examples.json")["examples"][path.name]
+
+
+def test_tables_of_an_experiment_keep_their_columns_and_metadata(tmp_path):
+    assert recorded_columns(tmp_path) == golden("lab_examples.json")["tables"]
