--- a/decklb/lab/faults/clock_jump.py
+++ b/decklb/lab/faults/clock_jump.py
@@ -1,30 +1,32 @@
-"""The program with a wall clock that jumps: `python -m decklb.lab.faults.clock_jump serve ...`, for the fault runs.
+"""The program as run by `python -m decklb`, with a wall clock that signals set forward or back.
 
-SIGUSR1 sets this process's wall clock an hour ahead, SIGUSR2 a minute behind, SIGWINCH back to the machine's. Setting
-the machine's own would need rights, and would strike every process at once. The monotonic clock never jumps.
+`python -m decklb.lab.faults.clock_jump serve ...` is started by the fault runs in place of the program. SIGUSR1 sets
+this process's wall clock an hour ahead, SIGUSR2 a minute behind, SIGWINCH back to the machine's. Setting the machine's
+own clock would need privileges and would affect every process at once. The monotonic clock never jumps.
 """
 
 from __future__ import annotations
 
+import runpy
 import signal
 import time
 
-JUMPS = {signal.SIGUSR1: 3600.0, signal.SIGUSR2: -60.0, signal.SIGWINCH: 0.0}
+CLOCK_OFFSETS_S = {signal.SIGUSR1: 3600.0, signal.SIGUSR2: -60.0, signal.SIGWINCH: 0.0}  # by signal
 
 
 def main() -> None:
-    """Patch, then run the command line as it is."""
-    real, offset = time.time, [0.0]
+    """Replace `time.time` of this process, then run the program with the arguments as they are."""
+    machine_time = time.time
+    offset_s = 0.0
 
     def jump(number: int, frame: object) -> None:
-        offset[0] = JUMPS[signal.Signals(number)]
+        nonlocal offset_s
+        offset_s = CLOCK_OFFSETS_S[signal.Signals(number)]
 
-    time.time = lambda: real() + offset[0]
-    for number in JUMPS:
+    time.time = lambda: machine_time() + offset_s
+    for number in CLOCK_OFFSETS_S:
         signal.signal(number, jump)
-    from decklb.cli import main as command
-
-    command()
+    runpy.run_module("decklb", run_name="__main__")
 
 
 if __name__ == "__main__":
