--- a/decklb/lab/emulation/emulator.py
+++ b/decklb/lab/emulation/emulator.py
@@ -1,490 +1,181 @@
-"""The emulated world: clients, managers with the real dispatcher and module, a network, engines, a list, faults.
+"""Plays one emulated world with one seed: clients, managers, network, engines, endpoint list and injected faults.
 
-Times are ms. Nothing of a run depends on anything but its `World` and the seed.
+`Run` owns the run: it makes arrivals come when they are due, sends updates of the endpoint list to the managers, and
+injects faults. Experiments and tests create it and call `run`. Times are simulated milliseconds. Nothing of a run
+depends on anything but its `World` and the seed.
 """
 
 from __future__ import annotations
 
 import random
 import time
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from functools import partial
+from typing import Any
 
-from decklb import interface as api
-from decklb.core.dispatcher import Attempt, Dispatcher, Request
 from decklb.core.ports import Work
-from decklb.interface import Effect, Entry, Outcome, Phase, Settings
-from decklb.lab.checks.request_invariants import Checker
-from decklb.lab.emulation.engine_model import Engine, EngineSpec, Query
-from decklb.lab.emulation.policies import POLICIES, Oracle
-from decklb.lab.emulation.random_streams import Streams
-from decklb.lab.emulation.run_records import Records
-from decklb.lab.emulation.simulated_loop import Loop
-from decklb.lab.emulation.workload import Arrivals, Workload, draw
+from decklb.interface import Phase
+from decklb.lab.emulation.emulated_world import Fault, World
+from decklb.lab.emulation.engine_model import Engine
+from decklb.lab.emulation.managers_and_clients import Client, Manager
+from decklb.lab.emulation.run_context import RunContext
+from decklb.lab.emulation.run_records import RunTotals
+from decklb.lab.emulation.shared_health_checks import SharedHealthChecks
 
-if TYPE_CHECKING:
-    from decklb.lab.emulation.shared_health_checks import Probing
+WIND_DOWN_MS = 2000.0  # after the last deadline, in which all must be over
+DRAIN_MS = 2000.0  # that a draining engine stays up once every manager can know of it
+NEVER_LEAVES_MS = 1e12  # from which on a drawn moment of leaving stands for never
 
-WIND_DOWN = 2000.0  # ms after the last deadline in which all must be over
-AGAIN = 50.0  # ms after which a client asks again whose manager has gone
 
+class Run:
+    """One run of a world with one seed.
 
-@dataclass(frozen=True, slots=True)
-class Fault:
-    """Something that goes wrong at `at`: kill, vanish, drain, slow (by `times`) engines, or kill a manager.
-
-    `share` of them are hit, drawn; `length` later they come back (an engine cold, under its own id).
+    Attributes:
+        context: What managers and clients share.
+        managers: All managers by number, those that are killed included.
+        health_checks: The health checks that managers share; None where the world has none.
     """
 
-    at: float
-    what: str
-    length: float = 0.0
-    share: float = 0.0
-    count: int = 0
-    times: float = 1.0
-
-
-@dataclass(frozen=True, slots=True)
-class World:
-    """What is emulated."""
-
-    workload: Workload
-    managers: int = 3
-    engines: int = 8
-    engine: EngineSpec = field(default_factory=EngineSpec)
-    span: float = 60_000.0
-    warm: float = 0.0  # ms at the start that don't count
-    policy: str = "decklb"
-    delay: float = 0.5  # ms one way, mean
-    jitter: float = 0.5  # share of it
-    loss: float = 0.0  # of attempts' messages, either way
-    list_late: float = 500.0  # ms until a manager hears of a change
-    list_partial: float = 0.0  # share of news that names only what changed
-    tick: float = 5.0
-    max_attempts: int = 4
-    extra_floor: float = 2.0
-    extra_ratio: float = 0.1
-    extra_window: float = 5000.0
-    retry_after: float = 500.0
-    faults: tuple[Fault, ...] = ()
-    uneven: float = 0.0  # sigma of a lognormal factor on engines' speed
-    probing: float = 0.0  # ms between probes of an engine, shared by the managers' cluster; 0 for none
-    sample: int = 100_000  # requests kept in tables at the most
-
-    def settings(self, me: int) -> Settings:
-        """What each manager is told; true speeds are not."""
-        w, e = self.workload, self.engine
-        classes = {
-            c.name: api.ClassSpec(
-                c.name,
-                c.aim,
-                c.deadline,
-                c.worth,
-                c.late_worth,
-                0.0,
-                Effect(c.effect),
-                serial=c.serial,
-                threads=c.threads,
-                holds=c.holds,
-                yields=c.yields,
-            )
-            for c in w.classes
-        }
-        tenants = {t.name: api.TenantSpec(t.name, t.share) for t in w.tenants}
-        return Settings(
-            classes,
-            tenants,
-            me=me,
-            fronts=self.managers,
-            cores={"k": e.cores},
-            cancelling=True,
-            retry_after=self.retry_after > 0,
-            max_retry_after=self.retry_after,
-            max_attempts=self.max_attempts,
-            cold_share=e.cold_share,
-            cold=e.cold,
-            overload_factor=e.overload,
-            fall=e.fall,
-            drain_grace=2000.0,
-            extra_floor=self.extra_floor,
-            extra_ratio=self.extra_ratio,
-            extra_window=self.extra_window,
-            settle=300.0,
-            tick=self.tick,
-        )
-
-
-class Client:
-    """One request of the workload, from its first try to its last answer; the dispatcher's sink."""
-
-    __slots__ = ("run", "index", "tries", "asked", "manager", "request", "attempts", "over")
-
-    def __init__(self, run: Run, index: int) -> None:
-        self.run, self.index = run, index
-        self.tries, self.attempts = 0, 0
-        self.asked = run.loop.now()
-        self.manager: Manager | None = None
-        self.request: Request | None = None
-        self.over = False
-
-    def served(self, result: bytes) -> None:
-        """The whole result."""
-        self._end("served")
-
-    def refused(self, backoff: float) -> None:
-        """Ask again, as clients do, when told to; not past the deadline."""
-        if self.over:  # its manager was killed, and what is left of it speaks for nobody
-            return
-        run = self.run
-        lane = run.world.workload.classes[run.arrivals.lane[self.index]]
-        wait = max(backoff, AGAIN)
-        left = self.asked + lane.deadline - run.loop.now()
-        if self.tries <= run.world.workload.retries and left > wait:
-            self._told("refused")
-            run.loop.call_later(wait, lambda: run.ask(self))
-        else:
-            self._end("refused")
-
-    def failed(self) -> None:
-        """No promise."""
-        self._end("failed")
-
-    def leave(self) -> None:
-        """Patience is over."""
-        if self.over:
-            return
-        if self.manager is not None and self.request is not None and not self.request.answered:
-            self.manager.leave(self.request)
-        self.over = True
-        self.run.records.request(self, "left")
-
-    def lost(self) -> None:
-        """Its manager was killed."""
-        if not self.over:
-            self.over = True
-            self.run.records.request(self, "lost")
-
-    def _told(self, kind: str) -> None:
-        if self.manager is not None and self.request is not None:
-            self.manager.told(self.request, kind)
-            self.attempts += len(self.request.attempts)
-
-    def _end(self, kind: str) -> None:
-        if not self.over:
-            self._told(kind)
-            self.over = True
-            self.run.records.request(self, kind)
-
-
-class Manager:
-    """The real dispatcher and a policy; the engine client of the emulated network."""
-
-    def __init__(self, run: Run, number: int) -> None:
-        self.run, self.number = run, number
-        self.life = 0
-        self.up = False
-        self.clients: dict[str, Client] = {}
-        self.listed: dict[str, Phase] = {}
-        self.heard = 0.0  # when the list last changed here
-        self.cost = 0.0  # s spent in steps
-        self.steps = 0
-
-    def start(self) -> None:
-        """From nothing, with the list as it is."""
-        run = self.run
-        self.life, self.up, self.clients = self.life + 1, True, {}
-        settings = run.world.settings(self.number)
-        seed = run.streams.number(f"manager {self.number} life {self.life}")
-        self.rng = random.Random(seed)
-        self.core = Dispatcher(settings, seed, run.loop, Port(self))
-        if run.world.policy != "decklb":
-            self.core.gateway = POLICIES[run.world.policy](settings, seed)  # type: ignore[assignment]
-        if isinstance(self.core.gateway, Oracle):
-            self.core.gateway.truth = lambda engine, work, threads: run.engines[engine].expected(work, threads)
-        step = self.core.gateway.step
-
-        def timed(now: float, events: list[api.Event]) -> list[api.Action]:
-            begun = time.perf_counter()
-            actions = step(now, events)
-            self.cost += time.perf_counter() - begun
-            self.steps += 1
-            return actions
-
-        self.core.gateway.step = timed  # type: ignore[method-assign]
-        if run.probing is not None:
-            run.probing.start(self)
-        self.hear([run.entry(e) for e in run.engines.values()], True)
-
-    def kill(self) -> None:
-        """Without a word; what it sent goes on running."""
-        self.up = False
-        self.run.checker.died(self.number)
-        if self.run.probing is not None:
-            self.run.probing.kill(self)
-        clients, self.clients = list(self.clients.values()), {}
-        for client in clients:
-            client.lost()
-
-    def hear(self, entries: list[Entry], complete: bool) -> None:
-        """News of the list."""
-        if self.up:
-            if complete:
-                self.listed.clear()
-            self.listed |= {e.engine: e.phase for e in entries}
-            self.listed = {n: p for n, p in self.listed.items() if p is not Phase.REMOVED}
-            self.heard = self.run.loop.now()
-            self.core._post(api.Members(entries, complete))
-            if self.run.probing is not None:
-                born = ((e.name, e.born) for e in self.run.engines.values())
-                self.run.probing.listed(self, self.listed, born)
-
-    def take(self, client: Client, work: Work) -> None:
-        """A request."""
-        client.manager = self
-        r = client.request = self.core.submit(work, client)
-        self.clients[r.ident] = client
-        self.run.checker.arrived(self.run.loop.now(), self.number, r.ident, work.lane, work.key)
-
-    def told(self, r: Request, kind: str) -> None:
-        """The client has its answer."""
-        if self.up:
-            self.run.checker.answered(self.number, r.ident, kind)
-        self.clients.pop(r.ident, None)
-
-    def leave(self, r: Request) -> None:
-        """The client has gone."""
-        if self.up:
-            self.run.checker.left(self.number, r.ident)
-            self.clients.pop(r.ident, None)
-            self.core.abandon(r)
-
-    # The core's engine client.
-
-    def start_attempt(self, a: Attempt) -> None:
-        """One send."""
-        run, life = self.run, self.life
-        client = self.clients.get(a.request.ident)
-        engine = run.engines[a.engine]
-        # Events are handed over once a tick: only after that the module knows.
-        knows = run.loop.now() - self.heard > run.world.tick
-        draining = knows and self.listed.get(a.engine) is not Phase.UP
-        run.checker.sent(run.loop.now(), self.number, a.request.ident, a.engine, draining)
-        if client is None:  # answered between decision and send; the dispatcher lets none through
-            return a.end(Outcome.NOP)
-        query = run.query(client.index, a.leg)
-        a.handle = query
-
-        def back(outcome: Outcome) -> None:
-            if life != self.life or not self.up or a.ended or a.given_up:
-                return
-            run.checker.ended(self.number, a.request.ident, outcome)
-            run.records.attempt(a, outcome)
-            a.end(outcome)
-
-        def answer(outcome: Outcome) -> None:
-            if not run.lost(self.rng):
-                run.loop.call_later(run.delay(self.rng), lambda: back(outcome))
-
-        query.done = answer
-        if not run.lost(self.rng):
-            run.loop.call_later(run.delay(self.rng), lambda: engine.submit(query) if query.state != "over" else None)
-
-    def give_up(self, a: Attempt, freed: Callable[[], None]) -> None:
-        """Call it off; it is free when the engine has heard."""
-        run, life, query = self.run, self.life, a.handle
-        engine = run.engines[a.engine]
-        outcome = Outcome.LATE if a.overdue else Outcome.CXL
-
-        def heard() -> None:
-            if isinstance(query, Query):
-                if query.state in ("waiting", "running"):
-                    engine.cancel(query)
-                query.state = "over"
-            if life == self.life and self.up:
-                run.checker.ended(self.number, a.request.ident, outcome)
-                run.records.attempt(a, outcome)
-                freed()
-
-        run.loop.call_later(run.world.delay * (1 + run.world.jitter), heard)
-
-
-class Port:
-    """The engine client's port of one life of a manager; what a killed one still asks for is nobody's."""
-
-    def __init__(self, manager: Manager) -> None:
-        self.manager, self.life = manager, manager.life
-
-    def _lives(self) -> bool:
-        return self.manager.up and self.manager.life == self.life
-
-    def start(self, attempt: Attempt) -> None:
-        """One send."""
-        if self._lives():
-            self.manager.start_attempt(attempt)
-
-    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Call it off."""
-        if self._lives():
-            self.manager.give_up(attempt, freed)
-
-
-class Run:
-    """One run of a world with one seed."""
-
     def __init__(self, world: World, seed: int) -> None:
         self.world, self.seed = world, seed
-        self.loop = Loop()
-        self.streams = Streams(seed)
-        self.arrivals: Arrivals = draw(world.workload, self.streams, world.span)
-        self.checker = Checker(world.settings(0))
-        self.records = Records(self)
-        factors = self.streams.get("speeds").standard_normal(world.engines)
-        self.engines: dict[str, Engine] = {}
-        for i in range(world.engines):
-            engine = self.engines[f"e{i}"] = Engine(self.loop, f"e{i}", world.engine)
-            engine.set_slow(float(pow(2.718281828, world.uneven * factors[i])) if world.uneven else 1.0)
-            engine.on_fall = lambda name=f"e{i}": self._fell(name)  # type: ignore[misc]
-        self.managers = [Manager(self, i) for i in range(world.managers)]
-        self.probing: Probing | None = None
+        context = self.context = RunContext(world, seed)
+        self.loop, self.streams, self.arrivals = context.loop, context.streams, context.arrivals
+        self.checker, self.records, self.engines = context.checker, context.records, context.engines
+        for engine in self.engines.values():
+            engine.on_fall = lambda engine=engine: self._engine_crashed(engine)  # type: ignore[misc]
+        self.health_checks: SharedHealthChecks | None = None
         if world.probing:
-            from decklb.lab.emulation.shared_health_checks import Probing
+            self.health_checks = SharedHealthChecks(world, self.loop, self.streams, self.engines, self._health_checked)
+        self.managers = [Manager(context, number, self.health_checks) for number in range(world.managers)]
+        self._next_arrival = 0
+        self._list_rng = random.Random(self.streams.number("list"))
 
-            self.probing = Probing(self, world.probing)
-        self._next = 0
-        self.late: random.Random = random.Random(self.streams.number("list"))
-
-    # The network and the list.
-
-    def delay(self, rng: random.Random) -> float:
-        """One way."""
-        w = self.world
-        return w.delay * (1.0 + w.jitter * (2.0 * rng.random() - 1.0))
-
-    def lost(self, rng: random.Random) -> bool:
-        """Whether a message gets lost."""
-        return self.world.loss > 0 and rng.random() < self.world.loss
-
-    def entry(self, e: Engine) -> Entry:
-        """A line of the list."""
-        phase = Phase.DRAINING if e.draining else Phase.UP if e.up or e.silent else Phase.REMOVED
-        return Entry(e.name, "", "k", 0, phase, float(e.spec.cores), max(0.0, e.born))
-
-    def tell(self, changed: list[Engine]) -> None:
-        """News of the list, late by manager, sometimes of the change alone."""
-        for m in self.managers:
-            part = self.late.random() < self.world.list_partial
-            entries = [self.entry(e) for e in (changed if part else self.engines.values())]
-            wait = self.world.list_late * (0.5 + self.late.random())
-            self.loop.call_later(
-                wait,
-                lambda m=m, entries=entries, part=part: m.hear(  # type: ignore[misc]
-                    entries if part else [x for x in entries if x.phase is not Phase.REMOVED], not part
-                ),
-            )
-
-    def _fell(self, name: str) -> None:
-        self.checker.fell(name)
-        self.tell([self.engines[name]])
-        self.loop.call_later(self.world.engine.restart + 1.0, lambda: self.tell([self.engines[name]]))
-
-    # Clients.
+    def run(self) -> dict[str, Any]:
+        """Play to the end and return the summary, one row of figures."""
+        started = time.perf_counter()
+        for manager in self.managers:
+            manager.start()
+        if len(self.arrivals):
+            self.loop.call_later(float(self.arrivals.time[0]), self._arrive)
+        for number, fault in enumerate(self.world.faults):
+            self.loop.call_later(fault.at, lambda n=number, f=fault: self._inject(n, f))  # type: ignore[misc]
+        self.records.start()
+        self.loop.run(self._end_ms())
+        self.checker.close()
+        return self.records.summary(self._totals(time.perf_counter() - started))
+
+    def _end_ms(self) -> float:
+        last_arrival = float(self.arrivals.time[-1]) if len(self.arrivals) else 0.0
+        longest_deadline = max(spec.deadline for spec in self.world.workload.classes)
+        return max(self.world.span, last_arrival) + longest_deadline + WIND_DOWN_MS
+
+    def _totals(self, run_seconds: float) -> RunTotals:
+        return RunTotals(
+            seed=self.seed,
+            health_checks=None if self.health_checks is None else self.health_checks.started,
+            violations=dict(self.checker.faults),
+            loop_calls=self.loop.made,
+            steps=sum(manager.steps for manager in self.managers),
+            step_seconds=sum(manager.step_seconds for manager in self.managers),
+            run_seconds=run_seconds,
+        )
 
-    def query(self, index: int, leg: int) -> Query:
-        """What an attempt of a request asks of an engine; plans are drawn anew for each, the same for any policy."""
-        a, c = self.arrivals, self.world.workload.classes[self.arrivals.lane[index]]
-        plan = c.runaway_times if c.runaway and a.plan[index, leg % 4] < c.runaway else 1.0
-        return Query(float(a.work[index]), c.threads, c.io, c.memory, int(a.tables[index]), c.holds, c.yields, plan)
+    # Requests.
 
-    def ask(self, client: Client) -> None:
-        """A try of a request: at its own manager, or the next that is up."""
-        a, w = self.arrivals, self.world.workload
-        i = client.index
+    def _arrive(self) -> None:
+        index = self._next_arrival
+        self._next_arrival += 1
+        if self._next_arrival < len(self.arrivals):
+            self.loop.call_later(float(self.arrivals.time[self._next_arrival]) - self.loop.now(), self._arrive)
+        client = Client(self.context, index, self._submit)
+        self.records.request_arrived(index)
+        if self.arrivals.leaves[index] < NEVER_LEAVES_MS:
+            self.loop.call_later(float(self.arrivals.leaves[index]), client.leave)
+        self._submit(client)
+
+    def _submit(self, client: Client) -> None:
+        """Submit a client's request to its own manager, or to the next that is up."""
         if client.over:
             return
-        first = int(a.manager[i] * len(self.managers))
-        if a.key[i] >= 0:  # those of one key come to one manager while it is up
-            first = int(a.key[i]) % len(self.managers)
-        up = next(
-            (m for k in range(len(self.managers)) if (m := self.managers[(first + k) % len(self.managers)]).up), None
-        )
-        lane = w.classes[a.lane[i]]
-        left = client.asked + lane.deadline - self.loop.now()
-        if up is None or left <= 0:
+        arrivals, index = self.arrivals, client.index
+        spec = self.world.workload.classes[arrivals.lane[index]]
+        manager = self._manager_for(index)
+        left_ms = client.issued_ms + spec.deadline - self.loop.now()
+        if manager is None or left_ms <= 0:
             client.lost()
             return
-        client.tries += 1
-        key = f"{lane.name}/{a.key[i]}" if a.key[i] >= 0 else None
-        up.take(
-            client,
-            Work(f"{i:x}.{client.tries}", lane.name, w.tenants[a.tenant[i]].name, left, b"", int(a.tables[i]), key),
-        )
-
-    def _arrive(self) -> None:
-        i = self._next
-        self._next += 1
-        if self._next < len(self.arrivals):
-            self.loop.call_later(float(self.arrivals.time[self._next]) - self.loop.now(), self._arrive)
-        client = Client(self, i)
-        self.records.arrived(i)
-        if self.arrivals.leaves[i] < 1e12:
-            self.loop.call_later(float(self.arrivals.leaves[i]), client.leave)
-        self.ask(client)
+        client.submissions += 1
+        request_id = f"{index:x}.{client.submissions}"
+        tenant = self.world.workload.tenants[arrivals.tenant[index]].name
+        key = f"{spec.name}/{arrivals.key[index]}" if arrivals.key[index] >= 0 else None
+        manager.submit(client, Work(request_id, spec.name, tenant, left_ms, b"", int(arrivals.tables[index]), key))
+
+    def _manager_for(self, index: int) -> Manager | None:
+        """Return the manager of a request: requests of one key share one while it is up."""
+        count = len(self.managers)
+        first = int(self.arrivals.manager[index] * count)
+        if self.arrivals.key[index] >= 0:
+            first = int(self.arrivals.key[index]) % count
+        candidates = (self.managers[(first + offset) % count] for offset in range(count))
+        return next((manager for manager in candidates if manager.up), None)
+
+    # The endpoint list.
+
+    def _publish(self, changed: list[Engine]) -> None:
+        """Send an update of the list to each manager, late, and to some with the changed engines alone."""
+        for manager in self.managers:
+            changed_only = self._list_rng.random() < self.world.list_partial
+            entries = [self.context.endpoint(e) for e in (changed if changed_only else self.engines.values())]
+            if not changed_only:
+                entries = [entry for entry in entries if entry.phase is not Phase.REMOVED]
+            delay_ms = self.world.list_late * (0.5 + self._list_rng.random())
+            self.loop.call_later(delay_ms, partial(manager.update_endpoints, entries, not changed_only))
+
+    def _engine_crashed(self, engine: Engine) -> None:
+        self.checker.fell(engine.name)
+        self._publish([engine])
+        self.loop.call_later(self.world.engine.restart + 1.0, lambda: self._publish([engine]))
+
+    def _health_checked(self, number: int, engine: str, up: bool) -> None:
+        self.managers[number].health_check_result(engine, up)
 
     # Faults.
 
-    def _fault(self, number: int, f: Fault) -> None:
+    def _inject(self, number: int, fault: Fault) -> None:
         rng = random.Random(self.streams.number(f"fault {number}"))
-        if f.what == "manager":
-            chosen = rng.sample(self.managers, min(len(self.managers), f.count or round(f.share * len(self.managers))))
-            for m in chosen:
-                if m.up:
-                    m.kill()
-                    if f.length:
-                        self.loop.call_later(f.length, m.start)
+        if fault.what == "manager":
+            for manager in rng.sample(self.managers, fault.victims(len(self.managers))):
+                self._kill_manager(manager, fault)
             return
         engines = list(self.engines.values())
-        hit = rng.sample(engines, min(len(engines), f.count or round(f.share * len(engines))))
-        for e in hit:
-            self._hit(e, f)
-        if f.what != "slow":
-            self.tell(hit)
-
-    def _hit(self, e: Engine, f: Fault) -> None:
-        if f.what == "slow":
-            before = e.slow
-            e.set_slow(before * f.times)
-            if f.length:
-                self.loop.call_later(f.length, lambda: e.set_slow(before))
-        elif f.what == "drain":
-            e.draining = True
-            self.loop.call_later(self.world.list_late * 1.5 + 2000.0, lambda: e.die() if e.draining else None)
+        victims = rng.sample(engines, fault.victims(len(engines)))
+        for engine in victims:
+            self._strike_engine(engine, fault)
+        if fault.what != "slow":
+            self._publish(victims)
+
+    def _kill_manager(self, manager: Manager, fault: Fault) -> None:
+        if manager.up:
+            manager.kill()
+            if fault.length:
+                self.loop.call_later(fault.length, manager.start)
+
+    def _strike_engine(self, engine: Engine, fault: Fault) -> None:
+        if fault.what == "slow":
+            previous = engine.slow
+            engine.set_slow(previous * fault.times)
+            if fault.length:
+                self.loop.call_later(fault.length, lambda: engine.set_slow(previous))
+            return
+        if fault.what == "drain":
+            engine.draining = True
+            drained_ms = self.world.list_late * 1.5 + DRAIN_MS
+            self.loop.call_later(drained_ms, lambda: engine.die() if engine.draining else None)
         else:
-            e.die(silent=f.what == "vanish")
-        if f.length and f.what != "slow":
-
-            def back() -> None:
-                e.silent = False
-                e.start()
-                self.tell([e])
-
-            self.loop.call_later(f.length, back)
-
-    # A run.
-
-    def run(self) -> dict[str, Any]:
-        """Play it; the summary."""
-        began = time.perf_counter()
-        for m in self.managers:
-            m.start()
-        if len(self.arrivals):
-            self.loop.call_later(float(self.arrivals.time[0]), self._arrive)
-        for i, f in enumerate(self.world.faults):
-            self.loop.call_later(f.at, lambda i=i, f=f: self._fault(i, f))  # type: ignore[misc]
-        self.records.start()
-        longest = max(c.deadline for c in self.world.workload.classes)
-        self.loop.run(
-            max(self.world.span, float(self.arrivals.time[-1]) if len(self.arrivals) else 0.0) + longest + WIND_DOWN
-        )
-        self.checker.close()
-        return self.records.summary(time.perf_counter() - began)
+            engine.die(silent=fault.what == "vanish")
+        if fault.length:
+            self.loop.call_later(fault.length, lambda: self._restart_engine(engine))
+
+    def _restart_engine(self, engine: Engine) -> None:
+        engine.silent = False
+        engine.start()
+        self._publish([engine])
--- a/decklb/lab/emulation/engine_model.py
+++ b/decklb/lab/emulation/engine_model.py
@@ -104,6 +104,11 @@
 
     # Speed and time.
 
+    @property
+    def speed(self) -> float:
+        """Virtual time that passes in a millisecond now: 1 is full speed of each thread."""
+        return self._speed
+
     def capacity(self) -> float:
         """Cores at work, of full speed: less when cold or slow."""
         age = self.loop.now() - self.born
--- a/decklb/lab/emulation/run_records.py
+++ b/decklb/lab/emulation/run_records.py
@@ -1,175 +1,280 @@
-"""What a run leaves behind: rows of requests, attempts and engine states, and one summary."""
+"""What one emulated run records: rows of requests, attempts and engine states, and one summary of figures.
+
+`Records` is owned by the run's context. Managers and clients report ends of attempts and requests, it looks at the
+engines by itself, and the emulator takes the summary at the end. Names of columns and figures are those of the stored
+tables (`experiments.experiment.TABLES`) and stay as they are.
+"""
 
 from __future__ import annotations
 
 from collections import Counter
-from typing import TYPE_CHECKING, Any
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
+from decklb.core.dispatcher import Attempt
 from decklb.interface import Outcome
+from decklb.lab.emulation.emulated_world import World
+from decklb.lab.emulation.engine_model import Engine
+from decklb.lab.emulation.simulated_loop import Loop
+from decklb.lab.emulation.workload import Arrivals, Class
 
-if TYPE_CHECKING:
-    from decklb.core.dispatcher import Attempt
-    from decklb.lab.emulation.emulator import Client, Run
-
-LOOK = 1000.0  # ms between looks at the engines
-LONGEST = 3_600_000_000  # µs
+SAMPLE_PERIOD_MS = 1000.0  # between rows of the engines' states
+MAX_LATENCY_US = 3_600_000_000  # the histograms' highest value: an hour
+HISTOGRAM_DIGITS = 3  # significant figures that histograms keep
+PERCENTILES = ((50.0, "p50"), (95.0, "p95"), (99.0, "p99"))  # and their names in the summary
+REQUEST_ENDS = ("served", "refused", "failed", "left", "lost")  # how a request can end, as stored
 
 
-def jain(values: list[float]) -> float:
-    """Fairness, 1 where all fare alike (Jain, Chiu, Hawe, 1984)."""
+def jain_index(values: list[float]) -> float:
+    """Return fairness of an allocation, 1 where all fare alike (Jain, Chiu, Hawe, 1984)."""
     total, squares = sum(values), sum(v * v for v in values)
     return total * total / (len(values) * squares) if squares else 1.0
 
 
+@dataclass(frozen=True, slots=True)
+class RunTotals:
+    """What the emulator counts itself and hands to the summary.
+
+    Attributes:
+        seed: Of the run.
+        health_checks: Health checks started; None where the world has none.
+        violations: Violated invariants by rule.
+        loop_calls: Calls that the simulated loop made.
+        steps: Steps of all managers' policies.
+        step_seconds: Real time spent in these.
+        run_seconds: Real time of the run.
+    """
+
+    seed: int
+    health_checks: int | None
+    violations: Mapping[str, int]
+    loop_calls: int
+    steps: int
+    step_seconds: float
+    run_seconds: float
+
+
+class RequestsInSystem:
+    """Time integrals of the requests in the system, for Little's law (L = lambda W).
+
+    Attributes:
+        area_ms: Integral of their number over time.
+        time_in_system_ms: Sum of the times that ended requests spent in the system.
+    """
+
+    def __init__(self, loop: Loop) -> None:
+        self._loop = loop
+        self._count = self._since_ms = 0.0
+        self.area_ms = self.time_in_system_ms = 0.0
+
+    def change(self, by: float) -> None:
+        """Count a request that came or ended."""
+        now = self._loop.now()
+        self.area_ms += self._count * (now - self._since_ms)
+        self._since_ms = now
+        self._count += by
+
+
 class Records:
-    """Rows are kept of every n-th request, so that at most `sample` of them are; sums are kept of all."""
+    """Rows of every n-th request, so that at most `World.sample` are kept, and sums over all requests.
+
+    Requests and attempts that began in the warm-up are not counted.
 
-    def __init__(self, run: Run) -> None:
-        self.run = run
-        w, n = run.world, len(run.arrivals)
-        self.every = max(1, -(-n // max(1, w.sample)))
+    Attributes:
+        requests, attempts, engines: Rows in the order of the stored columns.
+        seconds: Weight that was offered and earned, by the second of arrival.
+        ends: Requests by how they ended.
+        outcomes: Attempts by outcome.
+    """
+
+    def __init__(self, world: World, loop: Loop, arrivals: Arrivals, engines: Mapping[str, Engine]) -> None:
+        self._world, self._loop, self._arrivals, self._engines = world, loop, arrivals, engines
+        classes, tenants = world.workload.classes, world.workload.tenants
+        self._every = max(1, -(-len(arrivals) // max(1, world.sample)))
         self.requests: list[tuple[Any, ...]] = []
         self.attempts: list[tuple[Any, ...]] = []
         self.engines: list[tuple[Any, ...]] = []
-        self.kinds: Counter[str] = Counter()
+        self.seconds: dict[int, list[float]] = {}
+        self.ends: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
-        self.sends = 0
-        classes, tenants = w.workload.classes, w.workload.tenants
-        self.asked = [0.0] * len(classes)
-        self.earned = [0.0] * len(classes)
-        self.tenant_asked = [0.0] * len(tenants)
-        self.tenant_earned = [0.0] * len(tenants)
-        self.in_time = self.counted = 0
-        self.seconds: dict[int, list[float]] = {}  # second: worth asked, worth earned
-        self.latency = [HdrHistogram(1, LONGEST, 3) for _ in classes]
-        self.load = 0.0
-        self.looks = 0
-        self.in_system = self.area = self.since = self.stay = 0.0
+        self._offered = [0.0] * len(classes)
+        self._earned = [0.0] * len(classes)
+        self._tenant_offered = [0.0] * len(tenants)
+        self._tenant_earned = [0.0] * len(tenants)
+        self._requests_counted = self._requests_in_time = self._attempts_counted = 0
+        self._latency_us = [HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS) for _ in classes]
+        self._load_sum = 0.0
+        self._load_samples = 0
+        self._in_system = RequestsInSystem(loop)
 
     def start(self) -> None:
-        """Look at the engines from time to time."""
-        self.run.loop.call_later(LOOK, self._look)
-
-    def _look(self) -> None:
-        now = self.run.loop.now()
-        for e in self.run.engines.values():
-            share = e.threads / e.spec.cores
-            self.load += share
-            self.looks += 1
+        """Begin to sample the engines' states."""
+        self._loop.call_later(SAMPLE_PERIOD_MS, self._sample_engines)
+
+    def _sample_engines(self) -> None:
+        now = self._loop.now()
+        for engine in self._engines.values():
+            self._load_sum += engine.threads / engine.spec.cores
+            self._load_samples += 1
+            waiting = sum(map(len, engine.waiting.values()))
+            running = len(engine.running)
             self.engines.append(
-                (now, e.name, e.threads, len(e.running), sum(map(len, e.waiting.values())), e.up, e.memory, e._speed)
+                (now, engine.name, engine.threads, running, waiting, engine.up, engine.memory, engine.speed)
             )
-        if now < self.run.world.span:
-            self.run.loop.call_later(LOOK, self._look)
-
-    def _area(self, change: float) -> None:
-        now = self.run.loop.now()
-        self.area += self.in_system * (now - self.since)
-        self.since = now
-        self.in_system += change
-
-    def arrived(self, index: int) -> None:
-        """A request came."""
-        self._area(1.0)
-        a = self.run.arrivals
-        if a.time[index] < self.run.world.warm:
+        if now < self._world.span:
+            self._loop.call_later(SAMPLE_PERIOD_MS, self._sample_engines)
+
+    def request_arrived(self, index: int) -> None:
+        """Count a request that a client is about to submit."""
+        self._in_system.change(1.0)
+        arrivals = self._arrivals
+        if arrivals.time[index] < self._world.warm:
             return
-        c = self.run.world.workload.classes[a.lane[index]]
-        self.counted += 1
-        self.asked[a.lane[index]] += c.worth
-        self.tenant_asked[a.tenant[index]] += c.worth
-        self.seconds.setdefault(int(a.time[index] // 1000), [0.0, 0.0])[0] += c.worth
-
-    def request(self, client: Client, kind: str) -> None:
-        """A request is over."""
-        self._area(-1.0)
-        run, i = self.run, client.index
-        a, now = run.arrivals, run.loop.now()
-        took = now - client.asked
-        self.stay += took
-        if a.time[i] < run.world.warm:
+        weight = self._class_of(index).worth
+        self._requests_counted += 1
+        self._offered[arrivals.lane[index]] += weight
+        self._tenant_offered[arrivals.tenant[index]] += weight
+        self._second_of(index)[0] += weight
+
+    def request_ended(self, index: int, end: str, issued_ms: float, submissions: int, attempts: int) -> None:
+        """Count a request that is over.
+
+        Args:
+            index: Of the request among the arrivals.
+            end: One of REQUEST_ENDS.
+            issued_ms: When its client first submitted it.
+            submissions: How often its client submitted it.
+            attempts: Attempts made for it, over all submissions.
+        """
+        self._in_system.change(-1.0)
+        arrivals = self._arrivals
+        took_ms = self._loop.now() - issued_ms
+        self._in_system.time_in_system_ms += took_ms
+        if arrivals.time[index] < self._world.warm:
             return
-        c = run.world.workload.classes[a.lane[i]]
-        self.kinds[kind] += 1
-        worth = 0.0
-        if kind == "served":
-            good = took <= c.aim
-            self.in_time += good
-            worth = c.worth * (1.0 if good else c.late_worth)
-            self.earned[a.lane[i]] += worth
-            self.tenant_earned[a.tenant[i]] += worth
-            self.seconds.setdefault(int(a.time[i] // 1000), [0.0, 0.0])[1] += worth
-            self.latency[a.lane[i]].record_value(max(1, int(took * 1000)))
-        if i % self.every == 0:
+        self.ends[end] += 1
+        earned = self._earn(index, took_ms) if end == "served" else 0.0
+        if index % self._every == 0:
+            tenant = self._world.workload.tenants[arrivals.tenant[index]].name
             self.requests.append(
                 (
-                    float(a.time[i]),
-                    i,
-                    c.name,
-                    run.world.workload.tenants[a.tenant[i]].name,
-                    float(a.work[i]),
-                    int(a.tables[i]),
-                    kind,
-                    took,
-                    client.tries,
-                    client.attempts,
-                    worth,
+                    float(arrivals.time[index]),
+                    index,
+                    self._class_of(index).name,
+                    tenant,
+                    float(arrivals.work[index]),
+                    int(arrivals.tables[index]),
+                    end,
+                    took_ms,
+                    submissions,
+                    attempts,
+                    earned,
                 )
             )
 
-    def attempt(self, a: Attempt, outcome: Outcome) -> None:
-        """An attempt is over; those of the warm-up don't count."""
-        if a.started < self.run.world.warm:
+    def _earn(self, index: int, took_ms: float) -> float:
+        """Add what a served request is worth, and return it."""
+        arrivals, spec = self._arrivals, self._class_of(index)
+        in_time = took_ms <= spec.aim
+        earned = spec.worth * (1.0 if in_time else spec.late_worth)
+        self._requests_in_time += in_time
+        self._earned[arrivals.lane[index]] += earned
+        self._tenant_earned[arrivals.tenant[index]] += earned
+        self._second_of(index)[1] += earned
+        self._latency_us[arrivals.lane[index]].record_value(max(1, int(took_ms * 1000)))
+        return earned
+
+    def _class_of(self, index: int) -> Class:
+        spec: Class = self._world.workload.classes[self._arrivals.lane[index]]
+        return spec
+
+    def _second_of(self, index: int) -> list[float]:
+        return self.seconds.setdefault(int(self._arrivals.time[index] // 1000), [0.0, 0.0])
+
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Count an attempt that is over."""
+        if attempt.started < self._world.warm:
             return
-        self.sends += 1
+        self._attempts_counted += 1
         self.outcomes[outcome.value] += 1
-        if self.sends % self.every == 0:
+        if self._attempts_counted % self._every == 0:
+            took_ms = self._loop.now() - attempt.started
             self.attempts.append(
-                (a.started, a.request.work.rid, a.leg, a.engine, outcome.value, self.run.loop.now() - a.started)
+                (attempt.started, attempt.request.work.rid, attempt.leg, attempt.engine, outcome.value, took_ms)
             )
 
-    def summary(self, took: float) -> dict[str, Any]:
-        """One row. All but the fields that begin with `cost_` depend on world and seed alone."""
-        run, w = self.run, self.run.world
-        asked, earned = sum(self.asked), sum(self.earned)
-        books = [e.book for e in run.engines.values()]
-        made: dict[str, Any] = {
-            "policy": w.policy,
-            "seed": run.seed,
-            "managers": w.managers,
-            "engines": w.engines,
-            "requests": self.counted,
-            "worth": earned / asked if asked else 0.0,
-            "in_time": self.in_time / self.counted if self.counted else 0.0,
+    # The summary. All figures but those that begin with `cost_` depend on world and seed alone.
+
+    def summary(self, totals: RunTotals) -> dict[str, Any]:
+        """Return one row of figures, in the order of the stored columns."""
+        return {
+            "policy": self._world.policy,
+            "seed": totals.seed,
+            "managers": self._world.managers,
+            "engines": self._world.engines,
+            **self._request_figures(),
+            **self._latency_figures(),
+            **self._engine_figures(),
+            **self._check_figures(totals),
+            "cost_run_s": totals.run_seconds,
+            "cost_step_us": 1e6 * totals.step_seconds / max(1, totals.steps),
+            "cost_steps_s": totals.step_seconds,
+        }
+
+    def _request_figures(self) -> dict[str, Any]:
+        offered, earned = sum(self._offered), sum(self._earned)
+        requests = self._requests_counted
+        by_tenant = _ratios(self._tenant_earned, self._tenant_offered)
+        by_class = _ratios(self._earned, self._offered)
+        return {
+            "requests": requests,
+            "worth": earned / offered if offered else 0.0,
+            "in_time": self._requests_in_time / requests if requests else 0.0,
+            **{end: self.ends[end] for end in REQUEST_ENDS},
+            "attempts": self._attempts_counted,
+            "attempts_a_request": self._attempts_counted / requests if requests else 0.0,
+            "fairness": jain_index(by_tenant),
+            "least_class": min(by_class, default=0.0),
         }
-        for kind in ("served", "refused", "failed", "left", "lost"):
-            made[kind] = self.kinds[kind]
-        made["attempts"] = self.sends
-        made["attempts_a_request"] = self.sends / self.counted if self.counted else 0.0
-        made["fairness"] = jain([e / a for e, a in zip(self.tenant_earned, self.tenant_asked, strict=True) if a])
-        made["least_class"] = min((e / a for e, a in zip(self.earned, self.asked, strict=True) if a), default=0.0)
-        for share, name in ((50.0, "p50"), (95.0, "p95"), (99.0, "p99")):
-            for c, h in zip(w.workload.classes, self.latency, strict=True):
-                made[f"{name}_{c.name}"] = h.get_value_at_percentile(share) / 1000.0 if h.get_total_count() else None
-        made["load"] = self.load / self.looks if self.looks else 0.0
-        made["work_served"] = sum(b.served for b in books)
-        made["work_lost"] = sum(b.lost for b in books)
-        made["work_done"] = sum(b.burnt for b in books)
-        made["work_open"] = sum(e.partial() for e in run.engines.values())
-        made["falls"] = sum(b.falls for b in books)
-        made["full"] = sum(b.full for b in books)
-        if run.probing is not None:
-            made["probes_an_engine_a_period"] = run.probing.probes * w.probing / (w.engines * run.loop.now())
-        made["little_l"] = self.area / run.loop.now() if run.loop.now() else 0.0
-        made["little_lw"] = self.stay / run.loop.now() if run.loop.now() else 0.0
-        for rule, n in sorted(run.checker.faults.items()):
-            made[f"broken_{rule}"] = n
-        made["broken"] = sum(run.checker.faults.values())
-        made["events"] = run.loop.made
-        steps = sum(m.steps for m in run.managers)
-        made["cost_run_s"] = took
-        made["cost_step_us"] = 1e6 * sum(m.cost for m in run.managers) / max(1, steps)
-        made["cost_steps_s"] = sum(m.cost for m in run.managers)
-        return made
+
+    def _latency_figures(self) -> dict[str, float | None]:
+        classes = self._world.workload.classes
+        return {
+            f"{name}_{spec.name}": (
+                histogram.get_value_at_percentile(percentile) / 1000.0 if histogram.get_total_count() else None
+            )
+            for percentile, name in PERCENTILES
+            for spec, histogram in zip(classes, self._latency_us, strict=True)
+        }
+
+    def _engine_figures(self) -> dict[str, Any]:
+        accounts = [engine.book for engine in self._engines.values()]
+        return {
+            "load": self._load_sum / self._load_samples if self._load_samples else 0.0,
+            "work_served": sum(account.served for account in accounts),
+            "work_lost": sum(account.lost for account in accounts),
+            "work_done": sum(account.burnt for account in accounts),
+            "work_open": sum(engine.partial() for engine in self._engines.values()),
+            "falls": sum(account.falls for account in accounts),
+            "full": sum(account.full for account in accounts),
+        }
+
+    def _check_figures(self, totals: RunTotals) -> dict[str, Any]:
+        now = self._loop.now()
+        figures: dict[str, Any] = {}
+        if totals.health_checks is not None:
+            checks_ms = totals.health_checks * self._world.probing
+            figures["probes_an_engine_a_period"] = checks_ms / (self._world.engines * now)
+        figures["little_l"] = self._in_system.area_ms / now if now else 0.0
+        figures["little_lw"] = self._in_system.time_in_system_ms / now if now else 0.0
+        figures |= {f"broken_{rule}": count for rule, count in sorted(totals.violations.items())}
+        figures["broken"] = sum(totals.violations.values())
+        figures["events"] = totals.loop_calls
+        return figures
+
+
+def _ratios(earned: list[float], offered: list[float]) -> list[float]:
+    return [part / total for part, total in zip(earned, offered, strict=True) if total]
--- a/decklb/lab/emulation/shared_health_checks.py
+++ b/decklb/lab/emulation/shared_health_checks.py
@@ -1,80 +1,100 @@
-"""The cluster's shared probing on emulated managers: real nodes on the simulated network, on the run's own loop."""
+"""Health checks that emulated managers share through their cluster: real nodes on the simulated network.
+
+`SharedHealthChecks` owns one cluster node for each manager that is up, on the run's own loop. The emulator's managers
+start and kill their nodes and set what these check; results are handed to a callback, as in the daemon.
+"""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Mapping
 
 from decklb.cluster.duties import Start
 from decklb.cluster.node import Node
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
-from decklb.interface import Outcome, Phase
+from decklb.interface import Phase
 from decklb.lab.emulation import simulated_network as network
-from decklb.lab.emulation.simulated_network import EPOCH, Faults, Host
+from decklb.lab.emulation.emulated_world import World
+from decklb.lab.emulation.engine_model import Engine
+from decklb.lab.emulation.random_streams import Streams
+from decklb.lab.emulation.simulated_loop import Loop
+
+SEED_MEMBERS = 3  # managers that a node joins through
+CLUSTER_PORT = 7946
+MAX_TIMEOUT_MS = 1000.0  # of one check; a quarter of the period where that is less
 
-if TYPE_CHECKING:
-    from decklb.lab.emulation.emulator import Manager, Run
+OnResult = Callable[[int, str, bool], None]  # manager's number, engine, whether the engine is up
 
-SEEDS = 3
 
+class SharedHealthChecks:
+    """The cluster nodes of all managers.
 
-class Probing:
-    """All managers' nodes. What they hold of an engine reaches its manager's module as in the daemon."""
+    Attributes:
+        started: Health checks started so far, over all managers.
+    """
 
-    def __init__(self, run: Run, period: float) -> None:
-        self.run = run
-        w = run.world
-        self.world = network.World(
-            run.streams.number("cluster"),
-            Faults(loss=w.loss, least=w.delay * (1 - w.jitter), most=w.delay * (1 + w.jitter)),
-            run.loop,
+    def __init__(
+        self, world: World, loop: Loop, streams: Streams, engines: Mapping[str, Engine], on_result: OnResult
+    ) -> None:
+        self._world, self._streams, self._engines, self._on_result = world, streams, engines, on_result
+        self._network = network.World(
+            streams.number("cluster"),
+            network.Faults(
+                loss=world.loss,
+                least=world.delay * (1 - world.jitter),
+                most=world.delay * (1 + world.jitter),
+            ),
+            loop,
         )
-        self.membership = MembershipSettings()
-        self.duty = DutySettings(period=period, timeout=min(1000.0, period / 4), hand_on=2, refresh=2 * period)
-        self.hosts: dict[int, Host] = {}
-        self.probes = 0
-        self.world.run_duty, self.world.on_probed = self._run, self._probed
+        self._membership = MembershipSettings()
+        period = world.probing
+        timeout = min(MAX_TIMEOUT_MS, period / 4)
+        self._duty = DutySettings(period=period, timeout=timeout, hand_on=2, refresh=2 * period)
+        self._hosts: dict[int, network.Host] = {}
+        self.started = 0
+        self._network.run_duty, self._network.on_probed = self._check, self._checked
 
     @staticmethod
     def _address(number: int) -> network.Address:
-        return f"10.0.{number >> 8}.{number & 255}", 7946
-
-    def start(self, manager: Manager) -> None:
-        """A manager's node, from nothing."""
-        number = manager.number
-        rng = random.Random(self.run.streams.number(f"node {number} life {manager.life}"))
-        sealer = Sealer(self.membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
-        host = Host(
-            self.world,
+        return f"10.0.{number >> 8}.{number & 255}", CLUSTER_PORT
+
+    def start(self, number: int, incarnation: int) -> None:
+        """Start a manager's node, with empty state."""
+        rng = random.Random(self._streams.number(f"node {number} life {incarnation}"))
+        sealer = Sealer(self._membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
+        host = network.Host(
+            self._network,
             f"m{number}",
             self._address(number),
-            lambda h: Node(self.membership, [self.duty], h.name, h.address, sealer, rng, h.now(), h.wall()),
+            lambda h: Node(self._membership, [self._duty], h.name, h.address, sealer, rng, h.now(), h.wall()),
         )
-        seeds = [self._address(i) for i in range(min(SEEDS, self.run.world.managers))]
-        self.hosts[number] = self.world.add(host, seeds)
-
-    def kill(self, manager: Manager) -> None:
-        """It dies with its manager."""
-        self.world.kill(self.hosts.pop(manager.number))
-
-    def listed(self, manager: Manager, phases: dict[str, Phase], born: Iterable[tuple[str, float]]) -> None:
-        """The list as that manager has it."""
-        host = self.hosts[manager.number]
-        cold = {name: EPOCH + at + self.run.world.engine.cold if at > 0 else 0.0 for name, at in born if name in phases}
-        host.node.subjects(host.now(), self.duty.kind, cold, {n for n, p in phases.items() if p is Phase.UP})
-        self.world.pump(host)
-
-    def _run(self, host: Host, start: Start) -> tuple[float, bool]:
-        self.probes += 1
-        engine = self.run.engines[start.subject]
-        way = 2 * self.run.world.delay
+        seeds = [self._address(i) for i in range(min(SEED_MEMBERS, self._world.managers))]
+        self._hosts[number] = self._network.add(host, seeds)
+
+    def kill(self, number: int) -> None:
+        """End a manager's node with its manager."""
+        self._network.kill(self._hosts.pop(number))
+
+    def set_targets(self, number: int, phases: Mapping[str, Phase]) -> None:
+        """Check the engines of the endpoint list as that manager holds it."""
+        host = self._hosts[number]
+        warm_at = {
+            engine.name: network.EPOCH + engine.born + self._world.engine.cold if engine.born > 0 else 0.0
+            for engine in self._engines.values()
+            if engine.name in phases
+        }
+        up = {name for name, phase in phases.items() if phase is Phase.UP}
+        host.node.subjects(host.now(), self._duty.kind, warm_at, up)
+        self._network.pump(host)
+
+    def _check(self, host: network.Host, start: Start) -> tuple[float, bool]:
+        """Return how long a check takes, in ms, and whether the engine answers it."""
+        self.started += 1
+        engine = self._engines[start.subject]
         if engine.silent:
-            return self.duty.timeout, False
-        return way, engine.up
+            return self._duty.timeout, False
+        return 2 * self._world.delay, engine.up
 
-    def _probed(self, host: Host, subject: str, up: bool) -> None:
-        manager = self.run.managers[int(host.name[1:])]
-        if manager.up:
-            manager.core.probed(subject, Outcome.GOOD if up else Outcome.NOCONN)
+    def _checked(self, host: network.Host, engine: str, up: bool) -> None:
+        self._on_result(int(host.name[1:]), engine, up)
--- a/decklb/lab/experiments/bundled.py
+++ b/decklb/lab/experiments/bundled.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from decklb.lab.emulation.emulator import World
+from decklb.lab.emulation.emulated_world import World
 from decklb.lab.emulation.workload import Class, Tenant, Workload
 
 CLASSES = (
--- a/decklb/lab/experiments/experiment.py
+++ b/decklb/lab/experiments/experiment.py
@@ -22,7 +22,8 @@
 from decklb.config.errors import SettingsError
 from decklb.config.units import duration, share
 from decklb.config.xml import read
-from decklb.lab.emulation.emulator import Fault, Run, World
+from decklb.lab.emulation.emulated_world import Fault, World
+from decklb.lab.emulation.emulator import Run
 from decklb.lab.emulation.engine_model import EngineSpec
 from decklb.lab.emulation.workload import Class, Swell, Tenant, Workload
 
--- a/decklb/lab/experiments/load_generator.py
+++ b/decklb/lab/experiments/load_generator.py
@@ -18,7 +18,7 @@
 
 from decklb.lab.emulation.engine_model import Query
 from decklb.lab.emulation.random_streams import Streams
-from decklb.lab.emulation.run_records import LONGEST
+from decklb.lab.emulation.run_records import MAX_LATENCY_US
 from decklb.lab.emulation.workload import Arrivals, Workload, draw
 from decklb.lab.standins.engine_server import moment, statement
 from decklb.net import frames
@@ -173,7 +173,7 @@
         self.rows: list[tuple[Any, ...]] = []
         self.asked = self.earned = 0.0
         self.late = 0.0  # most ms by which a request went out after it was due
-        self.latency = [HdrHistogram(1, LONGEST, 3) for _ in workload.classes]
+        self.latency = [HdrHistogram(1, MAX_LATENCY_US, 3) for _ in workload.classes]
         self.done: Callable[[], None] = lambda: None
 
     def start(self) -> None:
--- a/decklb/lab/experiments/local_trial.py
+++ b/decklb/lab/experiments/local_trial.py
@@ -15,7 +15,7 @@
 
 import ujson
 
-from decklb.lab.emulation.emulator import World
+from decklb.lab.emulation.emulated_world import World
 from decklb.lab.experiments.load_generator import Load
 from decklb.lab.standins.engine_server import listen
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from decklb.lab.emulation.emulator import Fault, Run
+from decklb.lab.emulation.emulated_world import Fault
+from decklb.lab.emulation.emulator import Run
 from decklb.lab.experiments.bundled import world
 
 RELEASE = (Fault(1500.0, "drain", 1000.0, count=8), Fault(2500.0, "drain", 1000.0, count=8))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,8 @@
 from decklb.interface import Outcome
 from decklb.lab.checks.request_invariants import RULES
 from decklb.lab.emulation import policies
-from decklb.lab.emulation.emulator import Fault, Run
+from decklb.lab.emulation.emulated_world import Fault
+from decklb.lab.emulation.emulator import Run
 from decklb.lab.emulation.engine_model import Engine, EngineSpec, Query
 from decklb.lab.emulation.policies import Random
 from decklb.lab.emulation.random_streams import Streams
--- a/tests/test_lab_recorded_figures.py
+++ b/tests/test_lab_recorded_figures.py
@@ -11,7 +11,8 @@
 import pytest
 
 from decklb.lab.checks.execution_verdict import total
-from decklb.lab.emulation.emulator import Fault, Run
+from decklb.lab.emulation.emulated_world import Fault
+from decklb.lab.emulation.emulator import Run
 from decklb.lab.emulation.random_streams import Streams
 from decklb.lab.emulation.simulated_handoff import play as play_handoff
 from decklb.lab.emulation.simulated_quorum_register import World as RegisterWorld
