--- a/decklb/lab/emulation/emulated_world.py
+++ b/decklb/lab/emulation/emulated_world.py
@@ -72,7 +72,7 @@
         partial_update_share: Share of updates that name only what changed.
         tick_ms: Of the managers' policies.
         max_attempts: For each request.
-        retry_floor, retry_ratio, retry_window_ms: The managers' retry budget.
+        retry_budget_floor, retry_budget_ratio, retry_budget_window_ms: The managers' retry budget.
         max_retry_after_ms: That managers tell clients to wait; 0 for no such word.
         faults: What goes wrong.
         speed_sigma: Sigma of a lognormal factor on engines' speed.
@@ -94,9 +94,9 @@
     partial_update_share: float = 0.0
     tick_ms: float = 5.0
     max_attempts: int = 4
-    retry_floor: float = 2.0
-    retry_ratio: float = 0.1
-    retry_window_ms: float = 5000.0
+    retry_budget_floor: float = 2.0
+    retry_budget_ratio: float = 0.1
+    retry_budget_window_ms: float = 5000.0
     max_retry_after_ms: float = 500.0
     faults: tuple[InjectedFault, ...] = ()
     speed_sigma: float = 0.0
@@ -121,9 +121,9 @@
             overload_factor=spec.overload_factor,
             fall=spec.overload_window_ms,
             drain_grace=DRAIN_GRACE_MS,
-            extra_floor=self.retry_floor,
-            extra_ratio=self.retry_ratio,
-            extra_window=self.retry_window_ms,
+            extra_floor=self.retry_budget_floor,
+            extra_ratio=self.retry_budget_ratio,
+            extra_window=self.retry_budget_window_ms,
             settle=SETTLE_MS,
             tick=self.tick_ms,
         )
@@ -135,11 +135,11 @@
         spec.latency_objective_ms,
         spec.deadline_ms,
         spec.priority_weight,
-        spec.late_weight,
+        spec.late_priority_weight,
         0.0,
         spec.effect,
-        serial=spec.serial_by_key,
+        serial=spec.ordered_by_key,
         threads=spec.threads,
         holds=spec.locks_tables,
-        yields=spec.waits_for_locks,
+        yields=spec.waits_for_loads,
     )
--- a/decklb/lab/emulation/emulator.py
+++ b/decklb/lab/emulation/emulator.py
@@ -60,7 +60,7 @@
             self.loop.call_later(fault.at_ms, lambda n=number, f=fault: self._inject(n, f))  # type: ignore[misc]
         self.records.start()
         self.loop.run(self._end_ms())
-        self.checker.close()
+        self.checker.run_ended()
         return self.records.summary(self._totals(time.perf_counter() - started))
 
     def _end_ms(self) -> float:
@@ -72,7 +72,7 @@
         return RunTotals(
             seed=self.seed,
             health_checks=None if self.health_checks is None else self.health_checks.started,
-            violations=dict(self.checker.faults),
+            violations={str(rule): count for rule, count in self.checker.violations.items()},
             loop_calls=self.loop.made,
             steps=sum(manager.steps for manager in self.managers),
             step_seconds=sum(manager.step_seconds for manager in self.managers),
@@ -131,7 +131,7 @@
             self.loop.call_later(delay_ms, partial(manager.update_endpoints, entries, not changed_only))
 
     def _engine_crashed(self, engine: Engine) -> None:
-        self.checker.fell(engine.name)
+        self.checker.engine_crashed(engine.name)
         self._publish([engine])
         self.loop.call_later(self.world.engine_spec.restart_ms + 1.0, lambda: self._publish([engine]))
 
--- a/decklb/lab/emulation/engine_model.py
+++ b/decklb/lab/emulation/engine_model.py
@@ -93,7 +93,7 @@
         memory_mb: That it takes.
         table_group: That it reads.
         locks_tables: Whether it is a load: queries on its group that wait for locks, and other loads, wait.
-        waits_for_locks: Whether it waits for loads on its group.
+        waits_for_loads: Whether it waits for loads on its group.
         plan_factor: Times the work that a bad plan takes.
         on_end: Called with the outcome.
         total_work_ms: Work as it came out when the query began.
@@ -107,7 +107,7 @@
     memory_mb: float = 100.0
     table_group: int = 0
     locks_tables: bool = False
-    waits_for_locks: bool = False
+    waits_for_loads: bool = False
     plan_factor: float = 1.0
     on_end: Callable[[Outcome], None] = lambda outcome: None
     virtual_end: float = 0.0
@@ -269,7 +269,7 @@
     def _must_wait(self, query: Query) -> bool:
         group = query.table_group
         locked = self._locks.get(group) or self.waiting.get(group)
-        return bool((query.waits_for_locks or query.locks_tables) and locked)
+        return bool((query.waits_for_loads or query.locks_tables) and locked)
 
     def _begin(self, query: Query) -> None:
         self._advance()
--- a/decklb/lab/emulation/managers_and_clients.py
+++ b/decklb/lab/emulation/managers_and_clients.py
@@ -127,7 +127,9 @@
         if run.world.policy != "decklb":
             self.core.gateway = POLICIES[run.world.policy](settings, seed)  # type: ignore[assignment]
         if isinstance(self.core.gateway, Oracle):
-            self.core.gateway.truth = lambda engine, work, threads: run.engines[engine].expected_ms(work, threads)
+            self.core.gateway.expected_ms = lambda engine, work_ms, threads: run.engines[engine].expected_ms(
+                work_ms, threads
+            )
         self._time_steps()
         if self.health_checks is not None:
             self.health_checks.start(self.number, self.incarnation)
@@ -148,7 +150,7 @@
     def kill(self) -> None:
         """End without notice; queries that it sent go on running."""
         self.up = False
-        self.run.checker.died(self.number)
+        self.run.checker.manager_died(self.number)
         if self.health_checks is not None:
             self.health_checks.kill(self.number)
         clients, self.clients = list(self.clients.values()), {}
@@ -178,18 +180,18 @@
         client.manager = self
         request = client.request = self.core.submit(work, client)
         self.clients[request.ident] = client
-        self.run.checker.arrived(self.run.loop.now(), self.number, request.ident, work.lane, work.key)
+        self.run.checker.request_arrived(self.run.loop.now(), self.number, request.ident, work.lane, work.key)
 
     def answered(self, request: Request, kind: str) -> None:
         """Forget a request whose client has its answer."""
         if self.up:
-            self.run.checker.answered(self.number, request.ident, kind)
+            self.run.checker.request_answered(self.number, request.ident, kind)
         self.clients.pop(request.ident, None)
 
     def abandon(self, request: Request) -> None:
         """Forget a request whose client has gone."""
         if self.up:
-            self.run.checker.left(self.number, request.ident)
+            self.run.checker.client_left(self.number, request.ident)
             self.clients.pop(request.ident, None)
             self.core.abandon(request)
 
@@ -200,7 +202,7 @@
         run, incarnation = self.run, self.incarnation
         client = self.clients.get(attempt.request.ident)
         engine = run.engines[attempt.engine]
-        run.checker.sent(
+        run.checker.attempt_sent(
             run.loop.now(), self.number, attempt.request.ident, attempt.engine, self._knows_draining(attempt.engine)
         )
         if client is None:  # answered between decision and send; the dispatcher lets none through
@@ -211,7 +213,7 @@
         def receive(outcome: Outcome) -> None:
             if incarnation != self.incarnation or not self.up or attempt.ended or attempt.given_up:
                 return
-            run.checker.ended(self.number, attempt.request.ident, outcome)
+            run.checker.attempt_ended(self.number, attempt.request.ident, outcome)
             run.records.attempt_ended(attempt, outcome)
             attempt.end(outcome)
 
@@ -244,7 +246,7 @@
                     engine.cancel(query)
                 query.state = QueryState.OVER
             if incarnation == self.incarnation and self.up:
-                run.checker.ended(self.number, attempt.request.ident, outcome)
+                run.checker.attempt_ended(self.number, attempt.request.ident, outcome)
                 run.records.attempt_ended(attempt, outcome)
                 freed()
 
--- a/decklb/lab/emulation/policies.py
+++ b/decklb/lab/emulation/policies.py
@@ -1,7 +1,8 @@
-"""Policies to compare: the real decision module, and plain ones with the same door (`step`).
+"""Policies that experiments compare: the real decision module, and plain ones behind the same `step`.
 
-The plain ones keep the rules that bind them (class, count and ration of attempts, order by key, the list) and choose an
-engine by one idea each. They know no queues, weights or bounds: what arrives is sent.
+The plain ones keep the rules that bind them (class, number and budget of attempts, order by key, the endpoint list) and
+choose an engine by one idea each. They know no queues, weights or limits: what arrives is sent. Emulated managers make
+the policy that their world names, from POLICIES, and own it.
 """
 
 from __future__ import annotations
@@ -18,7 +19,10 @@
 from decklb.rules import Gateway
 from decklb.state import NEVER_RAN
 
-Truth = Callable[[str, float, int], float]  # engine, work, threads: ms that it would take
+MAX_RETRY_SHARE = 0.9  # of a request's time, after which it is not retried any more
+MIN_WEIGHT = 1e-9  # so that an engine without weight can still be drawn
+
+ExpectedMs = Callable[[str, float, int], float]  # engine, work in ms, threads -> ms that a query would take
 
 
 class Policy(Protocol):
@@ -29,192 +33,245 @@
 
 
 @dataclass(slots=True)
-class Open:
-    """A request that has no final answer yet, or whose attempt is out."""
-
-    a: api.Arrival
+class OpenRequest:
+    """A request without a final answer, or with an attempt in flight.
+
+    Attributes:
+        arrival: The event it came by.
+        spec: Of its class.
+        arrived_ms: When it came.
+        tried: Engines of its attempts, in order.
+        in_flight: Attempts that have not ended.
+        may_have_run: Whether an attempt ended in a way that leaves this open.
+        done: Whether it has its final answer.
+    """
+
+    arrival: api.Arrival
     spec: api.ClassSpec
-    arrived: float
+    arrived_ms: float
     tried: list[str] = field(default_factory=list)
-    out: int = 0
-    ran: bool = False
+    in_flight: int = 0
+    may_have_run: bool = False
     done: bool = False
 
 
-class Plain:
-    """Sends at once to the engine that `pick` names."""
+class PlainPolicy:
+    """Sends each request at once to the engine that `pick` names.
+
+    Attributes:
+        settings, rng: Given and seeded by the manager.
+        open: Open requests by id.
+        endpoints: The endpoint list by engine; `usable` are those of it that are up.
+        in_flight: This manager's attempts in flight, by engine.
+        key_queues: Open requests of each key, in order; only the first may be sent.
+        taken_ms, retried_ms: Moments of requests and retries within the retry budget's window.
+        deadlines: Heap of when to give up requests that wait behind others of their key, and their ids.
+        actions: Of the step under way, which is at `now`.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s, self.rng = settings, random.Random(seed)
-        self.open: dict[str, Open] = {}
-        self.ups: list[api.Entry] = []
-        self.entries: dict[str, api.Entry] = {}
-        self.running: dict[str, int] = {}  # own attempts out, by engine
-        self.lines: dict[str, deque[str]] = {}
-        self.taken: deque[float] = deque()
-        self.extra: deque[float] = deque()
-        self.due: list[tuple[float, str]] = []
+        self.settings, self.rng = settings, random.Random(seed)
+        self.open: dict[str, OpenRequest] = {}
+        self.endpoints: dict[str, api.Entry] = {}
+        self.usable: list[api.Entry] = []
+        self.in_flight: dict[str, int] = {}
+        self.key_queues: dict[str, deque[str]] = {}
+        self.taken_ms: deque[float] = deque()
+        self.retried_ms: deque[float] = deque()
+        self.deadlines: list[tuple[float, str]] = []
         self.actions: list[api.Action] = []
         self.now = 0.0
 
-    def pick(self, r: Open) -> str:
-        """One of those up."""
+    def pick(self, request: OpenRequest) -> str:
+        """Return the engine for a request, one of those that are usable."""
         raise NotImplementedError
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take events, return actions."""
         self.now, self.actions = now, []
-        while self.due and self.due[0][0] <= now:  # those that wait behind others of their key have no attempt to end
-            r = self.open.get(heappop(self.due)[1])
-            if r is not None and not r.done and not r.out:
-                self._answer(r)
-        for e in events:
-            match e:
+        self._expire_waiting()
+        for event in events:
+            match event:
                 case api.Arrival():
-                    self._arrive(e)
+                    self._request_arrived(event)
                 case api.Verdict():
-                    self._verdict(e)
+                    self._attempt_ended(event)
                 case api.Members(failed=False):
-                    self._members(e)
-                case api.Left() if e.req in self.open:
-                    self._close(self.open[e.req])
+                    self._endpoints_updated(event)
+                case api.Left() if event.req in self.open:
+                    self._close(self.open[event.req])
                 case api.Closing():
-                    for r in [r for r in self.open.values() if not r.done]:
-                        self._answer(r)
+                    for request in [request for request in self.open.values() if not request.done]:
+                        self._answer(request)
         return self.actions
 
-    def _members(self, e: api.Members) -> None:
-        if e.complete:
-            self.entries = {}
-        self.entries |= {x.engine: x for x in e.entries}
-        self.ups = [x for x in self.entries.values() if x.phase is Phase.UP]
-
-    def _arrive(self, a: api.Arrival) -> None:
-        self.taken.append(self.now)
-        r = self.open[a.req] = Open(a, self.s.classes[a.lane], self.now)
-        if r.spec.serial and a.key is not None:
-            line = self.lines.setdefault(a.key, deque())
-            line.append(a.req)
-            if len(line) > 1:
-                heappush(self.due, (self.now + a.time_left - 4 * self.s.tick, a.req))
-                self.actions.append(api.Sleep(max(self.s.tick, a.time_left - 3 * self.s.tick), "due"))
+    def _expire_waiting(self) -> None:
+        """Answer requests whose time is over; those that wait for their key have no attempt whose end would tell."""
+        while self.deadlines and self.deadlines[0][0] <= self.now:
+            request = self.open.get(heappop(self.deadlines)[1])
+            if request is not None and not request.done and not request.in_flight:
+                self._answer(request)
+
+    def _endpoints_updated(self, event: api.Members) -> None:
+        if event.complete:
+            self.endpoints = {}
+        self.endpoints |= {endpoint.engine: endpoint for endpoint in event.entries}
+        self.usable = [endpoint for endpoint in self.endpoints.values() if endpoint.phase is Phase.UP]
+
+    def _request_arrived(self, event: api.Arrival) -> None:
+        self.taken_ms.append(self.now)
+        request = self.open[event.req] = OpenRequest(event, self.settings.classes[event.lane], self.now)
+        if request.spec.serial and event.key is not None:
+            queue = self.key_queues.setdefault(event.key, deque())
+            queue.append(event.req)
+            if len(queue) > 1:
+                self._wait_for_key(event)
                 return
-        self._send(r)
-
-    def _send(self, r: Open) -> None:
-        if not self.ups:
-            return self._answer(r)
-        engine = self.pick(r)
-        r.tried.append(engine)
-        r.out += 1
-        self.running[engine] = self.running.get(engine, 0) + 1
-        self.actions.append(api.Send(r.a.req, engine, max(1.0, r.a.time_left - (self.now - r.arrived))))
-
-    def _verdict(self, e: api.Verdict) -> None:
-        self.running[e.engine] = self.running.get(e.engine, 0) - 1
-        r = self.open.get(e.req)
-        if r is None:
+        self._send(request)
+
+    def _wait_for_key(self, event: api.Arrival) -> None:
+        tick = self.settings.tick
+        heappush(self.deadlines, (self.now + event.time_left - 4 * tick, event.req))
+        self.actions.append(api.Sleep(max(tick, event.time_left - 3 * tick), "due"))
+
+    def _send(self, request: OpenRequest) -> None:
+        if not self.usable:
+            return self._answer(request)
+        engine = self.pick(request)
+        request.tried.append(engine)
+        request.in_flight += 1
+        self.in_flight[engine] = self.in_flight.get(engine, 0) + 1
+        time_left = request.arrival.time_left - (self.now - request.arrived_ms)
+        self.actions.append(api.Send(request.arrival.req, engine, max(1.0, time_left)))
+
+    def _attempt_ended(self, event: api.Verdict) -> None:
+        self.in_flight[event.engine] = self.in_flight.get(event.engine, 0) - 1
+        request = self.open.get(event.req)
+        if request is None:
             return
-        r.out -= 1
-        r.ran = r.ran or e.outcome not in NEVER_RAN
-        if r.done or e.finished:
-            self._close(r)
-        elif self._may_repeat(r):
-            self.extra.append(self.now)
-            self._send(r)
+        request.in_flight -= 1
+        request.may_have_run = request.may_have_run or event.outcome not in NEVER_RAN
+        if request.done or event.finished:
+            self._close(request)
+        elif self._may_retry(request):
+            self.retried_ms.append(self.now)
+            self._send(request)
         else:
-            self._answer(r)
+            self._answer(request)
 
-    def _may_repeat(self, r: Open) -> bool:
-        s = self.s
-        if len(r.tried) >= s.max_attempts or self.now - r.arrived > 0.9 * r.a.time_left:
+    def _may_retry(self, request: OpenRequest) -> bool:
+        if len(request.tried) >= self.settings.max_attempts:
             return False
-        if r.ran and r.spec.effect is not Effect.SAFE:
+        if self.now - request.arrived_ms > MAX_RETRY_SHARE * request.arrival.time_left:
             return False
-        if s.extra_ratio is None:
+        if request.may_have_run and request.spec.effect is not Effect.SAFE:
+            return False
+        return self._within_retry_budget()
+
+    def _within_retry_budget(self) -> bool:
+        settings = self.settings
+        if settings.extra_ratio is None:
             return True
         # A tick to the safe side at both ends of the window: what is decided now goes out a little later.
-        start = self.now - s.extra_window
-        for times, since in ((self.taken, start + 2 * s.tick), (self.extra, start - s.tick)):
-            while times and times[0] < since:
-                times.popleft()
-        return len(self.extra) + 1 <= s.extra_floor + s.extra_ratio * len(self.taken)
-
-    def _answer(self, r: Open) -> None:
-        harmless = not r.ran or r.spec.effect is Effect.SAFE
-        self.actions.append(api.Refuse(r.a.req, self.s.max_retry_after) if harmless else api.Fail(r.a.req))
-        self._close(r)
-
-    def _close(self, r: Open) -> None:
-        r.done = True
-        if r.out > 0:  # its key waits for the attempt that is out
+        start_ms = self.now - settings.extra_window
+        _drop_before(self.taken_ms, start_ms + 2 * settings.tick)
+        _drop_before(self.retried_ms, start_ms - settings.tick)
+        return len(self.retried_ms) + 1 <= settings.extra_floor + settings.extra_ratio * len(self.taken_ms)
+
+    def _answer(self, request: OpenRequest) -> None:
+        """Reject a request that did no harm, and fail any other."""
+        request_id = request.arrival.req
+        if not request.may_have_run or request.spec.effect is Effect.SAFE:
+            self.actions.append(api.Refuse(request_id, self.settings.max_retry_after))
+        else:
+            self.actions.append(api.Fail(request_id))
+        self._close(request)
+
+    def _close(self, request: OpenRequest) -> None:
+        request.done = True
+        if request.in_flight > 0:  # its key waits for the attempt that is in flight
             return
-        self.open.pop(r.a.req, None)
-        key = r.a.key
-        line = self.lines.get(key) if key is not None and r.spec.serial else None
-        if key is None or line is None or r.a.req not in line:
+        request_id, key = request.arrival.req, request.arrival.key
+        self.open.pop(request_id, None)
+        queue = self.key_queues.get(key) if key is not None and request.spec.serial else None
+        if key is None or queue is None or request_id not in queue:
             return
-        first = line[0] == r.a.req
-        line.remove(r.a.req)
-        if not line:
-            del self.lines[key]
-        elif first and line[0] in self.open:
-            self._send(self.open[line[0]])
+        was_first = queue[0] == request_id
+        queue.remove(request_id)
+        if not queue:
+            del self.key_queues[key]
+        elif was_first and queue[0] in self.open:
+            self._send(self.open[queue[0]])
+
+
+def _drop_before(moments: deque[float], start_ms: float) -> None:
+    while moments and moments[0] < start_ms:
+        moments.popleft()
+
 
+class Random(PlainPolicy):
+    """Chooses any usable engine."""
 
-class Random(Plain):
-    """Any."""
+    def pick(self, request: OpenRequest) -> str:
+        """Draw one."""
+        return self.rng.choice(self.usable).engine
 
-    def pick(self, r: Open) -> str:
-        """Any."""
-        return self.rng.choice(self.ups).engine
 
+class RoundRobin(PlainPolicy):
+    """Chooses each usable engine in turn."""
 
-class RoundRobin(Plain):
-    """Each in turn."""
+    sent = 0
 
-    turn = 0
+    def pick(self, request: OpenRequest) -> str:
+        """Return the next one."""
+        self.sent += 1
+        return self.usable[self.sent % len(self.usable)].engine
 
-    def pick(self, r: Open) -> str:
-        """The next."""
-        self.turn += 1
-        return self.ups[self.turn % len(self.ups)].engine
 
+class LeastOutstanding(PlainPolicy):
+    """Chooses the engine with the fewest attempts of this manager in flight."""
 
-class LeastOutstanding(Plain):
-    """The one with the fewest own attempts out."""
+    def pick(self, request: OpenRequest) -> str:
+        """Return it; ties are drawn."""
+        fewest = min(self.in_flight.get(endpoint.engine, 0) for endpoint in self.usable)
+        candidates = [e for e in self.usable if self.in_flight.get(e.engine, 0) == fewest]
+        return self.rng.choice(candidates).engine
 
-    def pick(self, r: Open) -> str:
-        """Ties by chance."""
-        least = min(self.running.get(x.engine, 0) for x in self.ups)
-        return self.rng.choice([x for x in self.ups if self.running.get(x.engine, 0) == least]).engine
 
+class PowerOfTwo(PlainPolicy):
+    """Chooses the less loaded of two drawn engines (Mitzenmacher, 2001)."""
 
-class PowerOfTwo(Plain):
-    """The less loaded of two drawn (Mitzenmacher, 2001)."""
+    def pick(self, request: OpenRequest) -> str:
+        """Compare them by this manager's attempts in flight."""
+        drawn = self.rng.sample(self.usable, min(2, len(self.usable)))
+        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint.engine, 0)).engine
 
-    def pick(self, r: Open) -> str:
-        """By own attempts out."""
-        pair = self.rng.sample(self.ups, min(2, len(self.ups)))
-        return min(pair, key=lambda x: self.running.get(x.engine, 0)).engine
 
+class Weighted(PlainPolicy):
+    """Draws engines by the weights in the endpoint list."""
 
-class Weighted(Plain):
-    """By the weights in the list."""
+    def pick(self, request: OpenRequest) -> str:
+        """Draw one."""
+        weights = [max(MIN_WEIGHT, endpoint.hint) for endpoint in self.usable]
+        return self.rng.choices(self.usable, weights)[0].engine
 
-    def pick(self, r: Open) -> str:
-        """Drawn."""
-        return self.rng.choices(self.ups, [max(1e-9, x.hint) for x in self.ups])[0].engine
 
+class Oracle(PlainPolicy):
+    """Sees the true state of all engines, as no real policy can; an upper bound to compare with.
 
-class Oracle(Plain):
-    """Sees the true state of all engines; no real policy can."""
+    Attributes:
+        expected_ms: Set by the manager to look into the engines' models.
+    """
 
-    truth: Truth = staticmethod(lambda engine, work, threads: 0.0)
+    expected_ms: ExpectedMs = staticmethod(lambda engine, work_ms, threads: 0.0)
 
-    def pick(self, r: Open) -> str:
-        """Where it would end first."""
-        return min(self.ups, key=lambda x: (self.truth(x.engine, 1.0, r.spec.threads), self.rng.random())).engine
+    def pick(self, request: OpenRequest) -> str:
+        """Return the engine where the request would end first; ties are drawn."""
+        threads = request.spec.threads
+        return min(
+            self.usable,
+            key=lambda endpoint: (self.expected_ms(endpoint.engine, 1.0, threads), self.rng.random()),
+        ).engine
 
 
 POLICIES: dict[str, Callable[[Settings, int], Policy]] = {
--- a/decklb/lab/emulation/random_streams.py
+++ b/decklb/lab/emulation/random_streams.py
@@ -1,7 +1,8 @@
-"""Random numbers: one numpy Generator for each concern, all from one seed.
+"""Random numbers of a run: one numpy generator for each concern, all derived from one seed.
 
 A change in one concern (a policy that draws more, one fault more) leaves the others' draws as they were, so that two
-policies see the same arrivals, works and faults (common random numbers).
+policies see the same arrivals, work and faults (common random numbers, a variance reduction technique). Names of
+concerns are part of what fixes the draws of a seed.
 """
 
 from __future__ import annotations
@@ -10,6 +11,9 @@
 
 import numpy as np
 
+NAME_HASH_BYTES = 16
+MAX_SEED = 1 << 62  # exclusive
+
 
 class Streams:
     """Generators by name. The same seed and name give the same numbers, whatever else is drawn."""
@@ -18,10 +22,11 @@
         self.seed = seed
 
     def get(self, name: str) -> np.random.Generator:
-        """A fresh generator of one concern, at its beginning."""
-        words = np.frombuffer(hashlib.blake2b(name.encode(), digest_size=16).digest(), dtype=np.uint32)
-        return np.random.Generator(np.random.PCG64(np.random.SeedSequence([self.seed, *map(int, words)])))
+        """Return a fresh generator of one concern, at its beginning."""
+        digest = hashlib.blake2b(name.encode(), digest_size=NAME_HASH_BYTES).digest()
+        entropy = [self.seed, *map(int, np.frombuffer(digest, dtype=np.uint32))]
+        return np.random.Generator(np.random.PCG64(np.random.SeedSequence(entropy)))
 
     def number(self, name: str) -> int:
-        """A seed for what takes one, such as the decision module."""
-        return int(self.get(name).integers(1 << 62))
+        """Return a seed of one concern, for what takes a number, such as the decision module."""
+        return int(self.get(name).integers(MAX_SEED))
--- a/decklb/lab/emulation/run_context.py
+++ b/decklb/lab/emulation/run_context.py
@@ -9,7 +9,7 @@
 import random
 
 from decklb.interface import Entry, Phase
-from decklb.lab.checks.request_invariants import Checker
+from decklb.lab.checks.request_invariants import InvariantChecker
 from decklb.lab.emulation.emulated_world import EmulatedWorld
 from decklb.lab.emulation.engine_model import Engine, Query
 from decklb.lab.emulation.random_streams import Streams
@@ -28,7 +28,7 @@
         self.loop = Loop()
         self.streams = Streams(seed)
         self.arrivals: Arrivals = draw(world.workload, self.streams, world.duration_ms)
-        self.checker = Checker(world.settings(0))
+        self.checker = InvariantChecker(world.settings(0))
         self.engines = self._engines()
         self.records = Records(world, self.loop, self.arrivals, self.engines)
 
@@ -72,6 +72,6 @@
             spec.memory_mb,
             int(arrivals.table_group[index]),
             spec.locks_tables,
-            spec.waits_for_locks,
+            spec.waits_for_loads,
             spec.bad_plan_factor if bad_plan else 1.0,
         )
--- a/decklb/lab/emulation/run_records.py
+++ b/decklb/lab/emulation/run_records.py
@@ -179,7 +179,7 @@
         """Add what a served request is worth, and return it."""
         arrivals, spec = self._arrivals, self._class_of(index)
         in_time = took_ms <= spec.latency_objective_ms
-        earned = spec.priority_weight * (1.0 if in_time else spec.late_weight)
+        earned = spec.priority_weight * (1.0 if in_time else spec.late_priority_weight)
         self._requests_in_time += in_time
         self._earned[arrivals.class_index[index]] += earned
         self._tenant_earned[arrivals.tenant_index[index]] += earned
--- a/decklb/lab/emulation/simulated_loop.py
+++ b/decklb/lab/emulation/simulated_loop.py
@@ -1,7 +1,7 @@
-"""Discrete events: a clock that jumps from call to call, behind the core's `Clock` port, on simpy.
+"""A discrete-event loop on simpy: a simulated clock that jumps from call to call, behind the core's `Clock` port.
 
-Measured on 3 managers and 8 engines, simpy takes about a fifth of a run (`decklb lab bench --profile`; docs/lab.md), so
-no heap of our own stands in for it.
+Everything of an emulated run is scheduled here; nothing waits in real time. Measured on 3 managers and 8 engines, simpy
+takes about a fifth of a run (`decklb lab bench --profile`; docs/lab.md), so no heap of our own stands in for it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Call:
-    """A call that is still to come."""
+    """A scheduled call that can be cancelled. `call` is None once it is."""
 
     __slots__ = ("call",)
 
@@ -20,34 +20,38 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Forget it."""
+        """Never make the call."""
         self.call = None
 
 
 class Loop:
-    """Times are milliseconds; calls at one moment come in the order they were asked for."""
+    """A simulated clock in ms, and the calls scheduled on it; calls of one moment come in the order of scheduling.
+
+    Attributes:
+        made: Calls made so far.
+    """
 
     def __init__(self) -> None:
-        self._env = simpy.Environment()
-        self.made = 0  # calls made
+        self._environment = simpy.Environment()
+        self.made = 0
 
     def now(self) -> float:
-        """The present moment."""
-        return float(self._env.now)
+        """Return the simulated time, in ms."""
+        return float(self._environment.now)
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Call:
-        """Make the call once, after that many ms."""
-        made = Call(call)
+        """Make a call once, after that many ms."""
+        scheduled = Call(call)
 
         def due(event: object) -> None:
-            if made.call is not None:
+            if scheduled.call is not None:
                 self.made += 1
-                made.call()
+                scheduled.call()
 
-        self._env.timeout(max(0.0, delay)).callbacks.append(due)
-        return made
+        self._environment.timeout(max(0.0, delay)).callbacks.append(due)
+        return scheduled
 
     def run(self, until: float) -> None:
-        """All calls before a moment, and then that moment."""
-        if until > self._env.now:
-            self._env.run(until=until)
+        """Make all calls before a moment, and set the clock to it."""
+        if until > self._environment.now:
+            self._environment.run(until=until)
--- a/decklb/lab/emulation/workload.py
+++ b/decklb/lab/emulation/workload.py
@@ -38,7 +38,7 @@
         latency_objective_ms: Within which an answer earns the full weight.
         deadline_ms: After which an answer earns nothing.
         priority_weight: What an answer in time is worth.
-        late_weight: Share of that weight that an answer after the objective earns.
+        late_priority_weight: Share of that weight that an answer after the objective earns.
         threads: That a query runs on at an engine.
         io_share: Share of the work that reads from disk.
         memory_mb: That a query takes at an engine.
@@ -48,10 +48,10 @@
         bad_plan_share: Share of attempts whose plan takes `bad_plan_factor` times the work.
         bad_plan_factor: See above.
         effect: Whether a query may be repeated after it may have run.
-        serial_by_key: Whether requests of one key run one after another.
+        ordered_by_key: Whether requests of one key run one after another.
         distinct_keys: How many keys are drawn from; 0 for requests without a key.
         locks_tables: Whether a query is a load that locks its table group.
-        waits_for_locks: Whether a query waits while its table group is locked.
+        waits_for_loads: Whether a query waits while its table group is locked.
     """
 
     name: str
@@ -60,7 +60,7 @@
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    late_weight: float = 0.0
+    late_priority_weight: float = 0.0
     threads: int = 1
     io_share: float = 0.3
     memory_mb: float = 100.0
@@ -70,10 +70,10 @@
     bad_plan_share: float = 0.0
     bad_plan_factor: float = 12.0
     effect: Effect = Effect.SAFE
-    serial_by_key: bool = False
+    ordered_by_key: bool = False
     distinct_keys: int = 0
     locks_tables: bool = False
-    waits_for_locks: bool = False
+    waits_for_loads: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/decklb/lab/experiments/bundled.py
+++ b/decklb/lab/experiments/bundled.py
@@ -17,7 +17,7 @@
     mean_work_ms=100.0,
     latency_objective_ms=1000.0,
     deadline_ms=5000.0,
-    waits_for_locks=True,
+    waits_for_loads=True,
 )
 REPORT = RequestClass(
     "informe",
@@ -26,12 +26,12 @@
     latency_objective_ms=2500.0,
     deadline_ms=8000.0,
     priority_weight=4.0,
-    late_weight=0.4,
+    late_priority_weight=0.4,
     threads=4,
     io_share=0.4,
     memory_mb=400.0,
     bad_plan_share=0.01,
-    waits_for_locks=True,
+    waits_for_loads=True,
 )
 LOAD = RequestClass(
     "carga",
@@ -40,10 +40,10 @@
     latency_objective_ms=3000.0,
     deadline_ms=8000.0,
     priority_weight=3.0,
-    late_weight=0.5,
+    late_priority_weight=0.5,
     threads=2,
     effect=Effect.UNSAFE,
-    serial_by_key=True,
+    ordered_by_key=True,
     distinct_keys=200,
     locks_tables=True,
 )
--- a/decklb/lab/experiments/experiment_file.py
+++ b/decklb/lab/experiments/experiment_file.py
@@ -69,7 +69,7 @@
     "aim": ("latency_objective_ms", duration),
     "deadline": ("deadline_ms", duration),
     "worth": ("priority_weight", float),
-    "late-worth": ("late_weight", float),
+    "late-worth": ("late_priority_weight", float),
     "threads": ("threads", int),
     "io": ("io_share", share),
     "memory": ("memory_mb", float),
@@ -78,10 +78,10 @@
     "tail-times": ("tail_factor", float),
     "runaway": ("bad_plan_share", share),
     "semantics": ("effect", Effect),
-    "serial-by-key": ("serial_by_key", boolean),
+    "serial-by-key": ("ordered_by_key", boolean),
     "keys": ("distinct_keys", int),
     "holds-tables": ("locks_tables", boolean),
-    "yields-to-loads": ("waits_for_locks", boolean),
+    "yields-to-loads": ("waits_for_loads", boolean),
 }
 TENANT: Attributes = {
     "name": ("name", str),
--- a/decklb/lab/experiments/load_generator.py
+++ b/decklb/lab/experiments/load_generator.py
@@ -213,7 +213,7 @@
                 c.memory_mb,
                 int(a.table_group[i]),
                 c.locks_tables,
-                c.waits_for_locks,
+                c.waits_for_loads,
                 plan,
             )
         )
@@ -225,7 +225,7 @@
             self.kinds[kind] += 1
             worth = 0.0
             if kind == "served":
-                worth = c.priority_weight * (1.0 if took <= c.latency_objective_ms else c.late_weight)
+                worth = c.priority_weight * (1.0 if took <= c.latency_objective_ms else c.late_priority_weight)
                 self.earned += worth
                 self.latency[a.class_index[i]].record_value(max(1, int(took * 1000)))
             self.rows.append(
--- a/decklb/lab/experiments/local_trial.py
+++ b/decklb/lab/experiments/local_trial.py
@@ -32,9 +32,9 @@
             "aim": c.latency_objective_ms,
             "deadline": c.deadline_ms,
             "worth": c.priority_weight,
-            "late_worth": c.late_weight,
+            "late_worth": c.late_priority_weight,
             "semantics": c.effect.value,
-            "serial_by_key": c.serial_by_key,
+            "serial_by_key": c.ordered_by_key,
         }
         for c in w.classes
     ]
@@ -68,7 +68,7 @@
                 "kind_cores": [e.cores],
                 "dop": [c.threads for c in w.classes],
                 "holds_tables": [c.locks_tables for c in w.classes],
-                "yields_to_loads": [c.waits_for_locks for c in w.classes],
+                "yields_to_loads": [c.waits_for_loads for c in w.classes],
             },
             "limits": {
                 "cancelling": True,
@@ -81,10 +81,10 @@
                 "cold": e.warm_up_ms,
                 "cold_share": e.initial_capacity,
                 "drain_grace": 2000.0,
-                "extra_floor": world.retry_floor,
-                "extra_window": world.retry_window_ms,
+                "extra_floor": world.retry_budget_floor,
+                "extra_window": world.retry_budget_window_ms,
                 "fall": e.overload_window_ms,
-                "further_ratio": world.retry_ratio,
+                "further_ratio": world.retry_budget_ratio,
                 "overload_factor": e.overload_factor,
                 "settle_after_doubt": 300.0,
             },
--- a/decklb/lab/standins/engine_server.py
+++ b/decklb/lab/standins/engine_server.py
@@ -32,7 +32,7 @@
     "tables": ("table_group", int),
     "plan": ("plan_factor", float),
     "holds": ("locks_tables", lambda text: text == "1"),
-    "yields": ("waits_for_locks", lambda text: text == "1"),
+    "yields": ("waits_for_loads", lambda text: text == "1"),
 }
 
 
@@ -50,7 +50,7 @@
     return (
         f"select 1 from g_{query.table_group}.t -- work={query.work_ms:.3f} threads={query.threads} "
         f"io={query.io_share:g} memory={query.memory_mb:g} tables={query.table_group} "
-        f"holds={query.locks_tables:d} yields={query.waits_for_locks:d} plan={query.plan_factor:g}"
+        f"holds={query.locks_tables:d} yields={query.waits_for_loads:d} plan={query.plan_factor:g}"
     ).encode()
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,7 +17,7 @@
 from decklb.config import SettingsError
 from decklb.core.dispatcher import Dispatcher
 from decklb.interface import Outcome
-from decklb.lab.checks.request_invariants import RULES
+from decklb.lab.checks.request_invariants import Rule
 from decklb.lab.emulation import policies
 from decklb.lab.emulation.emulated_world import FaultKind, InjectedFault
 from decklb.lab.emulation.emulator import Run
@@ -95,9 +95,9 @@
     def test_a_load_holds_its_group(self):
         e = self.engine()
         e.submit(self.query("load", 100.0, locks_tables=True, table_group=1))
-        e.submit(self.query("reader", 10.0, waits_for_locks=True, table_group=1))
+        e.submit(self.query("reader", 10.0, waits_for_loads=True, table_group=1))
         e.submit(self.query("other load", 10.0, locks_tables=True, table_group=1))
-        e.submit(self.query("elsewhere", 10.0, waits_for_locks=True, table_group=2))
+        e.submit(self.query("elsewhere", 10.0, waits_for_loads=True, table_group=2))
         self.loop.run(500.0)
         self.assertEqual([n for n, _, _ in self.ended], ["elsewhere", "load", "reader", "other load"])
 
@@ -266,30 +266,30 @@
 
     rule = ""
 
-    def _arrive(self, a):
+    def _request_arrived(self, a):
         if self.rule == "key":
-            self.taken.append(self.now)
-            r = self.open[a.req] = policies.Open(a, self.s.classes[a.lane], self.now)
+            self.taken_ms.append(self.now)
+            r = self.open[a.req] = policies.OpenRequest(a, self.settings.classes[a.lane], self.now)
             return self._send(r)
-        super()._arrive(a)
+        super()._request_arrived(a)
 
-    def _members(self, e):
-        super()._members(e)
+    def _endpoints_updated(self, e):
+        super()._endpoints_updated(e)
         if self.rule == "drain":
-            self.ups = list(self.entries.values())
+            self.usable = list(self.endpoints.values())
 
-    def _may_repeat(self, r):
+    def _may_retry(self, r):
         if self.rule == "repeat":
             return len(r.tried) < 3
         if self.rule == "attempts":
             return True
         if self.rule == "ration":
-            return len(r.tried) < 4 and (not r.ran or r.spec.effect is api.Effect.SAFE)
-        return super()._may_repeat(r)
+            return len(r.tried) < 4 and (not r.may_have_run or r.spec.effect is api.Effect.SAFE)
+        return super()._may_retry(r)
 
     def pick(self, r):
         if self.rule == "cold":
-            return max(self.ups, key=lambda x: x.ready_at).engine
+            return max(self.usable, key=lambda x: x.ready_at).engine
         return super().pick(r)
 
 
@@ -323,15 +323,15 @@
 def test_answers_and_overlap_are_caught():
     """The dispatcher lets no policy do these, so the checker is told by hand."""
     c = Run(world(1, 1, 1.0, 1000.0), 1).checker
-    c.arrived(0.0, 0, "a", "consulta", None)
-    c.sent(1.0, 0, "a", "e0", False)
-    c.sent(2.0, 0, "a", "e1", False)
-    c.answered(0, "a", "served")
-    c.answered(0, "a", "failed")
-    c.arrived(3.0, 0, "b", "consulta", None)
-    c.close()
-    assert c.faults == {"overlap": 1, "answer": 2}
-    assert set(RULES) >= set(c.faults)
+    c.request_arrived(0.0, 0, "a", "consulta", None)
+    c.attempt_sent(1.0, 0, "a", "e0", False)
+    c.attempt_sent(2.0, 0, "a", "e1", False)
+    c.request_answered(0, "a", "served")
+    c.request_answered(0, "a", "failed")
+    c.request_arrived(3.0, 0, "b", "consulta", None)
+    c.run_ended()
+    assert c.violations == {"overlap": 1, "answer": 2}
+    assert set(Rule) >= set(c.violations)
 
 
 SMALL = str(ROOT / "examples" / "small.xml")
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -37,7 +37,7 @@
     query = Query(12.5, 4, 0.25, 300.0, 7, True, False, 3.0)
     back = live.parse(live.statement(query).decode())
     assert (back.work_ms, back.threads, back.io_share, back.memory_mb) == (12.5, 4, 0.25, 300.0)
-    assert (back.table_group, back.locks_tables, back.waits_for_locks, back.plan_factor) == (7, True, False, 3.0)
+    assert (back.table_group, back.locks_tables, back.waits_for_loads, back.plan_factor) == (7, True, False, 3.0)
 
 
 @pytest.mark.parametrize(
