--- a/decklb/cli/lab.py
+++ b/decklb/cli/lab.py
@@ -360,14 +360,14 @@
 
     import ujson
 
-    from decklb.lab.checks.zone_verdict import Judged, table
+    from decklb.lab.checks.zone_verdict import ZoneVerdict, table
     from decklb.lab.fault_runs import zone_run as lab
 
     log.set_up("ERROR", "text")
     if strange := set(cases) - set(lab.CASES):
         raise click.ClickException(f"no case {min(strange)!r}; one of {', '.join(lab.CASES)}")
 
-    def told(r: Judged) -> None:
+    def told(r: ZoneVerdict) -> None:
         if not as_json:
             click.echo(
                 f"{r.case:7} {r.way:6} seed {r.seed:3}: {r.requests} requests, {r.lost} lost, {r.errors} errors,"
--- a/decklb/lab/checks/execution_verdict.py
+++ b/decklb/lab/checks/execution_verdict.py
@@ -1,30 +1,79 @@
-"""What a fault run showed: each key's answers beside what the engines wrote down (free of I/O)."""
+"""Judges a handoff run: each request's answers at its client beside the executions that engines logged. Free of I/O.
+
+Used by the fault runs between real processes and by the simulated handoff, which collect client records and execution
+events. What must hold: every request gets a final answer in time, never two different ones; what may run at most once
+runs once; no two managers run one request at the same time.
+"""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+WAIT_PERCENTILES = (50, 99)
+COUNTED = ("requests", "served", "failed", "refused", "came_back")
+LISTED = ("lost", "doubled", "repeated", "overlapping")
+
+
+class FinalAnswer(NamedTuple):
+    """An answer after which a client does not ask again."""
+
+    kind: str  # served or failed
+    row: str
+    at_s: float
+
+    @property
+    def content(self) -> tuple[str, str]:
+        """What it says, which must be the same however often it is asked for."""
+        return self.kind, self.row
 
 
 @dataclass(slots=True)
-class Story:
-    """One request as its client lived it. Times are seconds of the machine's monotonic clock."""
+class ClientRecord:
+    """One request as its client saw it. Times are seconds of the machine's monotonic clock.
+
+    Attributes:
+        key: Idempotency key of the request.
+        class_name: Of its class.
+        sent_s: When it was first sent.
+        due_s: Its deadline and the slack in which an answer still counts.
+        final_answers: In the order they came.
+        tries: How often it was sent.
+        unanswered_tries: Tries that ended without an answer: lost connections, silent managers.
+        last: What the last try was answered.
+        path: Each try, for people: whom it asked, when, for how long, and its answer.
+    """
 
     key: str
-    lane: str
-    sent: float
-    due: float  # its deadline and the slack
-    finals: list[tuple[str, str, float]] = field(default_factory=list)  # served or failed, the row, when
+    class_name: str
+    sent_s: float
+    due_s: float
+    final_answers: list[FinalAnswer] = field(default_factory=list)
     tries: int = 0
-    moved: int = 0  # tries that ended without an answer: lost connections, managers that said nothing
-    last: str = ""  # what the last try was told
-    path: list[str] = field(default_factory=list)  # each try: whom it asked, when, for how long, what it was told
+    unanswered_tries: int = 0
+    last: str = ""
+    path: list[str] = field(default_factory=list)
+
+    @property
+    def answered_in_time(self) -> bool:
+        """Whether its first final answer came before it was due."""
+        return bool(self.final_answers) and self.final_answers[0].at_s <= self.due_s
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """A line of an engine's log."""
+class ExecutionEvent:
+    """A line of an engine's log: an execution started or ended.
+
+    Attributes:
+        what: start or end.
+        key: Of the request.
+        run: Number of the execution at its engine.
+        manager: Index of the manager that sent it.
+        at: When, on the clock of the run.
+        engine: Where.
+    """
 
     what: str
     key: str
@@ -34,78 +83,125 @@
     engine: str
 
 
+Executions = dict[tuple[str, int], list[ExecutionEvent]]  # events of each, by engine and number
+
+
+def executions_by_key(events: Iterable[ExecutionEvent]) -> dict[str, Executions]:
+    """Return each request's executions."""
+    by_key: dict[str, Executions] = {}
+    for event in events:
+        by_key.setdefault(event.key, {}).setdefault((event.engine, event.run), []).append(event)
+    return by_key
+
+
 @dataclass(slots=True)
 class Verdict:
-    """Counts of one run."""
+    """Counts of one run, and descriptions of what must not be.
+
+    Attributes:
+        requests, served, failed: Numbers of requests.
+        refused: Never executed, and told to come back until the end.
+        lost: Without a final answer in time.
+        doubled: With two different final answers.
+        repeated: To run at most once, and yet executed twice.
+        overlapping: Executed for two managers at once.
+        came_back: Final answers that another try than the first brought.
+        waits: Seconds to the final answer of those that lost a manager.
+        late_ms: By which the proxy process itself was late at worst.
+    """
 
     requests: int = 0
     served: int = 0
     failed: int = 0
-    refused: int = 0  # never run, and told to come back to the end
-    lost: list[str] = field(default_factory=list)  # no final answer in time
-    doubled: list[str] = field(default_factory=list)  # two different final answers
-    repeated: list[str] = field(default_factory=list)  # at most once, and yet run twice
-    overlapping: list[str] = field(default_factory=list)  # run by two managers at once
-    came_back: int = 0  # final answers that another try than the first brought
-    waits: list[float] = field(default_factory=list)  # seconds to the final answer of those that lost a manager
-    late_ms: float = 0.0  # of the rig itself, at worst
+    refused: int = 0
+    lost: list[str] = field(default_factory=list)
+    doubled: list[str] = field(default_factory=list)
+    repeated: list[str] = field(default_factory=list)
+    overlapping: list[str] = field(default_factory=list)
+    came_back: int = 0
+    waits: list[float] = field(default_factory=list)
+    late_ms: float = 0.0
 
     @property
     def clean(self) -> bool:
         """Whether no rule was broken."""
         return not (self.lost or self.doubled or self.repeated or self.overlapping)
 
-
-def judge(stories: Iterable[Story], lines: Iterable[Line], once: str) -> Verdict:
-    """`once` names the class of what may run at most once."""
-    runs: dict[str, dict[tuple[str, int], list[Line]]] = {}
-    for line in lines:
-        runs.setdefault(line.key, {}).setdefault((line.engine, line.run), []).append(line)
-    v = Verdict()
-    for s in stories:
-        v.requests += 1
-        mine = runs.get(s.key, {})
-        if not s.finals or s.finals[0][2] > s.due:
-            if mine or s.finals:
-                v.lost.append(f"{s.key}: {s.tries} tries, last {s.last!r}, {len(mine)} runs; {', '.join(s.path)}")
-            else:
-                v.refused += 1
+    def count_answer(self, client: ClientRecord, executions: Executions) -> None:
+        """Count how a request ended."""
+        self.requests += 1
+        if client.answered_in_time:
+            answer = client.final_answers[0]
+            self.served += answer.kind == "served"
+            self.failed += answer.kind == "failed"
+            self.came_back += client.tries > 1
+            if client.unanswered_tries:
+                self.waits.append(answer.at_s - client.sent_s)
+        elif executions or client.final_answers:
+            self.lost.append(
+                f"{client.key}: {client.tries} tries, last {client.last!r}, {len(executions)} runs; "
+                f"{', '.join(client.path)}"
+            )
         else:
-            v.served += s.finals[0][0] == "served"
-            v.failed += s.finals[0][0] == "failed"
-            v.came_back += s.tries > 1
-            if s.moved:
-                v.waits.append(s.finals[0][2] - s.sent)
-        if len({f[:2] for f in s.finals}) > 1:
-            v.doubled.append(f"{s.key}: {[f[:2] for f in s.finals]}")
-        if s.lane == once and len(mine) > 1:
-            v.repeated.append(f"{s.key}: {[(e, r) for e, r in mine]}")
-        if overlaps(list(mine.values())):
-            v.overlapping.append(s.key)
-    return v
-
-
-def overlaps(runs: list[list[Line]]) -> bool:
-    """Whether two managers' runs were under way at one moment."""
-    spans = sorted((r[0].at, r[-1].at if len(r) > 1 else float("inf"), r[0].manager) for r in runs)
-    return any(a[2] != b[2] and b[0] < a[1] for i, a in enumerate(spans) for b in spans[i + 1 :])
+            self.refused += 1
+
+    def check_executions(self, client: ClientRecord, executions: Executions, at_most_once: bool) -> None:
+        """Note a request that was answered or executed as it must not be."""
+        contents = [answer.content for answer in client.final_answers]
+        if len(set(contents)) > 1:
+            self.doubled.append(f"{client.key}: {contents}")
+        if at_most_once and len(executions) > 1:
+            self.repeated.append(f"{client.key}: {list(executions)}")
+        if overlaps(list(executions.values())):
+            self.overlapping.append(client.key)
+
+
+def judge(clients: Iterable[ClientRecord], events: Iterable[ExecutionEvent], at_most_once_class: str) -> Verdict:
+    """Compare what clients saw with what engines executed.
+
+    Args:
+        clients: All requests of the run.
+        events: All lines of the engines' logs.
+        at_most_once_class: Name of the class of what may run at most once.
+    """
+    by_key = executions_by_key(events)
+    verdict = Verdict()
+    for client in clients:
+        executions = by_key.get(client.key, {})
+        verdict.count_answer(client, executions)
+        verdict.check_executions(client, executions, client.class_name == at_most_once_class)
+    return verdict
+
+
+def overlaps(executions: list[list[ExecutionEvent]]) -> bool:
+    """Return whether executions for two managers were under way at one moment; one without an end lasts for ever."""
+    spans = sorted(
+        (events[0].at, events[-1].at if len(events) > 1 else float("inf"), events[0].manager) for events in executions
+    )
+    return any(
+        manager != other_manager and other_start < end
+        for index, (_, end, manager) in enumerate(spans)
+        for other_start, _, other_manager in spans[index + 1 :]
+    )
 
 
 def total(verdicts: Iterable[Verdict]) -> dict[str, object]:
-    """The sum of many runs, for a report."""
-    all_of = list(verdicts)
+    """Return the sum of many runs, for a report."""
+    runs = list(verdicts)
     counts: Counter[str] = Counter()
-    for v in all_of:
-        for name in ("requests", "served", "failed", "refused", "came_back"):
-            counts[name] += getattr(v, name)
-        for name in ("lost", "doubled", "repeated", "overlapping"):
-            counts[name] += len(getattr(v, name))
-    waits = sorted(w for v in all_of for w in v.waits)
-    at = {f"wait_p{p}_s": round(waits[min(len(waits) - 1, len(waits) * p // 100)], 3) for p in (50, 99) if waits}
+    for verdict in runs:
+        for name in COUNTED:
+            counts[name] += getattr(verdict, name)
+        for name in LISTED:
+            counts[name] += len(getattr(verdict, name))
+    waits = sorted(wait for verdict in runs for wait in verdict.waits)
+    percentiles = {
+        f"wait_p{p}_s": round(waits[min(len(waits) - 1, len(waits) * p // 100)], 3) for p in WAIT_PERCENTILES if waits
+    }
     return {
-        "runs": len(all_of),
-        "clean": sum(v.clean for v in all_of),
+        "runs": len(runs),
+        "clean": sum(verdict.clean for verdict in runs),
         **counts,
-        **at,
-        "rig_late_ms": max((v.late_ms for v in all_of), default=0.0),
+        **percentiles,
+        "rig_late_ms": max((verdict.late_ms for verdict in runs), default=0.0),
     }
--- a/decklb/lab/emulation/shared_health_checks.py
+++ b/decklb/lab/emulation/shared_health_checks.py
@@ -38,12 +38,12 @@
         self, world: EmulatedWorld, loop: Loop, streams: Streams, engines: Mapping[str, Engine], on_result: OnResult
     ) -> None:
         self._world, self._streams, self._engines, self._on_result = world, streams, engines, on_result
-        self._network = network.World(
+        self._network = network.SimulatedNetwork(
             streams.number("cluster"),
             network.Faults(
                 loss=world.message_loss,
-                least=world.network_delay_ms * (1 - world.network_jitter),
-                most=world.network_delay_ms * (1 + world.network_jitter),
+                min_delay_ms=world.network_delay_ms * (1 - world.network_jitter),
+                max_delay_ms=world.network_delay_ms * (1 + world.network_jitter),
             ),
             loop,
         )
@@ -53,7 +53,7 @@
         self._duty = DutySettings(period=period, timeout=timeout, hand_on=2, refresh=2 * period)
         self._hosts: dict[int, network.Host] = {}
         self.started = 0
-        self._network.run_duty, self._network.on_probed = self._check, self._checked
+        self._network.run_duty, self._network.on_health_check = self._check, self._checked
 
     @staticmethod
     def _address(number: int) -> network.Address:
--- a/decklb/lab/emulation/simulated_cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -1,4 +1,8 @@
-"""A simulated cluster: hosts with the real nodes, engines that count their probes, and the invariants as checkers."""
+"""A simulated cluster: hosts with real cluster nodes that share health checks of engines, and checks of its invariants.
+
+`Cluster` owns the simulated network, its hosts and a record of duties run, deaths and health checks' results. Tests of
+the cluster and the experiment on shared duties play it. Times are simulated milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -12,24 +16,27 @@
 from decklb.cluster.ownership import Ranking
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
-from decklb.lab.emulation.simulated_network import EPOCH, Address, Faults, Host, World
+from decklb.lab.emulation.simulated_network import EPOCH, Address, Faults, Host, SimulatedNetwork
+
+MAX_SEED_MEMBERS = 3  # that hosts join through
+CLUSTER_PORT = 7946
 
 
 class SharedRanking(Ranking):
-    """One ranking for all nodes of a process: it depends on names alone. What one node forgets, others may not have."""
+    """One ranking of owners for all nodes of a simulation, as it depends on names alone; saves memory at scale."""
 
     def remove(self, member: str) -> None:
-        """Keep it."""
+        """Keep the member: other nodes may not have removed it."""
 
     def set_duties(self, duties: Iterable[str]) -> None:
-        """All nodes have the same duties here."""
+        """Set the duties once: all nodes have the same ones."""
         if not self.duties():
             super().set_duties(duties)
 
 
 @dataclass(slots=True)
-class Run:
-    """One run of a duty: when it began, by whom, of which, with what term."""
+class DutyRun:
+    """One health check that a host ran for the cluster: when it began, on which engine, under which term."""
 
     at: float
     host: str
@@ -39,25 +46,43 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """`instances` nodes and `engines` subjects on one world."""
-
-    world: World
+    """Hosts with cluster nodes on one simulated network, and what they did.
+
+    Attributes:
+        world: The simulated network.
+        membership, duty: Settings of all nodes.
+        engines: Subjects of the health checks.
+        hosts: All that were started, by address the latest.
+        runs: Health checks that hosts ran.
+        deaths: When, which host declared dead, whom.
+        probed: Results that nodes handed on: when, host, engine, whether it is up.
+        down: Engines that answer nobody.
+        unreachable: Pairs of host and engine whose route is cut.
+        ranking: Shared by all nodes, where it is.
+        warm_at: Moment at which each engine is warm; 0 for engines that are.
+        seeds: Addresses that hosts join through.
+        drift, skew_ms: Of the hosts' clocks at most, either way.
+        returned: For tests: hosts that started anew since they last looked.
+        check_ms: That a health check of a live engine takes.
+    """
+
+    world: SimulatedNetwork
     membership: MembershipSettings
     duty: DutySettings
     engines: list[str]
     hosts: list[Host] = field(default_factory=list)
-    runs: list[Run] = field(default_factory=list)
-    deaths: list[tuple[float, str, str]] = field(default_factory=list)  # when, who says it, of whom
+    runs: list[DutyRun] = field(default_factory=list)
+    deaths: list[tuple[float, str, str]] = field(default_factory=list)
     probed: list[tuple[float, str, str, bool]] = field(default_factory=list)
-    down: set[str] = field(default_factory=set)  # engines that answer nobody
-    unreachable: set[tuple[str, str]] = field(default_factory=set)  # (host, engine): a cut route
+    down: set[str] = field(default_factory=set)
+    unreachable: set[tuple[str, str]] = field(default_factory=set)
     ranking: Ranking | None = None
-    cold: dict[str, float] = field(default_factory=dict)
+    warm_at: dict[str, float] = field(default_factory=dict)
     seeds: list[Address] = field(default_factory=list)
     drift: float = 0.0
-    skew: float = 0.0
-    returned: set[str] = field(default_factory=set)  # for checkers: hosts that started anew since they last looked
-    took: float = 5.0  # ms that a probe of a live engine takes
+    skew_ms: float = 0.0
+    returned: set[str] = field(default_factory=set)
+    check_ms: float = 5.0
 
     @classmethod
     def make(
@@ -71,10 +96,21 @@
         shared: bool = True,
         warm: bool = False,
         drift: float = 0.0,
-        skew: float = 0.0,
+        skew_ms: float = 0.0,
     ) -> Cluster:
-        """A cluster at its start; `warm`: all know all already, as after a long time without change."""
-        world = World(seed, faults)
+        """Start a cluster.
+
+        Args:
+            seed: Of all draws.
+            instances: Hosts.
+            engines: Subjects of the health checks.
+            membership, duty: Settings of all nodes.
+            faults: What the network does to datagrams.
+            shared: Whether all nodes use one ranking.
+            warm: Whether all know all already, as after a long time without change.
+            drift, skew_ms: Of the hosts' clocks at most, either way.
+        """
+        world = SimulatedNetwork(seed, faults)
         made = cls(
             world,
             membership,
@@ -82,14 +118,15 @@
             [f"motor-{i}" for i in range(engines)],
             ranking=SharedRanking(duty.kind) if shared else None,
             drift=drift,
-            skew=skew,
+            skew_ms=skew_ms,
         )
-        made.cold = dict.fromkeys(made.engines, 0.0)
+        made.warm_at = dict.fromkeys(made.engines, 0.0)
         if made.ranking is not None:
             for i in range(instances):
                 made.ranking.add(f"m{i}", membership.weight)
-        world.run_duty, world.on_notice, world.on_probed = made._run, made._notice, made._probed
-        made.seeds = [made.address(i) for i in range(min(3, instances))]
+        world.run_duty, world.on_notice = made._run_duty, made._on_notice
+        world.on_health_check = made._on_health_check
+        made.seeds = [made.address(i) for i in range(min(MAX_SEED_MEMBERS, instances))]
         for i in range(instances):
             made.start(i)
         if warm:
@@ -97,25 +134,25 @@
         return made
 
     @staticmethod
-    def address(i: int) -> Address:
-        """Of instance i."""
-        return f"10.{i >> 16 & 255}.{i >> 8 & 255}.{i & 255}", 7946
+    def address(number: int) -> Address:
+        """Return the address of a host by its number."""
+        return f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", CLUSTER_PORT
 
-    def start(self, i: int, name: str = "", address: Address | None = None, wall_back: float = 0.0) -> Host:
-        """Start instance i, or start it again; `wall_back` sets its wall clock back by so many ms."""
-        rng = random.Random(f"{self.world.rng.random()}/{i}")
+    def start(self, number: int, name: str = "", address: Address | None = None, wall_back: float = 0.0) -> Host:
+        """Start a host by its number, for the first time or again; `wall_back` sets its wall clock back, in ms."""
+        rng = random.Random(f"{self.world.rng.random()}/{number}")
         sealer = Sealer(self.membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         rankings = {self.duty.kind: self.ranking} if self.ranking is not None else None
         host = Host(
             self.world,
-            name or f"m{i}",
-            address or self.address(i),
+            name or f"m{number}",
+            address or self.address(number),
             lambda h: Node(self.membership, [self.duty], h.name, h.address, sealer, rng, h.now(), h.wall(), rankings),
             (2 * rng.random() - 1) * self.drift,
-            (2 * rng.random() - 1) * self.skew - wall_back,
+            (2 * rng.random() - 1) * self.skew_ms - wall_back,
         )
-        host.node.subjects(host.now(), self.duty.kind, self.cold, self.engines)
-        self.hosts = [h for h in self.hosts if h.address != host.address] + [host]
+        host.node.subjects(host.now(), self.duty.kind, self.warm_at, self.engines)
+        self.hosts = [other for other in self.hosts if other.address != host.address] + [host]
         return self.world.add(host, self.seeds)
 
     def _introduce(self) -> None:
@@ -135,11 +172,11 @@
             self.world.pump(host)
 
     def host(self, name: str) -> Host:
-        """By name."""
+        """Return a host by name."""
         return next(h for h in self.hosts if h.name == name)
 
     def live(self) -> list[Host]:
-        """Those that are up."""
+        """Return the hosts that are up."""
         return [h for h in self.hosts if h.up]
 
     def part(self, first: Iterable[str], one_way: bool = False) -> None:
@@ -151,30 +188,30 @@
             self.world.cut = lambda source, target: (source in side) != (target in side)
 
     def heal(self) -> None:
-        """All may talk again."""
+        """Let datagrams pass between all hosts again."""
         self.world.cut = lambda source, target: False
 
     def book(self, host: Host) -> Duties:
-        """The duties of one instance."""
+        """Return the duties of one host."""
         return host.node.books[self.duty.kind]
 
-    def _run(self, host: Host, start: Start) -> tuple[float, bool]:
-        self.runs.append(Run(self.world.now, host.name, start.subject, start.term))
+    def _run_duty(self, host: Host, start: Start) -> tuple[float, bool]:
+        self.runs.append(DutyRun(self.world.now, host.name, start.subject, start.term))
         if start.subject in self.down or (host.name, start.subject) in self.unreachable:
             return self.duty.timeout, False
-        return self.took, True
+        return self.check_ms, True
 
-    def _notice(self, host: Host, event: str, fields: dict[str, object]) -> None:
+    def _on_notice(self, host: Host, event: str, fields: dict[str, object]) -> None:
         if event == "member" and fields["state"] == "dead":
             self.deaths.append((self.world.now, host.name, str(fields["member"])))
 
-    def _probed(self, host: Host, subject: str, up: bool) -> None:
+    def _on_health_check(self, host: Host, subject: str, up: bool) -> None:
         self.probed.append((self.world.now, host.name, subject, up))
 
-    # Checkers of what must hold.
+    # What must hold.
 
     def owners(self) -> dict[str, list[str]]:
-        """Who believes to own each duty, among those that are up."""
+        """Return, for each duty, the live hosts that believe to own it."""
         found: dict[str, list[str]] = {e: [] for e in self.engines}
         for host in self.live():
             for duty in self.book(host).duties.values():
@@ -183,16 +220,16 @@
         return found
 
     def one_owner(self) -> list[str]:
-        """Duties without exactly one live owner."""
+        """Return duties without exactly one live owner."""
         return [s for s, names in self.owners().items() if len(names) != 1]
 
     def views_agree(self) -> bool:
-        """Whether all that are up hold exactly each other alive."""
+        """Whether all live hosts hold exactly each other alive."""
         names = {h.name for h in self.live()}
         return all({n for n in [*h.node.membership.live.items, h.name]} == names for h in self.live())
 
     def wrongly_dead(self) -> list[tuple[str, str]]:
-        """(who, whom): live members held dead by live members."""
+        """Return pairs of live hosts of which the first holds the second dead."""
         up = {h.name for h in self.live()}
         return [
             (h.name, m.name)
@@ -202,7 +239,7 @@
         ]
 
     def terms(self) -> dict[tuple[str, str], int]:
-        """The highest term that each host has heard of each subject: these may only rise."""
+        """Return the highest term that each host has received of each subject: these may only rise."""
         found = {}
         for host in self.live():
             for subject, verdict in self.book(host).verdicts.held.items():
@@ -210,22 +247,24 @@
         return found
 
     def phase(self, subject: str) -> float:
-        """Of its period, in ms, at which a duty is due on the world's clock."""
+        """Return the offset within its period, in ms of simulated time, at which a duty is due."""
         return (phase(self.duty.kind, subject) * self.duty.period - EPOCH) % self.duty.period
 
     def counts(self, start: float, end: float) -> dict[str, list[int]]:
-        """Runs of each duty in each whole period between two moments, periods being cut half a period from its
-        due moment, so that clocks that differ a little don't count a run in its neighbour."""
+        """Return how often each duty ran in each complete period between two moments.
+
+        Periods are cut half a period from the duty's due moment, so that with clocks that differ a little no run is
+        counted in the neighbouring period.
+        """
         period = self.duty.period
-        found: dict[str, list[int]] = {}
-        first: dict[str, float] = {}
+        runs_by_period: dict[str, list[int]] = {}
+        first_cut: dict[str, float] = {}
         for subject in self.engines:
             cut = (self.phase(subject) + period / 2) % period
-            begin = start + (cut - start) % period
-            first[subject] = begin
-            found[subject] = [0] * max(0, int((end - begin) // period))
+            first_cut[subject] = start + (cut - start) % period
+            runs_by_period[subject] = [0] * max(0, int((end - first_cut[subject]) // period))
         for run in self.runs:
-            k = int((run.at - first[run.subject]) // period) if run.at >= first[run.subject] else -1
-            if 0 <= k < len(found[run.subject]):
-                found[run.subject][k] += 1
-        return found
+            index = int((run.at - first_cut[run.subject]) // period)
+            if 0 <= index < len(runs_by_period[run.subject]):
+                runs_by_period[run.subject][index] += 1
+        return runs_by_period
--- a/decklb/lab/emulation/simulated_handoff.py
+++ b/decklb/lab/emulation/simulated_handoff.py
@@ -22,7 +22,7 @@
 from decklb.handoff.records import Outcome, Record, fingerprint
 from decklb.handoff.settings import HandoffSettings
 from decklb.interface import Effect
-from decklb.lab.checks.execution_verdict import Line, Story, Verdict, judge
+from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
 
 TICK, LOOK = 25.0, 100.0  # ms between ticks of a keeper, and between looks of a member at who is alive
 LATE = (300.0, 900.0)  # ms by which a member sees late that another has gone
@@ -55,8 +55,8 @@
         self.nodes: dict[str, Node] = {}
         self.cut: set[tuple[str, ...]] = set()
         self.gone: dict[str, float] = {}  # when a member went, or was cut off
-        self.lines: list[Line] = []
-        self.stories: list[Story] = []
+        self.lines: list[ExecutionEvent] = []
+        self.stories: list[ClientRecord] = []
         self.runs = 0
         warm = settings.life + 100.0
         for name in self.names:
@@ -132,12 +132,12 @@
         n = len(self.stories)
         lane = self.rng.choice(("read", ONCE))
         budget = self.settings.longest
-        story = Story(f"k{n}", lane, self.now / 1000, (self.now + budget + 500.0) / 1000)
+        story = ClientRecord(f"k{n}", lane, self.now / 1000, (self.now + budget + 500.0) / 1000)
         self.stories.append(story)
         self._try(story, self.now + budget, self.rng.choice((5.0, 20.0, 80.0, 1500.0 if self.long else 150.0)))
 
-    def _try(self, story: Story, deadline: float, work: float) -> None:
-        if self.now / 1000 > story.due or len(story.finals) > 1:
+    def _try(self, story: ClientRecord, deadline: float, work: float) -> None:
+        if self.now / 1000 > story.due_s or len(story.final_answers) > 1:
             return
         node = self.nodes[self.rng.choice(self.names)]
         again = partial(self._try, story, deadline, work)
@@ -151,32 +151,32 @@
             if tries != story.tries or node.dead:  # the client has gone elsewhere
                 return
             if state in ("served", "failed"):
-                story.finals.append((state, answer, self.now / 1000))
+                story.final_answers.append(FinalAnswer(state, answer, self.now / 1000))
                 if self.rng.random() < 0.3:  # and asks once more
                     self.at(self.now + self.rng.uniform(10, 800), again)
             else:
                 self.at(self.now + self.rng.uniform(50, 150), again)
 
         def left() -> None:
-            if tries == story.tries and not story.finals:
-                story.moved += 1
+            if tries == story.tries and not story.final_answers:
+                story.unanswered_tries += 1
                 again()
 
         self.at(self.now + patience, left)
-        node.take(story.key, story.lane, deadline - self.now, work, said)
+        node.take(story.key, story.class_name, deadline - self.now, work, said)
 
     def engine(self, key: str, manager: str, work: float, done: Callable[[str], None]) -> Callable[[], None]:
         """A run goes on to its end, or to a while after it is called off by what this returns."""
         self.runs += 1
         run, index = self.runs, self.names.index(manager)
-        self.lines.append(Line("start", key, run, index, self.now, "e"))
+        self.lines.append(ExecutionEvent("start", key, run, index, self.now, "e"))
 
         over = [False]
 
         def end(row: str) -> None:
             if not over[0]:
                 over[0] = True
-                self.lines.append(Line("end", key, run, index, self.now, "e"))
+                self.lines.append(ExecutionEvent("end", key, run, index, self.now, "e"))
                 if row:
                     done(row)
 
--- a/decklb/lab/experiments/shared_duties.py
+++ b/decklb/lab/experiments/shared_duties.py
@@ -26,7 +26,7 @@
     seed: int = 1
     period: float = 10_000.0
     drift: float = 2e-5  # of clocks, either way
-    skew: float = 5.0  # ms by which wall clocks differ, either way
+    skew_ms: float = 5.0  # ms by which wall clocks differ, either way
     join: bool = False  # start from nothing, in place of a cluster whose members know one another
 
 
@@ -53,7 +53,7 @@
         Faults(loss=x.loss, duplicate=x.loss / 10),
         warm=not x.join,
         drift=x.drift,
-        skew=x.skew,
+        skew_ms=x.skew_ms,
     )
     world, period, quarter = c.world, x.period, x.periods // 4
     warm = 2 * period if not x.join else 2 * period + 2 * membership.settle
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -24,7 +24,7 @@
 
 from decklb.cluster import keyfile
 from decklb.daemon.control import ControlError, ask
-from decklb.lab.checks.execution_verdict import Line, Story, Verdict, judge
+from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
 from decklb.lab.fault_runs.isolation import TRIES, apart
 from decklb.lab.faults import free_ports as ports
 from decklb.lab.faults.fault_schedule import Fault, Kind, Link, schedule
@@ -266,10 +266,10 @@
             case kind:
                 manager.signal(SIGNALS[kind])
 
-    def witnessed(self) -> list[Line]:
+    def witnessed(self) -> list[ExecutionEvent]:
         """What the engines wrote down so far."""
         return [
-            Line(**ujson.loads(line), engine=e.name)
+            ExecutionEvent(**ujson.loads(line), engine=e.name)
             for e in self.engines
             for line in (self.folder / f"{e.name}.log").read_text().splitlines()
         ]
@@ -317,17 +317,17 @@
     def __init__(self, fleet: Fleet, rng: random.Random, key: str) -> None:
         self.fleet, self.rng = fleet, rng
         now, s = time.monotonic(), fleet.setup
-        self.story = Story(key, rng.choice((READ, LOAD)), now, now + s.longest / 1000 + SLACK)
+        self.story = ClientRecord(key, rng.choice((READ, LOAD)), now, now + s.longest / 1000 + SLACK)
         self.sql = f"select 1 -- run={key} work={rng.choice(s.work)}"
         self.patience = rng.choice((0.3, 1.0, 5.0))  # seconds that it waits on one connection
 
-    async def run(self) -> Story:
+    async def run(self) -> ClientRecord:
         """To the final answer, and sometimes once more: the answer must be the same."""
         s = self.story
-        await self._until(lambda: bool(s.finals), s.due)
-        if s.finals and self.rng.random() < 0.3:
-            n = len(s.finals)
-            await self._until(lambda: len(s.finals) > n, min(time.monotonic() + 0.8, s.due))
+        await self._until(lambda: bool(s.final_answers), s.due_s)
+        if s.final_answers and self.rng.random() < 0.3:
+            n = len(s.final_answers)
+            await self._until(lambda: len(s.final_answers) > n, min(time.monotonic() + 0.8, s.due_s))
         return s
 
     async def _until(self, done: Callable[[], bool], end: float) -> None:
@@ -337,10 +337,10 @@
             try:
                 await asyncio.wait_for(self._try(self.fleet.ports[name]), min(left, self.patience))
             except (TimeoutError, OSError, asyncio.IncompleteReadError) as error:
-                self.story.moved += 1
+                self.story.unanswered_tries += 1
                 self.story.last = type(error).__name__
             self.story.path.append(
-                f"{name} at {start - self.story.sent:.2f} for {time.monotonic() - start:.2f}: {self.story.last}"
+                f"{name} at {start - self.story.sent_s:.2f} for {time.monotonic() - start:.2f}: {self.story.last}"
             )
             if not done():
                 await asyncio.sleep(self.rng.uniform(0.05, 0.15))
@@ -350,10 +350,10 @@
         s.tries += 1
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
-            budget = max(1, round((s.due - SLACK - time.monotonic()) * 1000))
+            budget = max(1, round((s.due_s - SLACK - time.monotonic()) * 1000))
             writer.write(
                 pg.pack_startup(
-                    {"user": "u", "decklb.class": s.lane, "decklb.budget": str(budget), "decklb.request": s.key}
+                    {"user": "u", "decklb.class": s.class_name, "decklb.budget": str(budget), "decklb.request": s.key}
                 )
                 + pg.pack(b"Q", self.sql.encode() + b"\0")
             )
@@ -375,9 +375,9 @@
         if state in COME_BACK:
             s.last = state
         else:
-            s.finals.append(("failed", state, time.monotonic()) if state else ("served", row, time.monotonic()))
-            if state:  # which error it was may differ: that time was over, or that the outcome is in doubt
-                s.finals[-1] = ("failed", "", s.finals[-1][2])
+            # Which error it was may differ: that time was over, or that the outcome is uncertain.
+            outcome, content = ("failed", "") if state else ("served", row)
+            s.final_answers.append(FinalAnswer(outcome, content, time.monotonic()))
 
 
 async def play(fleet: Fleet, seed: int, turn: int = 0) -> tuple[Verdict, list[Fault]]:
@@ -393,7 +393,7 @@
             await fleet.strike(fault)
 
     strikes = asyncio.ensure_future(striking())
-    clients: list[asyncio.Task[Story]] = []
+    clients: list[asyncio.Task[ClientRecord]] = []
     due = start
     while (due := due + rng.expovariate(s.rate)) < start + s.span / 1000:
         await asyncio.sleep(max(0.0, due - time.monotonic()))
@@ -402,7 +402,7 @@
     stories = await asyncio.gather(*clients)
     await asyncio.sleep(max(s.work) / 1000 + 0.1)
     mine = {x.key for x in stories}
-    verdict = judge(stories, [x for x in fleet.witnessed() if x.key in mine], LOAD)
+    verdict = judge(stories, [event for event in fleet.witnessed() if event.key in mine], LOAD)
     verdict.late_ms = round(fleet.rig.late, 1)  # managers are stopped on purpose here, so only the rig's own
     return verdict, faults
 
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from decklb.daemon.control import ControlError, ask
-from decklb.lab.checks.zone_verdict import Sent
+from decklb.lab.checks.zone_verdict import CallRecord
 from decklb.lab.fault_runs.handoff_run import Process
 from decklb.lab.fault_runs.isolation import side_by_side
 from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
@@ -90,7 +90,7 @@
 class Anywhere(Callers):
     """Callers that go to another manager when theirs does not answer, or ends."""
 
-    async def _one(self, sent: Sent) -> None:
+    async def _one(self, sent: CallRecord) -> None:
         begun = time.monotonic()
         names = [sent.manager, *(n for n in self.fleet.names if n != sent.manager)]
         while not sent.answer and time.monotonic() - begun < 4.0:
--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -19,7 +19,7 @@
 import ujson
 
 from decklb.daemon.control import ask
-from decklb.lab.checks.zone_verdict import Change, Judged, Sent, judge
+from decklb.lab.checks.zone_verdict import CallRecord, ZoneFault, ZoneStateChange, ZoneVerdict, judge
 from decklb.lab.fault_runs.handoff_run import Fleet, Process, Setup
 from decklb.lab.fault_runs.isolation import side_by_side
 from decklb.lab.faults.fault_schedule import Link
@@ -154,14 +154,14 @@
                 self.rig.set(m, e.name, link)
                 self.rig.set(e.name, m, link)
 
-    def changes(self, start: float) -> list[Change]:
+    def changes(self, start: float) -> list[ZoneStateChange]:
         """The managers' log lines on zones' states."""
         made = []
         for name, p in self.managers.items():
             for line, at in zip(p.lines, p.stamps, strict=False):
                 if "zone-state zone=" in line:
                     fields = dict(x.split("=", 1) for x in line.split("zone-state ", 1)[1].split() if "=" in x)
-                    made.append(Change(name, fields["zone"], fields["state"], at - start))
+                    made.append(ZoneStateChange(name, fields["zone"], fields["state"], at - start))
         return sorted(made, key=lambda c: c.at)
 
 
@@ -209,14 +209,14 @@
         self.fleet, self.zone, self.rng, self.start, self.rate, self.end = fleet, zone, rng, start, rate, end
         self.names = [n for n in fleet.names if fleet.home[n] == zone]
         self.idle: dict[str, list[Session]] = {n: [] for n in self.names}
-        self.sent: list[Sent] = []
+        self.sent: list[CallRecord] = []
 
-    async def run(self) -> list[Sent]:
+    async def run(self) -> list[CallRecord]:
         """Send requests at the zone's rate until the end."""
         due, tasks = self.start, []
         while (due := due + self.rng.expovariate(self.rate)) < self.start + self.end:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            sent = Sent(
+            sent = CallRecord(
                 f"{self.zone}.{len(self.sent)}",
                 self.zone,
                 self.rng.choice(self.names),
@@ -231,11 +231,11 @@
                 s.writer.close()
         return self.sent
 
-    async def _one(self, sent: Sent) -> None:
+    async def _one(self, sent: CallRecord) -> None:
         with contextlib.suppress(TimeoutError, OSError, asyncio.IncompleteReadError):
             await asyncio.wait_for(self._ask(sent), DEADLINE + SLACK)
 
-    async def _ask(self, sent: Sent) -> None:
+    async def _ask(self, sent: CallRecord) -> None:
         free = self.idle[sent.manager]
         session = free.pop() if free else await _open(self.fleet.ports[sent.manager])
         try:
@@ -281,7 +281,7 @@
         await (fleet.give_back if over else fleet.lose)(*sorted(down))
 
 
-async def play(case: str, seed: int, way: str, index: int, logs: str = "") -> Judged:
+async def play(case: str, seed: int, way: str, index: int, logs: str = "") -> ZoneVerdict:
     """One run: start, load, strike, mend, judge."""
     rng = random.Random(f"{case}/{seed}")
     lie = rng.choice(("m2", "m3", "m4", "m0")) if case == "liar" else ""
@@ -306,21 +306,16 @@
             out = {"lost": ("z0",), "halves": ("z0",), "clocks": ("z0",), "region": ("z0", "z1")}.get(case, ())
             sick = out or (("z0",) if case in ("slow", "parted") else ())
             told = judge(
-                case,
-                way,
-                seed,
+                ZoneVerdict(case, way, seed),
                 sent,
                 fleet.witnessed(),
                 fleet.changes(start),
                 fleet.home,
                 zone_of,
-                out,
-                sick,
-                (struck, mended, END),
+                ZoneFault(out, sick, frozenset((lie,)), struck, mended),
                 start,
                 CORES * EACH,
                 LOCALITY,
-                frozenset((lie,)),
             )
             told.late_ms = fleet.late(start)
             told.faults = sum(fleet.logged(x) for x in ("Traceback", "module-failed"))
@@ -336,13 +331,18 @@
 
 
 async def campaign(
-    cases: list[str], seeds: list[int], ways: list[str], fleets: int, told: Callable[[Judged], None], logs: str = ""
-) -> list[Judged]:
+    cases: list[str],
+    seeds: list[int],
+    ways: list[str],
+    fleets: int,
+    told: Callable[[ZoneVerdict], None],
+    logs: str = "",
+) -> list[ZoneVerdict]:
     """All cases and seeds, each with every way of judging, a few fleets side by side, each in a process of its own."""
     plays = [{"case": c, "seed": s, "way": w, "logs": logs} for c in cases for s in seeds for w in ways]
-    return await side_by_side(f"{__name__}:alone", Judged, plays, fleets, told, lambda run: run.late_ms <= HELD_UP)
+    return await side_by_side(f"{__name__}:alone", ZoneVerdict, plays, fleets, told, lambda run: run.late_ms <= HELD_UP)
 
 
-async def alone(case: str, seed: int, way: str, index: int, logs: str) -> AsyncIterator[Judged]:
+async def alone(case: str, seed: int, way: str, index: int, logs: str) -> AsyncIterator[ZoneVerdict]:
     """One run, for `apart`."""
     yield await play(case, seed, way, index, logs)
--- a/tests/test_cluster_lab.py
+++ b/tests/test_cluster_lab.py
@@ -256,7 +256,7 @@
     @settings(max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
     @given(st.lists(st.tuples(FAULT, st.floats(0.0, 9000.0)), min_size=1, max_size=8), st.integers(0, 99))
     def test_after_quiet_one_live_owner_and_nobody_wrongly_dead(self, schedule, seed):
-        c = cluster(5, engines=12, seed=seed, drift=1e-4, skew=20.0)
+        c = cluster(5, engines=12, seed=seed, drift=1e-4, skew_ms=20.0)
         c.world.run(SECOND)
         terms = {}
         for (what, which), wait in schedule:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -3,8 +3,8 @@
 import asyncio
 import unittest
 
-from decklb.lab.checks.execution_verdict import Line
-from decklb.lab.checks.zone_verdict import Change, Sent, judge
+from decklb.lab.checks.execution_verdict import ExecutionEvent
+from decklb.lab.checks.zone_verdict import CallRecord, ZoneFault, ZoneStateChange, ZoneVerdict, judge
 from decklb.lab.fault_runs.zone_run import campaign, zone_of
 from decklb.locality.settings import LocalitySettings
 
@@ -32,31 +32,26 @@
 class Verdicts(unittest.TestCase):
     def judged(self, sent=(), lines=(), changes=(), out=()):
         return judge(
-            "lost",
-            "common",
-            1,
+            ZoneVerdict("lost", "common", 1),
             sent,
             lines,
             changes,
             HOME,
             zone_of,
-            out,
-            out,
-            (3.0, 9.0, 20.0),
+            ZoneFault(out, out, liars=(), struck=3.0, mended=9.0),
             100.0,
             16.0,
             LocalitySettings(ramp=8000.0),
-            (),
         )
 
     def line(self, what, key, run, manager, at, engine="e0"):
-        return Line(what, key, run, manager, 100.0 + at, engine)
+        return ExecutionEvent(what, key, run, manager, 100.0 + at, engine)
 
     def test_answers_runs_and_those_that_left_are_counted(self):
         sent = [
-            Sent("a", "z0", "m0", 1.0, 100, "served"),
-            Sent("b", "z0", "m0", 1.0, 100, "53000"),
-            Sent("c", "z1", "m1", 1.0, 100),
+            CallRecord("a", "z0", "m0", 1.0, 100, "served"),
+            CallRecord("b", "z0", "m0", 1.0, 100, "53000"),
+            CallRecord("c", "z1", "m1", 1.0, 100),
         ]
         lines = [
             self.line("start", "a", 1, 0, 1.0),
@@ -72,13 +67,17 @@
         )
 
     def test_decisions_are_timed_and_those_about_a_zone_that_was_well_are_wrong(self):
-        changes = [Change("m0", "z0", "out", 3.5), Change("m1", "z1", "out", 4.0), Change("m1", "z0", "out", 2.0)]
+        changes = [
+            ZoneStateChange("m0", "z0", "out", 3.5),
+            ZoneStateChange("m1", "z1", "out", 4.0),
+            ZoneStateChange("m1", "z0", "out", 2.0),
+        ]
         v = self.judged(changes=changes, out=("z0",))
         self.assertEqual((v.out_ms, v.undecided, v.wrong, v.changes), ([500.0], 1, 2, 3))
 
     def test_the_load_on_a_returning_zone_is_held_against_its_budget(self):
-        changes = [Change("m0", "z0", "returning", 9.5)]
+        changes = [ZoneStateChange("m0", "z0", "returning", 9.5)]
         for count, flooded in ((2, False), (60, True)):
-            sent = [Sent(f"k{i}", "z0", "m0", 9.5, 200, "served") for i in range(count)]
+            sent = [CallRecord(f"k{i}", "z0", "m0", 9.5, 200, "served") for i in range(count)]
             lines = [self.line(w, f"k{i}", i, 0, 9.6 + 0.01 * i) for i in range(count) for w in ("start", "end")]
             self.assertEqual(self.judged(sent, lines, changes, ("z0",)).flood > 1.0, flooded)
