--- a/decklb/cli/lab.py
+++ b/decklb/cli/lab.py
@@ -245,7 +245,7 @@
 
     from decklb.lab.checks.execution_verdict import Verdict, total
     from decklb.lab.fault_runs import handoff_run as outage
-    from decklb.lab.faults.fault_schedule import Fault, Kind
+    from decklb.lab.faults.fault_schedule import FleetFault, FleetFaultKind
 
     log.set_up("ERROR", "text")
     setup = outage.Setup(
@@ -254,13 +254,13 @@
         rate,
         1000.0 * seconds,
         strikes,
-        kinds=tuple(Kind(x) for x in only) or outage.KINDS,
+        kinds=tuple(FleetFaultKind(x) for x in only) or outage.KINDS,
         data=data,
         work=work or outage.WORK,
     )
     unclean: list[dict[str, Any]] = []
 
-    def told(number: int, v: Verdict, struck: list[Fault]) -> None:
+    def told(number: int, v: Verdict, struck: list[FleetFault]) -> None:
         if not v.clean:
             unclean.append(
                 {
--- a/decklb/lab/emulation/simulated_quorum_register.py
+++ b/decklb/lab/emulation/simulated_quorum_register.py
@@ -1,5 +1,9 @@
-"""Registers on a simulated network that loses, delays and repeats words, with members that restart and forget, are held
-up, or are cut off: every change made to the value must stand, once, in one line. Seeded."""
+"""Quorum registers on a simulated network, with faults by seed: every change made to the value must stand, once.
+
+Messages are lost, late and repeated; members restart and forget, are stopped, or are cut off. `RegisterSimulation`
+owns the members (real registers of the maintenance plan), their disks and the network; tests play it. Times are
+simulated milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -11,145 +15,185 @@
 
 from decklb.maintenance.register import Memory, Message, Register
 
-PATIENCE = 100.0  # ms
-END = 12_000.0
+Value = tuple[int, ...]  # numbers of the changes, in the order they were made
+
+PATIENCE_MS = 100.0  # of a register, before it tries a change again
+END_MS = 12_000.0
+QUIET_MS = 4000.0  # at the end, without changes and faults
+STEP_MS = 5.0  # between ticks of the members
+FIRST_FAULT_MS = 1500.0
+CUT_MS = 500.0  # that a member is cut off
+FAULT_PERIOD_MS = 2000.0
+HARSH_FAULT_PERIOD_MS = 700.0
+MESSAGE_LOSS = 0.1
+MESSAGE_DUPLICATES = 0.05
+ON_TIME_SHARE = 0.95  # of messages; the others are late
+DELAY_MS = (1.0, 30.0)
+LATE_DELAY_MS = (30.0, 400.0)
+STOP_MS = (50.0, 800.0)
+ALL_RESTART_CHANCE = 0.5
 
 
 @dataclass(slots=True)
-class Told:
-    """What one run showed. A change adds its own number to a list; `done` are those whose proposers were told so."""
+class RegisterVerdict:
+    """What one run showed. A change adds its own number to the value.
+
+    Attributes:
+        seed: Of the run.
+        done: Changes whose proposers were told that they are made.
+        final: The value at the end.
+        lost: Changes of `done` that are not in it.
+        twice: Changes that are in it more than once.
+        forked: Values that members settled on and that are no prefix of the final one.
+        stuck: Changes of members that lived, not done at the end.
+    """
 
     seed: int
     done: list[int] = field(default_factory=list)
-    final: tuple[int, ...] = ()
-    lost: list[int] = field(default_factory=list)  # told done, and not in the final value
-    twice: list[int] = field(default_factory=list)  # in it more than once
-    forked: int = 0  # values settled that are not one line
-    stuck: int = 0  # changes of members that lived, not done at the end
+    final: Value = ()
+    lost: list[int] = field(default_factory=list)
+    twice: list[int] = field(default_factory=list)
+    forked: int = 0
+    stuck: int = 0
 
 
-class World:
-    """Members, their words, and faults by seed."""
+class RegisterSimulation:
+    """Members, the messages between them, and faults by seed."""
 
     def __init__(
         self, seed: int, members: int, harsh: bool, pace: float = 150.0, slow: float = 0.0, kept: bool = False
     ) -> None:
-        """`slow`: ms that every word takes beside chance, as between members that are starved. `kept`: members keep
-        what they must not forget, and all of them restart at one moment now and then."""
-        self.rng, self.told, self.now = random.Random(seed), Told(seed), 0.0
+        """Set up a run.
+
+        Args:
+            seed: Of all draws.
+            members: Their number.
+            harsh: Whether faults strike more often.
+            pace: Mean time between changes, in ms.
+            slow: Delay of every message beside the drawn one, in ms, as between starved members.
+            kept: Whether members store what they must not forget, and now and then all restart at one moment.
+        """
+        self.rng, self.verdict, self.now = random.Random(seed), RegisterVerdict(seed), 0.0
         self.names = [f"m{i}" for i in range(members)]
-        self.harsh, self.pace, self.slow, self.kept = harsh, pace, slow, kept
+        self.harsh, self.pace_ms, self.extra_delay_ms, self.stored = harsh, pace, slow, kept
         self.disks: dict[str, Memory] = {}
-        self.nodes = {n: self.make(n) for n in self.names}
-        self.held_until = dict.fromkeys(self.names, 0.0)  # a member that is stopped hears and ticks later
-        self.cut: set[str] = set()
-        self._queue: list[tuple[float, int, str, str, Message]] = []
-        self._count = itertools.count()
-        self._numbers = itertools.count(1)
-        self.settled: set[tuple[int, ...]] = set()
-        self.open: dict[int, str] = {}
-
-    def make(self, name: str) -> Register[tuple[int, ...]]:
-        """A node of the register, on what its disk holds."""
+        self.nodes = {name: self._make_node(name) for name in self.names}
+        self.stopped_until = dict.fromkeys(self.names, 0.0)  # a stopped member receives and ticks later
+        self.cut_off: set[str] = set()
+        self.settled: set[Value] = set()  # all values that members settled on
+        self.open_changes: dict[int, str] = {}  # and their proposers
+        self._queue: list[tuple[float, int, str, str, Message]] = []  # heap by arrival
+        self._message_count = itertools.count()
+        self._change_numbers = itertools.count(1)
+
+    def run(self) -> RegisterVerdict:
+        """Play to the end, and compare what was acknowledged with the value that members agree on."""
+        next_change, next_fault, mend_at = 0.0, FIRST_FAULT_MS, 0.0
+        while self.now < END_MS:
+            quiet = self.now > END_MS - QUIET_MS
+            if self.now >= next_change and not quiet:
+                self._propose_change(self.rng.choice(self.names))
+                next_change = self.now + self.rng.expovariate(1 / self.pace_ms)
+            if mend_at and self.now >= mend_at:
+                self.cut_off.clear()
+                mend_at = 0.0
+            if self.now >= next_fault and not quiet:
+                self._inject_fault()
+                mend_at = self.now + CUT_MS
+                next_fault = self.now + (HARSH_FAULT_PERIOD_MS if self.harsh else FAULT_PERIOD_MS)
+            self._deliver_messages()
+            self._tick_members()
+            self.now += STEP_MS
+        return self._judge()
+
+    def _make_node(self, name: str) -> Register[Value]:
         return Register(
             name,
             (),
-            lambda v: ",".join(map(str, v)).encode(),
-            lambda b: tuple(map(int, b.split(b","))) if b else (),
+            lambda value: ",".join(map(str, value)).encode(),
+            lambda text: tuple(map(int, text.split(b","))) if text else (),
             len(self.names),
-            PATIENCE,
+            PATIENCE_MS,
             random.Random(self.rng.random()),
             self.now,
             self.disks.get(name),
-            partial(self.keep, name),
+            partial(self._store, name),
         )
 
-    def keep(self, name: str, memory: Memory) -> bool:
-        """Write a node's memory to its disk."""
-        if self.kept:
+    def _store(self, name: str, memory: Memory) -> bool:
+        if self.stored:
             self.disks[name] = memory
         return True
 
-    def change(self, name: str) -> None:
-        """Let a node append one number to the register's value."""
-        number = next(self._numbers)
-        self.open[number] = name
+    def _propose_change(self, name: str) -> None:
+        """Let a member append one number to the value."""
+        number = next(self._change_numbers)
+        self.open_changes[number] = name
 
-        def done(value: tuple[int, ...] | Exception) -> None:
-            self.open.pop(number, None)
-            self.told.done.append(number)
+        def done(value: Value | Exception) -> None:
+            self.open_changes.pop(number, None)
+            self.verdict.done.append(number)
 
-        # A change that is tried again finds itself there where it was taken before.
-        self.nodes[name].propose(lambda v: v if number in v else (*v, number), done)
+        # A change that is tried again finds itself there where it was made before.
+        self.nodes[name].propose(lambda value: value if number in value else (*value, number), done)
 
-    def run(self) -> Told:
-        """Play until the end, and judge what came of it."""
-        next_change, next_fault, mend = 0.0, 1500.0, 0.0
-        while self.now < END:
-            quiet = self.now > END - 4000.0
-            if self.now >= next_change and not quiet:
-                self.change(self.rng.choice(self.names))
-                next_change = self.now + self.rng.expovariate(1 / self.pace)
-            if mend and self.now >= mend:
-                self.cut.clear()
-                mend = 0.0
-            if self.now >= next_fault and not quiet:
-                self.strike()
-                mend, next_fault = self.now + 500.0, self.now + (700.0 if self.harsh else 2000.0)
-            self.deliver()
-            for name, node in self.nodes.items():
-                if self.held_until[name] <= self.now:
-                    node.tick(self.now)
-                    self.send(name, node)
-            self.now += 5.0
-        return self.judge()
-
-    def strike(self) -> None:
-        """Inject one fault."""
+    def _inject_fault(self) -> None:
         name = self.rng.choice(self.names)
         kind = self.rng.choice(("restart", "cut", "stop"))
         if kind == "restart":
-            for each in self.names if self.kept and self.rng.random() < 0.5 else [name]:
-                self.open = {k: n for k, n in self.open.items() if n != each}  # its proposer is gone, with its client
-                self.nodes[each] = self.make(each)
+            all_restart = self.stored and self.rng.random() < ALL_RESTART_CHANCE
+            for each in self.names if all_restart else [name]:
+                self._restart(each)
         elif kind == "cut":
-            self.cut.add(name)
+            self.cut_off.add(name)
         else:
-            self.held_until[name] = self.now + self.rng.uniform(50.0, 800.0)
+            self.stopped_until[name] = self.now + self.rng.uniform(*STOP_MS)
+
+    def _restart(self, name: str) -> None:
+        # Its open changes are gone with their clients.
+        self.open_changes = {number: who for number, who in self.open_changes.items() if who != name}
+        self.nodes[name] = self._make_node(name)
 
-    def send(self, name: str, node: Register[tuple[int, ...]]) -> None:
-        """Put a node's messages on the network, which loses some."""
+    def _tick_members(self) -> None:
+        for name, node in self.nodes.items():
+            if self.stopped_until[name] <= self.now:
+                node.tick(self.now)
+                self._send_messages(name, node)
+
+    def _send_messages(self, name: str, node: Register[Value]) -> None:
+        """Put a member's messages on the network, which loses some."""
         out, node.out = node.out, []
-        for to, message in out:
-            for other in self.names if not to else (to,):
-                if other == name or (name in self.cut) != (other in self.cut) or self.rng.random() < 0.1:
+        for target, message in out:
+            for other in self.names if not target else (target,):
+                parted = (name in self.cut_off) != (other in self.cut_off)
+                if other == name or parted or self.rng.random() < MESSAGE_LOSS:
                     continue
-                for _ in range(2 if self.rng.random() < 0.05 else 1):
-                    delay = self.rng.uniform(1.0, 30.0) if self.rng.random() < 0.95 else self.rng.uniform(30.0, 400.0)
-                    heapq.heappush(self._queue, (self.now + self.slow + delay, next(self._count), name, other, message))
-
-    def deliver(self) -> None:
-        """Hand over what has arrived by now."""
-        late = []
+                for _ in range(2 if self.rng.random() < MESSAGE_DUPLICATES else 1):
+                    on_time = self.rng.random() < ON_TIME_SHARE
+                    delay_ms = self.rng.uniform(*(DELAY_MS if on_time else LATE_DELAY_MS))
+                    arrival = self.now + self.extra_delay_ms + delay_ms
+                    heapq.heappush(self._queue, (arrival, next(self._message_count), name, other, message))
+
+    def _deliver_messages(self) -> None:
+        """Hand over what has arrived by now; what arrives at a stopped member waits."""
+        waiting = []
         while self._queue and self._queue[0][0] <= self.now:
-            item = heapq.heappop(self._queue)
-            _, _, sender, to, message = item
-            if self.held_until[to] > self.now:
-                late.append((self.held_until[to], *item[1:]))
+            _, count, sender, target, message = heapq.heappop(self._queue)
+            if self.stopped_until[target] > self.now:
+                waiting.append((self.stopped_until[target], count, sender, target, message))
                 continue
-            node = self.nodes[to]
+            node = self.nodes[target]
             node.hear(self.now, sender, message)
             self.settled.add(node.settled)
-            self.send(to, node)
-        for item in late:
-            heapq.heappush(self._queue, item)
-
-    def judge(self) -> Told:
-        """Compare the changes that were acknowledged with the value that all agree on."""
-        t = self.told
-        t.final = max((n.settled for n in self.nodes.values()), key=len)
-        t.lost = [n for n in t.done if n not in t.final]
-        t.twice = [n for n in set(t.final) if t.final.count(n) > 1]
-        t.forked = sum(v != t.final[: len(v)] for v in self.settled)
-        t.stuck = len(self.open)
-        return t
+            self._send_messages(target, node)
+        for entry in waiting:
+            heapq.heappush(self._queue, entry)
+
+    def _judge(self) -> RegisterVerdict:
+        verdict = self.verdict
+        final = verdict.final = max((node.settled for node in self.nodes.values()), key=len)
+        verdict.lost = [number for number in verdict.done if number not in final]
+        verdict.twice = [number for number in set(final) if final.count(number) > 1]
+        verdict.forked = sum(value != final[: len(value)] for value in self.settled)
+        verdict.stuck = len(self.open_changes)
+        return verdict
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -27,8 +27,8 @@
 from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
 from decklb.lab.fault_runs.isolation import TRIES, apart
 from decklb.lab.faults import free_ports as ports
-from decklb.lab.faults.fault_schedule import Fault, Kind, Link, schedule
-from decklb.lab.faults.network_proxy import HELD_UP, Address, Rig
+from decklb.lab.faults.fault_schedule import CUT, LOSSY, FleetFault, FleetFaultKind, draw_schedule
+from decklb.lab.faults.network_proxy import MAX_LATE_MS, Address, NetworkProxy
 from decklb.pg import messages as pg
 
 READ, LOAD = "read", "load"  # may be repeated; at most once
@@ -37,13 +37,21 @@
 COME_BACK = ("53000", "53300", "57P01", "57P03", "08006")  # answers after which a client asks again
 SLACK = 0.5  # seconds past its deadline in which an answer still counts
 WORK = (5, 20, 80, 300)
-KINDS = (Kind.KILL, Kind.STOP, Kind.PARTITION, Kind.CUT, Kind.LOSSY, Kind.AHEAD, Kind.BEHIND)
+KINDS = (
+    FleetFaultKind.KILL,
+    FleetFaultKind.STOP,
+    FleetFaultKind.PARTITION,
+    FleetFaultKind.CUT,
+    FleetFaultKind.LOSSY,
+    FleetFaultKind.AHEAD,
+    FleetFaultKind.BEHIND,
+)
 SIGNALS = {
-    Kind.STOP: signal.SIGSTOP,
-    Kind.CONT: signal.SIGCONT,
-    Kind.AHEAD: signal.SIGUSR1,
-    Kind.BEHIND: signal.SIGUSR2,
-    Kind.CLOCK: signal.SIGWINCH,
+    FleetFaultKind.STOP: signal.SIGSTOP,
+    FleetFaultKind.CONT: signal.SIGCONT,
+    FleetFaultKind.AHEAD: signal.SIGUSR1,
+    FleetFaultKind.BEHIND: signal.SIGUSR2,
+    FleetFaultKind.CLOCK: signal.SIGWINCH,
 }
 
 SETTINGS = """<decklb version="1">
@@ -80,7 +88,7 @@
     longest: float = 4000.0  # deadline of a request
     linger: float = 1500.0
     lease: float = 600.0
-    kinds: tuple[Kind, ...] = KINDS
+    kinds: tuple[FleetFaultKind, ...] = KINDS
     data: bool = False  # managers keep their records on disk
     work: tuple[int, ...] = WORK  # ms that statements take at their engine
 
@@ -159,7 +167,7 @@
         self.since: dict[str, float] = {}
         self.engines: list[Process] = []
         self.binds: dict[str, Address] = {}
-        self.rig: Rig
+        self.rig: NetworkProxy
         self.spoken: list[str] = []  # log lines of processes that have ended
 
     async def start(self) -> None:
@@ -170,7 +178,7 @@
             self.engines.append(e)
             targets[e.name] = {n: ("127.0.0.1", p) for n, p in zip(self.names, await self.serve(e), strict=True)}
         self.binds = {n: (self.host[n], ports.free(1, self.host[n])[0]) for n in self.names}
-        self.rig = Rig(self.binds, self.seed, targets)
+        self.rig = NetworkProxy(self.binds, self.seed, targets)
         await self.rig.open()
         keyfile.write(str(self.folder / "keys.json"), [keyfile.make()])
         await asyncio.gather(*(self.up(n) for n in self.names))
@@ -206,17 +214,17 @@
         s = self.setup
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="z" kind="k" weight="8"/>'.format(
-                e.name, *self.rig.gates[name, e.name]
+                e.name, *self.rig.engine_addresses[name, e.name]
             )
             for e in self.engines
         )
         return SETTINGS.format(
             name=name,
             bind="{}:{}".format(*self.binds[name]),
-            told="{}:{}".format(*self.rig.told[name]),
+            told="{}:{}".format(*self.rig.advertised[name]),
             keys="keys.json",
             engines=engines,
-            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.told.values()),
+            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
             members=s.managers,
             lease=f"{s.lease:g}",
             longest=f"{s.longest:g}",
@@ -242,26 +250,26 @@
         keeps its records on disk does so by itself."""
         await asyncio.sleep(max(0.0, max(self.since.values()) + self.setup.life / 1000 + 0.3 - time.monotonic()))
 
-    async def strike(self, fault: Fault) -> None:
+    async def strike(self, fault: FleetFault) -> None:
         """One fault, or the end of one."""
         rig, manager = self.rig, self.managers[fault.target]
         match fault.kind:
-            case Kind.KILL:
+            case FleetFaultKind.KILL:
                 await manager.kill()
-            case Kind.RESTART:
+            case FleetFaultKind.RESTART:
                 await self.up(fault.target)
-            case Kind.PARTITION:
+            case FleetFaultKind.PARTITION:
                 rig.partition(fault.target)
-            case Kind.ENGINES:
+            case FleetFaultKind.ENGINES:
                 for e in self.engines:
-                    rig.set(fault.target, e.name, Link(cut=True))
-                    rig.set(e.name, fault.target, Link(cut=True))
-            case Kind.CUT:
-                rig.set(fault.target, fault.other, Link(cut=True))
-            case Kind.LOSSY:
+                    rig.set_link(fault.target, e.name, CUT)
+                    rig.set_link(e.name, fault.target, CUT)
+            case FleetFaultKind.CUT:
+                rig.set_link(fault.target, fault.other, CUT)
+            case FleetFaultKind.LOSSY:
                 for a, b in ((fault.target, fault.other), (fault.other, fault.target)):
-                    rig.set(a, b, Link(drop=0.15, duplicate=0.1, delay=5.0, jitter=40.0))
-            case Kind.HEAL:
+                    rig.set_link(a, b, LOSSY)
+            case FleetFaultKind.HEAL:
                 rig.heal()
             case kind:
                 manager.signal(SIGNALS[kind])
@@ -282,7 +290,7 @@
     def late(self, since: float) -> float:
         """ms by which the rig or a manager came late at worst since a moment, by the managers' own words: for runs that
         stop nobody on purpose."""
-        worst = self.rig.late
+        worst = self.rig.late_ms
         for p in self.managers.values():
             for line, at in zip(p.lines, p.stamps, strict=False):
                 if at >= since and (m := re.search(r"held-up late_ms=(\d+)", line)):
@@ -380,16 +388,16 @@
             s.final_answers.append(FinalAnswer(outcome, content, time.monotonic()))
 
 
-async def play(fleet: Fleet, seed: int, turn: int = 0) -> tuple[Verdict, list[Fault]]:
+async def play(fleet: Fleet, seed: int, turn: int = 0) -> tuple[Verdict, list[FleetFault]]:
     """One run on a fleet that is up: faults by seed while requests come, all undone before the end. `turn` counts runs
     of the same seed on it, whose keys must not be those of the run before."""
     s, rng = fleet.setup, random.Random(seed)
-    faults = schedule(seed, fleet.names, s.span, s.faults, s.kinds)
-    start, fleet.rig.late = time.monotonic(), 0.0
+    faults = draw_schedule(seed, fleet.names, s.span, s.faults, s.kinds)
+    start, fleet.rig.late_ms = time.monotonic(), 0.0
 
     async def striking() -> None:
         for fault in faults:
-            await asyncio.sleep(max(0.0, start + fault.at / 1000 - time.monotonic()))
+            await asyncio.sleep(max(0.0, start + fault.at_ms / 1000 - time.monotonic()))
             await fleet.strike(fault)
 
     strikes = asyncio.ensure_future(striking())
@@ -403,7 +411,7 @@
     await asyncio.sleep(max(s.work) / 1000 + 0.1)
     mine = {x.key for x in stories}
     verdict = judge(stories, [event for event in fleet.witnessed() if event.key in mine], LOAD)
-    verdict.late_ms = round(fleet.rig.late, 1)  # managers are stopped on purpose here, so only the rig's own
+    verdict.late_ms = round(fleet.rig.late_ms, 1)  # managers are stopped on purpose here, so only the rig's own
     return verdict, faults
 
 
@@ -416,13 +424,13 @@
 
     seed: int
     verdict: Verdict
-    faults: list[Fault]
+    faults: list[FleetFault]
     logged: dict[str, int]
     again: bool = False  # it is played once more: the machine held the rig up
 
 
 async def campaign(
-    setup: Setup, seeds: list[int], fleets: int, told: Callable[[int, Verdict, list[Fault]], None], logs: str = ""
+    setup: Setup, seeds: list[int], fleets: int, told: Callable[[int, Verdict, list[FleetFault]], None], logs: str = ""
 ) -> tuple[list[Verdict], dict[str, int]]:
     """Runs of all seeds, divided among fleets side by side, each in a process of its own; each lives on from run to
     run. `logs`: a folder for what the managers of a run that was not clean have said."""
@@ -457,7 +465,7 @@
                     verdict, faults = await play(fleet, seed, turn)
                     if logs and not verdict.clean:
                         await asyncio.to_thread(fleet.keep_logs, Path(logs) / str(seed))
-                    again = turn < TRIES - 1 and not verdict.clean and verdict.late_ms > HELD_UP
+                    again = turn < TRIES - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
                     yield Played(seed, verdict, faults, {name: fleet.logged(name) for name in COUNTED}, again)
                     if not again:
                         break
@@ -465,9 +473,9 @@
             await fleet.stop()
 
 
-def described(faults: list[Fault]) -> list[dict[str, Any]]:
+def described(faults: list[FleetFault]) -> list[dict[str, Any]]:
     """Faults for a report."""
-    return [{"at_ms": round(f.at), "kind": f.kind.value, "target": f.target, "other": f.other} for f in faults]
+    return [{"at_ms": round(f.at_ms), "kind": f.kind.value, "target": f.target, "other": f.other} for f in faults]
 
 
 def resident(process: Process) -> int:
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -23,7 +23,7 @@
 from decklb.lab.fault_runs.handoff_run import Process
 from decklb.lab.fault_runs.isolation import side_by_side
 from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
-from decklb.lab.faults.network_proxy import HELD_UP
+from decklb.lab.faults.network_proxy import MAX_LATE_MS
 
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
 RATE = 12.0  # requests a second of each zone's callers: 2 of 8 cores that a zone has left with one engine out
@@ -244,7 +244,7 @@
             await fleet.remembering()
             if fleet.named:  # no member votes on records before that
                 await fleet.remember()
-            start, fleet.rig.late = time.monotonic(), 0.0
+            start, fleet.rig.late_ms = time.monotonic(), 0.0
             callers = [Anywhere(fleet, z, random.Random(f"{case}/{seed}/{z}"), start, RATE, LONGEST) for z in REGION]
             loads = [asyncio.ensure_future(c.run()) for c in callers]
             worker = asyncio.ensure_future(fleet.work())
@@ -438,7 +438,7 @@
     """All cases and seeds, a few fleets side by side, each in a process of its own."""
     plays = [{"case": c, "seed": s, "logs": logs} for s in seeds for c in cases]
     return await side_by_side(
-        f"{__name__}:alone", Told, plays, fleets, told, lambda run: run.clean or run.late_ms <= HELD_UP
+        f"{__name__}:alone", Told, plays, fleets, told, lambda run: run.clean or run.late_ms <= MAX_LATE_MS
     )
 
 
--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -22,8 +22,8 @@
 from decklb.lab.checks.zone_verdict import CallRecord, ZoneFault, ZoneStateChange, ZoneVerdict, judge
 from decklb.lab.fault_runs.handoff_run import Fleet, Process, Setup
 from decklb.lab.fault_runs.isolation import side_by_side
-from decklb.lab.faults.fault_schedule import Link
-from decklb.lab.faults.network_proxy import HELD_UP
+from decklb.lab.faults.fault_schedule import CLEAN, CUT, LinkConditions
+from decklb.lab.faults.network_proxy import MAX_LATE_MS
 from decklb.locality.settings import LocalitySettings
 from decklb.pg import messages as pg
 
@@ -101,7 +101,7 @@
         figures += f' slow="{s.slow:g}"'
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="{}" kind="k" weight="8"/>'.format(
-                e.name, *self.rig.gates[name, e.name], zone_of(e.name)
+                e.name, *self.rig.engine_addresses[name, e.name], zone_of(e.name)
             )
             for e in self.engines
         )
@@ -110,13 +110,13 @@
             cores=CORES,
             engines=engines,
             bind="{}:{}".format(*self.binds[name]),
-            told="{}:{}".format(*self.rig.told[name]),
+            told="{}:{}".format(*self.rig.advertised[name]),
             zone=self.home[name],
             members=len(self.names),
             judge=self.way,
             more=self.more(name),
             figures=figures,
-            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.told.values()),
+            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
         )
 
     async def serve(self, engine: Process, where: list[int] | None = None) -> list[int]:
@@ -147,12 +147,12 @@
         for e in self.of(*zones):
             await self.serve(e, self.ports_of[e.name])
 
-    def link(self, managers: list[str], zone: str, link: Link) -> None:
+    def link(self, managers: list[str], zone: str, link: LinkConditions) -> None:
         """All ways between these managers and a zone's engines."""
         for m in managers:
             for e in self.of(zone):
-                self.rig.set(m, e.name, link)
-                self.rig.set(e.name, m, link)
+                self.rig.set_link(m, e.name, link)
+                self.rig.set_link(e.name, m, link)
 
     def changes(self, start: float) -> list[ZoneStateChange]:
         """The managers' log lines on zones' states."""
@@ -252,7 +252,7 @@
 
 async def strike(fleet: Zonal, case: str, rng: random.Random, over: bool) -> None:
     """Begin a case, or end it."""
-    link, down = Link(), set[str]()
+    link, down = CLEAN, set[str]()
     match case:
         case "lost":
             down = {"z0"}
@@ -260,11 +260,11 @@
             down = {"z0", "z1"}
         case "parted":
             if not over:
-                link = Link(cut=True)
+                link = CUT
             fleet.link(rng.sample(fleet.names, 2), "z0", link)
         case "slow":
             if not over:
-                link = Link(delay=150.0, jitter=20.0)
+                link = LinkConditions(delay_ms=150.0, jitter_ms=20.0)
             fleet.link(fleet.names, "z0", link)
         case "halves":
             down = {"z0"}
@@ -272,7 +272,7 @@
             for a in fleet.names:
                 for b in fleet.names:
                     if a != b and (a in few) != (b in few):
-                        fleet.rig.set(a, b, Link(cut=not over))
+                        fleet.rig.set_link(a, b, CLEAN if over else CUT)
         case "clocks":
             down = {"z0"}
             for name, number in zip(rng.sample(fleet.names, 2), (signal.SIGUSR1, signal.SIGUSR2), strict=True):
@@ -290,7 +290,7 @@
         try:
             await fleet.start()
             await fleet.settled()
-            start, fleet.rig.late = time.monotonic(), 0.0
+            start, fleet.rig.late_ms = time.monotonic(), 0.0
             callers = [Callers(fleet, z, random.Random(f"{case}/{seed}/{z}"), start) for z in REGION]
             loads = asyncio.gather(*(c.run() for c in callers))
             hit = random.Random(f"{case}/{seed}/hit")
@@ -340,7 +340,9 @@
 ) -> list[ZoneVerdict]:
     """All cases and seeds, each with every way of judging, a few fleets side by side, each in a process of its own."""
     plays = [{"case": c, "seed": s, "way": w, "logs": logs} for c in cases for s in seeds for w in ways]
-    return await side_by_side(f"{__name__}:alone", ZoneVerdict, plays, fleets, told, lambda run: run.late_ms <= HELD_UP)
+    return await side_by_side(
+        f"{__name__}:alone", ZoneVerdict, plays, fleets, told, lambda run: run.late_ms <= MAX_LATE_MS
+    )
 
 
 async def alone(case: str, seed: int, way: str, index: int, logs: str) -> AsyncIterator[ZoneVerdict]:
--- a/decklb/lab/faults/fault_schedule.py
+++ b/decklb/lab/faults/fault_schedule.py
@@ -1,4 +1,8 @@
-"""What the fault rig does to each datagram, and when it strikes: drawn from a seed, bounded (free of I/O)."""
+"""Faults between the processes of a fleet: what a link does to traffic, and when faults strike, drawn from a seed.
+
+Free of I/O. The fleets of `fault_runs` draw a schedule and carry it out; `network_proxy` applies the conditions of
+links. Times are milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,74 +12,111 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Link:
-    """What one direction between two members does. Times are milliseconds."""
-
-    drop: float = 0.0  # share of datagrams lost
-    duplicate: float = 0.0  # share sent twice
-    delay: float = 0.0  # least delay
-    jitter: float = 0.0  # added delay, uniform up to this: datagrams overtake one another
-    cut: bool = False  # nothing passes
+class LinkConditions:
+    """What one direction between two processes does to traffic.
+
+    Attributes:
+        drop: Share of datagrams lost.
+        duplicate: Share of datagrams sent twice.
+        delay_ms: Least delay.
+        jitter_ms: Added delay, uniform up to this: datagrams overtake one another.
+        cut: Whether nothing passes.
+    """
+
+    drop: float = 0.0
+    duplicate: float = 0.0
+    delay_ms: float = 0.0
+    jitter_ms: float = 0.0
+    cut: bool = False
 
     def __post_init__(self) -> None:
-        if not (0 <= self.drop <= 1 and 0 <= self.duplicate <= 1 and self.delay >= 0 and self.jitter >= 0):
+        if not (0 <= self.drop <= 1 and 0 <= self.duplicate <= 1 and self.delay_ms >= 0 and self.jitter_ms >= 0):
             raise ValueError("drop and duplicate are shares from 0 to 1; delay and jitter at least 0")
 
-    def fate(self, rng: random.Random) -> list[float]:
-        """The delays after which a datagram arrives, one for each copy; none where it is lost."""
+    def arrival_delays_ms(self, rng: random.Random) -> list[float]:
+        """Draw the delays after which a datagram arrives, one for each duplicate; none where it is lost."""
         if self.cut or rng.random() < self.drop:
             return []
-        copies = 2 if rng.random() < self.duplicate else 1
-        return [self.delay + rng.uniform(0, self.jitter) for _ in range(copies)]
+        count = 2 if rng.random() < self.duplicate else 1
+        return [self.delay_ms + rng.uniform(0, self.jitter_ms) for _ in range(count)]
 
 
-CLEAN = Link()
+CLEAN = LinkConditions()
+CUT = LinkConditions(cut=True)
+LOSSY = LinkConditions(drop=0.15, duplicate=0.1, delay_ms=5.0, jitter_ms=40.0)
 
 
-class Kind(Enum):
-    """Kinds of faults between the processes of a fleet."""
+class FleetFaultKind(Enum):
+    """What a fault between the processes of a fleet does, or what undoes one. Values are those of the command line."""
 
-    CUT = "cut"  # one direction between two members
-    PARTITION = "partition"  # both directions between a member and all others
-    LOSSY = "lossy"  # a direction loses, duplicates and reorders
-    ENGINES = "engines"  # both directions between a member and all engines
+    CUT = "cut"  # one direction between two members is cut
+    PARTITION = "partition"  # both directions between a member and all others are cut
+    LOSSY = "lossy"  # both directions between two members lose, duplicate and reorder
+    ENGINES = "engines"  # both directions between a member and all engines are cut
     HEAL = "heal"  # every link is clean again
     KILL = "kill"  # SIGKILL
     STOP = "stop"  # SIGSTOP: a slow peer, until CONT
-    CONT = "cont"
+    CONT = "cont"  # SIGCONT
     RESTART = "restart"  # started again, after a kill
-    AHEAD = "ahead"  # its wall clock jumps an hour ahead
-    BEHIND = "behind"  # or a minute behind
-    CLOCK = "clock"  # and back
+    AHEAD = "ahead"  # the wall clock jumps an hour ahead
+    BEHIND = "behind"  # the wall clock jumps a minute behind
+    CLOCK = "clock"  # the wall clock is the machine's again
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """One fault, from its moment until it is undone."""
-
-    at: float  # ms from the start
-    kind: Kind
+class FleetFault:
+    """One fault, or what undoes one.
+
+    Attributes:
+        at_ms: When, from the start of the run.
+        kind: What it does.
+        target: Member that it strikes.
+        other: Far end of a link, for faults of one link.
+    """
+
+    at_ms: float
+    kind: FleetFaultKind
     target: str
-    other: str = ""  # the far end of a link
-
-
-STRIKES = (Kind.CUT, Kind.PARTITION, Kind.LOSSY, Kind.KILL, Kind.STOP)
-UNDO = {Kind.KILL: Kind.RESTART, Kind.STOP: Kind.CONT, Kind.AHEAD: Kind.CLOCK, Kind.BEHIND: Kind.CLOCK}
-
-
-def schedule(seed: int, members: list[str], span: float, count: int, kinds: tuple[Kind, ...] = STRIKES) -> list[Fault]:
-    """`count` faults at random moments within `span`, each healed or undone before the next one strikes, so that the
-    run ends with every member up and every link clean."""
+    other: str = ""
+
+
+DEFAULT_KINDS = (
+    FleetFaultKind.CUT,
+    FleetFaultKind.PARTITION,
+    FleetFaultKind.LOSSY,
+    FleetFaultKind.KILL,
+    FleetFaultKind.STOP,
+)
+LINK_KINDS = (FleetFaultKind.CUT, FleetFaultKind.LOSSY)  # faults of one link
+UNDONE_BY = {
+    FleetFaultKind.KILL: FleetFaultKind.RESTART,
+    FleetFaultKind.STOP: FleetFaultKind.CONT,
+    FleetFaultKind.AHEAD: FleetFaultKind.CLOCK,
+    FleetFaultKind.BEHIND: FleetFaultKind.CLOCK,
+}  # all others by HEAL
+
+
+def draw_schedule(
+    seed: int,
+    members: list[str],
+    duration_ms: float,
+    count: int,
+    kinds: tuple[FleetFaultKind, ...] = DEFAULT_KINDS,
+) -> list[FleetFault]:
+    """Draw `count` faults at random moments, each followed by what undoes it before the next one strikes.
+
+    A run that carries it out ends with every member up and every link clean.
+    """
     rng = random.Random(seed)
     if len(members) < 2 or count < 1:
         return []
-    slot = span / count
-    faults: list[Fault] = []
-    for i in range(count):
-        start = i * slot + rng.uniform(0, slot / 3)
-        end = start + rng.uniform(slot / 4, slot / 2)
-        a, b = rng.sample(members, 2)
+    slot_ms = duration_ms / count
+    faults: list[FleetFault] = []
+    for number in range(count):
+        start_ms = number * slot_ms + rng.uniform(0, slot_ms / 3)
+        end_ms = start_ms + rng.uniform(slot_ms / 4, slot_ms / 2)
+        target, other = rng.sample(members, 2)
         kind = rng.choice(kinds)
-        faults.append(Fault(start, kind, a, b if kind in (Kind.CUT, Kind.LOSSY) else ""))
-        faults.append(Fault(end, UNDO.get(kind, Kind.HEAL), a))
+        faults.append(FleetFault(start_ms, kind, target, other if kind in LINK_KINDS else ""))
+        faults.append(FleetFault(end_ms, UNDONE_BY.get(kind, FleetFaultKind.HEAL), target))
     return faults
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -12,7 +12,7 @@
 
 from decklb.daemon.control import ask
 from decklb.lab.fault_runs.handoff_run import COME_BACK, Fleet, Setup, campaign
-from decklb.lab.faults.fault_schedule import Fault, Kind, Link
+from decklb.lab.faults.fault_schedule import FleetFault, FleetFaultKind, LinkConditions
 from tests.standins import wait_for
 
 SETUP = Setup()
@@ -182,7 +182,7 @@
         async def cut():
             while not self.runs("engineless"):
                 await asyncio.sleep(0.01)
-            await self.fleet.strike(Fault(0.0, Kind.ENGINES, "m0"))
+            await self.fleet.strike(FleetFault(0.0, FleetFaultKind.ENGINES, "m0"))
 
         try:
             first = self.during(lambda: Session(self.fleet, "m0", "load", "engineless").run(sql), cut)
@@ -258,8 +258,8 @@
         """The reactor's calls went by the wall clock: after the way back, none was due for an hour."""
 
         async def jump():
-            for kind in (Kind.AHEAD, Kind.CLOCK, Kind.BEHIND, Kind.CLOCK):
-                await self.fleet.strike(Fault(0.0, kind, "m1"))
+            for kind in (FleetFaultKind.AHEAD, FleetFaultKind.CLOCK, FleetFaultKind.BEHIND, FleetFaultKind.CLOCK):
+                await self.fleet.strike(FleetFault(0.0, kind, "m1"))
                 await asyncio.sleep(0.4)
 
         self.runner.run(jump())
@@ -281,7 +281,9 @@
         for a in self.fleet.names:
             for b in self.fleet.names:
                 if a != b:
-                    self.fleet.rig.set(a, b, Link(drop=0.05, duplicate=0.2, delay=2.0, jitter=20.0))
+                    self.fleet.rig.set_link(
+                        a, b, LinkConditions(drop=0.05, duplicate=0.2, delay_ms=2.0, jitter_ms=20.0)
+                    )
         try:
             for i in range(6):
                 key = f"lossy.{i}"
@@ -311,7 +313,13 @@
         self.assertGreaterEqual(
             len(
                 {f.kind for _, _, faults in shown for f in faults}
-                & {Kind.KILL, Kind.STOP, Kind.PARTITION, Kind.CUT, Kind.LOSSY}
+                & {
+                    FleetFaultKind.KILL,
+                    FleetFaultKind.STOP,
+                    FleetFaultKind.PARTITION,
+                    FleetFaultKind.CUT,
+                    FleetFaultKind.LOSSY,
+                }
             ),
             4,
         )
--- a/tests/test_lab_recorded_figures.py
+++ b/tests/test_lab_recorded_figures.py
@@ -15,12 +15,12 @@
 from decklb.lab.emulation.emulator import Run
 from decklb.lab.emulation.random_streams import Streams
 from decklb.lab.emulation.simulated_handoff import play as play_handoff
-from decklb.lab.emulation.simulated_quorum_register import World as RegisterWorld
+from decklb.lab.emulation.simulated_quorum_register import RegisterSimulation
 from decklb.lab.emulation.workload import TrafficSurge, draw
 from decklb.lab.experiments import cell_runner, experiment_file, queueing_theory, statistics, zone_agreement
 from decklb.lab.experiments.bundled import world
 from decklb.lab.experiments.shared_duties import Experiment, run
-from decklb.lab.faults.fault_schedule import Kind, schedule
+from decklb.lab.faults.fault_schedule import FleetFaultKind, draw_schedule
 from decklb.lab.faults.system_call_cases import all_cases, some_cases
 from tests.standins import ROOT
 
@@ -136,8 +136,8 @@
     "handoff": lambda: plain([play_handoff(seed) for seed in (1, 2, 3)]),
     "handoff, harsh": lambda: plain([play_handoff(seed, harsh=True) for seed in (1, 2)]),
     "handoff, total": lambda: plain(total(play_handoff(seed) for seed in (4, 5))),
-    "quorum register": lambda: plain([RegisterWorld(seed, 5, harsh=True).run() for seed in (1, 2)]),
-    "quorum register, stored": lambda: plain([RegisterWorld(3, 3, harsh=False, kept=True).run()]),
+    "quorum register": lambda: plain([RegisterSimulation(seed, 5, harsh=True).run() for seed in (1, 2)]),
+    "quorum register, stored": lambda: plain([RegisterSimulation(3, 3, harsh=False, kept=True).run()]),
     "zones": lambda: [
         digest(zone_agreement.play(case, 2, common, managers=6)) for case in zone_agreement.CASES for common in (0, 1)
     ],
@@ -146,7 +146,7 @@
     ),
     "theory": lambda: list(queueing_theory.table(4000, 1)),
     "interval": lambda: plain(statistics.interval(np.arange(20.0), Streams(1).get("bootstrap"))),
-    "fault schedule": lambda: plain(schedule(9, ["m0", "m1", "m2"], 8000.0, 6, tuple(Kind)[:8])),
+    "fault schedule": lambda: plain(draw_schedule(9, ["m0", "m1", "m2"], 8000.0, 6, tuple(FleetFaultKind)[:8])),
     "system calls": lambda: [len(all_cases()), digest([str(case) for case in all_cases()]), str(some_cases(4, 0.1)[7])],
 }
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,7 +10,7 @@
 
 from decklb.cli.maint import maint
 from decklb.cluster.messages import WireError
-from decklb.lab.emulation.simulated_quorum_register import World
+from decklb.lab.emulation.simulated_quorum_register import RegisterSimulation
 from decklb.lab.fault_runs.maintenance_run import Step, budget, doubled
 from decklb.maintenance import messages as m
 from decklb.maintenance.conductor import Conductor, Own, manager
@@ -38,21 +38,21 @@
         """1,600 such runs were clean; with a rule taken out, these few are not."""
         done = 0
         for members, seed in ((n, s) for n in (3, 5) for s in range(25)):
-            told = World(seed, members, harsh=True).run()
+            told = RegisterSimulation(seed, members, harsh=True).run()
             self.assertEqual((told.lost, told.twice, told.forked, told.stuck), ([], [], 0, 0), (members, seed))
             done += len(told.done)
         self.assertGreater(done, 1000)
 
     def test_words_that_are_slower_than_a_try_delay_agreement_and_do_not_stop_it(self):
         """Each way 60 ms and more, where a try begins with 100 to 200: with tries of one length none was done."""
-        made = [World(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
+        made = [RegisterSimulation(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
         self.assertGreater(sum(len(t.done) for t in made), 60)
         self.assertEqual([(t.lost, t.twice, t.forked) for t in made], [([], [], 0)] * 8)
 
     def test_what_members_keep_outlives_a_restart_of_all_at_once(self):
         done = 0
         for members, seed in ((n, s) for n in (3, 5) for s in range(12)):
-            told = World(seed, members, harsh=True, kept=True).run()
+            told = RegisterSimulation(seed, members, harsh=True, kept=True).run()
             self.assertEqual((told.lost, told.twice, told.forked, told.stuck), ([], [], 0, 0), (members, seed))
             done += len(told.done)
         self.assertGreater(done, 400)
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -10,8 +10,8 @@
 from decklb.cluster import keyfile
 from decklb.daemon.control import ask
 from decklb.lab.faults import free_ports as ports
-from decklb.lab.faults.fault_schedule import Link
-from decklb.lab.faults.network_proxy import Rig
+from decklb.lab.faults.fault_schedule import LinkConditions
+from decklb.lab.faults.network_proxy import NetworkProxy
 from tests.standins import Loop, Program, known, wait_for
 
 NAMES = ["m0", "m1", "m2"]
@@ -24,15 +24,15 @@
         self.addCleanup(self.loop.stop)
         self.folder = Path(folder.name)
         binds = dict(zip(NAMES, [("127.0.0.1", p) for p in ports.free(3)], strict=True))
-        self.rig = Rig(binds, seed=7)
+        self.rig = NetworkProxy(binds, seed=7)
         self.loop.run(self.rig.open())
         self.addCleanup(lambda: self.act(self.rig.close))
         keys = str(self.folder / "keys.json")
         keyfile.write(keys, [keyfile.make()])
-        seeds = "".join(f"<seed>{h}:{p}</seed>" for h, p in self.rig.told.values())
+        seeds = "".join(f"<seed>{h}:{p}</seed>" for h, p in self.rig.advertised.values())
         self.programs = {}
         for name, (host, port) in binds.items():
-            told = "{}:{}".format(*self.rig.told[name])
+            told = "{}:{}".format(*self.rig.advertised[name])
             xml = (
                 f'<decklb version="1"><process name="{name}"/><cluster name="c" bind="{host}:{port}" '
                 f'advertise="{told}" keys="{keys}" interval="100ms" timeout="40ms" gossip="20ms" '
@@ -72,7 +72,7 @@
             self.sees(name, NAMES, "all again")
 
         for other in ("m0", "m2"):  # m1 hears nothing; what it says still passes
-            self.act(self.rig.set, other, "m1", Link(cut=True))
+            self.act(self.rig.set_link, other, "m1", LinkConditions(cut=True))
         self.sees("m0", ["m0", "m2"], "m1 gone, by a cut one way")
         self.act(self.rig.heal)
         self.sees("m0", NAMES, "m1 back")
