--- a/decklb/lab/fault_runs/connection_cut_run.py
+++ b/decklb/lab/fault_runs/connection_cut_run.py
@@ -17,8 +17,8 @@
 from tempfile import TemporaryDirectory
 
 from decklb.lab.fault_runs.system_call_run import SETTINGS, Player
-from decklb.lab.faults.connection_proxy import Action, Proxy, Strike
-from decklb.lab.standins.recording_peers import Engine, Run
+from decklb.lab.faults.connection_proxy import Action, ConnectionProxy, Strike
+from decklb.lab.standins.recording_peers import RecordedAttempt, RecordingEngine
 
 SETTLE = 0.3  # seconds that a key rests
 RULES = {"settle_after_doubt": 1000 * SETTLE}
@@ -43,14 +43,14 @@
     def __init__(self, front: str, folder: Path, tree: Path | None) -> None:
         classes = [dict(c, serial_by_key=c["name"] == "load") for c in SETTINGS["categories"]]
         super().__init__(front, folder, tree, SETTINGS | {"categories": classes, "rules": SETTINGS["rules"] | RULES})
-        self.proxies: list[Proxy] = []
+        self.proxies: list[ConnectionProxy] = []
 
     async def listed(self) -> dict[str, int]:
         """The proxies' ports in place of the engines'."""
-        self.proxies = [Proxy(engine.port) for engine in self.engines]
+        self.proxies = [ConnectionProxy(engine.port) for engine in self.engines]
         for proxy in self.proxies:
             await proxy.start()
-        return {f"s-{i}": proxy.listens for i, proxy in enumerate(self.proxies)}
+        return {f"s-{i}": proxy.listen_port for i, proxy in enumerate(self.proxies)}
 
     async def stop(self) -> None:
         """See Player."""
@@ -62,7 +62,7 @@
         """A line of requests of one key; the first answer of any engine is struck."""
         await self._serves(5.0)
         for engine in self.engines:
-            engine.runs.clear()
+            engine.attempts.clear()
         whole = max(engine.answer_size for engine in self.engines)
         at = whole if draw.random() < ENDS else draw.randint(1, whole)
         strike = Strike(at, draw.choice(list(Action)))
@@ -78,18 +78,18 @@
         found = Round(strike, False, Counter(await asyncio.gather(*asked)))
         for link in links:
             link.close()
-        found.struck = any(proxy.struck is not None for proxy in self.proxies)
+        found.struck = any(proxy.struck_at_s is not None for proxy in self.proxies)
         found.faults = self._order(names) + self._overlaps()
         for engine, proxy in zip(self.engines, self.proxies, strict=True):
-            if proxy.struck is not None and strike.action in CUTS:
-                found.faults += self._after(engine, proxy.struck)
+            if proxy.struck_at_s is not None and strike.action in CUTS:
+                found.faults += self._after(engine, proxy.struck_at_s)
             proxy.arm(None)
         if found.answers["silent"] or found.answers["ended"]:
             found.faults.append(f"requests without an answer: {dict(found.answers)}")
         return found
 
-    def _runs(self) -> list[Run]:
-        return sorted((run for engine in self.engines for run in engine.runs), key=lambda run: run.began)
+    def _runs(self) -> list[RecordedAttempt]:
+        return sorted((run for engine in self.engines for run in engine.attempts), key=lambda run: run.began)
 
     def _order(self, names: list[str]) -> list[str]:
         runs = [run for run in self._runs() if run.name in names]
@@ -101,9 +101,9 @@
         order = [names.index(run.name) for run in runs]
         return faults + ([f"out of order: {order}"] if order != sorted(order) else [])
 
-    def _after(self, engine: Engine, struck: float) -> list[str]:
+    def _after(self, engine: RecordingEngine, struck: float) -> list[str]:
         """What may not follow the cut of an engine's answer at that moment."""
-        cut = max((run for run in engine.runs if run.began < struck), key=lambda run: run.began, default=None)
+        cut = max((run for run in engine.attempts if run.began < struck), key=lambda run: run.began, default=None)
         faults: list[str] = []
         if cut is None:  # it was struck before any request
             return faults
--- a/decklb/lab/fault_runs/slow_start_run.py
+++ b/decklb/lab/fault_runs/slow_start_run.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from decklb.lab.fault_runs.system_call_run import SETTINGS, Player
-from decklb.lab.standins.recording_peers import Directory, Engine, RespPeer
+from decklb.lab.standins.recording_peers import RecordingEngine, RespEngine, StandinDirectory
 
 CORES = 8
 COLD, SHARE, FACTOR, FALL = 15_000.0, 0.31, 3.0, 1500.0  # as the first deployment's settings name them
@@ -41,7 +41,9 @@
 class Member(Player):
     """One manager of the fleet; engines and directory are the fleet's."""
 
-    def __init__(self, folder: Path, number: int, managers: int, engines: list[Engine], directory: Directory) -> None:
+    def __init__(
+        self, folder: Path, number: int, managers: int, engines: list[RecordingEngine], directory: StandinDirectory
+    ) -> None:
         settings: dict[str, Any] = SETTINGS | {
             "balancers": managers,
             "me": number,
@@ -82,11 +84,11 @@
     draw = random.Random(seed)
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(TemporaryDirectory()))
-        engines: list[Engine] = [RespPeer(work=WORK) for _ in range(WARM + 1)]
+        engines: list[RecordingEngine] = [RespEngine(work_s=WORK) for _ in range(WARM + 1)]
         for engine in engines:
             await engine.start()
             stack.push_async_callback(engine.stop)
-        directory = Directory({f"s-{i}": engine.port for i, engine in enumerate(engines[:WARM])})
+        directory = StandinDirectory({f"s-{i}": engine.port for i, engine in enumerate(engines[:WARM])})
         await directory.start()
         stack.callback(directory.stop)
         members = []
@@ -101,7 +103,7 @@
         started = time.monotonic()
         directory.add(f"s-{WARM}", engines[WARM].port, round(time.time() * 1000))
         answers = [a for many in await asyncio.gather(*[_load(m, rate, seconds, draw) for m in members]) for a in many]
-        arrivals = sorted(1000 * run.began for run in engines[WARM].runs)
+        arrivals = sorted(1000 * run.began for run in engines[WARM].attempts)
         return Ramp(
             managers, len(answers), answers.count("served"), len(arrivals), worst_window(arrivals, 1000 * started)
         )
--- a/decklb/lab/fault_runs/system_call_run.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from decklb.lab.faults.interposer import Interposer
-from decklb.lab.faults.system_call_cases import SPANS, USUAL, Case
-from decklb.lab.standins.recording_peers import Directory, Engine, PgPeer, RespPeer
+from decklb.lab.faults.system_call_cases import SPANS, TRANSIENT, Case
+from decklb.lab.standins.recording_peers import PgEngine, RecordingEngine, RespEngine, StandinDirectory
 from decklb.net import frames
 from decklb.pg import messages as pg
 
@@ -79,8 +79,10 @@
         self.front, self.folder, self.tree = front, folder, tree
         self.settings = settings or SETTINGS
         self.interposer = Interposer(folder)
-        self.engines: list[Engine] = [RespPeer() if front == "platform" else PgPeer() for _ in range(ENGINES)]
-        self.directory = Directory({})
+        self.engines: list[RecordingEngine] = [
+            RespEngine() if front == "platform" else PgEngine() for _ in range(ENGINES)
+        ]
+        self.directory = StandinDirectory({})
         self.port = 0
         self.lines: list[str] = []
         self._process: asyncio.subprocess.Process | None = None
@@ -91,7 +93,7 @@
         """Start peers and program. Raises PlayError."""
         for engine in self.engines:
             await engine.start()
-        self.directory.rows = await self.listed()
+        self.directory.engine_ports = await self.listed()
         await self.directory.start()
         await self._start_program()
 
@@ -111,7 +113,7 @@
                 "weight": 8,
                 "startedAtMs": 0,
             }
-            for name, port in self.directory.rows.items()
+            for name, port in self.directory.engine_ports.items()
         ]
         event = {"index": 1, "endpoints": {"generation": 1, "reset": True, "instances": rows}}
         config: dict[str, Any] = {
@@ -183,7 +185,7 @@
         await self._serves(PATIENCE)
         self.lines.clear()
         for engine in self.engines:
-            engine.runs.clear()
+            engine.attempts.clear()
         traffic = Traffic(self)
         await traffic.begin()
         ports = {
@@ -201,7 +203,7 @@
         await traffic.go_on(SPANS[case.span] or (ASKED if case.side == "directory" else AFTER))
         busy = (self._cpu() - used) / (time.monotonic() - began)
         self.interposer.clear()
-        hits, asked = sum(rule.hits for rule in rules), self.directory.asked
+        hits, asked = sum(rule.hits for rule in rules), self.directory.questions
         answers = await traffic.end()
         faults = self._check(case, hits, answers, busy)
         if not await self._serves(PATIENCE):
@@ -229,17 +231,19 @@
         faults += self._overlaps()
         if "Traceback" in log or "unexpected failure" in log or "Unhandled" in log:
             faults.append("a failure that nobody had reckoned with, in the log")
-        if hits and case.call != "write" and case.error not in USUAL and not log:
+        if hits and case.call != "write" and case.error not in TRANSIENT and not log:
             faults.append("no line of the log tells of it")
         if case.span == "long" and busy > BUSY:
             faults.append(f"a busy loop: {busy:.2f} of a core")
         # A peer that closes before anything is sent also gives NOCONN: it is no word about this machine.
-        if "attempt ended: NOCONN" in log and "no-connection" in log and not case.blames_engine:
+        if "attempt ended: NOCONN" in log and "no-connection" in log and not case.says_engine_failed:
             faults.append("a local failure is put down to an engine")
         return faults
 
     def _overlaps(self) -> list[str]:
-        runs = sorted((run for engine in self.engines for run in engine.runs), key=lambda run: (run.name, run.began))
+        runs = sorted(
+            (run for engine in self.engines for run in engine.attempts), key=lambda run: (run.name, run.began)
+        )
         return [
             f"two attempts of {a.name} at once"
             for a, b in itertools.pairwise(runs)
@@ -265,9 +269,9 @@
 
     async def _asked_again(self, before: int) -> bool:
         end = time.monotonic() + PATIENCE
-        while self.directory.asked <= before and time.monotonic() < end:
+        while self.directory.questions <= before and time.monotonic() < end:
             await asyncio.sleep(0.02)
-        return self.directory.asked > before
+        return self.directory.questions > before
 
     def name(self) -> str:
         """A name for one more request."""
--- a/decklb/lab/faults/system_call_cases.py
+++ b/decklb/lab/faults/system_call_cases.py
@@ -1,4 +1,7 @@
-"""Which system calls of the program can fail how: the errors that the manual pages name, for each call in its path."""
+"""The matrix of system calls that can fail: the errors that manual pages name, for each call in the program's path.
+
+Free of I/O. `fault_runs.system_call_run` plays the cases, each with its error for one of SPANS.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 from dataclasses import dataclass
 
 FRONTS = ("platform", "postgres")
-SPANS = {"once": 0.0, "short": 0.3, "long": 1.5}  # seconds that the call goes on failing; once: a single time
+SPANS = {"once": 0.0, "short": 0.3, "long": 1.5}  # seconds that a call goes on failing; once: a single time
 
-_SHORT = ("ENOBUFS", "ENOMEM")
-_DESCRIPTORS = ("EMFILE", "ENFILE")
+_OUT_OF_MEMORY = ("ENOBUFS", "ENOMEM")
+_OUT_OF_DESCRIPTORS = ("EMFILE", "ENFILE")
 # Errors of each call by side: whose sockets are struck. Sources: accept(2), connect(2), socket(2), getsockopt(2),
 # setsockopt(2), recv(2), send(2), epoll_ctl(2), epoll_wait(2), write(2); ip(7), udp(7), tcp(7) for the network's.
 ERRORS: dict[tuple[str, str], tuple[str, ...]] = {
@@ -28,17 +31,17 @@
         "EOPNOTSUPP",
         "ENETUNREACH",
         "ETIMEDOUT",
-        *_DESCRIPTORS,
-        *_SHORT,
+        *_OUT_OF_DESCRIPTORS,
+        *_OUT_OF_MEMORY,
     ),
-    ("recv", "client"): ("EAGAIN", "EINTR", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOTCONN", *_SHORT),
-    ("recv", "engine"): ("EAGAIN", "EINTR", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOTCONN", *_SHORT),
-    ("send", "client"): ("EAGAIN", "EINTR", "ECONNRESET", "EPIPE", "EHOSTUNREACH", "ENOTCONN", *_SHORT),
-    ("send", "engine"): ("EAGAIN", "EINTR", "ECONNRESET", "EPIPE", "EHOSTUNREACH", "ENOTCONN", *_SHORT),
-    ("setsockopt", "client"): ("EBADF", "EINVAL", "ENOPROTOOPT", *_SHORT),
-    ("setsockopt", "engine"): ("EBADF", "EINVAL", "ENOPROTOOPT", *_SHORT),
-    ("getsockopt", "engine"): ("EBADF", "EINVAL", *_SHORT),
-    ("socket", "any"): ("EACCES", "EAFNOSUPPORT", *_DESCRIPTORS, *_SHORT),
+    ("recv", "client"): ("EAGAIN", "EINTR", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOTCONN", *_OUT_OF_MEMORY),
+    ("recv", "engine"): ("EAGAIN", "EINTR", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOTCONN", *_OUT_OF_MEMORY),
+    ("send", "client"): ("EAGAIN", "EINTR", "ECONNRESET", "EPIPE", "EHOSTUNREACH", "ENOTCONN", *_OUT_OF_MEMORY),
+    ("send", "engine"): ("EAGAIN", "EINTR", "ECONNRESET", "EPIPE", "EHOSTUNREACH", "ENOTCONN", *_OUT_OF_MEMORY),
+    ("setsockopt", "client"): ("EBADF", "EINVAL", "ENOPROTOOPT", *_OUT_OF_MEMORY),
+    ("setsockopt", "engine"): ("EBADF", "EINVAL", "ENOPROTOOPT", *_OUT_OF_MEMORY),
+    ("getsockopt", "engine"): ("EBADF", "EINVAL", *_OUT_OF_MEMORY),
+    ("socket", "any"): ("EACCES", "EAFNOSUPPORT", *_OUT_OF_DESCRIPTORS, *_OUT_OF_MEMORY),
     ("connect", "engine"): (
         "EACCES",
         "EPERM",
@@ -50,7 +53,7 @@
         "ECONNREFUSED",
         "ETIMEDOUT",
         "EHOSTUNREACH",
-        *_SHORT,
+        *_OUT_OF_MEMORY,
     ),
     ("sendto", "directory"): (
         "EAGAIN",
@@ -62,24 +65,40 @@
         "ENETUNREACH",
         "ENETDOWN",
         "EMSGSIZE",
-        *_SHORT,
+        *_OUT_OF_MEMORY,
+    ),
+    ("recvfrom", "directory"): (
+        "EAGAIN",
+        "EINTR",
+        "ECONNREFUSED",
+        "EHOSTUNREACH",
+        "ENETUNREACH",
+        "ETIMEDOUT",
+        *_OUT_OF_MEMORY,
     ),
-    ("recvfrom", "directory"): ("EAGAIN", "EINTR", "ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT", *_SHORT),
     ("epoll_ctl", "any"): ("EEXIST", "ENOENT", "ENOMEM", "ENOSPC"),
     ("epoll_wait", "any"): ("EINTR", "EINVAL", "EBADF"),
     ("write", "any"): ("EIO", "ENOSPC", "EPIPE"),  # the log
 }
-# Errors that say that a connection is gone: nothing that the program does can keep it.
-GONE = frozenset({"ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOTCONN", "EPIPE"})
-# Errors that a call may give at any time, which the program need not tell of.
-USUAL = frozenset({"EAGAIN", "EINTR"})
-# Errors of connect(2) that do tell of the other end.
-OF_THE_ENGINE = frozenset({"ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH"})
+# Errors that say that a connection is lost: nothing that the program does can keep it.
+CONNECTION_LOST = frozenset({"ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOTCONN", "EPIPE"})
+# Errors that a call may give at any time, and that the program need not log.
+TRANSIENT = frozenset({"EAGAIN", "EINTR"})
+# Errors of connect(2) that say something of the engine.
+ENGINE_FAULTS = frozenset({"ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH"})
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One call that fails in one way for one span, on one front."""
+    """One call that fails in one way for one span, on one front.
+
+    Attributes:
+        front: platform or postgres.
+        call: Name of the system call.
+        side: Whose sockets are struck: client, engine, directory or any.
+        error: Name of the errno.
+        span: For how long, of SPANS.
+    """
 
     front: str
     call: str
@@ -89,39 +108,39 @@
 
     @property
     def errno(self) -> int:
-        """The error's number."""
+        """Return the error's number."""
         return int(getattr(errno, self.error))
 
     @property
     def ends_client_connections(self) -> bool:
         """Whether the fault itself ends connections of clients, with what is open on them."""
-        return self.side == "client" and self.call in ("recv", "send") and self.error in GONE
+        return self.side == "client" and self.call in ("recv", "send") and self.error in CONNECTION_LOST
 
     @property
-    def blames_engine(self) -> bool:
-        """Whether the fault tells of an engine."""
-        return self.side == "engine" and (self.error in GONE or self.error in OF_THE_ENGINE)
+    def says_engine_failed(self) -> bool:
+        """Whether the program may rightly take it for a fault of the engine."""
+        return self.side == "engine" and (self.error in CONNECTION_LOST or self.error in ENGINE_FAULTS)
 
     def __str__(self) -> str:
         return f"{self.front}: {self.call} of {self.side}: {self.error}, {self.span}"
 
 
 def all_cases() -> list[Case]:
-    """The whole matrix."""
+    """Return the complete matrix."""
     return [
         Case(front, call, side, error, span)
         for front in FRONTS
         for (call, side), errors in ERRORS.items()
         for error in errors
         for span in SPANS
-        if span != "long" or error not in USUAL  # the kernel gives these only for a moment
+        if span != "long" or error not in TRANSIENT  # the kernel gives these only for a moment
     ]
 
 
-def some_cases(seed: int, part: float) -> list[Case]:
-    """A part of the matrix, drawn anew for each seed: at least one case of each call, side and front."""
+def some_cases(seed: int, share: float) -> list[Case]:
+    """Draw a share of the matrix by seed: at least one case of each call, side and front."""
     draw = random.Random(seed)
     groups: dict[tuple[str, str, str], list[Case]] = {}
     for case in all_cases():
         groups.setdefault((case.front, case.call, case.side), []).append(case)
-    return [case for group in groups.values() for case in draw.sample(group, max(1, round(part * len(group))))]
+    return [case for group in groups.values() for case in draw.sample(group, max(1, round(share * len(group))))]
--- a/decklb/lab/standins/recording_peers.py
+++ b/decklb/lab/standins/recording_peers.py
@@ -1,4 +1,8 @@
-"""Engines and a directory for one real process of the program, on loopback sockets, that keep what they saw."""
+"""Stand-in engines of both wires and a directory for one real process of the program, on loopback sockets.
+
+They record what they saw: engines their attempts, the directory its questions. Owned by the fault runs on system calls,
+connection cuts and slow start.
+"""
 
 from __future__ import annotations
 
@@ -10,28 +14,39 @@
 from decklb.net import dns, resp
 from decklb.pg import messages as pg
 
-WORK = 0.005  # seconds that a statement runs
+WORK_S = 0.005  # that a statement runs
+RUNNING = float("inf")  # end of an attempt that has not ended
+AUTHORITATIVE = 0x8400  # DNS flags: a response, authoritative
+SRV_PORT_FIELDS = ">HHH"  # priority, weight, port
 ROWS = b"a\tb\tc\n"
 
 
 @dataclass(slots=True)
-class Run:
-    """One attempt at one engine, in seconds of the monotonic clock."""
+class RecordedAttempt:
+    """One attempt at one engine; times are seconds of the monotonic clock."""
 
     name: str
     began: float
-    ended: float = float("inf")
+    ended: float = RUNNING
 
 
 @dataclass(slots=True)
-class Engine:
-    """What all engines of a test share: the attempts that they saw, and their open connections."""
-
-    work: float = WORK  # seconds that a statement runs
+class RecordingEngine:
+    """What the engines of both wires share.
+
+    Attributes:
+        work_s: That a statement runs.
+        port: Where it listens, once started.
+        attempts: That it saw, in order.
+        writers: Of its open connections.
+        answer_size: Bytes of its latest answer.
+    """
+
+    work_s: float = WORK_S
     port: int = 0
-    runs: list[Run] = field(default_factory=list)
+    attempts: list[RecordedAttempt] = field(default_factory=list)
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
-    answer_size: int = 0  # bytes of one answer
+    answer_size: int = 0
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -52,62 +67,62 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
-        running: dict[str, Run] = {}
+        running: dict[str, RecordedAttempt] = {}
         try:
             await self.session(reader, writer, running)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         finally:
-            for run in running.values():
-                run.ended = min(run.ended, time.monotonic())
+            for attempt in running.values():
+                attempt.ended = min(attempt.ended, time.monotonic())
             self.writers.discard(writer)
             writer.close()
 
     async def session(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, Run]
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, RecordedAttempt]
     ) -> None:
         """Speak the engine's wire on one connection until it ends."""
         raise NotImplementedError
 
-    def begin(self, name: str, running: dict[str, Run]) -> Run:
-        """Note that an attempt has begun."""
-        run = running[name] = Run(name, time.monotonic())
-        self.runs.append(run)
-        return run
+    def begin(self, name: str, running: dict[str, RecordedAttempt]) -> RecordedAttempt:
+        """Record that an attempt has begun."""
+        attempt = running[name] = RecordedAttempt(name, time.monotonic())
+        self.attempts.append(attempt)
+        return attempt
 
 
-class RespPeer(Engine):
+class RespEngine(RecordingEngine):
     """An engine of the platform: every statement gives one row."""
 
     async def session(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, Run]
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, RecordedAttempt]
     ) -> None:
-        """See Engine."""
+        """Answer statements, and record them."""
         parser = resp.RespReader()
         while data := await reader.read(65536):
             for parts in parser.feed(data):
                 name = parts[1].decode()
                 if parts[0] == b"do":
-                    run = self.begin(name, running)
-                    asyncio.get_running_loop().call_later(self.work, self._answer, writer, name, run)
+                    attempt = self.begin(name, running)
+                    asyncio.get_running_loop().call_later(self.work_s, self._answer, writer, name, attempt)
                 elif parts[0] == b"undo" and name in running:
                     running[name].ended = min(running[name].ended, time.monotonic())
 
-    def _answer(self, writer: asyncio.StreamWriter, name: str, run: Run) -> None:
-        if run.ended == float("inf") and not writer.is_closing():
-            run.ended = time.monotonic()
+    def _answer(self, writer: asyncio.StreamWriter, name: str, attempt: RecordedAttempt) -> None:
+        if attempt.ended == RUNNING and not writer.is_closing():
+            attempt.ended = time.monotonic()
             answer = resp.pack(name.encode(), b"data", b"parts=1", ROWS)
             self.answer_size = len(answer)
             writer.write(answer)
 
 
-class PgPeer(Engine):
+class PgEngine(RecordingEngine):
     """An engine that speaks PostgreSQL's protocol 3.0, as far as simple queries go."""
 
     async def session(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, Run]
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, RecordedAttempt]
     ) -> None:
-        """See Engine."""
+        """Answer statements, and record them."""
         size, code = struct.unpack(">II", await reader.readexactly(8))
         await reader.readexactly(size - 8)
         if code == pg.CANCEL:
@@ -116,27 +131,34 @@
         while (kind := await reader.readexactly(1)) != b"X":
             body = await reader.readexactly(int.from_bytes(await reader.readexactly(4), "big") - 4)
             if kind == b"Q":
-                run = self.begin(body[:-1].decode().partition("'")[2][:-1], running)
-                await asyncio.sleep(self.work)
-                run.ended = time.monotonic()
+                attempt = self.begin(body[:-1].decode().partition("'")[2][:-1], running)
+                await asyncio.sleep(self.work_s)
+                attempt.ended = time.monotonic()
                 answer = pg.pack(b"D", struct.pack(">hi", 1, 1) + b"x") + pg.pack(b"C", b"SELECT 1\0") + pg.READY
                 self.answer_size = len(answer)
                 writer.write(answer)
 
 
-class Directory(asyncio.DatagramProtocol):
-    """Answers each question with the same list; `asked` counts them."""
+class StandinDirectory(asyncio.DatagramProtocol):
+    """A DNS directory that answers each question with its complete list.
+
+    Attributes:
+        engine_ports: Port of each engine, by its id.
+        started_ms: Unix time of start of engines that started late.
+        serial: Of the list.
+        questions: Received so far.
+        port: Where it listens, once started.
+    """
 
-    def __init__(self, rows: dict[str, int]) -> None:
-        """`rows`: the port of each engine by its id."""
-        self.rows, self.asked, self.port = rows, 0, 0
-        self.starts: dict[str, int] = {}  # Unix ms of engines that started late
+    def __init__(self, engine_ports: dict[str, int]) -> None:
+        self.engine_ports, self.questions, self.port = engine_ports, 0, 0
+        self.started_ms: dict[str, int] = {}
         self.serial = 1
         self._transport: asyncio.DatagramTransport | None = None
 
-    def add(self, engine: str, port: int, started: int) -> None:
-        """One more engine, started at that Unix millisecond."""
-        self.rows[engine], self.starts[engine] = port, started
+    def add(self, engine: str, port: int, started_ms: int) -> None:
+        """Add an engine that started at that Unix time, in ms."""
+        self.engine_ports[engine], self.started_ms[engine] = port, started_ms
         self.serial += 1
 
     async def start(self) -> None:
@@ -153,26 +175,26 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """One question."""
-        self.asked += 1
+        """Answer one question."""
+        self.questions += 1
         if self._transport is not None:
-            self._transport.sendto(answer(data, self.rows, self.starts, self.serial), addr)
+            self._transport.sendto(answer(data, self.engine_ports, self.started_ms, self.serial), addr)
 
 
-def answer(question: bytes, rows: dict[str, int], starts: dict[str, int], serial: int) -> bytes:
-    """The whole list, as RFC 1035 and RFC 2782 have it, for the question in a datagram."""
-    asked = question[dns.HEAD.size :]
+def answer(question: bytes, engine_ports: dict[str, int], started_ms: dict[str, int], serial: int) -> bytes:
+    """Return the complete list as the response to a question (RFC 1035; SRV records, RFC 2782)."""
+    question_section = question[dns.HEAD.size :]
     records = b""
-    for engine, port in rows.items():
+    for engine, port in engine_ports.items():
         target = _name(f"{engine}.z.hosts")
-        records += _record(b"\xc0\x0c", dns.SRV, struct.pack(">HHH", 0, 80, port) + target)
+        records += _record(b"\xc0\x0c", dns.SRV, struct.pack(SRV_PORT_FIELDS, 0, 80, port) + target)
         records += _record(target, dns.A, bytes([127, 0, 0, 1]))
         records += _record(
-            target, dns.TXT, b"".join(_text(t) for t in ("kind=k", "cell=0", f"started={starts.get(engine, 0)}"))
+            target, dns.TXT, b"".join(_text(t) for t in ("kind=k", "cell=0", f"started={started_ms.get(engine, 0)}"))
         )
     records += _record(b"\xc0\x0c", dns.SOA, _name("ns") + _name("me") + struct.pack(">5I", serial, 0, 0, 0, 0))
-    head = dns.HEAD.pack(int.from_bytes(question[:2], "big"), 0x8400, 1, 3 * len(rows), 1, 0)
-    return head + asked + records
+    head = dns.HEAD.pack(int.from_bytes(question[:2], "big"), AUTHORITATIVE, 1, 3 * len(engine_ports), 1, 0)
+    return head + question_section + records
 
 
 def _name(text: str) -> bytes:
