--- a/decklb/lab/experiments/statistics.py
+++ b/decklb/lab/experiments/statistics.py
@@ -1,18 +1,33 @@
-"""Comparisons: paired by cell, with confidence intervals by bootstrap (Efron, 1979). Free of I/O; draws come in."""
+"""Paired comparisons of experiments, with confidence intervals by bootstrap (Efron, 1979).
+
+Free of I/O; random numbers come in. Used by `decklb lab compare` and the report.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 import numpy as np
 
-DRAWS = 4000
+RESAMPLES = 4000
+CONFIDENCE = 0.95
+
+Summary = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Mean of B - A over pairs, and the interval in which 95 of 100 resampled means lie."""
+    """One figure of two experiments, over pairs of cells.
+
+    Attributes:
+        what: Name of the figure.
+        group: Sizes and factors that the pairs share.
+        pairs: Their number.
+        a, b: Means of both sides.
+        low, high: Interval of the mean of B - A, in which CONFIDENCE of resampled means lie.
+    """
 
     what: str
     group: str
@@ -24,7 +39,7 @@
 
     @property
     def mean(self) -> float:
-        """B - A."""
+        """Mean of B - A."""
         return self.b - self.a
 
     @property
@@ -33,42 +48,58 @@
         return self.low > 0 or self.high < 0
 
 
-def interval(values: np.ndarray, rng: np.random.Generator, share: float = 0.95) -> tuple[float, float]:
-    """Percentile bootstrap of the mean. One value has no width to tell: all numbers are possible."""
+def interval(values: np.ndarray, rng: np.random.Generator, confidence: float = CONFIDENCE) -> tuple[float, float]:
+    """Return the percentile bootstrap interval of the mean; one value alone leaves all numbers possible."""
     if len(values) < 2:
         return float("-inf"), float("inf")
-    means = values[rng.integers(0, len(values), (DRAWS, len(values)))].mean(axis=1)
-    low, high = np.quantile(means, [(1 - share) / 2, (1 + share) / 2])
+    resamples = rng.integers(0, len(values), (RESAMPLES, len(values)))
+    means = values[resamples].mean(axis=1)
+    low, high = np.quantile(means, [(1 - confidence) / 2, (1 + confidence) / 2])
     return float(low), float(high)
 
 
-def compare(
-    a: list[dict[str, Any]], b: list[dict[str, Any]], what: list[str], rng: np.random.Generator
-) -> list[Difference]:
-    """Pairs are cells with the same factors and seed: they saw the same arrivals. One line a figure and factors."""
+class _PairKey(NamedTuple):
+    """What two cells must share to be a pair: then they saw the same arrivals."""
+
+    factors: tuple[float, ...]
+    managers: int
+    engines: int
+    seed: int
 
-    def key(s: dict[str, Any]) -> tuple[Any, ...]:
-        return (*(v for k, v in sorted(s.items()) if k.startswith("factor_")), s["managers"], s["engines"], s["seed"])
+    @property
+    def group(self) -> str:
+        """Name of the pairs that differ by their seeds alone."""
+        return f"{self.managers}x{self.engines}" + "".join(f" {value:g}" for value in self.factors)
+
+
+def _key(summary: Summary) -> _PairKey:
+    factors = tuple(value for name, value in sorted(summary.items()) if name.startswith("factor_"))
+    return _PairKey(factors, summary["managers"], summary["engines"], summary["seed"])
 
-    left, right = {key(s): s for s in a}, {key(s): s for s in b}
-    groups: dict[str, list[tuple[Any, ...]]] = {}
-    for k in [k for k in left if k in right]:
-        groups.setdefault(f"{k[-3]}x{k[-2]}" + "".join(f" {v:g}" for v in k[:-3]), []).append(k)
-    found = []
+
+def compare(
+    a: Iterable[Summary], b: Iterable[Summary], figures: list[str], rng: np.random.Generator
+) -> list[Difference]:
+    """Compare figures of two experiments' summaries; return a difference for each group of pairs and figure."""
+    left, right = {_key(summary): summary for summary in a}, {_key(summary): summary for summary in b}
+    groups: dict[str, list[_PairKey]] = {}
+    for key in left:
+        if key in right:
+            groups.setdefault(key.group, []).append(key)
+    differences = []
     for group, keys in groups.items():
-        for name in what:
-            pairs = [(left[k].get(name), right[k].get(name)) for k in keys]
-            both = np.array([(x, y) for x, y in pairs if x is not None and y is not None], dtype=float)
-            if len(both):
-                low, high = interval(both[:, 1] - both[:, 0], rng)
-                found.append(
-                    Difference(name, group, len(both), float(both[:, 0].mean()), float(both[:, 1].mean()), low, high)
-                )
-    return found
+        for figure in figures:
+            values = [(left[key].get(figure), right[key].get(figure)) for key in keys]
+            pairs = np.array([pair for pair in values if None not in pair], dtype=float)
+            if len(pairs):
+                mean_a, mean_b = float(pairs[:, 0].mean()), float(pairs[:, 1].mean())
+                low, high = interval(pairs[:, 1] - pairs[:, 0], rng)
+                differences.append(Difference(figure, group, len(pairs), mean_a, mean_b, low, high))
+    return differences
 
 
 def spread(values: list[float], rng: np.random.Generator) -> tuple[float, float, float]:
-    """Mean and interval."""
+    """Return the mean of values and its interval."""
     array = np.array(values, dtype=float)
     low, high = interval(array, rng)
     return float(array.mean()), low, high
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -35,9 +35,9 @@
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.3), (1, 0.6), (4, 0.7)])
 def test_response_times_as_in_theory(cores, load):
     f = theory.play(cores, load, 60_000, 3)
-    assert abs(f.response / theory.response(cores, load) - 1) < 0.03
-    assert abs(f.held - f.rate * f.response) < 1e-9 * f.held  # Little's law
-    assert f.balance < 1e-9
+    assert abs(f.response_ms / theory.response(cores, load) - 1) < 0.03
+    assert abs(f.in_system - f.rate_per_ms * f.response_ms) < 1e-9 * f.in_system  # Little's law
+    assert f.unaccounted < 1e-9
 
 
 def test_sessions_are_lost_as_erlang_says():
