--- /dev/null
+++ b/decklb/daemon/endpoint_updates.py
@@ -0,0 +1,39 @@
+"""The way of a list of engines through the process: from discovery, through maintenance, to all that use engines.
+
+Owns the latest list as discovery has it, so that it can go the same way again when the maintenance plan changes.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from decklb.config import Address
+from decklb.daemon.readiness import Readiness
+from decklb.daemon.request_path import RequestPath
+from decklb.daemon.subsystems.registry import Subsystems
+from decklb.interface import Endpoint, Phase
+
+
+class EndpointUpdates:
+    """Hands each list on. `on_updated` is called when all have it."""
+
+    def __init__(
+        self, request_path: RequestPath, subsystems: Subsystems, readiness: Readiness, on_updated: Callable[[], None]
+    ) -> None:
+        self._request_path, self._subsystems, self._readiness = request_path, subsystems, readiness
+        self._on_updated = on_updated
+        self._discovered: tuple[list[Endpoint], dict[str, Address]] = [], {}
+
+    def update(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
+        """A new list from discovery."""
+        self._discovered = entries, addresses
+        usable = self._subsystems.filter_endpoints(entries, addresses)
+        self._readiness.engines_up = sum(entry.phase is Phase.UP for entry in usable)
+        self._request_path.engines.update_endpoints(addresses)
+        self._request_path.dispatcher.update_endpoints(usable)
+        self._subsystems.endpoints_changed(usable, addresses)
+        self._on_updated()
+
+    def refresh(self) -> None:
+        """The maintenance plan has changed what may be used of the latest list."""
+        self.update(*self._discovered)
--- /dev/null
+++ b/decklb/daemon/request_path.py
@@ -0,0 +1,22 @@
+"""The parts on the way of each request: one dispatcher between a front and the client of its engines."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from decklb.core.dispatcher import Dispatcher
+    from decklb.net.engines import RespEngines
+    from decklb.net.listener import FrameListener
+    from decklb.pg.engines import PgEngines
+    from decklb.pg.listener import PgListener
+
+
+@dataclass(frozen=True, slots=True)
+class RequestPath:
+    """A dispatcher, the front that submits requests to it, and the engine client that runs its attempts."""
+
+    dispatcher: Dispatcher
+    front: FrameListener | PgListener
+    engines: RespEngines | PgEngines
--- a/decklb/lab/checks/request_invariants.py
+++ b/decklb/lab/checks/request_invariants.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from decklb.interface import Effect, Outcome, Settings
-from decklb.state import NEVER_RAN
+from decklb.policy.records import NEVER_EXECUTED
 
 MAX_DESCRIPTIONS = 20  # descriptions of violations that are kept
 
@@ -98,7 +98,7 @@
             self._violated(Rule.ANSWER, f"{request_id} taken twice")
         self._open[manager, request_id] = OpenRequest(class_name, key, self._arrivals)
         self._retry_windows.setdefault(manager, RetryWindow()).requests.append(now)
-        if key is not None and self._settings.classes[class_name].serial:
+        if key is not None and self._settings.classes[class_name].ordered_by_key:
             self._key_queues.setdefault((manager, key), []).append((self._arrivals, request_id))
 
     def attempt_sent(self, now: float, manager: int, request_id: str, engine: str, draining: bool) -> None:
@@ -123,16 +123,16 @@
 
     def _check_retry_budget(self, now: float, manager: int) -> None:
         settings = self._settings
-        if settings.extra_ratio is None:
+        if settings.retry_budget_ratio is None:
             return
         window = self._retry_windows[manager]
-        window.drop_before(now - settings.extra_window)
+        window.drop_before(now - settings.retry_budget_window_ms)
         window.retries.append(now)
-        if len(window.retries) > settings.extra_floor + settings.extra_ratio * len(window.requests):
+        if len(window.retries) > settings.retry_budget_floor + settings.retry_budget_ratio * len(window.requests):
             self._violated(Rule.RATION, f"manager {manager}: {len(window.retries)} further attempts")
 
     def _check_key_order(self, manager: int, request_id: str, request: OpenRequest) -> None:
-        if request.key is None or not self._settings.classes[request.class_name].serial:
+        if request.key is None or not self._settings.classes[request.class_name].ordered_by_key:
             return
         for order, other_id in self._key_queues.get((manager, request.key), []):
             if order >= request.order:
@@ -146,7 +146,7 @@
         request = self._open.get((manager, request_id))
         if request is not None:
             request.in_flight -= 1
-            request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
+            request.may_have_run = request.may_have_run or outcome not in NEVER_EXECUTED
             self._forget_if_over(manager, request_id, request)
 
     def request_answered(self, manager: int, request_id: str, kind: str) -> None:
@@ -186,7 +186,7 @@
         if request.answer_owed or request.in_flight > 0:
             return
         del self._open[manager, request_id]
-        if request.key is None or not self._settings.classes[request.class_name].serial:
+        if request.key is None or not self._settings.classes[request.class_name].ordered_by_key:
             return
         queue = self._key_queues.get((manager, request.key))
         if queue is not None:
--- a/decklb/lab/checks/zone_verdict.py
+++ b/decklb/lab/checks/zone_verdict.py
@@ -12,8 +12,8 @@
 
 from decklb.lab.checks.execution_verdict import ExecutionEvent, Executions, executions_by_key
 from decklb.locality.settings import LocalitySettings
-from decklb.locality.spill import Place, usable
-from decklb.locality.zones import State
+from decklb.locality.spillover import ZoneStatus, usable_capacity
+from decklb.locality.zone_state import ZoneState
 
 LOAD_WINDOW_S = 1.0  # over which the load of a returning zone is taken
 RECOVERY_SLACK_S = 1.0  # after the end of a fault in which a zone may still be held out
@@ -236,7 +236,7 @@
     if not returns:
         return 0.0
     returned = min(returns)
-    ramp_end = returned + settings.ramp / 1000
+    ramp_end = returned + settings.recovery_ramp_ms / 1000
     executions = sorted((start.at, start.work) for start in starts if start.zone == zone and start.at >= mended)
     worst = 0.0
     for at, _ in executions:
@@ -244,8 +244,8 @@
         if end > ramp_end:
             continue
         load = sum(work for began, work in executions if at <= began < end) / 1000 / LOAD_WINDOW_S
-        place = Place("", capacity, 0.0, State.RETURNING, 1000 * returned)
-        bearable_twice = usable(place, 1000 * at, settings) + usable(place, 1000 * end, settings)
+        place = ZoneStatus("", capacity, 0.0, ZoneState.RETURNING, 1000 * returned)
+        bearable_twice = usable_capacity(place, 1000 * at, settings) + usable_capacity(place, 1000 * end, settings)
         worst = max(worst, 2 * load / bearable_twice)
     return round(worst, 3)
 
--- a/decklb/lab/emulation/emulated_world.py
+++ b/decklb/lab/emulation/emulated_world.py
@@ -109,28 +109,28 @@
         return Settings(
             {c.name: _class_settings(c) for c in self.workload.classes},
             {t.name: api.TenantSpec(t.name, t.contract_share) for t in self.workload.tenants},
-            me=manager,
-            fronts=self.managers,
-            cores={ENGINE_KIND: spec.cores},
-            cancelling=True,
+            gateway_index=manager,
+            gateway_count=self.managers,
+            cores_by_kind={ENGINE_KIND: spec.cores},
+            cancellation=True,
             retry_after=self.max_retry_after_ms > 0,
-            max_retry_after=self.max_retry_after_ms,
+            max_retry_after_ms=self.max_retry_after_ms,
             max_attempts=self.max_attempts,
-            cold_share=spec.initial_capacity,
-            cold=spec.warm_up_ms,
-            overload_factor=spec.overload_factor,
-            fall=spec.overload_window_ms,
-            drain_grace=DRAIN_GRACE_MS,
-            extra_floor=self.retry_budget_floor,
-            extra_ratio=self.retry_budget_ratio,
-            extra_window=self.retry_budget_window_ms,
-            settle=SETTLE_MS,
-            tick=self.tick_ms,
+            slow_start_min_fraction=spec.initial_capacity,
+            slow_start_window_ms=spec.warm_up_ms,
+            slow_start_overload_factor=spec.overload_factor,
+            slow_start_budget_window_ms=spec.overload_window_ms,
+            drain_grace_ms=DRAIN_GRACE_MS,
+            retry_budget_floor=self.retry_budget_floor,
+            retry_budget_ratio=self.retry_budget_ratio,
+            retry_budget_window_ms=self.retry_budget_window_ms,
+            key_hold_down_ms=SETTLE_MS,
+            tick_ms=self.tick_ms,
         )
 
 
-def _class_settings(spec: RequestClass) -> api.ClassSpec:
-    return api.ClassSpec(
+def _class_settings(spec: RequestClass) -> api.RequestClass:
+    return api.RequestClass(
         spec.name,
         spec.latency_objective_ms,
         spec.deadline_ms,
@@ -138,8 +138,8 @@
         spec.late_priority_weight,
         0.0,
         spec.effect,
-        serial=spec.ordered_by_key,
+        ordered_by_key=spec.ordered_by_key,
         threads=spec.threads,
-        holds=spec.locks_tables,
-        yields=spec.waits_for_loads,
+        locks_tables=spec.locks_tables,
+        waits_for_loads=spec.waits_for_loads,
     )
--- a/decklb/lab/emulation/emulator.py
+++ b/decklb/lab/emulation/emulator.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any
 
-from decklb.core.ports import Work
+from decklb.core.ports import IncomingRequest
 from decklb.interface import Phase
 from decklb.lab.emulation.emulated_world import EmulatedWorld, FaultKind, InjectedFault
 from decklb.lab.emulation.engine_model import Engine
@@ -107,7 +107,8 @@
         request_id = f"{index:x}.{client.submissions}"
         tenant = self.world.workload.tenants[arrivals.tenant_index[index]].name
         key = f"{spec.name}/{arrivals.key[index]}" if arrivals.key[index] >= 0 else None
-        manager.submit(client, Work(request_id, spec.name, tenant, left_ms, b"", int(arrivals.table_group[index]), key))
+        incoming = IncomingRequest(request_id, spec.name, tenant, left_ms, b"", int(arrivals.table_group[index]), key)
+        manager.submit(client, incoming)
 
     def _manager_for(self, index: int) -> Manager | None:
         """Return the manager of a request: requests of one key share one while it is up."""
--- a/decklb/lab/emulation/engine_model.py
+++ b/decklb/lab/emulation/engine_model.py
@@ -238,7 +238,7 @@
             self._remove(query)
         self._reschedule()
         for query in ended:
-            query.on_end(Outcome.GOOD)
+            query.on_end(Outcome.SUCCESS)
 
     # Queries.
 
@@ -247,10 +247,10 @@
         if self.unreachable:
             query.state = QueryState.OVER
         elif not self.up:
-            self._reject(query, Outcome.NOCONN)
+            self._reject(query, Outcome.UNREACHABLE)
         elif len(self.running) + self._waiting_count() >= self.spec.max_sessions:
             self.account.rejections += 1
-            self._reject(query, Outcome.FULL)
+            self._reject(query, Outcome.OVERLOADED)
         elif self._overloads(query):
             self._crash(query)
         elif self._must_wait(query):
@@ -362,7 +362,7 @@
         self.account.crashes += 1
         query.state = QueryState.OVER
         self.stop()
-        query.on_end(Outcome.RST)
+        query.on_end(Outcome.CONNECTION_RESET)
         self.loop.call_later(self.spec.restart_ms, self.start)
         self.on_crash()
 
@@ -388,7 +388,7 @@
         self._reschedule()
         if not silent:
             for query in sorted(open_queries, key=lambda query: query.virtual_start):
-                query.on_end(Outcome.RST)
+                query.on_end(Outcome.CONNECTION_RESET)
 
     def start(self) -> None:
         """Start a new process, which has to warm up."""
--- a/decklb/lab/emulation/managers_and_clients.py
+++ b/decklb/lab/emulation/managers_and_clients.py
@@ -13,8 +13,8 @@
 
 from decklb import interface as api
 from decklb.core.dispatcher import Attempt, Dispatcher, Request
-from decklb.core.ports import Work
-from decklb.interface import Entry, Outcome, Phase
+from decklb.core.ports import IncomingRequest
+from decklb.interface import Endpoint, Outcome, Phase
 from decklb.lab.emulation.engine_model import Query, QueryState
 from decklb.lab.emulation.policies import POLICIES, Oracle
 from decklb.lab.emulation.run_context import RunContext
@@ -47,13 +47,13 @@
         """Take the complete result."""
         self._finish("served")
 
-    def refused(self, backoff: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """Retry after the backoff, in ms, while retries and time are left."""
         if self.over:  # its manager was killed; calls that were under way there don't count
             return
         run = self.run
         spec = run.world.workload.classes[run.arrivals.class_index[self.index]]
-        wait_ms = max(backoff, MIN_CLIENT_BACKOFF_MS)
+        wait_ms = max(retry_after_ms, MIN_CLIENT_BACKOFF_MS)
         left_ms = self.issued_ms + spec.deadline_ms - run.loop.now()
         if self.submissions <= run.world.workload.client_retries and left_ms > wait_ms:
             self._report_answer("refused")
@@ -157,42 +157,44 @@
         for client in clients:
             client.lost()
 
-    def update_endpoints(self, entries: list[Entry], complete: bool) -> None:
+    def update_endpoints(self, entries: list[Endpoint], complete: bool) -> None:
         """Take an update of the endpoint list; an incomplete one names only what changed."""
         if not self.up:
             return
         if complete:
             self.listed_phases.clear()
-        self.listed_phases |= {entry.engine: entry.phase for entry in entries}
+        self.listed_phases |= {entry.engine_id: entry.phase for entry in entries}
         self.listed_phases = {n: phase for n, phase in self.listed_phases.items() if phase is not Phase.REMOVED}
         self.list_updated_ms = self.run.loop.now()
-        self.core._post(api.Members(entries, complete))
+        self.core._post(api.EndpointsUpdated(entries, complete))
         if self.health_checks is not None:
             self.health_checks.set_targets(self.number, self.listed_phases)
 
     def health_check_result(self, engine: str, up: bool) -> None:
         """Take what the managers' cluster found out about an engine."""
         if self.up:
-            self.core.probed(engine, Outcome.GOOD if up else Outcome.NOCONN)
+            self.core.health_checked(engine, Outcome.SUCCESS if up else Outcome.UNREACHABLE)
 
-    def submit(self, client: Client, work: Work) -> None:
+    def submit(self, client: Client, work: IncomingRequest) -> None:
         """Take a client's request."""
         client.manager = self
         request = client.request = self.core.submit(work, client)
-        self.clients[request.ident] = client
-        self.run.checker.request_arrived(self.run.loop.now(), self.number, request.ident, work.lane, work.key)
+        self.clients[request.request_id] = client
+        self.run.checker.request_arrived(
+            self.run.loop.now(), self.number, request.request_id, work.request_class, work.ordering_key
+        )
 
     def answered(self, request: Request, kind: str) -> None:
         """Forget a request whose client has its answer."""
         if self.up:
-            self.run.checker.request_answered(self.number, request.ident, kind)
-        self.clients.pop(request.ident, None)
+            self.run.checker.request_answered(self.number, request.request_id, kind)
+        self.clients.pop(request.request_id, None)
 
     def abandon(self, request: Request) -> None:
         """Forget a request whose client has gone."""
         if self.up:
-            self.run.checker.client_left(self.number, request.ident)
-            self.clients.pop(request.ident, None)
+            self.run.checker.client_left(self.number, request.request_id)
+            self.clients.pop(request.request_id, None)
             self.core.abandon(request)
 
     # The dispatcher's engine client, reached through `ManagerPort`.
@@ -200,20 +202,24 @@
     def start_attempt(self, attempt: Attempt) -> None:
         """Send one attempt to its engine over the network."""
         run, incarnation = self.run, self.incarnation
-        client = self.clients.get(attempt.request.ident)
-        engine = run.engines[attempt.engine]
+        client = self.clients.get(attempt.request.request_id)
+        engine = run.engines[attempt.engine_id]
         run.checker.attempt_sent(
-            run.loop.now(), self.number, attempt.request.ident, attempt.engine, self._knows_draining(attempt.engine)
+            run.loop.now(),
+            self.number,
+            attempt.request.request_id,
+            attempt.engine_id,
+            self._knows_draining(attempt.engine_id),
         )
         if client is None:  # answered between decision and send; the dispatcher lets none through
-            return attempt.end(Outcome.NOP)
-        query = run.query(client.index, attempt.leg)
+            return attempt.end(Outcome.NEVER_SENT)
+        query = run.query(client.index, attempt.number)
         attempt.handle = query
 
         def receive(outcome: Outcome) -> None:
-            if incarnation != self.incarnation or not self.up or attempt.ended or attempt.given_up:
+            if incarnation != self.incarnation or not self.up or attempt.ended or attempt.abandoned:
                 return
-            run.checker.attempt_ended(self.number, attempt.request.ident, outcome)
+            run.checker.attempt_ended(self.number, attempt.request.request_id, outcome)
             run.records.attempt_ended(attempt, outcome)
             attempt.end(outcome)
 
@@ -234,11 +240,11 @@
         known = self.run.loop.now() - self.list_updated_ms > self.run.world.tick_ms
         return known and self.listed_phases.get(engine) is not Phase.UP
 
-    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def abandon_attempt(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel an attempt; `freed` is called when its engine has received that."""
         run, incarnation, query = self.run, self.incarnation, attempt.handle
-        engine = run.engines[attempt.engine]
-        outcome = Outcome.LATE if attempt.overdue else Outcome.CXL
+        engine = run.engines[attempt.engine_id]
+        outcome = Outcome.TIMED_OUT if attempt.timed_out else Outcome.CANCELLED
 
         def receive_cancel() -> None:
             if isinstance(query, Query):
@@ -246,7 +252,7 @@
                     engine.cancel(query)
                 query.state = QueryState.OVER
             if incarnation == self.incarnation and self.up:
-                run.checker.attempt_ended(self.number, attempt.request.ident, outcome)
+                run.checker.attempt_ended(self.number, attempt.request.request_id, outcome)
                 run.records.attempt_ended(attempt, outcome)
                 freed()
 
@@ -267,7 +273,7 @@
         if self._current():
             self.manager.start_attempt(attempt)
 
-    def give_up(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel one attempt."""
         if self._current():
-            self.manager.give_up(attempt, freed)
+            self.manager.abandon_attempt(attempt, freed)
--- a/decklb/lab/emulation/policies.py
+++ b/decklb/lab/emulation/policies.py
@@ -16,8 +16,8 @@
 
 from decklb import interface as api
 from decklb.interface import Effect, Phase, Settings
-from decklb.rules import Gateway
-from decklb.state import NEVER_RAN
+from decklb.policy.gateway import Gateway
+from decklb.policy.records import NEVER_EXECUTED
 
 MAX_RETRY_SHARE = 0.9  # of a request's time, after which it is not retried any more
 MIN_WEIGHT = 1e-9  # so that an engine without weight can still be drawn
@@ -46,8 +46,8 @@
         done: Whether it has its final answer.
     """
 
-    arrival: api.Arrival
-    spec: api.ClassSpec
+    arrival: api.RequestArrived
+    spec: api.RequestClass
     arrived_ms: float
     tried: list[str] = field(default_factory=list)
     in_flight: int = 0
@@ -72,8 +72,8 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
         self.open: dict[str, OpenRequest] = {}
-        self.endpoints: dict[str, api.Entry] = {}
-        self.usable: list[api.Entry] = []
+        self.endpoints: dict[str, api.Endpoint] = {}
+        self.usable: list[api.Endpoint] = []
         self.in_flight: dict[str, int] = {}
         self.key_queues: dict[str, deque[str]] = {}
         self.taken_ms: deque[float] = deque()
@@ -92,15 +92,15 @@
         self._expire_waiting()
         for event in events:
             match event:
-                case api.Arrival():
+                case api.RequestArrived():
                     self._request_arrived(event)
-                case api.Verdict():
+                case api.AttemptEnded():
                     self._attempt_ended(event)
-                case api.Members(failed=False):
+                case api.EndpointsUpdated(failed=False):
                     self._endpoints_updated(event)
-                case api.Left() if event.req in self.open:
-                    self._close(self.open[event.req])
-                case api.Closing():
+                case api.ClientGone() if event.request_id in self.open:
+                    self._close(self.open[event.request_id])
+                case api.ShutdownStarted():
                     for request in [request for request in self.open.values() if not request.done]:
                         self._answer(request)
         return self.actions
@@ -112,27 +112,27 @@
             if request is not None and not request.done and not request.in_flight:
                 self._answer(request)
 
-    def _endpoints_updated(self, event: api.Members) -> None:
+    def _endpoints_updated(self, event: api.EndpointsUpdated) -> None:
         if event.complete:
             self.endpoints = {}
-        self.endpoints |= {endpoint.engine: endpoint for endpoint in event.entries}
+        self.endpoints |= {endpoint.engine_id: endpoint for endpoint in event.endpoints}
         self.usable = [endpoint for endpoint in self.endpoints.values() if endpoint.phase is Phase.UP]
 
-    def _request_arrived(self, event: api.Arrival) -> None:
+    def _request_arrived(self, event: api.RequestArrived) -> None:
         self.taken_ms.append(self.now)
-        request = self.open[event.req] = OpenRequest(event, self.settings.classes[event.lane], self.now)
-        if request.spec.serial and event.key is not None:
-            queue = self.key_queues.setdefault(event.key, deque())
-            queue.append(event.req)
+        request = self.open[event.request_id] = OpenRequest(event, self.settings.classes[event.request_class], self.now)
+        if request.spec.ordered_by_key and event.ordering_key is not None:
+            queue = self.key_queues.setdefault(event.ordering_key, deque())
+            queue.append(event.request_id)
             if len(queue) > 1:
                 self._wait_for_key(event)
                 return
         self._send(request)
 
-    def _wait_for_key(self, event: api.Arrival) -> None:
-        tick = self.settings.tick
-        heappush(self.deadlines, (self.now + event.time_left - 4 * tick, event.req))
-        self.actions.append(api.Sleep(max(tick, event.time_left - 3 * tick), "due"))
+    def _wait_for_key(self, event: api.RequestArrived) -> None:
+        tick = self.settings.tick_ms
+        heappush(self.deadlines, (self.now + event.time_left_ms - 4 * tick, event.request_id))
+        self.actions.append(api.SetTimer(max(tick, event.time_left_ms - 3 * tick), "due"))
 
     def _send(self, request: OpenRequest) -> None:
         if not self.usable:
@@ -141,17 +141,17 @@
         request.tried.append(engine)
         request.in_flight += 1
         self.in_flight[engine] = self.in_flight.get(engine, 0) + 1
-        time_left = request.arrival.time_left - (self.now - request.arrived_ms)
-        self.actions.append(api.Send(request.arrival.req, engine, max(1.0, time_left)))
+        time_left = request.arrival.time_left_ms - (self.now - request.arrived_ms)
+        self.actions.append(api.StartAttempt(request.arrival.request_id, engine, max(1.0, time_left)))
 
-    def _attempt_ended(self, event: api.Verdict) -> None:
-        self.in_flight[event.engine] = self.in_flight.get(event.engine, 0) - 1
-        request = self.open.get(event.req)
+    def _attempt_ended(self, event: api.AttemptEnded) -> None:
+        self.in_flight[event.engine_id] = self.in_flight.get(event.engine_id, 0) - 1
+        request = self.open.get(event.request_id)
         if request is None:
             return
         request.in_flight -= 1
-        request.may_have_run = request.may_have_run or event.outcome not in NEVER_RAN
-        if request.done or event.finished:
+        request.may_have_run = request.may_have_run or event.outcome not in NEVER_EXECUTED
+        if request.done or event.request_finished:
             self._close(request)
         elif self._may_retry(request):
             self.retried_ms.append(self.now)
@@ -162,7 +162,7 @@
     def _may_retry(self, request: OpenRequest) -> bool:
         if len(request.tried) >= self.settings.max_attempts:
             return False
-        if self.now - request.arrived_ms > MAX_RETRY_SHARE * request.arrival.time_left:
+        if self.now - request.arrived_ms > MAX_RETRY_SHARE * request.arrival.time_left_ms:
             return False
         if request.may_have_run and request.spec.effect is not Effect.SAFE:
             return False
@@ -170,19 +170,21 @@
 
     def _within_retry_budget(self) -> bool:
         settings = self.settings
-        if settings.extra_ratio is None:
+        if settings.retry_budget_ratio is None:
             return True
         # A tick to the safe side at both ends of the window: what is decided now goes out a little later.
-        start_ms = self.now - settings.extra_window
-        _drop_before(self.taken_ms, start_ms + 2 * settings.tick)
-        _drop_before(self.retried_ms, start_ms - settings.tick)
-        return len(self.retried_ms) + 1 <= settings.extra_floor + settings.extra_ratio * len(self.taken_ms)
+        start_ms = self.now - settings.retry_budget_window_ms
+        _drop_before(self.taken_ms, start_ms + 2 * settings.tick_ms)
+        _drop_before(self.retried_ms, start_ms - settings.tick_ms)
+        return len(self.retried_ms) + 1 <= settings.retry_budget_floor + settings.retry_budget_ratio * len(
+            self.taken_ms
+        )
 
     def _answer(self, request: OpenRequest) -> None:
         """Reject a request that did no harm, and fail any other."""
-        request_id = request.arrival.req
+        request_id = request.arrival.request_id
         if not request.may_have_run or request.spec.effect is Effect.SAFE:
-            self.actions.append(api.Refuse(request_id, self.settings.max_retry_after))
+            self.actions.append(api.Reject(request_id, self.settings.max_retry_after_ms))
         else:
             self.actions.append(api.Fail(request_id))
         self._close(request)
@@ -191,9 +193,9 @@
         request.done = True
         if request.in_flight > 0:  # its key waits for the attempt that is in flight
             return
-        request_id, key = request.arrival.req, request.arrival.key
+        request_id, key = request.arrival.request_id, request.arrival.ordering_key
         self.open.pop(request_id, None)
-        queue = self.key_queues.get(key) if key is not None and request.spec.serial else None
+        queue = self.key_queues.get(key) if key is not None and request.spec.ordered_by_key else None
         if key is None or queue is None or request_id not in queue:
             return
         was_first = queue[0] == request_id
@@ -214,7 +216,7 @@
 
     def pick(self, request: OpenRequest) -> str:
         """Draw one."""
-        return self.rng.choice(self.usable).engine
+        return self.rng.choice(self.usable).engine_id
 
 
 class RoundRobin(PlainPolicy):
@@ -225,7 +227,7 @@
     def pick(self, request: OpenRequest) -> str:
         """Return the next one."""
         self.sent += 1
-        return self.usable[self.sent % len(self.usable)].engine
+        return self.usable[self.sent % len(self.usable)].engine_id
 
 
 class LeastOutstanding(PlainPolicy):
@@ -233,9 +235,9 @@
 
     def pick(self, request: OpenRequest) -> str:
         """Return it; ties are drawn."""
-        fewest = min(self.in_flight.get(endpoint.engine, 0) for endpoint in self.usable)
-        candidates = [e for e in self.usable if self.in_flight.get(e.engine, 0) == fewest]
-        return self.rng.choice(candidates).engine
+        fewest = min(self.in_flight.get(endpoint.engine_id, 0) for endpoint in self.usable)
+        candidates = [e for e in self.usable if self.in_flight.get(e.engine_id, 0) == fewest]
+        return self.rng.choice(candidates).engine_id
 
 
 class PowerOfTwo(PlainPolicy):
@@ -244,7 +246,7 @@
     def pick(self, request: OpenRequest) -> str:
         """Compare them by this manager's attempts in flight."""
         drawn = self.rng.sample(self.usable, min(2, len(self.usable)))
-        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint.engine, 0)).engine
+        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint.engine_id, 0)).engine_id
 
 
 class Weighted(PlainPolicy):
@@ -252,8 +254,8 @@
 
     def pick(self, request: OpenRequest) -> str:
         """Draw one."""
-        weights = [max(MIN_WEIGHT, endpoint.hint) for endpoint in self.usable]
-        return self.rng.choices(self.usable, weights)[0].engine
+        weights = [max(MIN_WEIGHT, endpoint.capacity_hint) for endpoint in self.usable]
+        return self.rng.choices(self.usable, weights)[0].engine_id
 
 
 class Oracle(PlainPolicy):
@@ -270,8 +272,8 @@
         threads = request.spec.threads
         return min(
             self.usable,
-            key=lambda endpoint: (self.expected_ms(endpoint.engine, 1.0, threads), self.rng.random()),
-        ).engine
+            key=lambda endpoint: (self.expected_ms(endpoint.engine_id, 1.0, threads), self.rng.random()),
+        ).engine_id
 
 
 POLICIES: dict[str, Callable[[Settings, int], Policy]] = {
--- a/decklb/lab/emulation/run_context.py
+++ b/decklb/lab/emulation/run_context.py
@@ -8,7 +8,7 @@
 
 import random
 
-from decklb.interface import Entry, Phase
+from decklb.interface import Endpoint, Phase
 from decklb.lab.checks.request_invariants import InvariantChecker
 from decklb.lab.emulation.emulated_world import EmulatedWorld
 from decklb.lab.emulation.engine_model import Engine, Query
@@ -52,10 +52,10 @@
         """Draw whether a message between a manager and an engine is lost."""
         return self.world.message_loss > 0 and rng.random() < self.world.message_loss
 
-    def endpoint(self, engine: Engine) -> Entry:
+    def endpoint(self, engine: Engine) -> Endpoint:
         """Return an engine's entry of the endpoint list, as the list's owner sees the engine now."""
         phase = Phase.DRAINING if engine.draining else Phase.UP if engine.up or engine.unreachable else Phase.REMOVED
-        return Entry(engine.name, "", "k", 0, phase, float(engine.spec.cores), max(0.0, engine.started_ms))
+        return Endpoint(engine.name, "", "k", 0, phase, float(engine.spec.cores), max(0.0, engine.started_ms))
 
     def query(self, index: int, attempt: int) -> Query:
         """Return the query of one attempt of a request.
--- a/decklb/lab/emulation/run_records.py
+++ b/decklb/lab/emulation/run_records.py
@@ -20,6 +20,7 @@
 from decklb.lab.emulation.engine_model import Engine
 from decklb.lab.emulation.simulated_loop import Loop
 from decklb.lab.emulation.workload import Arrivals, RequestClass
+from decklb.wirehost import WORD_BY_OUTCOME
 
 SAMPLE_PERIOD_MS = 1000.0  # between rows of the engines' states
 MAX_LATENCY_US = 3_600_000_000  # the histograms' highest value: an hour
@@ -196,14 +197,21 @@
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Count an attempt that is over."""
-        if attempt.started < self._world.warm_up_ms:
+        if attempt.started_at_ms < self._world.warm_up_ms:
             return
         self._attempts_counted += 1
-        self.outcomes[outcome.value] += 1
+        self.outcomes[WORD_BY_OUTCOME[outcome]] += 1
         if self._attempts_counted % self._every == 0:
-            took_ms = self._loop.now() - attempt.started
+            took_ms = self._loop.now() - attempt.started_at_ms
             self.attempts.append(
-                (attempt.started, attempt.request.work.rid, attempt.leg, attempt.engine, outcome.value, took_ms)
+                (
+                    attempt.started_at_ms,
+                    attempt.request.incoming.client_request_id,
+                    attempt.number,
+                    attempt.engine_id,
+                    WORD_BY_OUTCOME[outcome],
+                    took_ms,
+                )
             )
 
     # The summary. All figures but those that begin with `cost_` depend on world and seed alone.
--- a/decklb/lab/emulation/shared_health_checks.py
+++ b/decklb/lab/emulation/shared_health_checks.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable, Mapping
 
-from decklb.cluster.duties import Start
+from decklb.cluster.duty import DutyRun
 from decklb.cluster.node import Node
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
@@ -50,7 +50,9 @@
         self._membership = MembershipSettings()
         period = world.health_check_period_ms
         timeout = min(MAX_TIMEOUT_MS, period / 4)
-        self._duty = DutySettings(period=period, timeout=timeout, hand_on=2, refresh=2 * period)
+        self._duty = DutySettings(
+            period_ms=period, timeout_ms=timeout, failures_to_decline=2, repeat_interval_ms=2 * period
+        )
         self._hosts: dict[int, network.Host] = {}
         self.started = 0
         self._network.run_duty, self._network.on_health_check = self._check, self._checked
@@ -62,7 +64,7 @@
     def start(self, number: int, incarnation: int) -> None:
         """Start a manager's node, with empty state."""
         rng = random.Random(self._streams.number(f"node {number} life {incarnation}"))
-        sealer = Sealer(self._membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
+        sealer = Sealer(self._membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         host = network.Host(
             self._network,
             f"m{number}",
@@ -81,7 +83,7 @@
         host = self._hosts[number]
         warm_at = {engine.name: self._warm_at(engine) for engine in self._engines.values() if engine.name in phases}
         up = {name for name, phase in phases.items() if phase is Phase.UP}
-        host.node.subjects(host.now(), self._duty.kind, warm_at, up)
+        host.node.set_subjects(host.now(), self._duty.kind, warm_at, up)
         self._network.pump(host)
 
     def _warm_at(self, engine: Engine) -> float:
@@ -90,12 +92,12 @@
             return 0.0
         return network.EPOCH + engine.started_ms + self._world.engine_spec.warm_up_ms
 
-    def _check(self, host: network.Host, start: Start) -> tuple[float, bool]:
+    def _check(self, host: network.Host, start: DutyRun) -> tuple[float, bool]:
         """Return how long a check takes, in ms, and whether the engine answers it."""
         self.started += 1
         engine = self._engines[start.subject]
         if engine.unreachable:
-            return self._duty.timeout, False
+            return self._duty.timeout_ms, False
         return 2 * self._world.network_delay_ms, engine.up
 
     def _checked(self, host: network.Host, engine: str, up: bool) -> None:
--- a/decklb/lab/emulation/simulated_cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -10,10 +10,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from decklb.cluster.duties import Duties, Start, phase
-from decklb.cluster.messages import ALIVE, DEAD, Row
+from decklb.cluster.duties import DutyScheduler
+from decklb.cluster.duty import DutyRun, phase_of
+from decklb.cluster.messages import MemberRecord, MemberState
 from decklb.cluster.node import Node
-from decklb.cluster.ownership import Ranking
+from decklb.cluster.rendezvous import Ranking
 from decklb.cluster.sealing import KEY_BYTES, SALT_BYTES, Sealer
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.lab.emulation.simulated_network import EPOCH, Address, Faults, Host, SimulatedNetwork
@@ -35,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class DutyRun:
+class RecordedRun:
     """One health check that a host ran for the cluster: when it began, on which engine, under which term."""
 
     at: float
@@ -71,7 +72,7 @@
     duty: DutySettings
     engines: list[str]
     hosts: list[Host] = field(default_factory=list)
-    runs: list[DutyRun] = field(default_factory=list)
+    runs: list[RecordedRun] = field(default_factory=list)
     deaths: list[tuple[float, str, str]] = field(default_factory=list)
     probed: list[tuple[float, str, str, bool]] = field(default_factory=list)
     down: set[str] = field(default_factory=set)
@@ -123,7 +124,7 @@
         made.warm_at = dict.fromkeys(made.engines, 0.0)
         if made.ranking is not None:
             for i in range(instances):
-                made.ranking.add(f"m{i}", membership.weight)
+                made.ranking.add_member(f"m{i}", membership.weight)
         world.run_duty, world.on_notice = made._run_duty, made._on_notice
         world.on_health_check = made._on_health_check
         made.seeds = [made.address(i) for i in range(min(MAX_SEED_MEMBERS, instances))]
@@ -141,7 +142,7 @@
     def start(self, number: int, name: str = "", address: Address | None = None, wall_back: float = 0.0) -> Host:
         """Start a host by its number, for the first time or again; `wall_back` sets its wall clock back, in ms."""
         rng = random.Random(f"{self.world.rng.random()}/{number}")
-        sealer = Sealer(self.membership.cluster, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
+        sealer = Sealer(self.membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         rankings = {self.duty.kind: self.ranking} if self.ranking is not None else None
         host = Host(
             self.world,
@@ -151,24 +152,26 @@
             (2 * rng.random() - 1) * self.drift,
             (2 * rng.random() - 1) * self.skew_ms - wall_back,
         )
-        host.node.subjects(host.now(), self.duty.kind, self.warm_at, self.engines)
+        host.node.set_subjects(host.now(), self.duty.kind, self.warm_at, self.engines)
         self.hosts = [other for other in self.hosts if other.address != host.address] + [host]
         return self.world.add(host, self.seeds)
 
     def _introduce(self) -> None:
         rows = [
-            Row(v.me.name, *v.me.address, v.me.life, v.me.boot, True, v.me.weight, ALIVE, 0)
-            for v in (h.node.membership for h in self.hosts)
+            MemberRecord(
+                v.name, *v.address, v.incarnation, v.run_id, True, v.weight, state=MemberState.ALIVE, state_age_ms=0
+            )
+            for v in (h.node.membership.local for h in self.hosts)
         ]
         for host in self.hosts:
             view = host.node.membership
-            view.me.ready = view.synced = True
-            view._sum(view.me)
-            view.news.drop(view.me.name)
-            view._on_rows(host.now(), rows, host.address)
+            view.local.ready = view.local.is_synced = True
+            view.table.update_checksum(view.local)
+            view.gossip.queue.drop(view.local.name)
+            view.anti_entropy.on_records(host.now(), host.address, rows)
             for row in rows:
-                view.news.drop(row.name)
-            host.node._review_soon(host.now())
+                view.gossip.queue.drop(row.name)
+            host.node.schedule_reassignment(host.now())
             self.world.pump(host)
 
     def host(self, name: str) -> Host:
@@ -191,18 +194,18 @@
         """Let datagrams pass between all hosts again."""
         self.world.cut = lambda source, target: False
 
-    def book(self, host: Host) -> Duties:
+    def book(self, host: Host) -> DutyScheduler:
         """Return the duties of one host."""
-        return host.node.books[self.duty.kind]
+        return host.node.schedulers[self.duty.kind]
 
-    def _run_duty(self, host: Host, start: Start) -> tuple[float, bool]:
-        self.runs.append(DutyRun(self.world.now, host.name, start.subject, start.term))
+    def _run_duty(self, host: Host, start: DutyRun) -> tuple[float, bool]:
+        self.runs.append(RecordedRun(self.world.now, host.name, start.subject, start.term))
         if start.subject in self.down or (host.name, start.subject) in self.unreachable:
-            return self.duty.timeout, False
+            return self.duty.timeout_ms, False
         return self.check_ms, True
 
     def _on_notice(self, host: Host, event: str, fields: dict[str, object]) -> None:
-        if event == "member" and fields["state"] == "dead":
+        if event == "member-state-changed" and fields["state"] == "dead":
             self.deaths.append((self.world.now, host.name, str(fields["member"])))
 
     def _on_health_check(self, host: Host, subject: str, up: bool) -> None:
@@ -215,7 +218,7 @@
         found: dict[str, list[str]] = {e: [] for e in self.engines}
         for host in self.live():
             for duty in self.book(host).duties.values():
-                if duty.owned:
+                if duty.is_owned:
                     found[duty.subject].append(host.name)
         return found
 
@@ -226,7 +229,7 @@
     def views_agree(self) -> bool:
         """Whether all live hosts hold exactly each other alive."""
         names = {h.name for h in self.live()}
-        return all({n for n in [*h.node.membership.live.items, h.name]} == names for h in self.live())
+        return all({n for n in [*h.node.membership.live_names(), h.name]} == names for h in self.live())
 
     def wrongly_dead(self) -> list[tuple[str, str]]:
         """Return pairs of live hosts of which the first holds the second dead."""
@@ -235,20 +238,20 @@
             (h.name, m.name)
             for h in self.live()
             for m in h.node.membership.members.values()
-            if m.state == DEAD and m.name in up
+            if m.state == MemberState.DEAD and m.name in up
         ]
 
     def terms(self) -> dict[tuple[str, str], int]:
         """Return the highest term that each host has received of each subject: these may only rise."""
         found = {}
         for host in self.live():
-            for subject, verdict in self.book(host).verdicts.held.items():
+            for subject, verdict in self.book(host).verdicts.by_subject.items():
                 found[host.name, subject] = verdict.term
         return found
 
     def phase(self, subject: str) -> float:
         """Return the offset within its period, in ms of simulated time, at which a duty is due."""
-        return (phase(self.duty.kind, subject) * self.duty.period - EPOCH) % self.duty.period
+        return (phase_of(self.duty.kind, subject) * self.duty.period_ms - EPOCH) % self.duty.period_ms
 
     def counts(self, start: float, end: float) -> dict[str, list[int]]:
         """Return how often each duty ran in each complete period between two moments.
@@ -256,7 +259,7 @@
         Periods are cut half a period from the duty's due moment, so that with clocks that differ a little no run is
         counted in the neighbouring period.
         """
-        period = self.duty.period
+        period = self.duty.period_ms
         runs_by_period: dict[str, list[int]] = {}
         first_cut: dict[str, float] = {}
         for subject in self.engines:
--- a/decklb/lab/emulation/simulated_handoff.py
+++ b/decklb/lab/emulation/simulated_handoff.py
@@ -1,4 +1,4 @@
-"""Handoff's keepers on a simulated network: members that die, return without memory, are cut off or held up, and
+"""Handoff's coordinators on a simulated network: members that die, return without memory, are cut off or held up, and
 clients that come back with their keys.
 
 `HandoffSimulation` owns the members, the network, stand-in engines, clients and faults; tests play it by seed: the same
@@ -21,13 +21,15 @@
 from functools import partial
 from typing import Any
 
-from decklb.handoff.keeper import Hooks, Keeper, Taken
+from decklb.handoff.admission_result import AdmissionResult, AdmissionState
+from decklb.handoff.coordinator import HandoffCoordinator
+from decklb.handoff.member_state import RequestRunner
 from decklb.handoff.records import Outcome, Record, fingerprint
 from decklb.handoff.settings import HandoffSettings
 from decklb.interface import Effect
 from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
 
-TICK_MS = 25.0  # between ticks of a keeper
+TICK_MS = 25.0  # between ticks of a coordinator
 VIEW_PERIOD_MS = 100.0  # between updates of a member's view of who is alive
 DETECTION_DELAY_MS = (300.0, 900.0)  # by which a member sees late that another has gone
 CANCEL_DELAY_MS = 60.0  # for an engine to heed that an execution is cancelled
@@ -45,7 +47,14 @@
 LONGEST_WORK_MS = 1500.0  # in runs with long statements
 LONGEST_SHORT_WORK_MS = 150.0  # in all others
 SETTINGS = HandoffSettings(
-    members=3, lease=600.0, beat=100.0, patience=300.0, resend=60.0, stagger=250.0, longest=4000.0, linger=1500.0
+    fleet_size=3,
+    lease_ms=600.0,
+    heartbeat_interval_ms=100.0,
+    quorum_timeout_ms=300.0,
+    resend_interval_ms=60.0,
+    claim_stagger_ms=250.0,
+    max_budget_ms=4000.0,
+    answer_retention_ms=1500.0,
 )
 
 
@@ -69,10 +78,10 @@
         span: float = 8000.0,
         rate: float = 10.0,
         settings: HandoffSettings = SETTINGS,
-        keeper: type[Keeper] = Keeper,
+        coordinator: type[HandoffCoordinator] = HandoffCoordinator,
         harsh: bool = False,
     ) -> None:
-        self.rng, self.settings, self.make_keeper = random.Random(seed), settings, keeper
+        self.rng, self.settings, self.make_coordinator = random.Random(seed), settings, coordinator
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -83,7 +92,7 @@
         self.events: list[ExecutionEvent] = []
         self.clients: list[ClientRecord] = []
         self.executions = 0
-        warm_up_ms = settings.life + 100.0
+        warm_up_ms = settings.record_lifetime_ms + 100.0
         for name in self.names:
             self.members[name] = SimulatedMember(self, name)
         at = warm_up_ms
@@ -97,7 +106,7 @@
         for _ in range(HARSH_FAULTS if harsh else 1):
             start = warm_up_ms + self.rng.uniform(0, span if harsh else span / 2)
             self.at(start, partial(self._strike, self.rng.choice(self.names), self.rng.uniform(*FAULT_MS)))
-        self.end = warm_up_ms + span + settings.life
+        self.end = warm_up_ms + span + settings.record_lifetime_ms
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         """Make a call at that simulated time, in ms."""
@@ -152,14 +161,14 @@
         for name, peer in ((first, second), (second, first)):
             member = self.members[name]
             if member.arrivals.pop(peer, None) is not None:
-                member.keeper.unlinked(member.clock(), peer)
+                member.coordinator.disconnected(peer)
 
     # Clients and engines.
 
     def _new_client(self) -> None:
         number = len(self.clients)
         class_name = self.rng.choice((REPEATABLE_CLASS, AT_MOST_ONCE_CLASS))
-        budget_ms = self.settings.longest
+        budget_ms = self.settings.max_budget_ms
         due_s = (self.now + budget_ms + CLIENT_SLACK_MS) / 1000
         client = ClientRecord(f"k{number}", class_name, self.now / 1000, due_s)
         self.clients.append(client)
@@ -234,7 +243,7 @@
 
 
 class SimulatedMember:
-    """One member's keeper, its view of the others, and the requests that it runs.
+    """One member's coordinator, its view of the others, and the requests that it runs.
 
     Attributes:
         dead: Whether it was killed; a restart makes a new member of its name.
@@ -252,7 +261,7 @@
         self.arrivals: dict[str, float] = {}
         self.incarnation = 1 + simulation.rng.getrandbits(40)
         self.running: dict[str, RunningRequest] = {}
-        self.keeper = simulation.make_keeper(
+        self.coordinator = simulation.make_coordinator(
             simulation.settings,
             name,
             self.incarnation,
@@ -260,7 +269,7 @@
             0.0,
             random.Random(simulation.rng.random()),
             self.clock(),
-            Hooks(self.adopt, self.stop),
+            RequestRunner(self.adopt, self.stop),
         )
         simulation.at(simulation.now, self.update_view)
         simulation.at(simulation.now + simulation.rng.uniform(0, TICK_MS), self.tick)
@@ -270,12 +279,12 @@
         return self.simulation.now + self.clock_offset_ms
 
     def tick(self) -> None:
-        """Tick the keeper, unless the member is held up."""
+        """Tick the coordinator, unless the member is held up."""
         if self.dead:
             return
         self.simulation.at(max(self.held_until, self.simulation.now + TICK_MS), self.tick)
         if self.simulation.now >= self.held_until:
-            self.keeper.tick(self.clock())
+            self.coordinator.tick(self.clock())
             self.pump()
 
     def update_view(self) -> None:
@@ -289,7 +298,7 @@
             if self._believes_alive(name):
                 alive[name] = member.incarnation
         alive[self.name] = self.incarnation
-        self.keeper.members(self.clock(), alive, simulation.names)
+        self.coordinator.update_members(self.clock(), alive, simulation.names)
         for name, member in simulation.members.items():
             connectable = not member.dead and (self.name, name) not in simulation.cut
             if self.name < name and name not in self.arrivals and connectable:
@@ -306,20 +315,19 @@
     def _connect(self, other: SimulatedMember) -> None:
         for member, peer in ((self, other), (other, self)):
             member.arrivals[peer.name] = self.simulation.now
-            member.keeper.linked(member.clock(), peer.name, peer.incarnation, peer.incarnation)
+            member.coordinator.connected(member.clock(), peer.name, peer.incarnation, peer.incarnation)
             member.pump()
 
     def pump(self) -> None:
-        """Send what the keeper has to say to its peers, in order on each connection."""
-        simulation, out = self.simulation, self.keeper.out
-        self.keeper.out = []
+        """Send what the coordinator has to say to its peers, in order on each connection."""
+        simulation, out = self.simulation, self.coordinator.take_outbox()
         for peer, message in out:
             if peer in self.arrivals:
                 drawn_ms = simulation.now + simulation.rng.expovariate(1 / MESSAGE_DELAY_MS)
                 self.arrivals[peer] = max(self.arrivals[peer], drawn_ms)
                 deliver = partial(self._deliver, simulation.members[peer], message)
                 simulation.at(self.arrivals[peer], deliver)
-        self.keeper.notices.clear()
+        self.coordinator.take_events()
 
     def _deliver(self, target: SimulatedMember, message: Any) -> None:
         simulation = self.simulation
@@ -328,7 +336,7 @@
             return  # the connection has broken meanwhile
         if simulation.now < target.held_until:  # it waits in the buffer, in order with all that comes after it
             return simulation.at(target.held_until, partial(self._deliver, target, message))
-        target.keeper.receive(target.clock(), self.name, message)
+        target.coordinator.receive(target.clock(), self.name, message)
         target.pump()
 
     # Requests.
@@ -340,23 +348,23 @@
         effect = Effect.UNSAFE if class_name == AT_MOST_ONCE_CLASS else Effect.SAFE
         record = Record(key, "", 0, 0, "t", class_name, effect, self.clock() + budget_ms, fingerprint(key.encode()))
 
-        def done(taken: Taken) -> None:
-            if taken.state == "taken":
+        def done(result: AdmissionResult) -> None:
+            if result.state is AdmissionState.ADMITTED:
                 self._run(key, RunningRequest(work_ms, answer))
-            elif taken.state == "done":
-                answer("served" if taken.outcome is Outcome.SERVED else "failed", taken.answer.decode())
+            elif result.state is AdmissionState.ANSWERED:
+                answer("served" if result.outcome is Outcome.SERVED else "failed", result.answer.decode())
             else:
-                answer(taken.state, "")
+                answer(result.state.value, "")
 
-        self.keeper.take(self.clock(), record, str(work_ms).encode(), done)
+        self.coordinator.admit(self.clock(), record, str(work_ms).encode(), done)
         self.pump()
 
     def adopt(self, record: Record, body: bytes) -> None:
         """Run a request that was taken over."""
-        if self.clock() < record.deadline:
+        if self.clock() < record.deadline_ms:
             self._run(record.key, RunningRequest(float(body)))
         else:
-            self.keeper.answered(self.clock(), record.key, Outcome.FAILED, b"", "deadline", lambda ok: None)
+            self.coordinator.complete(self.clock(), record.key, Outcome.FAILED, b"", "deadline", lambda ok: None)
 
     def stop(self, key: str) -> None:
         """Give up a request that this member may not act on."""
@@ -367,10 +375,10 @@
 
     def _run(self, key: str, request: RunningRequest) -> None:
         self.running[key] = request
-        record = self.keeper.table.get(key)
+        record = self.coordinator.table.get(key)
         if record is not None:
             self.simulation.at(
-                self.simulation.now + record.deadline - self.clock(), partial(self._deadline_passed, key, request)
+                self.simulation.now + record.deadline_ms - self.clock(), partial(self._deadline_passed, key, request)
             )
 
         def allowed(ok: bool) -> None:
@@ -381,7 +389,7 @@
             elif not request.stopped:
                 request.answer("running", "")
 
-        self.keeper.sending(self.clock(), key, "e", allowed)
+        self.coordinator.begin_attempt(self.clock(), key, "e", allowed)
         self.pump()
 
     def _deadline_passed(self, key: str, request: RunningRequest) -> None:
@@ -393,7 +401,7 @@
         del self.running[key]
         request.stopped = True
         request.cancel()
-        self.keeper.answered(
+        self.coordinator.complete(
             self.clock(),
             key,
             Outcome.FAILED,
@@ -410,7 +418,7 @@
             return self.simulation.at(self.held_until, partial(self._answered, key, request, row))
         if self.running.get(key) is request:
             del self.running[key]
-        self.keeper.answered(
+        self.coordinator.complete(
             self.clock(),
             key,
             Outcome.SERVED,
--- a/decklb/lab/emulation/simulated_network.py
+++ b/decklb/lab/emulation/simulated_network.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from decklb.cluster.duties import Start
+from decklb.cluster.duty import DutyRun
 from decklb.cluster.node import Node
 from decklb.lab.emulation.simulated_loop import Loop
 
@@ -98,7 +98,7 @@
         self.faults = faults or Faults()
         self.hosts: dict[Address, Host] = {}
         self.cut: Callable[[Address, Address], bool] = lambda source, target: False
-        self.run_duty: Callable[[Host, Start], tuple[float, bool]] = lambda host, start: (1.0, True)
+        self.run_duty: Callable[[Host, DutyRun], tuple[float, bool]] = lambda host, start: (1.0, True)
         self.on_notice: Callable[[Host, str, dict[str, object]], None] = lambda host, event, fields: None
         self.on_health_check: Callable[[Host, str, bool], None] = lambda host, subject, up: None
         self.delivered = 0
@@ -168,13 +168,13 @@
     def pump(self, host: Host) -> None:
         """Carry out what a node asks for, and set the timer for when it is due next."""
         node = host.node
-        if node.out:
-            out, node.out = node.out, []
+        if node.outgoing:
+            out, node.outgoing = node.outgoing, []
             for target, data in out:
                 self._transmit(host.address, target, data)
-        if node.starts:
-            starts = list(node.starts)
-            node.starts.clear()  # the list is the node's own: its duties append to it
+        if node.runs_to_start:
+            starts = list(node.runs_to_start)
+            node.runs_to_start.clear()  # the list is the node's own: its duties append to it
             for start in starts:
                 duration_ms, succeeded = self.run_duty(host, start)
                 self.after(duration_ms, partial(self._duty_ended, host, start, succeeded))
@@ -182,11 +182,11 @@
             notices, node.notices = node.notices, []
             for notice in notices:
                 self.on_notice(host, notice.event, notice.fields)
-        if node.probed:
-            probed, node.probed = node.probed, []
-            for _, subject, up in probed:
-                self.on_health_check(host, subject, up)
-        due_ms = host.simulated_ms(node.due())
+        if node.health_updates:
+            updates, node.health_updates = node.health_updates, []
+            for update in updates:
+                self.on_health_check(host, update.subject, update.is_up)
+        due_ms = host.simulated_ms(node.next_due())
         if due_ms < host.timer_ms:
             host.timer_ms = due_ms
             self.loop.call_later(due_ms - self.now, lambda: self._timer_fired(host, due_ms))
@@ -201,11 +201,11 @@
             host.node.tick(host.now() + CLOCK_MARGIN_MS, host.wall())
             self.pump(host)
 
-    def _duty_ended(self, host: Host, start: Start, succeeded: bool) -> None:
+    def _duty_ended(self, host: Host, start: DutyRun, succeeded: bool) -> None:
         if not host.up:
             return
         if host.paused:
             self.after(RETRY_WHILE_PAUSED_MS, partial(self._duty_ended, host, start, succeeded))
             return
-        host.node.ended(host.now(), start.kind, start.subject, succeeded)
+        host.node.on_run_ended(host.now(), start.kind, start.subject, succeeded)
         self.pump(host)
--- a/decklb/lab/emulation/simulated_quorum_register.py
+++ b/decklb/lab/emulation/simulated_quorum_register.py
@@ -13,7 +13,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from decklb.maintenance.register import Memory, Message, Register
+from decklb.maintenance.paxos_messages import AcceptorState, RegisterMessage
+from decklb.maintenance.proposer import ValueCodec
+from decklb.maintenance.replicated_register import ReplicatedRegister
 
 Value = tuple[int, ...]  # numbers of the changes, in the order they were made
 
@@ -76,13 +78,13 @@
         self.rng, self.verdict, self.now = random.Random(seed), RegisterVerdict(seed), 0.0
         self.names = [f"m{i}" for i in range(members)]
         self.harsh, self.pace_ms, self.extra_delay_ms, self.stored = harsh, pace, slow, kept
-        self.disks: dict[str, Memory] = {}
+        self.disks: dict[str, AcceptorState] = {}
         self.nodes = {name: self._make_node(name) for name in self.names}
         self.stopped_until = dict.fromkeys(self.names, 0.0)  # a stopped member receives and ticks later
         self.cut_off: set[str] = set()
         self.settled: set[Value] = set()  # all values that members settled on
         self.open_changes: dict[int, str] = {}  # and their proposers
-        self._queue: list[tuple[float, int, str, str, Message]] = []  # heap by arrival
+        self._queue: list[tuple[float, int, str, str, RegisterMessage]] = []  # heap by arrival
         self._message_count = itertools.count()
         self._change_numbers = itertools.count(1)
 
@@ -106,12 +108,14 @@
             self.now += STEP_MS
         return self._judge()
 
-    def _make_node(self, name: str) -> Register[Value]:
-        return Register(
+    def _make_node(self, name: str) -> ReplicatedRegister[Value]:
+        return ReplicatedRegister(
             name,
-            (),
-            lambda value: ",".join(map(str, value)).encode(),
-            lambda text: tuple(map(int, text.split(b","))) if text else (),
+            ValueCodec(
+                (),
+                lambda value: ",".join(map(str, value)).encode(),
+                lambda text: tuple(map(int, text.split(b","))) if text else (),
+            ),
             len(self.names),
             PATIENCE_MS,
             random.Random(self.rng.random()),
@@ -120,7 +124,7 @@
             partial(self._store, name),
         )
 
-    def _store(self, name: str, memory: Memory) -> bool:
+    def _store(self, name: str, memory: AcceptorState) -> bool:
         if self.stored:
             self.disks[name] = memory
         return True
@@ -160,9 +164,9 @@
                 node.tick(self.now)
                 self._send_messages(name, node)
 
-    def _send_messages(self, name: str, node: Register[Value]) -> None:
+    def _send_messages(self, name: str, node: ReplicatedRegister[Value]) -> None:
         """Put a member's messages on the network, which loses some."""
-        out, node.out = node.out, []
+        out, node.outgoing = node.outgoing, []
         for target, message in out:
             for other in self.names if not target else (target,):
                 parted = (name in self.cut_off) != (other in self.cut_off)
@@ -183,15 +187,15 @@
                 waiting.append((self.stopped_until[target], count, sender, target, message))
                 continue
             node = self.nodes[target]
-            node.hear(self.now, sender, message)
-            self.settled.add(node.settled)
+            node.receive(self.now, sender, message)
+            self.settled.add(node.committed)
             self._send_messages(target, node)
         for entry in waiting:
             heapq.heappush(self._queue, entry)
 
     def _judge(self) -> RegisterVerdict:
         verdict = self.verdict
-        final = verdict.final = max((node.settled for node in self.nodes.values()), key=len)
+        final = verdict.final = max((node.committed for node in self.nodes.values()), key=len)
         verdict.lost = [number for number in verdict.done if number not in final]
         verdict.twice = [number for number in set(final) if final.count(number) > 1]
         verdict.forked = sum(value != final[: len(value)] for value in self.settled)
--- a/decklb/lab/experiments/zone_agreement.py
+++ b/decklb/lab/experiments/zone_agreement.py
@@ -12,11 +12,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field, replace
 
-from decklb.locality.council import Council
-from decklb.locality.runtime import LARGE
-from decklb.locality.settings import ALONE, COMMON, LocalitySettings
-from decklb.locality.spill import Place, shares, usable
-from decklb.locality.zones import State, View
+from decklb.locality.coordinator import ZoneCoordinator
+from decklb.locality.runtime import LARGE_FLEET
+from decklb.locality.settings import DecisionMode, LocalitySettings
+from decklb.locality.spillover import ZoneStatus, routing_shares, usable_capacity
+from decklb.locality.zone_state import ZoneObservation, ZoneState
 
 STEP_MS = 250.0  # between ticks of a member
 CASES = ("lost", "parted", "slow", "region", "halves", "liar", "flicker")
@@ -81,17 +81,19 @@
         self.settings = replace(
             settings,
             regions=self._regions(),
-            zone=self.zones[0],
-            members=managers,
-            judge=COMMON if common else ALONE,
+            home_zone=self.zones[0],
+            member_count=managers,
+            decision_mode=DecisionMode.COMMON if common else DecisionMode.ALONE,
         )
         self.home = {f"m{i}": self.zones[i % zones] for i in range(managers)}
         self.caller_rate = ZONE_LOAD * zones / managers  # requests a second of one manager's callers
         self.members = {name: self._make_member(name) for name in self.home}
         self._draw_fault(managers)
-        self._tick_every = max(1, round(managers / LARGE))  # steps between two ticks of a member, as in the program
+        self._tick_every = max(
+            1, round(managers / LARGE_FLEET)
+        )  # steps between two ticks of a member, as in the program
         self._arriving: dict[int, list[tuple[str, str, bytes]]] = {}  # messages by the step at which they arrive
-        self._states: dict[tuple[str, str], State] = {}  # that members hold, by member and zone
+        self._states: dict[tuple[str, str], ZoneState] = {}  # that members hold, by member and zone
         self._held_out_ms: dict[str, float] = {}  # from the loss until each member held the zone out
         self._sent = self._left = self._failed = 0.0  # sums of rates over all steps
 
@@ -99,10 +101,10 @@
         names = sorted(set(self.region.values()))
         return tuple((name, tuple(zone for zone in self.zones if self.region[zone] == name)) for name in names)
 
-    def _make_member(self, name: str) -> Council:
-        member = Council(replace(self.settings, zone=self.home[name]), name, 0.0)
-        member.members(self.home)
-        member.load = self.caller_rate
+    def _make_member(self, name: str) -> ZoneCoordinator:
+        member = ZoneCoordinator(replace(self.settings, home_zone=self.home[name]), name, 0.0)
+        member.update_members(self.home)
+        member.own_load_cores = self.caller_rate
         return member
 
     def _draw_fault(self, managers: int) -> None:
@@ -125,7 +127,7 @@
             for name in ticking:
                 self._observe(name, health)
             for sender, receiver, message in self._arriving.pop(step, ()):
-                self.members[receiver].hear(self.now, sender, message)
+                self.members[receiver].receive(self.now, sender, message)
             for name in ticking:
                 self._tick(name, step)
             self._serve(self._route(), health)
@@ -158,14 +160,14 @@
                     slowness = SLOWNESS
             errors = self.rng.random() * ERROR_NOISE
             latency = slowness * self.rng.uniform(*LATENCY_NOISE)
-            view = View(up, errors, latency, up >= 1.0 and zone != self.home[name])
-            self.members[name].saw(self.now, zone, view)
+            view = ZoneObservation(up, errors, latency, up >= 1.0 and zone != self.home[name])
+            self.members[name].observe(self.now, zone, view)
 
     def _tick(self, name: str, step: int) -> None:
         """Tick a member and put its messages on the network, which loses some."""
         member = self.members[name]
         member.tick(self.now)
-        messages, member.out = member.out, []
+        messages, member.outgoing = member.outgoing, []
         for other in self.members if self.common else ():
             split = self.case == "halves" and self._struck_now and (name in self.half) != (other in self.half)
             if other != name and not split:
@@ -177,15 +179,19 @@
         """Return the rate that arrives at each zone, each manager sending where its own states say."""
         arriving = dict.fromkeys(self.zones, 0.0)
         for name, member in self.members.items():
-            demand = member.demand(self.now)
+            demand = member.load_cores(self.now)
             places = {
-                zone: Place(
-                    self.region[zone], ZONE_CAPACITY, demand[zone], *member.state(zone), member.up(zone, self.now)
+                zone: ZoneStatus(
+                    self.region[zone],
+                    ZONE_CAPACITY,
+                    demand[zone],
+                    *member.state(zone),
+                    member.reachable_fraction(zone, self.now),
                 )
                 for zone in self.zones
             }
             home = self.home[name]
-            routed = shares(home, places, self.now, self.settings)
+            routed = routing_shares(home, places, self.now, self.settings)
             for zone, share in routed.items():
                 arriving[zone] += self.caller_rate * share
             self._sent += self.caller_rate
@@ -208,19 +214,19 @@
 
     def _bearable_after_return(self, zone: str) -> float:
         """Return what a zone that comes back bears: it has to warm up, over the recovery ramp."""
-        place = Place(self.region[zone], ZONE_CAPACITY, ZONE_LOAD, State.RETURNING, MENDED_MS)
-        return usable(place, self.now, self.settings) / self.settings.full
+        place = ZoneStatus(self.region[zone], ZONE_CAPACITY, ZONE_LOAD, ZoneState.RETURNING, MENDED_MS)
+        return usable_capacity(place, self.now, self.settings) / self.settings.max_utilization
 
     def _note_states(self, health: dict[str, float]) -> None:
         """Count changes of the states that members hold."""
         for name, member in self.members.items():
             for zone in self.zones:
                 state = member.state(zone)[0]
-                if state is not self._states.get((name, zone), State.HEALTHY):
+                if state is not self._states.get((name, zone), ZoneState.HEALTHY):
                     self._states[name, zone] = state
                     self.result.changes += 1
-                    self.result.wrong += health[zone] > 0 and state is State.OUT and self.case in OBSERVER_CASES
-                if state is State.OUT and zone in self.struck and self.case in LOSS_CASES:
+                    self.result.wrong += health[zone] > 0 and state is ZoneState.OUT and self.case in OBSERVER_CASES
+                if state is ZoneState.OUT and zone in self.struck and self.case in LOSS_CASES:
                     self._held_out_ms.setdefault(name, self.now - STRUCK_MS)
 
 
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -23,12 +23,12 @@
 import ujson
 
 from decklb.cluster import keyfile
-from decklb.daemon.control import ControlError, ask
 from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
 from decklb.lab.fault_runs.isolation import TRIES, apart
 from decklb.lab.faults import free_ports as ports
 from decklb.lab.faults.fault_schedule import CUT, LOSSY, FleetFault, FleetFaultKind, draw_schedule
 from decklb.lab.faults.network_proxy import MAX_LATE_MS, Address, NetworkProxy
+from decklb.management.control_client import ControlError, query
 from decklb.pg import messages as pg
 
 READ, LOAD = "read", "load"  # may be repeated; at most once
@@ -180,7 +180,7 @@
         self.binds = {n: (self.host[n], ports.free(1, self.host[n])[0]) for n in self.names}
         self.rig = NetworkProxy(self.binds, self.seed, targets)
         await self.rig.open()
-        keyfile.write(str(self.folder / "keys.json"), [keyfile.make()])
+        keyfile.write(str(self.folder / "keys.json"), [keyfile.generate()])
         await asyncio.gather(*(self.up(n) for n in self.names))
 
     async def serve(self, engine: Process, where: list[int] | None = None) -> list[int]:
@@ -293,7 +293,7 @@
         worst = self.rig.late_ms
         for p in self.managers.values():
             for line, at in zip(p.lines, p.stamps, strict=False):
-                if at >= since and (m := re.search(r"held-up late_ms=(\d+)", line)):
+                if at >= since and (m := re.search(r"process-stalled stall_ms=(\d+)", line)):
                     worst = max(worst, float(m[1]))
         return round(worst, 1)
 
@@ -302,7 +302,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         for name, p in self.managers.items():
             try:
-                held = ujson.dumps(ask(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
+                held = ujson.dumps(query(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
             except ControlError as error:
                 held = str(error)
             (folder / f"{name}.log").write_text("".join([*p.lines, held, "\n"]))
@@ -513,9 +513,9 @@
             before = sum(resident(p) for p in fleet.managers.values())
             await asyncio.gather(*(session(fleet, i) for i in range(at_once)))
             after = sum(resident(p) for p in fleet.managers.values())
-            held = [await asyncio.to_thread(ask, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            held = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
             await asyncio.sleep(setup.life / 1000 + 1.0)
-            left = [await asyncio.to_thread(ask, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            left = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
         finally:
             await fleet.stop()
     records = sum(h["held"] for h in held)
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from typing import Any
 
-from decklb.daemon.control import ControlError, ask
 from decklb.lab.checks.zone_verdict import CallRecord
 from decklb.lab.fault_runs.handoff_run import Process
 from decklb.lab.fault_runs.isolation import side_by_side
 from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
 from decklb.lab.faults.network_proxy import MAX_LATE_MS
+from decklb.management.control_client import ControlError, query
 
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
 RATE = 12.0  # requests a second of each zone's callers: 2 of 8 cores that a zone has left with one engine out
@@ -38,7 +38,7 @@
     '<handoff members="5" copies="3" lease="600ms" beat="100ms" patience="300ms" resend="60ms" stagger="250ms" '
     'longest="4s" linger="1500ms" slack="500ms"/>\n  '
 )
-LINE = "plan-step job="
+LINE = "maintenance-step "
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +135,7 @@
 
     async def ask(self, name: str, what: str, **more: Any) -> Any:
         """A question or an order to one manager."""
-        return await asyncio.to_thread(lambda: ask(str(self.folder / f"{name}.sock"), what, **more))
+        return await asyncio.to_thread(lambda: query(str(self.folder / f"{name}.sock"), what, **more))
 
     async def plan(self) -> dict[str, Any]:
         """As the manager knows it that has come furthest."""
@@ -198,7 +198,7 @@
         for name, p in self.ever:
             for line, at in zip(p.lines, p.stamps, strict=False):
                 if LINE in line:
-                    f = dict(x.split("=", 1) for x in line[line.index(LINE) + 10 :].split())
+                    f = dict(x.split("=", 1) for x in line.split(LINE, 1)[1].split())
                     made.append(Step(name, f["job"], f["machine"], f["stage"], int(f["step"]), at - start))
         return sorted(made, key=lambda s: s.at)
 
@@ -268,7 +268,7 @@
             told.doubled, told.over_budget = doubled(steps), budget(steps) + fleet.over
             told.unsafe, told.late_ms = fleet.unsafe, fleet.late(start)
             told.overlapping, told.again = _overlapping(fleet)
-            told.faults = sum(fleet.logged(x) for x in ("Traceback", "module-failed", "order failed"))
+            told.faults = sum(fleet.logged(x) for x in ("Traceback", "module-failed", "command failed"))
             return told
         finally:
             if logs:  # also of a run that came to no end
--- a/decklb/lab/fault_runs/system_call_run.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -235,8 +235,8 @@
             faults.append("no line of the log tells of it")
         if case.span == "long" and busy > BUSY:
             faults.append(f"a busy loop: {busy:.2f} of a core")
-        # A peer that closes before anything is sent also gives NOCONN: it is no word about this machine.
-        if "attempt ended: NOCONN" in log and "no-connection" in log and not case.says_engine_failed:
+        # A peer that closes before anything is sent also gives unreachable: it says nothing of this machine.
+        if "attempt ended: unreachable" in log and "no-connection" in log and not case.says_engine_failed:
             faults.append("a local failure is put down to an engine")
         return faults
 
@@ -349,7 +349,7 @@
             size, kind, stream = struct.unpack(">IBI", await self.reader.readexactly(9))
             payload = await self.reader.readexactly(size - 5)
             if kind == frames.ANSWER and stream == self._stream:
-                return {frames.SERVED: "served", frames.REFUSED: "refused"}.get(payload[0], "failed")
+                return {frames.SERVED: "served", frames.REJECTED: "refused"}.get(payload[0], "failed")
 
 
 class PgClientLink(Link):
--- a/decklb/lab/standins/byzantine_member.py
+++ b/decklb/lab/standins/byzantine_member.py
@@ -9,19 +9,19 @@
 import sys
 
 from decklb.lab.faults import clock_jump
-from decklb.locality.sight import Sight
-from decklb.locality.zones import View
+from decklb.locality.health_observer import ZoneHealthObserver
+from decklb.locality.zone_state import ZoneObservation
 
 
 def main() -> None:
     """Replace what this process observes of the zone, then run the program with the remaining arguments."""
     false_zone = sys.argv.pop(1)
-    observed_view = Sight.view
+    observed = ZoneHealthObserver.observation
 
-    def view(self: Sight, name: str, now: float) -> View | None:
-        return View(0.0) if name == false_zone else observed_view(self, name, now)
+    def observation(self: ZoneHealthObserver, name: str, now: float) -> ZoneObservation | None:
+        return ZoneObservation(0.0) if name == false_zone else observed(self, name, now)
 
-    Sight.view = view  # type: ignore[assignment, method-assign]
+    ZoneHealthObserver.observation = observation  # type: ignore[assignment, method-assign]
     clock_jump.main()
 
 
--- a/decklb/lab/standins/recording_peers.py
+++ b/decklb/lab/standins/recording_peers.py
@@ -125,16 +125,18 @@
         """Answer statements, and record them."""
         size, code = struct.unpack(">II", await reader.readexactly(8))
         await reader.readexactly(size - 8)
-        if code == pg.CANCEL:
+        if code == pg.CANCEL_REQUEST_CODE:
             return
-        writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", struct.pack(">II", 1, 1)) + pg.READY)
+        writer.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", struct.pack(">II", 1, 1)) + pg.READY_FOR_QUERY)
         while (kind := await reader.readexactly(1)) != b"X":
             body = await reader.readexactly(int.from_bytes(await reader.readexactly(4), "big") - 4)
             if kind == b"Q":
                 attempt = self.begin(body[:-1].decode().partition("'")[2][:-1], running)
                 await asyncio.sleep(self.work_s)
                 attempt.ended = time.monotonic()
-                answer = pg.pack(b"D", struct.pack(">hi", 1, 1) + b"x") + pg.pack(b"C", b"SELECT 1\0") + pg.READY
+                answer = (
+                    pg.pack(b"D", struct.pack(">hi", 1, 1) + b"x") + pg.pack(b"C", b"SELECT 1\0") + pg.READY_FOR_QUERY
+                )
                 self.answer_size = len(answer)
                 writer.write(answer)
 
@@ -183,7 +185,7 @@
 
 def answer(question: bytes, engine_ports: dict[str, int], started_ms: dict[str, int], serial: int) -> bytes:
     """Return the complete list as the response to a question (RFC 1035; SRV records, RFC 2782)."""
-    question_section = question[dns.HEAD.size :]
+    question_section = question[dns.HEADER.size :]
     records = b""
     for engine, port in engine_ports.items():
         target = _name(f"{engine}.z.hosts")
@@ -193,7 +195,7 @@
             target, dns.TXT, b"".join(_text(t) for t in ("kind=k", "cell=0", f"started={started_ms.get(engine, 0)}"))
         )
     records += _record(b"\xc0\x0c", dns.SOA, _name("ns") + _name("me") + struct.pack(">5I", serial, 0, 0, 0, 0))
-    head = dns.HEAD.pack(int.from_bytes(question[:2], "big"), AUTHORITATIVE, 1, 3 * len(engine_ports), 1, 0)
+    head = dns.HEADER.pack(int.from_bytes(question[:2], "big"), AUTHORITATIVE, 1, 3 * len(engine_ports), 1, 0)
     return head + question_section + records
 
 
--- a/decklb/settings.py
+++ b/decklb/settings.py
@@ -1,4 +1,7 @@
-"""The translation of a settings object, shared by the simulator's adapter and the real program."""
+"""The reader of a settings object (JSON), shared by the simulator's adapter and the real program.
+
+The keys are the platform's and stay as they are; they are translated here once, into `interface.Settings`.
+"""
 
 from __future__ import annotations
 
@@ -10,70 +13,79 @@
 
 
 def settings_from(raw: Json) -> api.Settings:
-    """Translate a `setup` object; absent optional settings mean off, unknown ones are skipped."""
+    """Translate a settings object; absent optional settings mean off, unknown ones are skipped.
+
+    Raises:
+        KeyError: a class or tenant lacks a required key.
+        ValueError: a figure that makes no sense, or an unknown kind of class.
+    """
     rules, limits, domain = raw.get("rules", {}), raw.get("limits", {}), raw.get("domain", {})
     kinds, telemetry = raw.get("kinds", []), raw.get("telemetry", {})
-
-    def per(name: str, i: int, default: Any) -> Any:
-        values = domain.get(name) or []
-        return values[i] if i < len(values) else default
-
-    classes = {}
-    for i, c in enumerate(raw["categories"]):
-        classes[c["name"]] = api.ClassSpec(
-            name=c["name"],
-            aim=c["aim"],
-            deadline=c["deadline"],
-            worth=c.get("worth", 1.0),
-            late_worth=c.get("late_worth", 0.0),
-            stretch=c.get("aim_stretch", 0.0),
-            effect=api.Effect(c["semantics"]),
-            group=c.get("group", "all"),
-            memory_span=c.get("memory_span", 0.0),
-            serial=bool(c.get("serial_by_key")),
-            streaming=bool(c.get("streaming")),
-            zones=tuple(c["areas_open"]) if "areas_open" in c else None,
-            kinds=tuple(c["served_on"]) if "served_on" in c else None,
-            threads=per("dop", i, 1),
-            holds=per("holds_tables", i, False),
-            yields=per("yields_to_loads", i, False),
-        )
-    tenants = {
-        t["name"]: api.TenantSpec(t["name"], t.get("share", 0.0), t.get("quota_per_s")) for t in raw.get("tenants", [])
-    }
     return api.Settings(
-        classes=classes,
-        tenants=tenants,
-        me=raw.get("me", 0),
-        fronts=raw.get("balancers", 1),
+        classes={c["name"]: _class_from(c, i, domain) for i, c in enumerate(raw["categories"])},
+        tenants={t["name"]: _tenant_from(t) for t in raw.get("tenants", [])},
+        gateway_index=raw.get("me", 0),
+        gateway_count=raw.get("balancers", 1),
         zone=raw.get("zone", ""),
-        cores={k: per("kind_cores", i, 1) for i, k in enumerate(kinds)},
-        memory={k: per("kind_memory_mb", i, 0.0) for i, k in enumerate(kinds)},
-        largest_share=domain.get("largest_share", 1.0),
-        grants=bool(domain.get("grants_count")),
-        ranks=bool(domain.get("ranks_heeded")),
-        bills=bool(domain.get("bills")),
-        progress=domain.get("progress", 0.0),
-        over_share_worth=raw.get("over_share_worth", 1.0),
-        must_ask=raw.get("discovery") == "ask",
-        ask_within=rules.get("ask_within", 0.0),
-        cancelling=bool(limits.get("cancelling")),
-        peers=bool(limits.get("peer_messages")),
-        probes=bool(limits.get("probes")),
-        fields=tuple(telemetry.get("fields") or ()) if telemetry.get("how", "silent") != "silent" else (),
+        cores_by_kind={kind: _value_at(domain, "kind_cores", i, 1) for i, kind in enumerate(kinds)},
+        memory_mb_by_kind={kind: _value_at(domain, "kind_memory_mb", i, 0.0) for i, kind in enumerate(kinds)},
+        largest_grant_fraction=domain.get("largest_share", 1.0),
+        memory_grants=bool(domain.get("grants_count")),
+        priorities=bool(domain.get("ranks_heeded")),
+        usage_reported=bool(domain.get("bills")),
+        progress_interval_ms=domain.get("progress", 0.0),
+        over_quota_weight=raw.get("over_share_worth", 1.0),
+        must_subscribe=raw.get("discovery") == "ask",
+        subscribe_within_ms=rules.get("ask_within", 0.0),
+        cancellation=bool(limits.get("cancelling")),
+        peer_messages=bool(limits.get("peer_messages")),
+        health_checks=bool(limits.get("probes")),
+        load_report_fields=tuple(telemetry.get("fields") or ()) if telemetry.get("how", "silent") != "silent" else (),
         retry_after=bool(limits.get("retry_after")),
-        max_retry_after=limits.get("max_retry_after", 0.0),
-        duplicates=bool(limits.get("may_duplicate")),
+        max_retry_after_ms=limits.get("max_retry_after", 0.0),
+        hedging=bool(limits.get("may_duplicate")),
         max_attempts=limits.get("max_attempts", 1),
-        cold_share=rules.get("cold_share", 1.0),
-        cold=rules.get("cold", 0.0),
-        overload_factor=rules.get("overload_factor", 1.0),
-        fall=rules.get("fall", 0.0),
-        drain_grace=rules.get("drain_grace", 0.0),
-        extra_floor=rules.get("extra_floor", 0.0),
-        extra_ratio=rules.get("further_ratio"),
-        extra_window=rules.get("extra_window", 0.0),
-        settle=rules.get("settle_after_doubt", 0.0),
-        tick=raw.get("tick", 1.0),
-        goal=dict(raw.get("score_parts", {})),
+        slow_start_min_fraction=rules.get("cold_share", 1.0),
+        slow_start_window_ms=rules.get("cold", 0.0),
+        slow_start_overload_factor=rules.get("overload_factor", 1.0),
+        slow_start_budget_window_ms=rules.get("fall", 0.0),
+        drain_grace_ms=rules.get("drain_grace", 0.0),
+        retry_budget_floor=rules.get("extra_floor", 0.0),
+        retry_budget_ratio=rules.get("further_ratio"),
+        retry_budget_window_ms=rules.get("extra_window", 0.0),
+        key_hold_down_ms=rules.get("settle_after_doubt", 0.0),
+        tick_ms=raw.get("tick", 1.0),
+        goal_weights=dict(raw.get("score_parts", {})),
     )
+
+
+def _class_from(raw: Json, index: int, domain: Json) -> api.RequestClass:
+    """Translate a class; some of its figures stand in lists of the domain, at its index."""
+    return api.RequestClass(
+        name=raw["name"],
+        latency_objective_ms=raw["aim"],
+        deadline_ms=raw["deadline"],
+        priority_weight=raw.get("worth", 1.0),
+        late_priority_weight=raw.get("late_worth", 0.0),
+        objective_stretch=raw.get("aim_stretch", 0.0),
+        effect=api.Effect(raw["semantics"]),
+        deduplication_scope=raw.get("group", "all"),
+        deduplication_window_ms=raw.get("memory_span", 0.0),
+        ordered_by_key=bool(raw.get("serial_by_key")),
+        streaming=bool(raw.get("streaming")),
+        allowed_zones=tuple(raw["areas_open"]) if "areas_open" in raw else None,
+        allowed_kinds=tuple(raw["served_on"]) if "served_on" in raw else None,
+        threads=_value_at(domain, "dop", index, 1),
+        locks_tables=_value_at(domain, "holds_tables", index, False),
+        waits_for_loads=_value_at(domain, "yields_to_loads", index, False),
+    )
+
+
+def _tenant_from(raw: Json) -> api.TenantSpec:
+    return api.TenantSpec(raw["name"], raw.get("share", 0.0), raw.get("quota_per_s"))
+
+
+def _value_at(domain: Json, name: str, index: int, default: Any) -> Any:
+    """A list's value at an index, or the default where the list is absent or too short."""
+    values = domain.get(name) or []
+    return values[index] if index < len(values) else default
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,20 +6,28 @@
 import pytest
 
 from tests import known_red
+from tests.pg_program import running_pg_program
 
 FLEETS = {
     "test_handoff_program": "fleets-1",
-    "test_handoff_store": "fleets-1",
+    "test_handoff_restarts": "fleets-1",
     "test_upkeep": "fleets-2",
     "test_regions": "fleets-2",
     "test_middleware_fleet": "fleets-2",
     "test_rig_program": "fleets-2",
-    "test_duties_program": "fleets-2",
+    "test_shared_health_checks_program": "fleets-2",
     "test_system_calls": "fleets-1",
     "test_live": "fleets-2",
 }
 
 
+@pytest.fixture
+def pg_program():
+    """The program with PostgreSQL engines behind it; see `tests/pg_program.py`."""
+    with running_pg_program() as program:
+        yield program
+
+
 def pytest_collection_modifyitems(items):
     expected = known_red.load()
     for item in items:
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from decklb.core.timers import HELD
-from decklb.wire.dialing import AGAIN, Dial
+from decklb.wire.dialing import REDIAL_DELAY_MS, Dial
 
 TIMEOUT = 250.0
 EMFILE = ConnectBindError(errno.EMFILE, "no descriptor")
@@ -20,7 +20,7 @@
 REFUSED = getConnectError((errno.ECONNREFUSED, "refused"))
 
 
-class Dialed:
+class DialedConnection:
     """A dial whose tries fail or come up when the test says so."""
 
     def __init__(self):
@@ -34,7 +34,7 @@
             lambda reason: self.refused.append(reason.type),
         )
 
-    def fail(self, error):
+    def fail_try(self, error):
         self.reactor.tcpClients.pop(0)[2].clientConnectionFailed(None, Failure(error))
 
     def come_up(self):
@@ -45,54 +45,54 @@
 
 
 @pytest.mark.parametrize("error", [EMFILE, BUSY])
-def test_a_fault_of_this_machine_is_tried_again_and_comes_up(error):
-    d = Dialed()
-    d.fail(error)
-    d.clock.go(AGAIN - 1)
-    assert (d.tries(), d.refused) == (0, [])
-    d.clock.go(2)
-    d.come_up()
-    d.clock.go(2 * TIMEOUT)
-    assert (d.protocol.connected, d.refused) == (1, [])
+def test_a_local_error_is_retried_until_the_connection_comes_up(error):
+    dialed = DialedConnection()
+    dialed.fail_try(error)
+    dialed.clock.go(REDIAL_DELAY_MS - 1)
+    assert (dialed.tries(), dialed.refused) == (0, [])
+    dialed.clock.go(2)
+    dialed.come_up()
+    dialed.clock.go(2 * TIMEOUT)
+    assert (dialed.protocol.connected, dialed.refused) == (1, [])
 
 
 @pytest.mark.parametrize("error", [EMFILE, BUSY])
-def test_one_that_lasts_is_told_once_in_time_as_what_it_is(error):
-    d = Dialed()
+def test_a_lasting_local_error_is_reported_once_at_the_time_out(error):
+    dialed = DialedConnection()
     for _ in range(int(TIMEOUT)):
-        if d.tries():
-            d.fail(error)
-        d.clock.go(1)
-    d.clock.go(TIMEOUT)
-    assert d.refused == [type(error)]
+        if dialed.tries():
+            dialed.fail_try(error)
+        dialed.clock.go(1)
+    dialed.clock.go(TIMEOUT)
+    assert dialed.refused == [type(error)]
 
 
-def test_word_of_the_other_end_is_told_at_once():
-    d = Dialed()
-    d.fail(REFUSED)
-    d.clock.go(TIMEOUT)
-    assert (d.refused, d.tries()) == ([type(REFUSED)], 0)
+def test_a_refusal_by_the_peer_is_reported_at_once():
+    dialed = DialedConnection()
+    dialed.fail_try(REFUSED)
+    dialed.clock.go(TIMEOUT)
+    assert (dialed.refused, dialed.tries()) == ([type(REFUSED)], 0)
 
 
-def test_silence_is_a_time_out_even_after_a_fault_of_this_machine():
-    d = Dialed()
-    d.fail(BUSY)
-    d.clock.go(TIMEOUT + 1)
-    assert d.refused == [TimeoutError]
+def test_silence_is_a_time_out_even_after_a_local_error():
+    dialed = DialedConnection()
+    dialed.fail_try(BUSY)
+    dialed.clock.go(TIMEOUT + 1)
+    assert dialed.refused == [TimeoutError]
 
 
-def test_a_process_that_was_held_up_reads_that_it_is_connected_before_the_time_out():
-    d = Dialed()
+def test_after_a_stall_a_connection_that_came_up_is_read_before_the_time_out():
+    dialed = DialedConnection()
     late = TIMEOUT + HELD + 1
-    d.clock.call_later(late, d.come_up)  # read in the first pass after the standstill
-    d.clock.clock.advance(late / 1000)
-    d.clock.go(TIMEOUT)
-    assert (d.protocol.connected, d.refused) == (1, [])
-
-
-def test_what_is_cancelled_while_it_waits_is_told_once():
-    d = Dialed()
-    d.fail(BUSY)
-    d.dial.cancel()
-    d.clock.go(2 * TIMEOUT)
-    assert (len(d.refused), d.tries()) == (1, 0)
+    dialed.clock.call_later(late, dialed.come_up)  # read in the first pass after the standstill
+    dialed.clock.clock.advance(late / 1000)
+    dialed.clock.go(TIMEOUT)
+    assert (dialed.protocol.connected, dialed.refused) == (1, [])
+
+
+def test_a_dial_cancelled_between_tries_is_reported_once():
+    dialed = DialedConnection()
+    dialed.fail_try(BUSY)
+    dialed.dial.cancel()
+    dialed.clock.go(2 * TIMEOUT)
+    assert (len(dialed.refused), dialed.tries()) == (1, 0)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -128,7 +128,9 @@
         self.loop.run(10.0)
         e.stop()
         e.submit(self.query("b", 1.0))
-        self.assertEqual([(n, o) for n, o, _ in self.ended], [("a", Outcome.RST), ("b", Outcome.NOCONN)])
+        self.assertEqual(
+            [(n, o) for n, o, _ in self.ended], [("a", Outcome.CONNECTION_RESET), ("b", Outcome.UNREACHABLE)]
+        )
         e.start()
         e.submit(self.query("c", 100.0))
         e.stop(silent=True)
@@ -150,7 +152,7 @@
         for i in range(12):
             e.submit(self.query(f"q{i}", 100.0))
         self.assertEqual(e.account.crashes, 1)
-        self.assertIn(Outcome.RST, {o for _, o, _ in self.ended[1:]})
+        self.assertIn(Outcome.CONNECTION_RESET, {o for _, o, _ in self.ended[1:]})
 
 
 class Draws(unittest.TestCase):
@@ -269,7 +271,7 @@
     def _request_arrived(self, a):
         if self.rule == "key":
             self.taken_ms.append(self.now)
-            r = self.open[a.req] = policies.OpenRequest(a, self.settings.classes[a.lane], self.now)
+            r = self.open[a.request_id] = policies.OpenRequest(a, self.settings.classes[a.request_class], self.now)
             return self._send(r)
         super()._request_arrived(a)
 
@@ -289,7 +291,7 @@
 
     def pick(self, r):
         if self.rule == "cold":
-            return max(self.usable, key=lambda x: x.ready_at).engine
+            return max(self.usable, key=lambda x: x.started_at_ms).engine_id
         return super().pick(r)
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -41,7 +41,7 @@
             ZoneFault(out, out, liars=(), struck=3.0, mended=9.0),
             100.0,
             16.0,
-            LocalitySettings(ramp=8000.0),
+            LocalitySettings(recovery_ramp_ms=8000.0),
         )
 
     def line(self, what, key, run, manager, at, engine="e0"):
--- a/tests/test_duties_program.py
+++ b/tests/test_shared_health_checks_program.py
@@ -1,4 +1,4 @@
-"""Three real instances over real sockets share the probing of stand-in engines; one is killed and comes back."""
+"""Three real instances over real sockets share the health checks of stand-in engines; one is killed and returns."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from decklb.cluster import keyfile
-from decklb.daemon.control import ask
 from decklb.lab.faults import free_ports as ports
+from decklb.management.control_client import query
 from tests.standins import ROOT, Loop, PgEngine, PingEngine, Program, known, wait_for
 
 PERIOD = 1.0  # seconds
@@ -29,7 +29,7 @@
         self.engines = [PingEngine(self.loop) for _ in range(ENGINES)]
         self.ports = ports.free(3)
         self.keys = str(Path(self.folder.name) / "keys.json")
-        keyfile.write(self.keys, [keyfile.make()])
+        keyfile.write(self.keys, [keyfile.generate()])
         self.programs = [self.start(i) for i in range(3)]
 
     def socket(self, i):
@@ -46,10 +46,12 @@
         return Program({"known": known(*[e.port for e in self.engines])}, xml)
 
     def alive(self, i):
-        return {m["name"] for m in ask(self.socket(i), "members")["members"] if m["state"] == "alive" and m["settled"]}
+        return {
+            m["name"] for m in query(self.socket(i), "members")["members"] if m["state"] == "alive" and m["settled"]
+        }
 
     def owners(self, i):
-        return {r["subject"]: r["owner"] for r in ask(self.socket(i), "duties")}
+        return {r["subject"]: r["owner"] for r in query(self.socket(i), "duties")}
 
     def close(self):
         for program in self.programs:
@@ -70,7 +72,7 @@
     return found
 
 
-class SharedProbing(unittest.TestCase):
+class SharedHealthChecks(unittest.TestCase):
     def setUp(self):
         self.trio = Trio()
         self.addCleanup(self.trio.close)
@@ -81,7 +83,7 @@
         wait_for(lambda: all(self.trio.alive(int(n[1])) == set(names) for n in names), "one view")
         wait_for(lambda: all(self.trio.owners(int(n[1])) == self.trio.owners(some) for n in names), "one split")
 
-    def test_each_once_a_period_and_taken_over(self):
+    def test_each_engine_is_checked_once_a_period_and_taken_over(self):
         trio, engines = self.trio, self.trio.engines
         owners = trio.owners(0)
         self.assertEqual(set(owners.values()), {"m0", "m1", "m2"})
@@ -116,7 +118,7 @@
             gaps = [b - a for a, b in zip(e.pings, e.pings[1:], strict=False) if a > back + PERIOD]
             self.assertGreater(min(gaps), PERIOD / 2, "a duty is still done twice a period after its owner is back")
 
-    def test_operators_see_it_and_keys_rotate_under_way(self):
+    def test_operators_see_members_and_duties_and_keys_rotate_under_way(self):
         trio = self.trio
         run = [sys.executable, "-m", "decklb"]
         out = subprocess.run(
@@ -139,11 +141,11 @@
                 [*run, "keys", "rotate", trio.keys, "--step", step], cwd=ROOT, check=True, capture_output=True
             )
             for program in trio.programs:
-                marks = sum("keys read" in line for line in program.lines)
+                marks = sum("key file loaded" in line for line in program.lines)
                 program.process.send_signal(signal.SIGHUP)
-                wait_for(lambda p=program, n=marks: sum("keys read" in x for x in p.lines) > n, "keys read")
-        heard = ask(trio.socket(0), "members")["health"]["received"]
-        wait_for(lambda: ask(trio.socket(0), "members")["health"]["received"] > heard + 20, "talk under the new key")
+                wait_for(lambda p=program, n=marks: sum("key file loaded" in x for x in p.lines) > n, "key file loaded")
+        heard = query(trio.socket(0), "members")["health"]["received"]
+        wait_for(lambda: query(trio.socket(0), "members")["health"]["received"] > heard + 20, "talk under the new key")
         self.formed()
 
     def test_an_engine_that_answers_nobody_is_left_out_and_comes_back(self):
@@ -151,30 +153,32 @@
         trio.engines[0].deaf = True
         wait_for(
             lambda: all(
-                any(r["subject"] == "s-0" and r["down"] for r in ask(trio.socket(i), "duties")) for i in range(3)
+                any(r["subject"] == "s-0" and r["down"] for r in query(trio.socket(i), "duties")) for i in range(3)
             ),
             "told to all",
         )
         trio.engines[0].deaf = False
-        wait_for(lambda: not any(r["down"] for i in range(3) for r in ask(trio.socket(i), "duties")), "told again")
+        wait_for(lambda: not any(r["down"] for i in range(3) for r in query(trio.socket(i), "duties")), "told again")
 
     def test_a_drain_hands_over_at_once(self):
         trio = self.trio
         trio.programs[1].process.send_signal(signal.SIGTERM)
         wait_for(
-            lambda: next(m["state"] for m in ask(trio.socket(0), "members")["members"] if m["name"] == "m1") == "left",
+            lambda: (
+                next(m["state"] for m in query(trio.socket(0), "members")["members"] if m["name"] == "m1") == "left"
+            ),
             "leave",
         )
         wait_for(lambda: set(trio.owners(0).values()) == {"m0", "m2"}, "new owners")
 
 
-class PgProbing(unittest.TestCase):
-    def test_probes_run_no_statement(self):
+class PostgresHealthChecks(unittest.TestCase):
+    def test_health_checks_run_no_statement(self):
         loop = Loop()
         engine = PgEngine(loop)
         with tempfile.TemporaryDirectory() as folder:
             keys = str(Path(folder) / "k.json")
-            keyfile.write(keys, [keyfile.make()])
+            keyfile.write(keys, [keyfile.generate()])
             port = ports.free(1)[0]
             xml = (
                 f'<decklb version="1"><postgres user="u"/><cluster name="c" bind="127.0.0.1:{port}" keys="{keys}" '
@@ -182,8 +186,8 @@
             )
             program = Program({"known": known(engine.port)}, xml)
             try:
-                wait_for(lambda: any(r["up"] for r in ask(f"{folder}/s", "duties")), "a probe")
-                wait_for(lambda: ask(f"{folder}/s", "members")["health"]["duties"]["probe"]["started"] > 3, "probes")
+                wait_for(lambda: any(r["up"] for r in query(f"{folder}/s", "duties")), "a probe")
+                wait_for(lambda: query(f"{folder}/s", "members")["health"]["duties"]["probe"]["started"] > 3, "probes")
                 self.assertEqual((engine.count, engine.said("start")), (1, []))
             finally:
                 program.stop()
