--- a/decklb/cli/lab.py
+++ b/decklb/cli/lab.py
@@ -68,17 +68,17 @@
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from decklb.config import ConfigError
-    from decklb.lab.experiments import experiment
+    from decklb.lab.experiments import cell_runner, experiment_file
 
     try:
-        x = experiment.load(path)
+        x = experiment_file.load(path)
     except ConfigError as error:
         raise click.ClickException(str(error)) from error
     log.set_up("ERROR", "text")
     with Progress(TextColumn(x.name), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(), disable=quiet) as bar:
         task = bar.add_task(x.name, total=None)
         try:
-            found = experiment.run_all(
+            found = cell_runner.run_all(
                 x,
                 out,
                 workers or os.cpu_count() or 1,
@@ -120,11 +120,11 @@
     """Paired differences B - A, with 95% intervals by bootstrap; a star where 0 lies outside."""
     from decklb.lab.emulation.random_streams import Streams
     from decklb.lab.experiments import statistics
-    from decklb.lab.experiments.experiment import table
+    from decklb.lab.experiments.cell_runner import read_table
 
     try:
-        left = [s for s in table(a, "summaries") if policy_a in (None, s["policy"])]
-        right = [s for s in table(b, "summaries") if policy_b in (None, s["policy"])]
+        left = [s for s in read_table(a, "summaries") if policy_a in (None, s["policy"])]
+        right = [s for s in read_table(b, "summaries") if policy_b in (None, s["policy"])]
     except OSError as error:
         raise click.ClickException(str(error)) from error
     found = statistics.compare(left, right, list(what), Streams(1).get("bootstrap"))
@@ -245,7 +245,7 @@
 
     from decklb.lab.checks.execution_verdict import Verdict, total
     from decklb.lab.fault_runs import handoff_run as outage
-    from decklb.lab.faults.fault_schedule import Fault, Kind
+    from decklb.lab.faults.fault_schedule import FleetFault, FleetFaultKind
 
     log.set_up("ERROR", "text")
     setup = outage.Setup(
@@ -254,13 +254,13 @@
         rate,
         1000.0 * seconds,
         strikes,
-        kinds=tuple(Kind(x) for x in only) or outage.KINDS,
+        kinds=tuple(FleetFaultKind(x) for x in only) or outage.KINDS,
         data=data,
         work=work or outage.WORK,
     )
     unclean: list[dict[str, Any]] = []
 
-    def told(number: int, v: Verdict, struck: list[Fault]) -> None:
+    def told(number: int, v: Verdict, struck: list[FleetFault]) -> None:
         if not v.clean:
             unclean.append(
                 {
@@ -360,14 +360,14 @@
 
     import ujson
 
-    from decklb.lab.checks.zone_verdict import Judged, table
+    from decklb.lab.checks.zone_verdict import ZoneVerdict, table
     from decklb.lab.fault_runs import zone_run as lab
 
     log.set_up("ERROR", "text")
     if strange := set(cases) - set(lab.CASES):
         raise click.ClickException(f"no case {min(strange)!r}; one of {', '.join(lab.CASES)}")
 
-    def told(r: Judged) -> None:
+    def told(r: ZoneVerdict) -> None:
         if not as_json:
             click.echo(
                 f"{r.case:7} {r.way:6} seed {r.seed:3}: {r.requests} requests, {r.lost} lost, {r.errors} errors,"
@@ -436,16 +436,17 @@
     from twisted.internet import reactor as real
 
     from decklb.config import ConfigError
-    from decklb.lab.experiments import experiment
+    from decklb.lab.experiments import cell_runner, experiment_file
+    from decklb.lab.experiments.experiment import Cell
     from decklb.lab.experiments.load_generator import Load, target
 
     try:
-        x, address = experiment.load(path), target(where)
+        x, address = experiment_file.load(path), target(where)
     except (ConfigError, ValueError) as error:
         raise click.ClickException(str(error)) from error
     log.set_up("ERROR", "text")
     reactor: Any = real
-    run = Load(reactor, address, front, x.world.workload, x.world.span, seed)
+    run = Load(reactor, address, front, x.world.workload, x.world.duration_ms, seed)
     run.done = reactor.stop
     reactor.callWhenRunning(run.start)
     reactor.run()
@@ -453,11 +454,6 @@
     for name, value in s.items():
         click.echo(f"{name:24} {value if not isinstance(value, float) else round(value, 4)}")
     if out:
-        cell = experiment.Cell(f"{front}_seed={seed}", front, (), seed, x.world)
-        experiment.keep(
-            cell,
-            out,
-            x.name,
-            x.digest,
-            ({"cell": cell.name} | s, {"requests": run.rows, "attempts": [], "engines": [], "seconds": []}),
-        )
+        cell = Cell(f"{front}_seed={seed}", front, (), seed, x.world)
+        rows = {"requests": run.rows, "attempts": [], "engines": [], "seconds": []}
+        cell_runner.store(cell, out, x.name, x.digest, {"cell": cell.name} | s, rows)
--- a/decklb/lab/emulation/policies.py
+++ b/decklb/lab/emulation/policies.py
@@ -1,7 +1,8 @@
-"""Policies to compare: the real decision module, and plain ones with the same door (`step`).
+"""Policies that experiments compare: the real decision module, and plain ones behind the same `step`.
 
-The plain ones keep the rules that bind them (class, count and ration of attempts, order by key, the list) and choose an
-engine by one idea each. They know no queues, weights or bounds: what arrives is sent.
+The plain ones keep the rules that bind them (class, number and budget of attempts, order by key, the endpoint list) and
+choose an engine by one idea each. They know no queues, weights or limits: what arrives is sent. Emulated managers make
+the policy that their world names, from POLICIES, and own it.
 """
 
 from __future__ import annotations
@@ -18,7 +19,10 @@
 from decklb.policy.gateway import Gateway
 from decklb.policy.records import NEVER_EXECUTED
 
-Truth = Callable[[str, float, int], float]  # engine, work, threads: ms that it would take
+MAX_RETRY_SHARE = 0.9  # of a request's time, after which it is not retried any more
+MIN_WEIGHT = 1e-9  # so that an engine without weight can still be drawn
+
+ExpectedMs = Callable[[str, float, int], float]  # engine, work in ms, threads -> ms that a query would take
 
 
 class Policy(Protocol):
@@ -29,196 +33,247 @@
 
 
 @dataclass(slots=True)
-class Open:
-    """A request that has no final answer yet, or whose attempt is out."""
-
-    a: api.RequestArrived
+class OpenRequest:
+    """A request without a final answer, or with an attempt in flight.
+
+    Attributes:
+        arrival: The event it came by.
+        spec: Of its class.
+        arrived_ms: When it came.
+        tried: Engines of its attempts, in order.
+        in_flight: Attempts that have not ended.
+        may_have_run: Whether an attempt ended in a way that leaves this open.
+        done: Whether it has its final answer.
+    """
+
+    arrival: api.RequestArrived
     spec: api.RequestClass
-    arrived: float
+    arrived_ms: float
     tried: list[str] = field(default_factory=list)
-    out: int = 0
-    ran: bool = False
+    in_flight: int = 0
+    may_have_run: bool = False
     done: bool = False
 
 
-class Plain:
-    """Sends at once to the engine that `pick` names."""
+class PlainPolicy:
+    """Sends each request at once to the engine that `pick` names.
+
+    Attributes:
+        settings, rng: Given and seeded by the manager.
+        open: Open requests by id.
+        endpoints: The endpoint list by engine; `usable` are those of it that are up.
+        in_flight: This manager's attempts in flight, by engine.
+        key_queues: Open requests of each key, in order; only the first may be sent.
+        taken_ms, retried_ms: Moments of requests and retries within the retry budget's window.
+        deadlines: Heap of when to give up requests that wait behind others of their key, and their ids.
+        actions: Of the step under way, which is at `now`.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s, self.rng = settings, random.Random(seed)
-        self.open: dict[str, Open] = {}
-        self.ups: list[api.Endpoint] = []
-        self.entries: dict[str, api.Endpoint] = {}
-        self.running: dict[str, int] = {}  # own attempts out, by engine
-        self.lines: dict[str, deque[str]] = {}
-        self.taken: deque[float] = deque()
-        self.extra: deque[float] = deque()
-        self.due: list[tuple[float, str]] = []
+        self.settings, self.rng = settings, random.Random(seed)
+        self.open: dict[str, OpenRequest] = {}
+        self.endpoints: dict[str, api.Endpoint] = {}
+        self.usable: list[api.Endpoint] = []
+        self.in_flight: dict[str, int] = {}
+        self.key_queues: dict[str, deque[str]] = {}
+        self.taken_ms: deque[float] = deque()
+        self.retried_ms: deque[float] = deque()
+        self.deadlines: list[tuple[float, str]] = []
         self.actions: list[api.Action] = []
         self.now = 0.0
 
-    def pick(self, r: Open) -> str:
-        """One of those up."""
+    def pick(self, request: OpenRequest) -> str:
+        """Return the engine for a request, one of those that are usable."""
         raise NotImplementedError
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take events, return actions."""
         self.now, self.actions = now, []
-        while self.due and self.due[0][0] <= now:  # those that wait behind others of their key have no attempt to end
-            r = self.open.get(heappop(self.due)[1])
-            if r is not None and not r.done and not r.out:
-                self._answer(r)
-        for e in events:
-            match e:
+        self._expire_waiting()
+        for event in events:
+            match event:
                 case api.RequestArrived():
-                    self._arrive(e)
+                    self._request_arrived(event)
                 case api.AttemptEnded():
-                    self._verdict(e)
+                    self._attempt_ended(event)
                 case api.EndpointsUpdated(failed=False):
-                    self._members(e)
-                case api.ClientGone() if e.request_id in self.open:
-                    self._close(self.open[e.request_id])
+                    self._endpoints_updated(event)
+                case api.ClientGone() if event.request_id in self.open:
+                    self._close(self.open[event.request_id])
                 case api.ShutdownStarted():
-                    for r in [r for r in self.open.values() if not r.done]:
-                        self._answer(r)
+                    for request in [request for request in self.open.values() if not request.done]:
+                        self._answer(request)
         return self.actions
 
-    def _members(self, e: api.EndpointsUpdated) -> None:
-        if e.complete:
-            self.entries = {}
-        self.entries |= {x.engine_id: x for x in e.endpoints}
-        self.ups = [x for x in self.entries.values() if x.phase is Phase.UP]
-
-    def _arrive(self, a: api.RequestArrived) -> None:
-        self.taken.append(self.now)
-        r = self.open[a.request_id] = Open(a, self.s.classes[a.request_class], self.now)
-        if r.spec.ordered_by_key and a.ordering_key is not None:
-            line = self.lines.setdefault(a.ordering_key, deque())
-            line.append(a.request_id)
-            if len(line) > 1:
-                heappush(self.due, (self.now + a.time_left_ms - 4 * self.s.tick_ms, a.request_id))
-                self.actions.append(api.SetTimer(max(self.s.tick_ms, a.time_left_ms - 3 * self.s.tick_ms), "due"))
+    def _expire_waiting(self) -> None:
+        """Answer requests whose time is over; those that wait for their key have no attempt whose end would tell."""
+        while self.deadlines and self.deadlines[0][0] <= self.now:
+            request = self.open.get(heappop(self.deadlines)[1])
+            if request is not None and not request.done and not request.in_flight:
+                self._answer(request)
+
+    def _endpoints_updated(self, event: api.EndpointsUpdated) -> None:
+        if event.complete:
+            self.endpoints = {}
+        self.endpoints |= {endpoint.engine_id: endpoint for endpoint in event.endpoints}
+        self.usable = [endpoint for endpoint in self.endpoints.values() if endpoint.phase is Phase.UP]
+
+    def _request_arrived(self, event: api.RequestArrived) -> None:
+        self.taken_ms.append(self.now)
+        request = self.open[event.request_id] = OpenRequest(event, self.settings.classes[event.request_class], self.now)
+        if request.spec.ordered_by_key and event.ordering_key is not None:
+            queue = self.key_queues.setdefault(event.ordering_key, deque())
+            queue.append(event.request_id)
+            if len(queue) > 1:
+                self._wait_for_key(event)
                 return
-        self._send(r)
-
-    def _send(self, r: Open) -> None:
-        if not self.ups:
-            return self._answer(r)
-        engine = self.pick(r)
-        r.tried.append(engine)
-        r.out += 1
-        self.running[engine] = self.running.get(engine, 0) + 1
-        self.actions.append(
-            api.StartAttempt(r.a.request_id, engine, max(1.0, r.a.time_left_ms - (self.now - r.arrived)))
-        )
-
-    def _verdict(self, e: api.AttemptEnded) -> None:
-        self.running[e.engine_id] = self.running.get(e.engine_id, 0) - 1
-        r = self.open.get(e.request_id)
-        if r is None:
+        self._send(request)
+
+    def _wait_for_key(self, event: api.RequestArrived) -> None:
+        tick = self.settings.tick_ms
+        heappush(self.deadlines, (self.now + event.time_left_ms - 4 * tick, event.request_id))
+        self.actions.append(api.SetTimer(max(tick, event.time_left_ms - 3 * tick), "due"))
+
+    def _send(self, request: OpenRequest) -> None:
+        if not self.usable:
+            return self._answer(request)
+        engine = self.pick(request)
+        request.tried.append(engine)
+        request.in_flight += 1
+        self.in_flight[engine] = self.in_flight.get(engine, 0) + 1
+        time_left = request.arrival.time_left_ms - (self.now - request.arrived_ms)
+        self.actions.append(api.StartAttempt(request.arrival.request_id, engine, max(1.0, time_left)))
+
+    def _attempt_ended(self, event: api.AttemptEnded) -> None:
+        self.in_flight[event.engine_id] = self.in_flight.get(event.engine_id, 0) - 1
+        request = self.open.get(event.request_id)
+        if request is None:
             return
-        r.out -= 1
-        r.ran = r.ran or e.outcome not in NEVER_EXECUTED
-        if r.done or e.request_finished:
-            self._close(r)
-        elif self._may_repeat(r):
-            self.extra.append(self.now)
-            self._send(r)
+        request.in_flight -= 1
+        request.may_have_run = request.may_have_run or event.outcome not in NEVER_EXECUTED
+        if request.done or event.request_finished:
+            self._close(request)
+        elif self._may_retry(request):
+            self.retried_ms.append(self.now)
+            self._send(request)
         else:
-            self._answer(r)
+            self._answer(request)
 
-    def _may_repeat(self, r: Open) -> bool:
-        s = self.s
-        if len(r.tried) >= s.max_attempts or self.now - r.arrived > 0.9 * r.a.time_left_ms:
+    def _may_retry(self, request: OpenRequest) -> bool:
+        if len(request.tried) >= self.settings.max_attempts:
+            return False
+        if self.now - request.arrived_ms > MAX_RETRY_SHARE * request.arrival.time_left_ms:
             return False
-        if r.ran and r.spec.effect is not Effect.SAFE:
+        if request.may_have_run and request.spec.effect is not Effect.SAFE:
             return False
-        if s.retry_budget_ratio is None:
+        return self._within_retry_budget()
+
+    def _within_retry_budget(self) -> bool:
+        settings = self.settings
+        if settings.retry_budget_ratio is None:
             return True
         # A tick to the safe side at both ends of the window: what is decided now goes out a little later.
-        start = self.now - s.retry_budget_window_ms
-        for times, since in ((self.taken, start + 2 * s.tick_ms), (self.extra, start - s.tick_ms)):
-            while times and times[0] < since:
-                times.popleft()
-        return len(self.extra) + 1 <= s.retry_budget_floor + s.retry_budget_ratio * len(self.taken)
-
-    def _answer(self, r: Open) -> None:
-        harmless = not r.ran or r.spec.effect is Effect.SAFE
-        self.actions.append(
-            api.Reject(r.a.request_id, self.s.max_retry_after_ms) if harmless else api.Fail(r.a.request_id)
+        start_ms = self.now - settings.retry_budget_window_ms
+        _drop_before(self.taken_ms, start_ms + 2 * settings.tick_ms)
+        _drop_before(self.retried_ms, start_ms - settings.tick_ms)
+        return len(self.retried_ms) + 1 <= settings.retry_budget_floor + settings.retry_budget_ratio * len(
+            self.taken_ms
         )
-        self._close(r)
 
-    def _close(self, r: Open) -> None:
-        r.done = True
-        if r.out > 0:  # its key waits for the attempt that is out
+    def _answer(self, request: OpenRequest) -> None:
+        """Reject a request that did no harm, and fail any other."""
+        request_id = request.arrival.request_id
+        if not request.may_have_run or request.spec.effect is Effect.SAFE:
+            self.actions.append(api.Reject(request_id, self.settings.max_retry_after_ms))
+        else:
+            self.actions.append(api.Fail(request_id))
+        self._close(request)
+
+    def _close(self, request: OpenRequest) -> None:
+        request.done = True
+        if request.in_flight > 0:  # its key waits for the attempt that is in flight
             return
-        self.open.pop(r.a.request_id, None)
-        key = r.a.ordering_key
-        line = self.lines.get(key) if key is not None and r.spec.ordered_by_key else None
-        if key is None or line is None or r.a.request_id not in line:
+        request_id, key = request.arrival.request_id, request.arrival.ordering_key
+        self.open.pop(request_id, None)
+        queue = self.key_queues.get(key) if key is not None and request.spec.ordered_by_key else None
+        if key is None or queue is None or request_id not in queue:
             return
-        first = line[0] == r.a.request_id
-        line.remove(r.a.request_id)
-        if not line:
-            del self.lines[key]
-        elif first and line[0] in self.open:
-            self._send(self.open[line[0]])
+        was_first = queue[0] == request_id
+        queue.remove(request_id)
+        if not queue:
+            del self.key_queues[key]
+        elif was_first and queue[0] in self.open:
+            self._send(self.open[queue[0]])
+
+
+def _drop_before(moments: deque[float], start_ms: float) -> None:
+    while moments and moments[0] < start_ms:
+        moments.popleft()
+
 
+class Random(PlainPolicy):
+    """Chooses any usable engine."""
 
-class Random(Plain):
-    """Any."""
+    def pick(self, request: OpenRequest) -> str:
+        """Draw one."""
+        return self.rng.choice(self.usable).engine_id
 
-    def pick(self, r: Open) -> str:
-        """Any."""
-        return self.rng.choice(self.ups).engine_id
 
+class RoundRobin(PlainPolicy):
+    """Chooses each usable engine in turn."""
 
-class RoundRobin(Plain):
-    """Each in turn."""
+    sent = 0
 
-    turn = 0
+    def pick(self, request: OpenRequest) -> str:
+        """Return the next one."""
+        self.sent += 1
+        return self.usable[self.sent % len(self.usable)].engine_id
 
-    def pick(self, r: Open) -> str:
-        """The next."""
-        self.turn += 1
-        return self.ups[self.turn % len(self.ups)].engine_id
 
+class LeastOutstanding(PlainPolicy):
+    """Chooses the engine with the fewest attempts of this manager in flight."""
 
-class LeastOutstanding(Plain):
-    """The one with the fewest own attempts out."""
+    def pick(self, request: OpenRequest) -> str:
+        """Return it; ties are drawn."""
+        fewest = min(self.in_flight.get(endpoint.engine_id, 0) for endpoint in self.usable)
+        candidates = [e for e in self.usable if self.in_flight.get(e.engine_id, 0) == fewest]
+        return self.rng.choice(candidates).engine_id
 
-    def pick(self, r: Open) -> str:
-        """Ties by chance."""
-        least = min(self.running.get(x.engine_id, 0) for x in self.ups)
-        return self.rng.choice([x for x in self.ups if self.running.get(x.engine_id, 0) == least]).engine_id
 
+class PowerOfTwo(PlainPolicy):
+    """Chooses the less loaded of two drawn engines (Mitzenmacher, 2001)."""
 
-class PowerOfTwo(Plain):
-    """The less loaded of two drawn (Mitzenmacher, 2001)."""
+    def pick(self, request: OpenRequest) -> str:
+        """Compare them by this manager's attempts in flight."""
+        drawn = self.rng.sample(self.usable, min(2, len(self.usable)))
+        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint.engine_id, 0)).engine_id
 
-    def pick(self, r: Open) -> str:
-        """By own attempts out."""
-        pair = self.rng.sample(self.ups, min(2, len(self.ups)))
-        return min(pair, key=lambda x: self.running.get(x.engine_id, 0)).engine_id
 
+class Weighted(PlainPolicy):
+    """Draws engines by the weights in the endpoint list."""
 
-class Weighted(Plain):
-    """By the weights in the list."""
+    def pick(self, request: OpenRequest) -> str:
+        """Draw one."""
+        weights = [max(MIN_WEIGHT, endpoint.capacity_hint) for endpoint in self.usable]
+        return self.rng.choices(self.usable, weights)[0].engine_id
 
-    def pick(self, r: Open) -> str:
-        """Drawn."""
-        return self.rng.choices(self.ups, [max(1e-9, x.capacity_hint) for x in self.ups])[0].engine_id
 
+class Oracle(PlainPolicy):
+    """Sees the true state of all engines, as no real policy can; an upper bound to compare with.
 
-class Oracle(Plain):
-    """Sees the true state of all engines; no real policy can."""
+    Attributes:
+        expected_ms: Set by the manager to look into the engines' models.
+    """
 
-    truth: Truth = staticmethod(lambda engine, work, threads: 0.0)
+    expected_ms: ExpectedMs = staticmethod(lambda engine, work_ms, threads: 0.0)
 
-    def pick(self, r: Open) -> str:
-        """Where it would end first."""
-        return min(self.ups, key=lambda x: (self.truth(x.engine_id, 1.0, r.spec.threads), self.rng.random())).engine_id
+    def pick(self, request: OpenRequest) -> str:
+        """Return the engine where the request would end first; ties are drawn."""
+        threads = request.spec.threads
+        return min(
+            self.usable,
+            key=lambda endpoint: (self.expected_ms(endpoint.engine_id, 1.0, threads), self.rng.random()),
+        ).engine_id
 
 
 POLICIES: dict[str, Callable[[Settings, int], Policy]] = {
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -23,11 +23,11 @@
 import ujson
 
 from decklb.cluster import keyfile
-from decklb.lab.checks.execution_verdict import Line, Story, Verdict, judge
+from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
 from decklb.lab.fault_runs.isolation import TRIES, apart
 from decklb.lab.faults import free_ports as ports
-from decklb.lab.faults.fault_schedule import Fault, Kind, Link, schedule
-from decklb.lab.faults.network_proxy import HELD_UP, Address, Rig
+from decklb.lab.faults.fault_schedule import CUT, LOSSY, FleetFault, FleetFaultKind, draw_schedule
+from decklb.lab.faults.network_proxy import MAX_LATE_MS, Address, NetworkProxy
 from decklb.management.control_client import ControlError, query
 from decklb.pg import messages as pg
 
@@ -37,13 +37,21 @@
 COME_BACK = ("53000", "53300", "57P01", "57P03", "08006")  # answers after which a client asks again
 SLACK = 0.5  # seconds past its deadline in which an answer still counts
 WORK = (5, 20, 80, 300)
-KINDS = (Kind.KILL, Kind.STOP, Kind.PARTITION, Kind.CUT, Kind.LOSSY, Kind.AHEAD, Kind.BEHIND)
+KINDS = (
+    FleetFaultKind.KILL,
+    FleetFaultKind.STOP,
+    FleetFaultKind.PARTITION,
+    FleetFaultKind.CUT,
+    FleetFaultKind.LOSSY,
+    FleetFaultKind.AHEAD,
+    FleetFaultKind.BEHIND,
+)
 SIGNALS = {
-    Kind.STOP: signal.SIGSTOP,
-    Kind.CONT: signal.SIGCONT,
-    Kind.AHEAD: signal.SIGUSR1,
-    Kind.BEHIND: signal.SIGUSR2,
-    Kind.CLOCK: signal.SIGWINCH,
+    FleetFaultKind.STOP: signal.SIGSTOP,
+    FleetFaultKind.CONT: signal.SIGCONT,
+    FleetFaultKind.AHEAD: signal.SIGUSR1,
+    FleetFaultKind.BEHIND: signal.SIGUSR2,
+    FleetFaultKind.CLOCK: signal.SIGWINCH,
 }
 
 SETTINGS = """<decklb version="1">
@@ -80,7 +88,7 @@
     longest: float = 4000.0  # deadline of a request
     linger: float = 1500.0
     lease: float = 600.0
-    kinds: tuple[Kind, ...] = KINDS
+    kinds: tuple[FleetFaultKind, ...] = KINDS
     data: bool = False  # managers keep their records on disk
     work: tuple[int, ...] = WORK  # ms that statements take at their engine
 
@@ -159,7 +167,7 @@
         self.since: dict[str, float] = {}
         self.engines: list[Process] = []
         self.binds: dict[str, Address] = {}
-        self.rig: Rig
+        self.rig: NetworkProxy
         self.spoken: list[str] = []  # log lines of processes that have ended
 
     async def start(self) -> None:
@@ -170,7 +178,7 @@
             self.engines.append(e)
             targets[e.name] = {n: ("127.0.0.1", p) for n, p in zip(self.names, await self.serve(e), strict=True)}
         self.binds = {n: (self.host[n], ports.free(1, self.host[n])[0]) for n in self.names}
-        self.rig = Rig(self.binds, self.seed, targets)
+        self.rig = NetworkProxy(self.binds, self.seed, targets)
         await self.rig.open()
         keyfile.write(str(self.folder / "keys.json"), [keyfile.generate()])
         await asyncio.gather(*(self.up(n) for n in self.names))
@@ -206,17 +214,17 @@
         s = self.setup
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="z" kind="k" weight="8"/>'.format(
-                e.name, *self.rig.gates[name, e.name]
+                e.name, *self.rig.engine_addresses[name, e.name]
             )
             for e in self.engines
         )
         return SETTINGS.format(
             name=name,
             bind="{}:{}".format(*self.binds[name]),
-            told="{}:{}".format(*self.rig.told[name]),
+            told="{}:{}".format(*self.rig.advertised[name]),
             keys="keys.json",
             engines=engines,
-            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.told.values()),
+            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
             members=s.managers,
             lease=f"{s.lease:g}",
             longest=f"{s.longest:g}",
@@ -242,34 +250,34 @@
         keeps its records on disk does so by itself."""
         await asyncio.sleep(max(0.0, max(self.since.values()) + self.setup.life / 1000 + 0.3 - time.monotonic()))
 
-    async def strike(self, fault: Fault) -> None:
+    async def strike(self, fault: FleetFault) -> None:
         """One fault, or the end of one."""
         rig, manager = self.rig, self.managers[fault.target]
         match fault.kind:
-            case Kind.KILL:
+            case FleetFaultKind.KILL:
                 await manager.kill()
-            case Kind.RESTART:
+            case FleetFaultKind.RESTART:
                 await self.up(fault.target)
-            case Kind.PARTITION:
+            case FleetFaultKind.PARTITION:
                 rig.partition(fault.target)
-            case Kind.ENGINES:
+            case FleetFaultKind.ENGINES:
                 for e in self.engines:
-                    rig.set(fault.target, e.name, Link(cut=True))
-                    rig.set(e.name, fault.target, Link(cut=True))
-            case Kind.CUT:
-                rig.set(fault.target, fault.other, Link(cut=True))
-            case Kind.LOSSY:
+                    rig.set_link(fault.target, e.name, CUT)
+                    rig.set_link(e.name, fault.target, CUT)
+            case FleetFaultKind.CUT:
+                rig.set_link(fault.target, fault.other, CUT)
+            case FleetFaultKind.LOSSY:
                 for a, b in ((fault.target, fault.other), (fault.other, fault.target)):
-                    rig.set(a, b, Link(drop=0.15, duplicate=0.1, delay=5.0, jitter=40.0))
-            case Kind.HEAL:
+                    rig.set_link(a, b, LOSSY)
+            case FleetFaultKind.HEAL:
                 rig.heal()
             case kind:
                 manager.signal(SIGNALS[kind])
 
-    def witnessed(self) -> list[Line]:
+    def witnessed(self) -> list[ExecutionEvent]:
         """What the engines wrote down so far."""
         return [
-            Line(**ujson.loads(line), engine=e.name)
+            ExecutionEvent(**ujson.loads(line), engine=e.name)
             for e in self.engines
             for line in (self.folder / f"{e.name}.log").read_text().splitlines()
         ]
@@ -282,7 +290,7 @@
     def late(self, since: float) -> float:
         """ms by which the rig or a manager came late at worst since a moment, by the managers' own words: for runs that
         stop nobody on purpose."""
-        worst = self.rig.late
+        worst = self.rig.late_ms
         for p in self.managers.values():
             for line, at in zip(p.lines, p.stamps, strict=False):
                 if at >= since and (m := re.search(r"process-stalled stall_ms=(\d+)", line)):
@@ -317,17 +325,17 @@
     def __init__(self, fleet: Fleet, rng: random.Random, key: str) -> None:
         self.fleet, self.rng = fleet, rng
         now, s = time.monotonic(), fleet.setup
-        self.story = Story(key, rng.choice((READ, LOAD)), now, now + s.longest / 1000 + SLACK)
+        self.story = ClientRecord(key, rng.choice((READ, LOAD)), now, now + s.longest / 1000 + SLACK)
         self.sql = f"select 1 -- run={key} work={rng.choice(s.work)}"
         self.patience = rng.choice((0.3, 1.0, 5.0))  # seconds that it waits on one connection
 
-    async def run(self) -> Story:
+    async def run(self) -> ClientRecord:
         """To the final answer, and sometimes once more: the answer must be the same."""
         s = self.story
-        await self._until(lambda: bool(s.finals), s.due)
-        if s.finals and self.rng.random() < 0.3:
-            n = len(s.finals)
-            await self._until(lambda: len(s.finals) > n, min(time.monotonic() + 0.8, s.due))
+        await self._until(lambda: bool(s.final_answers), s.due_s)
+        if s.final_answers and self.rng.random() < 0.3:
+            n = len(s.final_answers)
+            await self._until(lambda: len(s.final_answers) > n, min(time.monotonic() + 0.8, s.due_s))
         return s
 
     async def _until(self, done: Callable[[], bool], end: float) -> None:
@@ -337,10 +345,10 @@
             try:
                 await asyncio.wait_for(self._try(self.fleet.ports[name]), min(left, self.patience))
             except (TimeoutError, OSError, asyncio.IncompleteReadError) as error:
-                self.story.moved += 1
+                self.story.unanswered_tries += 1
                 self.story.last = type(error).__name__
             self.story.path.append(
-                f"{name} at {start - self.story.sent:.2f} for {time.monotonic() - start:.2f}: {self.story.last}"
+                f"{name} at {start - self.story.sent_s:.2f} for {time.monotonic() - start:.2f}: {self.story.last}"
             )
             if not done():
                 await asyncio.sleep(self.rng.uniform(0.05, 0.15))
@@ -350,10 +358,10 @@
         s.tries += 1
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
-            budget = max(1, round((s.due - SLACK - time.monotonic()) * 1000))
+            budget = max(1, round((s.due_s - SLACK - time.monotonic()) * 1000))
             writer.write(
                 pg.pack_startup(
-                    {"user": "u", "decklb.class": s.lane, "decklb.budget": str(budget), "decklb.request": s.key}
+                    {"user": "u", "decklb.class": s.class_name, "decklb.budget": str(budget), "decklb.request": s.key}
                 )
                 + pg.pack(b"Q", self.sql.encode() + b"\0")
             )
@@ -375,25 +383,25 @@
         if state in COME_BACK:
             s.last = state
         else:
-            s.finals.append(("failed", state, time.monotonic()) if state else ("served", row, time.monotonic()))
-            if state:  # which error it was may differ: that time was over, or that the outcome is in doubt
-                s.finals[-1] = ("failed", "", s.finals[-1][2])
+            # Which error it was may differ: that time was over, or that the outcome is uncertain.
+            outcome, content = ("failed", "") if state else ("served", row)
+            s.final_answers.append(FinalAnswer(outcome, content, time.monotonic()))
 
 
-async def play(fleet: Fleet, seed: int, turn: int = 0) -> tuple[Verdict, list[Fault]]:
+async def play(fleet: Fleet, seed: int, turn: int = 0) -> tuple[Verdict, list[FleetFault]]:
     """One run on a fleet that is up: faults by seed while requests come, all undone before the end. `turn` counts runs
     of the same seed on it, whose keys must not be those of the run before."""
     s, rng = fleet.setup, random.Random(seed)
-    faults = schedule(seed, fleet.names, s.span, s.faults, s.kinds)
-    start, fleet.rig.late = time.monotonic(), 0.0
+    faults = draw_schedule(seed, fleet.names, s.span, s.faults, s.kinds)
+    start, fleet.rig.late_ms = time.monotonic(), 0.0
 
     async def striking() -> None:
         for fault in faults:
-            await asyncio.sleep(max(0.0, start + fault.at / 1000 - time.monotonic()))
+            await asyncio.sleep(max(0.0, start + fault.at_ms / 1000 - time.monotonic()))
             await fleet.strike(fault)
 
     strikes = asyncio.ensure_future(striking())
-    clients: list[asyncio.Task[Story]] = []
+    clients: list[asyncio.Task[ClientRecord]] = []
     due = start
     while (due := due + rng.expovariate(s.rate)) < start + s.span / 1000:
         await asyncio.sleep(max(0.0, due - time.monotonic()))
@@ -402,8 +410,8 @@
     stories = await asyncio.gather(*clients)
     await asyncio.sleep(max(s.work) / 1000 + 0.1)
     mine = {x.key for x in stories}
-    verdict = judge(stories, [x for x in fleet.witnessed() if x.key in mine], LOAD)
-    verdict.late_ms = round(fleet.rig.late, 1)  # managers are stopped on purpose here, so only the rig's own
+    verdict = judge(stories, [event for event in fleet.witnessed() if event.key in mine], LOAD)
+    verdict.late_ms = round(fleet.rig.late_ms, 1)  # managers are stopped on purpose here, so only the rig's own
     return verdict, faults
 
 
@@ -416,13 +424,13 @@
 
     seed: int
     verdict: Verdict
-    faults: list[Fault]
+    faults: list[FleetFault]
     logged: dict[str, int]
     again: bool = False  # it is played once more: the machine held the rig up
 
 
 async def campaign(
-    setup: Setup, seeds: list[int], fleets: int, told: Callable[[int, Verdict, list[Fault]], None], logs: str = ""
+    setup: Setup, seeds: list[int], fleets: int, told: Callable[[int, Verdict, list[FleetFault]], None], logs: str = ""
 ) -> tuple[list[Verdict], dict[str, int]]:
     """Runs of all seeds, divided among fleets side by side, each in a process of its own; each lives on from run to
     run. `logs`: a folder for what the managers of a run that was not clean have said."""
@@ -457,7 +465,7 @@
                     verdict, faults = await play(fleet, seed, turn)
                     if logs and not verdict.clean:
                         await asyncio.to_thread(fleet.keep_logs, Path(logs) / str(seed))
-                    again = turn < TRIES - 1 and not verdict.clean and verdict.late_ms > HELD_UP
+                    again = turn < TRIES - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
                     yield Played(seed, verdict, faults, {name: fleet.logged(name) for name in COUNTED}, again)
                     if not again:
                         break
@@ -465,9 +473,9 @@
             await fleet.stop()
 
 
-def described(faults: list[Fault]) -> list[dict[str, Any]]:
+def described(faults: list[FleetFault]) -> list[dict[str, Any]]:
     """Faults for a report."""
-    return [{"at_ms": round(f.at), "kind": f.kind.value, "target": f.target, "other": f.other} for f in faults]
+    return [{"at_ms": round(f.at_ms), "kind": f.kind.value, "target": f.target, "other": f.other} for f in faults]
 
 
 def resident(process: Process) -> int:
--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -18,11 +18,11 @@
 
 import ujson
 
-from decklb.lab.checks.zone_verdict import Change, Judged, Sent, judge
+from decklb.lab.checks.zone_verdict import CallRecord, ZoneFault, ZoneStateChange, ZoneVerdict, judge
 from decklb.lab.fault_runs.handoff_run import Fleet, Process, Setup
 from decklb.lab.fault_runs.isolation import side_by_side
-from decklb.lab.faults.fault_schedule import Link
-from decklb.lab.faults.network_proxy import HELD_UP
+from decklb.lab.faults.fault_schedule import CLEAN, CUT, LinkConditions
+from decklb.lab.faults.network_proxy import MAX_LATE_MS
 from decklb.locality.settings import LocalitySettings
 from decklb.management.control_client import query
 from decklb.pg import messages as pg
@@ -111,7 +111,7 @@
         figures += f' slow="{s.degraded_latency_ratio:g}"'
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="{}" kind="k" weight="8"/>'.format(
-                e.name, *self.rig.gates[name, e.name], zone_of(e.name)
+                e.name, *self.rig.engine_addresses[name, e.name], zone_of(e.name)
             )
             for e in self.engines
         )
@@ -120,13 +120,13 @@
             cores=CORES,
             engines=engines,
             bind="{}:{}".format(*self.binds[name]),
-            told="{}:{}".format(*self.rig.told[name]),
+            told="{}:{}".format(*self.rig.advertised[name]),
             zone=self.home[name],
             members=len(self.names),
             judge=self.way,
             more=self.more(name),
             figures=figures,
-            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.told.values()),
+            seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
         )
 
     async def serve(self, engine: Process, where: list[int] | None = None) -> list[int]:
@@ -157,21 +157,21 @@
         for e in self.of(*zones):
             await self.serve(e, self.ports_of[e.name])
 
-    def link(self, managers: list[str], zone: str, link: Link) -> None:
+    def link(self, managers: list[str], zone: str, link: LinkConditions) -> None:
         """All ways between these managers and a zone's engines."""
         for m in managers:
             for e in self.of(zone):
-                self.rig.set(m, e.name, link)
-                self.rig.set(e.name, m, link)
+                self.rig.set_link(m, e.name, link)
+                self.rig.set_link(e.name, m, link)
 
-    def changes(self, start: float) -> list[Change]:
+    def changes(self, start: float) -> list[ZoneStateChange]:
         """The managers' log lines on zones' states."""
         made = []
         for name, p in self.managers.items():
             for line, at in zip(p.lines, p.stamps, strict=False):
                 if "zone-state zone=" in line:
                     fields = dict(x.split("=", 1) for x in line.split("zone-state ", 1)[1].split() if "=" in x)
-                    made.append(Change(name, fields["zone"], fields["state"], at - start))
+                    made.append(ZoneStateChange(name, fields["zone"], fields["state"], at - start))
         return sorted(made, key=lambda c: c.at)
 
 
@@ -219,14 +219,14 @@
         self.fleet, self.zone, self.rng, self.start, self.rate, self.end = fleet, zone, rng, start, rate, end
         self.names = [n for n in fleet.names if fleet.home[n] == zone]
         self.idle: dict[str, list[Session]] = {n: [] for n in self.names}
-        self.sent: list[Sent] = []
+        self.sent: list[CallRecord] = []
 
-    async def run(self) -> list[Sent]:
+    async def run(self) -> list[CallRecord]:
         """Send requests at the zone's rate until the end."""
         due, tasks = self.start, []
         while (due := due + self.rng.expovariate(self.rate)) < self.start + self.end:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            sent = Sent(
+            sent = CallRecord(
                 f"{self.zone}.{len(self.sent)}",
                 self.zone,
                 self.rng.choice(self.names),
@@ -241,11 +241,11 @@
                 s.writer.close()
         return self.sent
 
-    async def _one(self, sent: Sent) -> None:
+    async def _one(self, sent: CallRecord) -> None:
         with contextlib.suppress(TimeoutError, OSError, asyncio.IncompleteReadError):
             await asyncio.wait_for(self._ask(sent), DEADLINE + SLACK)
 
-    async def _ask(self, sent: Sent) -> None:
+    async def _ask(self, sent: CallRecord) -> None:
         free = self.idle[sent.manager]
         session = free.pop() if free else await _open(self.fleet.ports[sent.manager])
         try:
@@ -262,7 +262,7 @@
 
 async def strike(fleet: Zonal, case: str, rng: random.Random, over: bool) -> None:
     """Begin a case, or end it."""
-    link, down = Link(), set[str]()
+    link, down = CLEAN, set[str]()
     match case:
         case "lost":
             down = {"z0"}
@@ -270,11 +270,11 @@
             down = {"z0", "z1"}
         case "parted":
             if not over:
-                link = Link(cut=True)
+                link = CUT
             fleet.link(rng.sample(fleet.names, 2), "z0", link)
         case "slow":
             if not over:
-                link = Link(delay=150.0, jitter=20.0)
+                link = LinkConditions(delay_ms=150.0, jitter_ms=20.0)
             fleet.link(fleet.names, "z0", link)
         case "halves":
             down = {"z0"}
@@ -282,7 +282,7 @@
             for a in fleet.names:
                 for b in fleet.names:
                     if a != b and (a in few) != (b in few):
-                        fleet.rig.set(a, b, Link(cut=not over))
+                        fleet.rig.set_link(a, b, CLEAN if over else CUT)
         case "clocks":
             down = {"z0"}
             for name, number in zip(rng.sample(fleet.names, 2), (signal.SIGUSR1, signal.SIGUSR2), strict=True):
@@ -291,7 +291,7 @@
         await (fleet.give_back if over else fleet.lose)(*sorted(down))
 
 
-async def play(case: str, seed: int, way: str, index: int, logs: str = "") -> Judged:
+async def play(case: str, seed: int, way: str, index: int, logs: str = "") -> ZoneVerdict:
     """One run: start, load, strike, mend, judge."""
     rng = random.Random(f"{case}/{seed}")
     lie = rng.choice(("m2", "m3", "m4", "m0")) if case == "liar" else ""
@@ -300,7 +300,7 @@
         try:
             await fleet.start()
             await fleet.settled()
-            start, fleet.rig.late = time.monotonic(), 0.0
+            start, fleet.rig.late_ms = time.monotonic(), 0.0
             callers = [Callers(fleet, z, random.Random(f"{case}/{seed}/{z}"), start) for z in REGION]
             loads = asyncio.gather(*(c.run() for c in callers))
             hit = random.Random(f"{case}/{seed}/hit")
@@ -316,21 +316,16 @@
             out = {"lost": ("z0",), "halves": ("z0",), "clocks": ("z0",), "region": ("z0", "z1")}.get(case, ())
             sick = out or (("z0",) if case in ("slow", "parted") else ())
             told = judge(
-                case,
-                way,
-                seed,
+                ZoneVerdict(case, way, seed),
                 sent,
                 fleet.witnessed(),
                 fleet.changes(start),
                 fleet.home,
                 zone_of,
-                out,
-                sick,
-                (struck, mended, END),
+                ZoneFault(out, sick, frozenset((lie,)), struck, mended),
                 start,
                 CORES * EACH,
                 LOCALITY,
-                frozenset((lie,)),
             )
             told.late_ms = fleet.late(start)
             told.faults = sum(fleet.logged(x) for x in ("Traceback", "policy-failed"))
@@ -346,13 +341,20 @@
 
 
 async def campaign(
-    cases: list[str], seeds: list[int], ways: list[str], fleets: int, told: Callable[[Judged], None], logs: str = ""
-) -> list[Judged]:
+    cases: list[str],
+    seeds: list[int],
+    ways: list[str],
+    fleets: int,
+    told: Callable[[ZoneVerdict], None],
+    logs: str = "",
+) -> list[ZoneVerdict]:
     """All cases and seeds, each with every way of judging, a few fleets side by side, each in a process of its own."""
     plays = [{"case": c, "seed": s, "way": w, "logs": logs} for c in cases for s in seeds for w in ways]
-    return await side_by_side(f"{__name__}:alone", Judged, plays, fleets, told, lambda run: run.late_ms <= HELD_UP)
+    return await side_by_side(
+        f"{__name__}:alone", ZoneVerdict, plays, fleets, told, lambda run: run.late_ms <= MAX_LATE_MS
+    )
 
 
-async def alone(case: str, seed: int, way: str, index: int, logs: str) -> AsyncIterator[Judged]:
+async def alone(case: str, seed: int, way: str, index: int, logs: str) -> AsyncIterator[ZoneVerdict]:
     """One run, for `apart`."""
     yield await play(case, seed, way, index, logs)
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -132,7 +132,7 @@
         repeat_interval_ms=5000.0,
     )
     faults = Faults(loss=0.1, duplicate=0.05)
-    cluster = Cluster.make(seed, 6, 20, membership, duty, faults, shared=False, warm=False, drift=1e-4, skew=20.0)
+    cluster = Cluster.make(seed, 6, 20, membership, duty, faults, shared=False, warm=False, drift=1e-4, skew_ms=20.0)
     world = cluster.world
     digest = hashlib.sha256()
     sent = 0
--- a/tests/test_handoff_message_trace.py
+++ b/tests/test_handoff_message_trace.py
@@ -15,7 +15,7 @@
 
 from decklb.handoff import messages
 from decklb.handoff.coordinator import HandoffCoordinator
-from decklb.lab.emulation.simulated_handoff import World
+from decklb.lab.emulation.simulated_handoff import HandoffSimulation
 
 GOLDEN = json.loads((Path(__file__).parent / "golden/handoff/message_traces.json").read_text())
 
@@ -53,7 +53,7 @@
 def traced_run(seed, members, harsh):
     """The digest and the messages of each tag in one run."""
     trace = Trace()
-    verdict = World(seed, members, coordinator=traced_member_class(trace), harsh=harsh).run()
+    verdict = HandoffSimulation(seed, members, coordinator=traced_member_class(trace), harsh=harsh).run()
     for member in trace.members:
         figures = member.figures()
         trace.add(sorted(figures.pop("counts").items()), sorted(figures.items()))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -128,7 +128,6 @@
 # Packages that have a cycle of modules that import one another, likewise.
 IMPORT_CYCLES = {
     "handoff": "connections to peers and the service that owns them",
-    "lab": "the emulator, its health checks and its records",
     "net": "connections and the listener or pool that owns them, on both sides",
     "pg": "connections to engines and the pool that owns them",
     "wire": "connections to engines and the pool that owns them",
--- a/tests/test_maintenance_register.py
+++ b/tests/test_maintenance_register.py
@@ -2,7 +2,7 @@
 
 import random
 
-from decklb.lab.emulation.simulated_quorum_register import World
+from decklb.lab.emulation.simulated_quorum_register import RegisterSimulation
 from decklb.maintenance.errors import QuorumUnavailableError
 from decklb.maintenance.paxos_messages import (
     Accept,
@@ -26,7 +26,7 @@
     """1,600 such runs were clean; with a rule taken out, these few are not."""
     done = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(25)):
-        told = World(seed, members, harsh=True).run()
+        told = RegisterSimulation(seed, members, harsh=True).run()
         assert (told.lost, told.twice, told.forked, told.stuck) == ([], [], 0, 0), (members, seed)
         done += len(told.done)
     assert done > 1000
@@ -34,7 +34,7 @@
 
 def test_messages_slower_than_a_round_delay_commits_and_do_not_stop_them():
     """Each way 60 ms and more, where a try begins with 100 to 200: with tries of one length none was done."""
-    made = [World(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
+    made = [RegisterSimulation(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
     assert sum(len(t.done) for t in made) > 60
     assert [(t.lost, t.twice, t.forked) for t in made] == [([], [], 0)] * 8
 
@@ -42,7 +42,7 @@
 def test_persisted_state_outlives_a_restart_of_all_members_at_once():
     done = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(12)):
-        told = World(seed, members, harsh=True, kept=True).run()
+        told = RegisterSimulation(seed, members, harsh=True, kept=True).run()
         assert (told.lost, told.twice, told.forked, told.stuck) == ([], [], 0, 0), (members, seed)
         done += len(told.done)
     assert done > 400
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from decklb.lab.emulation.simulated_quorum_register import World
+from decklb.lab.emulation.simulated_quorum_register import RegisterSimulation
 from decklb.maintenance import messages
 from decklb.maintenance.messages import Report
 from decklb.maintenance.operator_requests import cancel_job, mark_returned
@@ -134,17 +134,17 @@
     assert messages.decode_plan(value) == outcomes[-1]
 
 
-class TracedWorld(World):
+class TracedWorld(RegisterSimulation):
     """The register on a simulated network, with a digest of every message in its order."""
 
     def __init__(self, *args, **more):
         self.digest = hashlib.sha256()
         super().__init__(*args, **more)
 
-    def send(self, name, node):
+    def _send_messages(self, name, node):
         for to, message in node.outgoing:
             self.digest.update(repr((self.now, name, to)).encode() + msgspec.msgpack.encode(message))
-        super().send(name, node)
+        super()._send_messages(name, node)
 
 
 @pytest.mark.parametrize(("members", "seed", "kept"), [(3, 1, False), (5, 2, False), (3, 3, True), (5, 4, True)])
