--- a/decklb/policy/gateway.py
+++ b/decklb/policy/gateway.py
@@ -1,8 +1,8 @@
-"""The decisions of one gateway: events in, actions out. Types: decklb/interface.py. Why: docs/design.md.
+"""The decisions of one gateway: events in, actions out. Types: `decklb.interface`.
 
 `Gateway.step` is called by the dispatcher (real sockets) or the simulator's adapter, at most once a tick.
-It knows no socket and no clock. Each mechanism stands in a file of its own beside this one; here is what
-happens at each event.
+It does no I/O and reads no clock. Each mechanism is in a module of its own beside this one and keeps its own
+state; this module says what happens at each event. `docs/design.md` explains the design.
 """
 
 from __future__ import annotations
@@ -77,15 +77,15 @@
         for event in events:
             match event:
                 case api.RequestArrived():
-                    self._on_arrival(event)
+                    self._on_request_arrived(event)
                 case api.AttemptEnded():
-                    self._on_outcome(event)
+                    self._on_attempt_ended(event)
                 case api.CompletionUncertain():
                     self.keys.hold_again(event.ordering_key, now)
                 case api.EndpointsUpdated(failed=True):  # ask again a little later, so that the list recovers
                     self._list_retry_at = now + LIST_RETRY_MS * (1 + self.rng.random())
                 case api.EndpointsUpdated():
-                    self._on_endpoint_list(event)
+                    self._on_endpoints_updated(event)
                 case api.HealthCheckResult():
                     self._on_health_check(event)
                 case api.ClientGone() if event.request_id in self.requests:
@@ -115,7 +115,7 @@
         if self.settings.must_subscribe:
             self.actions.append(api.WatchEndpoints())
 
-    def _on_arrival(self, arrival: api.RequestArrived) -> None:
+    def _on_request_arrived(self, arrival: api.RequestArrived) -> None:
         spec = self.settings.classes.get(arrival.request_class)
         if arrival.request_id in self.requests:
             return
@@ -133,26 +133,24 @@
             own_quota = tenant.spec.quota_per_s * self.gossip.tenant_fractions[tenant.index]
             request.over_quota = not tenant.quota.take(own_quota, self.now)
         statistics.learn_cost(arrival.estimated_work_ms)
-        if is_hopeless(
-            request, self.now, self.settings.tick_ms
-        ):  # a client's last try may leave no time at all
+        if is_hopeless(request, self.now, self.settings.tick_ms):  # a client's last retry may leave no time
             self._give_up(request)
         elif self.keys.join(request):
             self.scheduler.enqueue(request)
 
-    def _on_outcome(self, verdict: api.AttemptEnded) -> None:
-        request = self.requests.get(verdict.request_id)
-        if request is None or not 0 <= verdict.attempt < len(request.attempts):
+    def _on_attempt_ended(self, ended: api.AttemptEnded) -> None:
+        request = self.requests.get(ended.request_id)
+        if request is None or not 0 <= ended.attempt < len(request.attempts):
             return
-        attempt = request.attempts[verdict.attempt]
+        attempt = request.attempts[ended.attempt]
         if attempt.outcome is not None:
             return
-        attempt.outcome, attempt.confirmed = verdict.outcome, verdict.authoritative
+        attempt.outcome, attempt.confirmed = ended.outcome, ended.authoritative
         attempt.engine.end_attempt(attempt)
-        self.lost_attempts.observe(attempt, verdict)
-        self._judge(attempt.engine, request, verdict)
-        if request.closed or verdict.request_finished:
-            if not request.closed and verdict.outcome is Outcome.SUCCESS:
+        self.lost_attempts.observe(attempt, ended)
+        self._update_engine(attempt.engine, request, ended)
+        if request.closed or ended.request_finished:
+            if not request.closed and ended.outcome is Outcome.SUCCESS:
                 latency_ms = self.now - request.arrived_at
                 request.tenant.control.record_answer(latency_ms, request.latency_objective_ms())
             self._close(request)
@@ -162,11 +160,11 @@
             else:
                 self._give_up(request)
 
-    def _judge(self, engine: Engine, request: Request, verdict: api.AttemptEnded) -> None:
+    def _update_engine(self, engine: Engine, request: Request, ended: api.AttemptEnded) -> None:
         """What an outcome tells of its engine."""
-        match verdict.outcome:
+        match ended.outcome:
             case Outcome.SUCCESS:
-                self._learn(engine, request, verdict)
+                self._learn(engine, request, ended)
             case Outcome.UNREACHABLE:
                 outlier_detection.record_unreachable(engine, self.now)
             case Outcome.TIMED_OUT if engine.on_trial:
@@ -196,7 +194,7 @@
             if hedging.is_runaway(attempt, note, self.now):
                 self._cancel_for_retry(attempt)
 
-    def _on_endpoint_list(self, update: api.EndpointsUpdated) -> None:
+    def _on_endpoints_updated(self, update: api.EndpointsUpdated) -> None:
         self.engines.update(update.endpoints, update.complete, self.now, self.settings.cores_by_kind)
         assign_subsets(self.engines.up(), self.settings, self.reports.enabled)
         self._update_limit()
@@ -273,9 +271,8 @@
 
     def _set_timer(self) -> None:
         tick = self.settings.tick_ms
-        due = self.now + (
-            SCAN_TICKS * tick if self.requests else HOUSEKEEPING_PERIOD_MS
-        )  # idle gateways seldom wake
+        delay_ms = SCAN_TICKS * tick if self.requests else HOUSEKEEPING_PERIOD_MS  # idle gateways seldom wake
+        due = self.now + delay_ms
         if not self.now + tick / 2 < self._wakes_at <= due:
             self._wakes_at = due
             self.actions.append(api.SetTimer(due - self.now, "sweep"))
--- a/decklb/policy/records.py
+++ b/decklb/policy/records.py
@@ -21,11 +21,8 @@
 from decklb.policy.tenants import Tenant
 
 NEVER_EXECUTED = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
-UNCERTAIN = (
-    Outcome.TIMED_OUT,
-    Outcome.CONNECTION_RESET,
-    Outcome.CANCELLED,
-)  # the engine may still be at work on the attempt
+# After these the engine may still be at work on the attempt.
+UNCERTAIN = (Outcome.TIMED_OUT, Outcome.CONNECTION_RESET, Outcome.CANCELLED)
 MIN_RELATIVE_SIZE = 0.1  # times the usual of its class: estimates scatter, so they count within bounds
 MAX_RELATIVE_SIZE = 10.0  # likewise
 
--- a/decklb/wire/retrying_sockets.py
+++ b/decklb/wire/retrying_sockets.py
@@ -205,7 +205,8 @@
 class RetryingDatagramPort(udp.Port):
     """A datagram socket that no error ends.
 
-    What it reports are often errors of single datagrams on their way."""
+    What it reports are often errors of single datagrams on their way.
+    """
 
     def doRead(self) -> None:
         """Read what there is; after an error reading is retried later."""
