--- a/decklb/cli/__init__.py
+++ b/decklb/cli/__init__.py
@@ -4,7 +4,7 @@
 
 import click
 
-from decklb.cli import duties, handoff, injection, keys, lab, maint, members, serve, trial, zones
+from decklb.cli import duties, handoff, keys, lab, maint, members, serve, trial, zones
 
 
 @click.group()
@@ -28,7 +28,4 @@
 ):
     main.add_command(command)
 
-for command in (injection.calls, injection.cuts, injection.ramp):
-    lab.lab.add_command(command)
-
 __all__ = ["main"]
--- /dev/null
+++ b/decklb/cli/lab/__init__.py
@@ -0,0 +1,40 @@
+"""The command group `lab`: experiments on simulated time, and fault runs with real processes.
+
+One module for each kind of command. A command imports the laboratory only when it is called, as the laboratory's
+requirements need not be installed where the program serves.
+"""
+
+from __future__ import annotations
+
+import click
+
+from decklb.cli.lab import benchmarks, experiments, fault_injection, fault_runs, load
+
+
+@click.group()
+def lab() -> None:
+    """Experiments on simulated time, with the real modules."""
+
+
+for command in (
+    experiments.run_,
+    experiments.report,
+    experiments.compare,
+    experiments.duties,
+    experiments.zones,
+    benchmarks.bench,
+    benchmarks.theory,
+    benchmarks.stores,
+    load.engines,
+    load.load,
+    fault_runs.faults,
+    fault_runs.copies,
+    fault_runs.regions,
+    fault_runs.upkeep,
+    fault_injection.calls,
+    fault_injection.cuts,
+    fault_injection.ramp,
+):
+    lab.add_command(command)
+
+__all__ = ["lab"]
