--- a/decklb/cli/__init__.py
+++ b/decklb/cli/__init__.py
@@ -4,7 +4,7 @@
 
 import click
 
-from decklb.cli import duties, handoff, keys, lab, maint, members, serve, trial, zones
+from decklb.cli import check, duties, handoff, keys, lab, maint, members, serve, trial, zones
 
 
 @click.group()
@@ -14,7 +14,7 @@
 
 for command in (
     serve.serve,
-    serve.check,
+    check.check,
     serve.schema,
     serve.version,
     members.members,
