--- a/decklb/cli/lab/benchmarks.py
+++ b/decklb/cli/lab/benchmarks.py
@@ -25,16 +25,18 @@
     run = Run(world(managers, engines, rate or 25.0 * engines, 1000.0 * seconds), 1)
     if profile:
         profiler = cProfile.Profile()
-        s = profiler.runcall(run.run)
+        summary = profiler.runcall(run.run)
         pstats.Stats(profiler).sort_stats("tottime").print_stats(14)
     else:
-        s = run.run()
-    took = s["cost_run_s"]
+        summary = run.run()
+    run_seconds = summary["cost_run_s"]
+    requests, events = summary["requests"], summary["events"]
     click.echo(
-        f"{managers} x {engines}: {s['requests']} requests and {s['events']} events in {took:.2f} s: "
-        f"{s['requests'] / took:.0f} requests/s, {s['events'] / took:.0f} events/s; "
-        f"a step {s['cost_step_us']:.0f} us, steps {100 * s['cost_steps_s'] / took:.0f}% of the run; "
-        f"worth {s['worth']:.3f}, {s['broken']} rules broken"
+        f"{managers} x {engines}: {requests} requests and {events} events in {run_seconds:.2f} s: "
+        f"{requests / run_seconds:.0f} requests/s, {events / run_seconds:.0f} events/s; "
+        f"a step {summary['cost_step_us']:.0f} us, "
+        f"steps {100 * summary['cost_steps_s'] / run_seconds:.0f}% of the run; "
+        f"worth {summary['worth']:.3f}, {summary['broken']} rules broken"
     )
 
 
@@ -43,9 +45,9 @@
 @click.option("--seed", default=1, show_default=True)
 def theory(arrivals: int, seed: int) -> None:
     """The engine's model against queueing theory: M/M/1-PS, M/M/c, Erlang's loss."""
-    from decklb.lab.experiments import queueing_theory as known
+    from decklb.lab.experiments import queueing_theory
 
-    for line in known.table(arrivals, seed):
+    for line in queueing_theory.table(arrivals, seed):
         click.echo(line)
 
 
--- a/decklb/cli/lab/experiments.py
+++ b/decklb/cli/lab/experiments.py
@@ -5,6 +5,7 @@
 import click
 
 from decklb import log
+from decklb.cli.lab.cases import check_cases
 
 
 @click.command(name="run")
@@ -22,25 +23,25 @@
     from decklb.lab.experiments import cell_runner, experiment_file
 
     try:
-        x = experiment_file.load(path)
+        experiment = experiment_file.load(path)
     except ConfigError as error:
         raise click.ClickException(str(error)) from error
     log.set_up("ERROR", "text")
-    with Progress(TextColumn(x.name), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(), disable=quiet) as bar:
-        task = bar.add_task(x.name, total=None)
+    columns = (TextColumn(experiment.name), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
+    with Progress(*columns, disable=quiet) as bar:
+        task = bar.add_task(experiment.name, total=None)
         try:
-            found = cell_runner.run_all(
-                x,
+            summaries = cell_runner.run_all(
+                experiment,
                 out,
                 workers or os.cpu_count() or 1,
                 lambda done, total: bar.update(task, completed=done, total=total),
             )
         except ValueError as error:
             raise click.ClickException(str(error)) from error
-    broken = sum(s["broken"] for s in found)
-    click.echo(
-        f"{len(found)} cells, {sum(s['requests'] for s in found)} requests, {broken} rules broken; tables in {out}"
-    )
+    requests = sum(summary["requests"] for summary in summaries)
+    broken = sum(summary["broken"] for summary in summaries)
+    click.echo(f"{len(summaries)} cells, {requests} requests, {broken} rules broken; tables in {out}")
 
 
 @click.command()
@@ -74,17 +75,18 @@
     from decklb.lab.experiments.cell_runner import read_table
 
     try:
-        left = [s for s in read_table(a, "summaries") if policy_a in (None, s["policy"])]
-        right = [s for s in read_table(b, "summaries") if policy_b in (None, s["policy"])]
+        left = [row for row in read_table(a, "summaries") if policy_a in (None, row["policy"])]
+        right = [row for row in read_table(b, "summaries") if policy_b in (None, row["policy"])]
     except OSError as error:
         raise click.ClickException(str(error)) from error
-    found = statistics.compare(left, right, list(what), Streams(1).get("bootstrap"))
-    if not found:
+    differences = statistics.compare(left, right, list(what), Streams(1).get("bootstrap"))
+    if not differences:
         raise click.ClickException("no cells with the same factors and seed on both sides")
-    for d in found:
+    for difference in differences:
         click.echo(
-            f"{d.group:14} {d.what:20} A {d.a:.4f}  B {d.b:.4f}  B-A {d.mean:+.4f}  "
-            f"[{d.low:+.4f}, {d.high:+.4f}]{' *' if d.clear else ''}  {d.pairs} pairs"
+            f"{difference.group:14} {difference.what:20} A {difference.a:.4f}  B {difference.b:.4f}  "
+            f"B-A {difference.mean:+.4f}  [{difference.low:+.4f}, {difference.high:+.4f}]"
+            f"{' *' if difference.clear else ''}  {difference.pairs} pairs"
         )
 
 
@@ -121,12 +123,12 @@
     from decklb.lab.experiments.shared_duties import Experiment, run
 
     try:
-        found = run(Experiment(instances, engines, periods, loss, kill, partition, seed, join=join))
+        figures = run(Experiment(instances, engines, periods, loss, kill, partition, seed, join=join))
     except ValueError as error:
         raise click.ClickException(str(error)) from error
     if as_json:
-        return click.echo(ujson.dumps(found))
-    for name, value in found.items():
+        return click.echo(ujson.dumps(figures))
+    for name, value in figures.items():
         click.echo(f"{name:32} {value}")
 
 
@@ -141,8 +143,7 @@
     """Zones judged in common against each manager judging alone, over paired seeds, on a simulated network."""
     from decklb.lab.experiments.zone_agreement import CASES, campaign, plot, table
 
-    if strange := set(cases) - set(CASES):
-        raise click.ClickException(f"no case {min(strange)!r}; one of {', '.join(CASES)}")
+    check_cases(cases, CASES)
     runs = campaign(list(cases or CASES), list(range(1, seeds + 1)), managers, count, workers)
     for row in table(runs):
         click.echo("  ".join(f"{name} {value}" for name, value in row.items()))
--- a/decklb/cli/lab/fault_runs.py
+++ b/decklb/cli/lab/fault_runs.py
@@ -2,11 +2,21 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Coroutine
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import click
 
 from decklb import log
+from decklb.cli.lab.cases import check_cases
+
+if TYPE_CHECKING:
+    from decklb.lab.checks.execution_verdict import Verdict
+    from decklb.lab.checks.zone_verdict import ZoneVerdict
+    from decklb.lab.fault_runs.maintenance_run import Told
+    from decklb.lab.faults.fault_schedule import FleetFault
+
+T = TypeVar("T")
 
 
 @click.command()
@@ -44,57 +54,25 @@
     as_json: bool,
 ) -> None:
     """Managers as processes that take over one another's work, under faults by seed; loopback only, ends by itself."""
-    import asyncio
-
-    import ujson
-
-    from decklb.lab.checks.execution_verdict import Verdict, total
-    from decklb.lab.fault_runs import handoff_run as outage
-    from decklb.lab.faults.fault_schedule import FleetFault, FleetFaultKind
+    from decklb.lab.fault_runs import handoff_run
+    from decklb.lab.faults.fault_schedule import FleetFaultKind
 
     log.set_up("ERROR", "text")
-    setup = outage.Setup(
+    setup = handoff_run.Setup(
         managers,
         count,
         rate,
         1000.0 * seconds,
         strikes,
-        kinds=tuple(FleetFaultKind(x) for x in only) or outage.KINDS,
+        kinds=tuple(FleetFaultKind(name) for name in only) or handoff_run.KINDS,
         data=data,
-        work=work or outage.WORK,
+        work=work or handoff_run.WORK,
     )
-    unclean: list[dict[str, Any]] = []
-
-    def told(number: int, v: Verdict, struck: list[FleetFault]) -> None:
-        if not v.clean:
-            unclean.append(
-                {
-                    "seed": number,
-                    "faults": outage.described(struck),
-                    "lost": v.lost,
-                    "doubled": v.doubled,
-                    "repeated": v.repeated,
-                    "overlapping": v.overlapping,
-                }
-            )
-        if not as_json:
-            kinds = ",".join(f.kind.value for f in struck[::2])
-            click.echo(
-                f"seed {number:5} {kinds:12} {v.requests} requests, {v.came_back} came back, "
-                f"{'clean' if v.clean else unclean[-1]}"
-            )
-
-    try:
-        verdicts, counts = asyncio.run(outage.campaign(setup, list(range(seed, seed + runs)), fleets, told, logs))
-    except (OSError, RuntimeError) as error:
-        raise click.ClickException(str(error)) from error
-    found = total(verdicts) | {"log": counts}
-    if as_json:
-        click.echo(ujson.dumps(found | {"managers": managers, "unclean": unclean}))
-    else:
-        for name, value in found.items():
-            click.echo(f"{name:14} {value}")
-    if unclean:
+    output = _HandoffOutput(as_json)
+    seeds = list(range(seed, seed + runs))
+    verdicts, log_counts = _run_campaign(handoff_run.campaign(setup, seeds, fleets, output.add, logs))
+    output.print_totals(managers, verdicts, log_counts)
+    if output.unclean_runs:
         raise SystemExit(1)
 
 
@@ -107,11 +85,11 @@
     """What protecting a statement costs: time to its answer with a key and without, between real processes."""
     import asyncio
 
-    from decklb.lab.fault_runs import handoff_run as outage
+    from decklb.lab.fault_runs import handoff_run
 
     log.set_up("ERROR", "text")
-    found = asyncio.run(outage.cost(outage.Setup(managers), requests, at_once, seed))
-    for kind, figures in found.items():
+    figures_by_kind = asyncio.run(handoff_run.cost(handoff_run.Setup(managers), requests, at_once, seed))
+    for kind, figures in figures_by_kind.items():
         text = "  ".join(f"{name} {value}" for name, value in figures.items())
         click.echo(f"{kind if kind == 'memory' else kind + ' a key':13}: {text}")
 
@@ -128,39 +106,24 @@
     cases: tuple[str, ...], ways: tuple[str, ...], seed: int, runs: int, fleets: int, logs: str, as_json: bool
 ) -> None:
     """Five managers and six engines in three zones as processes, and faults between them; loopback only."""
-    import asyncio
-
     import ujson
 
-    from decklb.lab.checks.zone_verdict import ZoneVerdict, table
-    from decklb.lab.fault_runs import zone_run as lab
+    from decklb.lab.checks.zone_verdict import table
+    from decklb.lab.fault_runs import zone_run
 
     log.set_up("ERROR", "text")
-    if strange := set(cases) - set(lab.CASES):
-        raise click.ClickException(f"no case {min(strange)!r}; one of {', '.join(lab.CASES)}")
+    check_cases(cases, zone_run.CASES)
 
-    def told(r: ZoneVerdict) -> None:
+    def print_run(verdict: ZoneVerdict) -> None:
         if not as_json:
-            click.echo(
-                f"{r.case:7} {r.way:6} seed {r.seed:3}: {r.requests} requests, {r.lost} lost, {r.errors} errors,"
-                f" {100 * r.left_share:.2f}% left, {r.wrong} wrong, {r.changes} changes, flood {r.flood:g}, "
-                f"late {r.late_ms:.0f} ms"
-            )
+            click.echo(_zone_run_line(verdict))
 
-    try:
-        made = asyncio.run(
-            lab.campaign(
-                list(cases or lab.CASES),
-                list(range(seed, seed + runs)),
-                list(ways or ("alone", "common")),
-                fleets,
-                told,
-                logs,
-            )
-        )
-    except (OSError, RuntimeError) as error:
-        raise click.ClickException(str(error)) from error
-    rows = table(made)
+    seeds = list(range(seed, seed + runs))
+    decision_modes = list(ways or ("alone", "common"))
+    verdicts = _run_campaign(
+        zone_run.campaign(list(cases or zone_run.CASES), seeds, decision_modes, fleets, print_run, logs)
+    )
+    rows = table(verdicts)
     if as_json:
         return click.echo(ujson.dumps(rows))
     for row in rows:
@@ -177,21 +140,89 @@
     """Machines taken out by the fleet's plan, as processes, and faults between them; loopback only."""
     import asyncio
 
-    from decklb.lab.fault_runs import maintenance_run as lab
+    from decklb.lab.fault_runs import maintenance_run
 
     log.set_up("ERROR", "text")
-    if strange := set(cases) - set(lab.CASES):
-        raise click.ClickException(f"no case {min(strange)!r}; one of {', '.join(lab.CASES)}")
-
-    def told(r: lab.Told) -> None:
-        click.echo(
-            f"{r.case:11} seed {r.seed:3}: {r.seconds:5.1f} s, {r.requests} requests, {r.lost} lost, "
-            f"{r.errors} errors, {r.over_budget} over budget, {len(r.doubled)} doubled, {r.unsafe} unsafe, "
-            f"{r.overlapping} overlapping, {r.again} ran again, late {r.late_ms:.0f} ms, "
-            f"{'clean' if r.clean else 'NOT CLEAN'} {r.doubled or ''} {r.seen}"
-        )
-
-    made = asyncio.run(lab.campaign(list(cases or lab.CASES), list(range(seed, seed + runs)), fleets, told, logs))
-    click.echo(f"{len(made)} runs, {sum(r.clean for r in made)} clean, {sum(r.requests for r in made)} requests")
-    if not all(r.clean for r in made):
+    check_cases(cases, maintenance_run.CASES)
+
+    def print_run(run: Told) -> None:
+        click.echo(_maintenance_run_line(run))
+
+    seeds = list(range(seed, seed + runs))
+    made = asyncio.run(maintenance_run.campaign(list(cases or maintenance_run.CASES), seeds, fleets, print_run, logs))
+    click.echo(
+        f"{len(made)} runs, {sum(run.clean for run in made)} clean, {sum(run.requests for run in made)} requests"
+    )
+    if not all(run.clean for run in made):
         raise SystemExit(1)
+
+
+class _HandoffOutput:
+    """Prints the runs of `faults`, and keeps those that were not clean."""
+
+    def __init__(self, as_json: bool) -> None:
+        self.as_json = as_json
+        self.unclean_runs: list[dict[str, Any]] = []
+
+    def add(self, seed: int, verdict: Verdict, faults: list[FleetFault]) -> None:
+        """Take in one run."""
+        result: Any = "clean"
+        if not verdict.clean:
+            result = _unclean_run(seed, verdict, faults)
+            self.unclean_runs.append(result)
+        if not self.as_json:
+            kinds = ",".join(fault.kind.value for fault in faults[::2])  # each fault is followed by its end
+            click.echo(f"seed {seed:5} {kinds:12} {verdict.requests} requests, {verdict.came_back} came back, {result}")
+
+    def print_totals(self, managers: int, verdicts: list[Verdict], log_counts: dict[str, int]) -> None:
+        """Print the sum of all runs."""
+        import ujson
+
+        from decklb.lab.checks.execution_verdict import total
+
+        totals = total(verdicts) | {"log": log_counts}
+        if self.as_json:
+            click.echo(ujson.dumps(totals | {"managers": managers, "unclean": self.unclean_runs}))
+            return
+        for name, value in totals.items():
+            click.echo(f"{name:14} {value}")
+
+
+def _unclean_run(seed: int, verdict: Verdict, faults: list[FleetFault]) -> dict[str, Any]:
+    from decklb.lab.fault_runs import handoff_run
+
+    return {
+        "seed": seed,
+        "faults": handoff_run.described(faults),
+        "lost": verdict.lost,
+        "doubled": verdict.doubled,
+        "repeated": verdict.repeated,
+        "overlapping": verdict.overlapping,
+    }
+
+
+def _zone_run_line(verdict: ZoneVerdict) -> str:
+    return (
+        f"{verdict.case:7} {verdict.way:6} seed {verdict.seed:3}: {verdict.requests} requests, {verdict.lost} lost, "
+        f"{verdict.errors} errors, {100 * verdict.left_share:.2f}% left, {verdict.wrong} wrong, "
+        f"{verdict.changes} changes, flood {verdict.flood:g}, late {verdict.late_ms:.0f} ms"
+    )
+
+
+def _maintenance_run_line(run: Told) -> str:
+    return (
+        f"{run.case:11} seed {run.seed:3}: {run.seconds:5.1f} s, {run.requests} requests, {run.lost} lost, "
+        f"{run.errors} errors, {run.over_budget} over budget, {len(run.doubled)} doubled, {run.unsafe} unsafe, "
+        f"{run.overlapping} overlapping, {run.again} ran again, late {run.late_ms:.0f} ms, "
+        f"{'clean' if run.clean else 'NOT CLEAN'} {run.doubled or ''} {run.seen}"
+    )
+
+
+def _run_campaign(campaign: Coroutine[Any, Any, T]) -> T:
+    """What the campaign returns. Raises click.ClickException where its processes can't be started or fail."""
+    import asyncio
+
+    try:
+        return asyncio.run(campaign)
+    except (OSError, RuntimeError) as error:
+        raise click.ClickException(str(error)) from error
--- a/decklb/cli/lab/load.py
+++ b/decklb/cli/lab/load.py
@@ -22,14 +22,14 @@
 @click.option("--first-port", default=0, help="Ports follow one another; ephemeral by default.", show_default=False)
 def engines(count: int, front: str, cores: int, first_port: int) -> None:
     """Stand-in engines on loopback that follow the emulator's model in real time, until interrupted."""
-    from twisted.internet import reactor as real
+    from twisted.internet import reactor as installed_reactor
 
     from decklb.lab.emulation.engine_model import EngineSpec
-    from decklb.lab.standins import engine_server as live
+    from decklb.lab.standins import engine_server
 
     log.set_up("INFO", "text")
-    reactor: Any = real
-    for engine, port in live.listen(reactor, count, EngineSpec(cores=cores), front, first_port):
+    reactor: Any = installed_reactor
+    for engine, port in engine_server.listen(reactor, count, EngineSpec(cores=cores), front, first_port):
         click.echo(f"{engine.name} 127.0.0.1:{port}")
     reactor.run()
 
@@ -42,7 +42,7 @@
 @click.option("--out", help="Folder for the same tables as `lab run` writes.")
 def load(path: str, where: str, front: str, seed: int, out: str | None) -> None:
     """Send an experiment's workload to a running program: open loop, latencies from when a request was due."""
-    from twisted.internet import reactor as real
+    from twisted.internet import reactor as installed_reactor
 
     from decklb.config import ConfigError
     from decklb.lab.experiments import cell_runner, experiment_file
@@ -50,19 +50,19 @@
     from decklb.lab.experiments.load_generator import Load, target
 
     try:
-        x, address = experiment_file.load(path), target(where)
+        experiment, address = experiment_file.load(path), target(where)
     except (ConfigError, ValueError) as error:
         raise click.ClickException(str(error)) from error
     log.set_up("ERROR", "text")
-    reactor: Any = real
-    run = Load(reactor, address, front, x.world.workload, x.world.duration_ms, seed)
+    reactor: Any = installed_reactor
+    run = Load(reactor, address, front, experiment.world.workload, experiment.world.duration_ms, seed)
     run.done = reactor.stop
     reactor.callWhenRunning(run.start)
     reactor.run()
-    s = run.summary()
-    for name, value in s.items():
+    summary = run.summary()
+    for name, value in summary.items():
         click.echo(f"{name:24} {value if not isinstance(value, float) else round(value, 4)}")
     if out:
-        cell = Cell(f"{front}_seed={seed}", front, (), seed, x.world)
+        cell = Cell(f"{front}_seed={seed}", front, (), seed, experiment.world)
         rows = {"requests": run.rows, "attempts": [], "engines": [], "seconds": []}
-        cell_runner.store(cell, out, x.name, x.digest, {"cell": cell.name} | s, rows)
+        cell_runner.store(cell, out, experiment.name, experiment.digest, {"cell": cell.name} | summary, rows)
