--- a/decklb/cluster/settings.py
+++ b/decklb/cluster/settings.py
@@ -1,7 +1,7 @@
 """Settings of the cluster: membership, one kind of duty, and this instance's place in it. All times are milliseconds.
 
-Read from the `<cluster>` and `<probing>` elements by `config.operators`, which maps their attributes to these fields;
-the errors raised here name the attributes. Immutable; they hold no state.
+Read from the `<cluster>` and `<probing>` elements by `config.sections.cluster`, which maps their attributes to these
+fields; the errors raised here name the attributes. Immutable; they hold no state.
 """
 
 from __future__ import annotations
--- /dev/null
+++ b/decklb/config/sections/locality.py
@@ -0,0 +1,51 @@
+"""The section `locality`: regions, their zones, and when a zone's load goes to others."""
+
+from __future__ import annotations
+
+from decklb.config.document import AttributeTable, SettingsDocument, converted
+from decklb.config.units import duration, share
+from decklb.locality.settings import DecisionMode, LocalitySettings
+
+LOCALITY: AttributeTable = {
+    "zone": ("home_zone", str),
+    "members": ("member_count", int),
+    "judge": ("decision_mode", DecisionMode),
+    "misses": ("unhealthy_threshold", int),
+    "slow": ("degraded_latency_ratio", float),
+    "tick": ("tick_ms", duration),
+    "look": ("health_check_interval_ms", duration),
+    "timeout": ("health_check_timeout_ms", duration),
+    "fresh": ("observation_ttl_ms", duration),
+    "settle": ("stabilization_ms", duration),
+    "hold": ("min_state_duration_ms", duration),
+    "retry": ("vote_timeout_ms", duration),
+    "keep": ("isolation_grace_ms", duration),
+    "ramp": ("recovery_ramp_ms", duration),
+    "ramp-floor": ("recovery_min_fraction", share),
+    "out": ("out_threshold", share),
+    "degraded": ("degraded_threshold", share),
+    "full": ("max_utilization", share),
+    "panic": ("panic_threshold", share),
+}
+
+
+def read_locality(document: SettingsDocument) -> LocalitySettings | None:
+    """Read the section, and check it against `engines`; None without it, and where it has a fault."""
+    element = document.root.find("locality")
+    if element is None:
+        return None
+    if document.root.find("cluster") is None:
+        document.add_fault(element, "<locality> needs <cluster>: members decide on zones together")
+    regions = tuple((region.attrib["name"], tuple(zone.attrib["name"] for zone in region)) for region in element)
+    document.check_unique(element, "name", "region")
+    settings: LocalitySettings | None = document.check(
+        element, lambda: LocalitySettings(**converted(element, LOCALITY), regions=regions)
+    )
+    engine_zones = {engine.get("zone", "") for engine in document.root.iterfind("engines/engine")}
+    if settings is not None and engine_zones and not engine_zones & settings.region_of.keys():
+        document.add_fault(
+            element,
+            f"<locality>: no engine of <engines> is in any of its zones; theirs are "
+            f"{', '.join(sorted(repr(zone) for zone in engine_zones))}",
+        )
+    return settings
--- a/decklb/handoff/settings.py
+++ b/decklb/handoff/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the handoff, made from the operators' `<handoff>` element by `config/operators.py`."""
+"""Settings of the handoff, made from the operators' `<handoff>` element by `config.sections.handoff`."""
 
 from __future__ import annotations
 
--- a/decklb/locality/settings.py
+++ b/decklb/locality/settings.py
@@ -1,7 +1,7 @@
 """Settings of locality: the regions, how zones' states are decided, and when requests leave their zone.
 
-Made from the `<locality>` element by `config.operators`, which translates its attributes; read by all of this package.
-Names ending in `_ms` are milliseconds; fractions are from 0 to 1.
+Made from the `<locality>` element by `config.sections.locality`, which translates its attributes; read by all of
+this package. Names ending in `_ms` are milliseconds; fractions are from 0 to 1.
 """
 
 from __future__ import annotations
--- a/decklb/maintenance/settings.py
+++ b/decklb/maintenance/settings.py
@@ -1,7 +1,7 @@
 """Settings of maintenance: the disruption budget, and how the members agree on the plan.
 
-Made from the `<maintenance>` element by `config.operators`, which translates its attributes; read by all of this
-package. Names ending in `_ms` are milliseconds; fractions are from 0 to 1.
+Made from the `<maintenance>` element by `config.sections.maintenance`, which translates its attributes; read by all
+of this package. Names ending in `_ms` are milliseconds; fractions are from 0 to 1.
 """
 
 from __future__ import annotations
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -12,7 +12,7 @@
 from twisted.internet.asyncioreactor import AsyncioSelectorReactor
 
 from decklb.cluster.runtime import ClusterService
-from decklb.config.operators import members as settings_of
+from decklb.config.operators import read_member_settings
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock
 from decklb.handoff.protected_dispatcher import ProtectedDispatcher
@@ -59,7 +59,7 @@
         Raises:
             SettingsError: The settings can't be used.
         """
-        self.cluster_settings, self.handoff_settings = settings_of(settings, member)
+        self.cluster_settings, self.handoff_settings = read_member_settings(settings, member)
         self.codec = AsgiCodec(passing)
         self.cluster: ClusterService | None = None
         self.handoff: HandoffService | None = None
