--- a/decklb/cli/keys.py
+++ b/decklb/cli/keys.py
@@ -1,4 +1,4 @@
-"""The cluster's key file."""
+"""The commands `keys new`, `keys list` and `keys rotate`, on the key file that members of a cluster share."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from decklb.cluster import keyfile
 
     key = keyfile.generate()
-    _do(lambda: keyfile.write(path, [key], must_be_new=True))
+    _call_or_fail(lambda: keyfile.write(path, [key], must_be_new=True))
     click.echo(f"{path}: key {key.name}")
 
 
@@ -32,8 +32,9 @@
     """Name the keys, the one that seals first. Secrets are not shown."""
     from decklb.cluster import keyfile
 
-    for i, key in enumerate(_do(lambda: keyfile.read(path))):
-        click.echo(f"{key.name}  {key.created}  {'seals and opens' if i == 0 else 'opens'}")
+    ring = _call_or_fail(lambda: keyfile.read(path))
+    for position, key in enumerate(ring):
+        click.echo(f"{key.name}  {key.created}  {'seals and opens' if position == 0 else 'opens'}")
 
 
 @keys.command()
@@ -49,12 +50,13 @@
     from decklb.cluster import keyfile
 
     rotation = keyfile.RotationStep(step)
-    ring = _do(lambda: keyfile.rotate(keyfile.read(path), rotation, keyfile.generate()))
-    _do(lambda: keyfile.write(path, ring))
+    ring = _call_or_fail(lambda: keyfile.rotate(keyfile.read(path), rotation, keyfile.generate()))
+    _call_or_fail(lambda: keyfile.write(path, ring))
     click.echo(f"{path}: {len(ring)} keys, {ring[0].name} seals; bring it to all members and send each SIGHUP")
 
 
-def _do(call: Callable[[], T]) -> T:
+def _call_or_fail(call: Callable[[], T]) -> T:
+    """What `call` returns. Raises click.ClickException where the key file can't be used."""
     from decklb.cluster.errors import KeyFileError
 
     try:
--- a/decklb/cli/lab/fault_injection.py
+++ b/decklb/cli/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults injected into a real process of the program."""
+"""Commands that inject faults into real processes of the program, and check what clients and engines see."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     cases = all_cases() if part >= 1 else some_cases(seed, part)
 
     async def play() -> list[Played]:
-        return [_tell(played) async for played in play_cases(cases, at_once, program)]
+        return [_print_faults(played) async for played in play_cases(cases, at_once, program)]
 
     try:
         made = asyncio.run(play())
@@ -64,11 +64,11 @@
     failed = [played for played in made if played.faults]
     struck = sum(played.hits > 0 for played in made)
     click.echo(f"{len(made)} cases, {struck} with a call struck, {len(failed)} did not hold")
-    rows = [_row(played) for played in made]
+    rows = [_report_row(played) for played in made]
     if report is not None:
         report.write_text(ujson.dumps(rows, indent=1))
     if table is not None:
-        table.write_text(_table(rows, ujson.loads(before.read_text()) if before is not None else []))
+        table.write_text(_markdown_table(rows, ujson.loads(before.read_text()) if before is not None else []))
     if failed:
         raise SystemExit(1)
 
@@ -92,14 +92,14 @@
     log.set_up("ERROR", "text")
 
     async def play() -> list[Round]:
-        return [_tell_round(made) async for made in play_cuts(front, seed, rounds, program)]
+        return [_print_faults_of_round(made) async for made in play_cuts(front, seed, rounds, program)]
 
     try:
         made = asyncio.run(play())
     except PlayError as error:
         raise click.ClickException(str(error)) from error
-    failed = sum(bool(one.faults) for one in made)
-    click.echo(f"{len(made)} rounds, {sum(one.struck for one in made)} struck, {failed} did not hold")
+    failed = sum(bool(cut_round.faults) for cut_round in made)
+    click.echo(f"{len(made)} rounds, {sum(cut_round.struck for cut_round in made)} struck, {failed} did not hold")
     if failed:
         raise SystemExit(1)
 
@@ -129,13 +129,13 @@
         raise SystemExit(1)
 
 
-def _tell_round(made: Round) -> Round:
+def _print_faults_of_round(made: Round) -> Round:
     if made.faults:
         click.echo(f"{made.strike.action.value} at byte {made.strike.at}: {'; '.join(made.faults)}")
     return made
 
 
-def _tell(played: Played) -> Played:
+def _print_faults(played: Played) -> Played:
     if played.faults:
         click.echo(f"{played.case}: {'; '.join(played.faults)}")
         for line in played.log:
@@ -143,7 +143,7 @@
     return played
 
 
-def _row(played: Played) -> dict[str, Any]:
+def _report_row(played: Played) -> dict[str, Any]:
     case = played.case
     return {
         "front": case.front,
@@ -157,7 +157,7 @@
     }
 
 
-def _table(now: list[dict[str, Any]], before: list[dict[str, Any]]) -> str:
+def _markdown_table(now: list[dict[str, Any]], before: list[dict[str, Any]]) -> str:
     """One line for each call, side and front: how many cases held, and which errors did not, before and now."""
     lines = [
         "# System calls that fail",
@@ -171,28 +171,28 @@
         "| call | of | front | cases | struck | held before | held now | errors that did not hold before |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    played = {_name(row) for row in now}
-    old = _grouped([row for row in before if _name(row) in played])
-    for key, rows in sorted(_grouped(now).items()):
-        was = old.get(key, [])
-        errors = sorted({row["error"] for row in was if row["faults"]})
+    played = {_case_key(row) for row in now}
+    groups_before = _group_by_call([row for row in before if _case_key(row) in played])
+    for (call, side, front), rows in sorted(_group_by_call(now).items()):
+        rows_before = groups_before.get((call, side, front), [])
+        errors = sorted({row["error"] for row in rows_before if row["faults"]})
         lines.append(
-            f"| `{key[0]}` | {key[1]} | {key[2]} | {len(rows)} | {sum(row['hits'] > 0 for row in rows)} | "
-            f"{_held(was) if was else 'not played'} | {_held(rows)} | {', '.join(errors)} |"
+            f"| `{call}` | {side} | {front} | {len(rows)} | {sum(row['hits'] > 0 for row in rows)} | "
+            f"{_count_held(rows_before) if rows_before else 'not played'} | {_count_held(rows)} | {', '.join(errors)} |"
         )
     return "\n".join(lines) + "\n"
 
 
-def _grouped(rows: list[dict[str, Any]]) -> dict[tuple[str, str, str], list[dict[str, Any]]]:
+def _group_by_call(rows: list[dict[str, Any]]) -> dict[tuple[str, str, str], list[dict[str, Any]]]:
     groups = defaultdict(list)
     for row in rows:
         groups[row["call"], row["side"], row["front"]].append(row)
     return groups
 
 
-def _name(row: dict[str, Any]) -> tuple[str, ...]:
+def _case_key(row: dict[str, Any]) -> tuple[str, ...]:
     return tuple(row[field] for field in ("front", "call", "side", "error", "span"))
 
 
-def _held(rows: list[dict[str, Any]]) -> int:
+def _count_held(rows: list[dict[str, Any]]) -> int:
     return sum(not row["faults"] for row in rows)
--- a/decklb/cli/trial.py
+++ b/decklb/cli/trial.py
@@ -1,4 +1,4 @@
-"""One command for a newcomer."""
+"""The command `try`: both fronts of the program on loopback, with stand-in engines and load, beside the emulator."""
 
 from __future__ import annotations
 
@@ -17,45 +17,49 @@
 @click.option("--engines", default=4, show_default=True, type=click.IntRange(1, 64))
 def try_(seconds: float, rate: float, engines: int) -> None:
     """Start stand-in engines, the program on both fronts and some load, and tell what happened."""
-    from twisted.internet import reactor as real
+    from twisted.internet import reactor as installed_reactor
 
     from decklb.lab.emulation.emulator import Run
-    from decklb.lab.experiments import local_trial as trial
+    from decklb.lab.experiments import local_trial
     from decklb.lab.experiments.bundled import world
 
     log.set_up("ERROR", "text")
-    reactor: Any = real
-    w = world(1, engines, rate, 1000.0 * seconds)
-    left = set(trial.FRONTS)
-    failed: list[str] = []
-
-    def told(s: dict[str, Any]) -> None:
-        left.discard(s["front"])
-        if "error" in s:
-            failed.append(s["error"])
-        else:
-            _tell(s["front"], s)
-            if s["unanswered"]:
-                failed.append(f"{s['front']}: {s['unanswered']} requests without an answer")
-        if not left:
+    reactor: Any = installed_reactor
+    trial_world = world(1, engines, rate, 1000.0 * seconds)
+    running_fronts = set(local_trial.FRONTS)
+    failures: list[str] = []
+
+    def on_front_done(summary: dict[str, Any]) -> None:
+        running_fronts.discard(summary["front"])
+        failures.extend(_report_front(summary))
+        if not running_fronts:
             reactor.stop()
 
     click.echo(f"{engines} engines and one program for each front; {rate:g} requests a second for {seconds:g} s ...")
-    for front in trial.FRONTS:
-        trial.play(reactor, w, front, 1, told)
+    for front in local_trial.FRONTS:
+        local_trial.play(reactor, trial_world, front, 1, on_front_done)
     reactor.run()
-    _tell("emulated", Run(w, 1).run())
-    if failed:
-        raise click.ClickException("; ".join(failed))
+    _print_summary("emulated", Run(trial_world, 1).run())
+    if failures:
+        raise click.ClickException("; ".join(failures))
+
+
+def _report_front(summary: dict[str, Any]) -> list[str]:
+    """Print a front's summary, unless it could not run; return what went wrong."""
+    if "error" in summary:
+        return [summary["error"]]
+    front = summary["front"]
+    _print_summary(front, summary)
+    return [f"{front}: {summary['unanswered']} requests without an answer"] if summary["unanswered"] else []
 
 
-def _tell(name: str, s: dict[str, object]) -> None:
-    p50 = "  ".join(
-        f"{k.removeprefix('p50_')} {v:.0f}/{s['p95_' + k.removeprefix('p50_')]:.0f}"
-        for k, v in s.items()
-        if k.startswith("p50_") and isinstance(v, float)
+def _print_summary(name: str, summary: dict[str, object]) -> None:
+    latencies = "  ".join(
+        f"{key.removeprefix('p50_')} {p50:.0f}/{summary['p95_' + key.removeprefix('p50_')]:.0f}"
+        for key, p50 in summary.items()
+        if key.startswith("p50_") and isinstance(p50, float)
     )
     click.echo(
-        f"{name:9} {s['requests']} requests: {s['served']} served, {s['refused']} refused, "
-        f"{s['failed']} failed; worth {s['worth']:.3f} of 1; p50/p95 in ms: {p50}"
+        f"{name:9} {summary['requests']} requests: {summary['served']} served, {summary['refused']} refused, "
+        f"{summary['failed']} failed; worth {summary['worth']:.3f} of 1; p50/p95 in ms: {latencies}"
     )
--- a/decklb/config/sections/bgp.py
+++ b/decklb/config/sections/bgp.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from decklb.config.document import SettingsDocument
-from decklb.config.units import duration
+from decklb.config.units import parse_duration_ms
 
 MS_PER_S = 1000  # the raw form has the hold time in seconds, as BGP has it
 
@@ -23,5 +23,5 @@
     if "next-hop" in bgp.attrib:
         section["next_hop"] = bgp.attrib["next-hop"]
     if "hold" in bgp.attrib:
-        section["hold"] = duration(bgp.attrib["hold"]) / MS_PER_S
+        section["hold"] = parse_duration_ms(bgp.attrib["hold"]) / MS_PER_S
     raw["bgp"] = section
--- a/decklb/config/sections/cluster.py
+++ b/decklb/config/sections/cluster.py
@@ -10,36 +10,36 @@
 from decklb.cluster.settings import ClusterSettings, DutySettings, MembershipSettings
 from decklb.config.document import AttributeTable, SettingsDocument, converted
 from decklb.config.model import Address, parse_address
-from decklb.config.units import duration, share
+from decklb.config.units import parse_duration_ms, parse_fraction
 
 WILDCARD_HOSTS = ("0.0.0.0", "::", "*")
 MEMBERSHIP: AttributeTable = {
     "name": ("cluster_name", str),
     "weight": ("weight", float),
-    "interval": ("probe_interval_ms", duration),
-    "timeout": ("probe_timeout_ms", duration),
-    "gossip": ("gossip_interval_ms", duration),
+    "interval": ("probe_interval_ms", parse_duration_ms),
+    "timeout": ("probe_timeout_ms", parse_duration_ms),
+    "gossip": ("gossip_interval_ms", parse_duration_ms),
     "fanout": ("gossip_fanout", int),
     "indirect": ("indirect_probes", int),
     "suspicion": ("suspicion_multiplier", float),
     "suspicion-most": ("suspicion_max_multiplier", float),
-    "exchange": ("push_pull_interval_ms", duration),
-    "settle": ("settle_time_ms", duration),
-    "lately": ("dead_retention_ms", duration),
-    "skew": ("max_clock_skew_ms", duration),
+    "exchange": ("push_pull_interval_ms", parse_duration_ms),
+    "settle": ("settle_time_ms", parse_duration_ms),
+    "lately": ("dead_retention_ms", parse_duration_ms),
+    "skew": ("max_clock_skew_ms", parse_duration_ms),
 }
 HEALTH_CHECKS: AttributeTable = {
-    "period": ("period_ms", duration),
-    "timeout": ("timeout_ms", duration),
+    "period": ("period_ms", parse_duration_ms),
+    "timeout": ("timeout_ms", parse_duration_ms),
     "connections": ("max_concurrent", int),
     "hand-on": ("failures_to_decline", int),
     "hands": ("max_declines", int),
-    "rest": ("decline_hold_ms", duration),
+    "rest": ("decline_hold_ms", parse_duration_ms),
     "cold-factor": ("warming_up_factor", float),
     "minority-factor": ("minority_factor", float),
-    "refresh": ("repeat_interval_ms", duration),
-    "doubt": ("mass_failure_hold_ms", duration),
-    "doubt-share": ("mass_failure_ratio", share),
+    "refresh": ("repeat_interval_ms", parse_duration_ms),
+    "doubt": ("mass_failure_hold_ms", parse_duration_ms),
+    "doubt-share": ("mass_failure_ratio", parse_fraction),
 }
 
 
--- a/decklb/config/sections/decisions.py
+++ b/decklb/config/sections/decisions.py
@@ -7,30 +7,30 @@
 from lxml import etree
 
 from decklb.config.document import AttributeTable, SettingsDocument, boolean, converted
-from decklb.config.units import duration, share
+from decklb.config.units import parse_duration_ms, parse_fraction
 
 CLASS: AttributeTable = {
     "name": ("name", str),
-    "aim": ("aim", duration),
-    "deadline": ("deadline", duration),
+    "aim": ("aim", parse_duration_ms),
+    "deadline": ("deadline", parse_duration_ms),
     "semantics": ("semantics", str),
     "stretch": ("aim_stretch", float),
     "worth": ("worth", float),
     "late-worth": ("late_worth", float),
     "group": ("group", str),
-    "memory-span": ("memory_span", duration),
+    "memory-span": ("memory_span", parse_duration_ms),
     "serial-by-key": ("serial_by_key", boolean),
 }
 RULES: AttributeTable = {
-    "cold": ("cold", duration),
-    "cold-share": ("cold_share", share),
-    "drain-grace": ("drain_grace", duration),
+    "cold": ("cold", parse_duration_ms),
+    "cold-share": ("cold_share", parse_fraction),
+    "drain-grace": ("drain_grace", parse_duration_ms),
     "extra-floor": ("extra_floor", float),
-    "extra-share": ("further_ratio", share),
-    "extra-window": ("extra_window", duration),
-    "fall": ("fall", duration),
+    "extra-share": ("further_ratio", parse_fraction),
+    "extra-window": ("extra_window", parse_duration_ms),
+    "fall": ("fall", parse_duration_ms),
     "overload-factor": ("overload_factor", float),
-    "settle-after-doubt": ("settle_after_doubt", duration),
+    "settle-after-doubt": ("settle_after_doubt", parse_duration_ms),
 }
 NEEDS_CLASSES = ("tenants", "kinds", "rules")
 # Shares are decimal fractions: as much over 100% is rounding.
@@ -76,7 +76,7 @@
 ) -> None:
     settings["categories"] = [converted(element, CLASS) for element in classes]
     for element in classes:
-        if duration(element.attrib["aim"]) > duration(element.attrib["deadline"]):
+        if parse_duration_ms(element.attrib["aim"]) > parse_duration_ms(element.attrib["deadline"]):
             document.add_fault(
                 element,
                 f"class {element.attrib['name']!r}: an aim over the deadline; at most "
@@ -91,13 +91,13 @@
 def _translate_tenants(document: SettingsDocument, tenants: etree._Element, settings: dict[str, Any]) -> None:
     settings["tenants"] = [_tenant(element) for element in tenants]
     document.check_unique(tenants, "name", "tenant")
-    total = sum(share(element.attrib["share"]) for element in tenants)
+    total = sum(parse_fraction(element.attrib["share"]) for element in tenants)
     if total > MAX_TOTAL_SHARE:
         document.add_fault(tenants, f"<tenants>: shares come to {100 * total:g}%; at most 100% would be right")
 
 
 def _tenant(element: etree._Element) -> dict[str, Any]:
-    tenant = {"name": element.attrib["name"], "share": share(element.attrib["share"])}
+    tenant = {"name": element.attrib["name"], "share": parse_fraction(element.attrib["share"])}
     if "quota-per-second" in element.attrib:
         tenant["quota_per_s"] = float(element.attrib["quota-per-second"])
     return tenant
@@ -107,13 +107,13 @@
     settings["rules"] = dict(settings.get("rules") or {}) | converted(rules, RULES)
     limits = dict(settings.get("limits") or {})
     if "retry-after" in rules.attrib:
-        limits |= {"retry_after": True, "max_retry_after": duration(rules.attrib["retry-after"])}
+        limits |= {"retry_after": True, "max_retry_after": parse_duration_ms(rules.attrib["retry-after"])}
     if "cancelling" in rules.attrib:
         limits["cancelling"] = boolean(rules.attrib["cancelling"])
     if "max-attempts" in rules.attrib:
         limits["max_attempts"] = int(rules.attrib["max-attempts"])
     settings["limits"] = limits
     if "tick" in rules.attrib:
-        settings["tick"] = duration(rules.attrib["tick"])
+        settings["tick"] = parse_duration_ms(rules.attrib["tick"])
     if "balancers" in rules.attrib:
         settings["balancers"] = int(rules.attrib["balancers"])
--- a/decklb/config/sections/handoff.py
+++ b/decklb/config/sections/handoff.py
@@ -3,24 +3,24 @@
 from __future__ import annotations
 
 from decklb.config.document import AttributeTable, SettingsDocument, converted
-from decklb.config.units import duration, share, size, written
+from decklb.config.units import format_duration, parse_duration_ms, parse_fraction, parse_size_bytes
 from decklb.handoff.settings import HandoffSettings
 
 HANDOFF: AttributeTable = {
     "copies": ("voter_count", int),
     "members": ("fleet_size", int),
-    "patience": ("quorum_timeout_ms", duration),
-    "beat": ("heartbeat_interval_ms", duration),
-    "resend": ("resend_interval_ms", duration),
-    "stagger": ("claim_stagger_ms", duration),
-    "longest": ("max_budget_ms", duration),
-    "room": ("max_bytes", size),
+    "patience": ("quorum_timeout_ms", parse_duration_ms),
+    "beat": ("heartbeat_interval_ms", parse_duration_ms),
+    "resend": ("resend_interval_ms", parse_duration_ms),
+    "stagger": ("claim_stagger_ms", parse_duration_ms),
+    "longest": ("max_budget_ms", parse_duration_ms),
+    "room": ("max_bytes", parse_size_bytes),
     "capacity": ("max_records", int),
-    "answer-bytes": ("max_answer_bytes", size),
-    "lease": ("lease_ms", duration),
-    "drift": ("max_clock_drift", share),
-    "linger": ("answer_retention_ms", duration),
-    "slack": ("deadline_grace_ms", duration),
+    "answer-bytes": ("max_answer_bytes", parse_size_bytes),
+    "lease": ("lease_ms", parse_duration_ms),
+    "drift": ("max_clock_drift", parse_fraction),
+    "linger": ("answer_retention_ms", parse_duration_ms),
+    "slack": ("deadline_grace_ms", parse_duration_ms),
 }
 
 
@@ -56,9 +56,9 @@
     cluster = document.root.find("cluster")
     if cluster is None or "lately" not in cluster.attrib:
         return
-    if duration(cluster.attrib["lately"]) < settings.record_lifetime_ms:
+    if parse_duration_ms(cluster.attrib["lately"]) < settings.record_lifetime_ms:
         document.add_fault(
             cluster,
             f"<cluster> lately: members must be known for as long as records live; at least "
-            f"{written(settings.record_lifetime_ms)} would be right",
+            f"{format_duration(settings.record_lifetime_ms)} would be right",
         )
--- a/decklb/config/sections/locality.py
+++ b/decklb/config/sections/locality.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from decklb.config.document import AttributeTable, SettingsDocument, converted
-from decklb.config.units import duration, share
+from decklb.config.units import parse_duration_ms, parse_fraction
 from decklb.locality.settings import DecisionMode, LocalitySettings
 
 LOCALITY: AttributeTable = {
@@ -12,20 +12,20 @@
     "judge": ("decision_mode", DecisionMode),
     "misses": ("unhealthy_threshold", int),
     "slow": ("degraded_latency_ratio", float),
-    "tick": ("tick_ms", duration),
-    "look": ("health_check_interval_ms", duration),
-    "timeout": ("health_check_timeout_ms", duration),
-    "fresh": ("observation_ttl_ms", duration),
-    "settle": ("stabilization_ms", duration),
-    "hold": ("min_state_duration_ms", duration),
-    "retry": ("vote_timeout_ms", duration),
-    "keep": ("isolation_grace_ms", duration),
-    "ramp": ("recovery_ramp_ms", duration),
-    "ramp-floor": ("recovery_min_fraction", share),
-    "out": ("out_threshold", share),
-    "degraded": ("degraded_threshold", share),
-    "full": ("max_utilization", share),
-    "panic": ("panic_threshold", share),
+    "tick": ("tick_ms", parse_duration_ms),
+    "look": ("health_check_interval_ms", parse_duration_ms),
+    "timeout": ("health_check_timeout_ms", parse_duration_ms),
+    "fresh": ("observation_ttl_ms", parse_duration_ms),
+    "settle": ("stabilization_ms", parse_duration_ms),
+    "hold": ("min_state_duration_ms", parse_duration_ms),
+    "retry": ("vote_timeout_ms", parse_duration_ms),
+    "keep": ("isolation_grace_ms", parse_duration_ms),
+    "ramp": ("recovery_ramp_ms", parse_duration_ms),
+    "ramp-floor": ("recovery_min_fraction", parse_fraction),
+    "out": ("out_threshold", parse_fraction),
+    "degraded": ("degraded_threshold", parse_fraction),
+    "full": ("max_utilization", parse_fraction),
+    "panic": ("panic_threshold", parse_fraction),
 }
 
 
--- a/decklb/config/sections/maintenance.py
+++ b/decklb/config/sections/maintenance.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 from decklb.config.document import AttributeTable, SettingsDocument, converted
-from decklb.config.units import duration, share
+from decklb.config.units import parse_duration_ms, parse_fraction
 from decklb.maintenance.settings import MaintenanceSettings
 
 MAINTENANCE: AttributeTable = {
     "members": ("member_count", int),
     "most": ("max_unavailable", int),
     "most-zone": ("max_unavailable_per_zone", int),
-    "most-share": ("max_unavailable_zone_fraction", share),
-    "reserve": ("max_utilization", share),
-    "drain": ("drain_timeout_ms", duration),
-    "warm": ("warm_up_ms", duration),
-    "window": ("default_window_ms", duration),
-    "tick": ("tick_ms", duration),
-    "patience": ("round_timeout_ms", duration),
-    "fresh": ("report_ttl_ms", duration),
-    "absent": ("absent_after_ms", duration),
+    "most-share": ("max_unavailable_zone_fraction", parse_fraction),
+    "reserve": ("max_utilization", parse_fraction),
+    "drain": ("drain_timeout_ms", parse_duration_ms),
+    "warm": ("warm_up_ms", parse_duration_ms),
+    "window": ("default_window_ms", parse_duration_ms),
+    "tick": ("tick_ms", parse_duration_ms),
+    "patience": ("round_timeout_ms", parse_duration_ms),
+    "fresh": ("report_ttl_ms", parse_duration_ms),
+    "absent": ("absent_after_ms", parse_duration_ms),
     "kept": ("retained_jobs", int),
 }
 
--- a/decklb/config/sections/postgres.py
+++ b/decklb/config/sections/postgres.py
@@ -5,20 +5,20 @@
 from typing import Any
 
 from decklb.config.document import AttributeTable, SettingsDocument, converted
-from decklb.config.units import duration, size
+from decklb.config.units import parse_duration_ms, parse_size_bytes
 
 POSTGRES: AttributeTable = {
     "user": ("user", str),
     "database": ("database", str),
     "connections": ("connections", int),
     "writes": ("writes", str),
-    "most-result": ("most_result", size),
-    "most-message": ("most_message", size),
+    "most-result": ("most_result", parse_size_bytes),
+    "most-message": ("most_message", parse_size_bytes),
 }
 SESSION: AttributeTable = {
     "tenant": ("tenant", str),
     "class": ("class", str),
-    "budget": ("budget", duration),
+    "budget": ("budget", parse_duration_ms),
 }
 
 
--- a/decklb/config/sections/process.py
+++ b/decklb/config/sections/process.py
@@ -7,7 +7,7 @@
 
 from decklb.config.document import SettingsDocument
 from decklb.config.model import parse_address
-from decklb.config.units import size
+from decklb.config.units import parse_size_bytes
 
 BYTES_PER_MB = 1 << 20
 
@@ -21,7 +21,7 @@
     if "sockets" in process.attrib:
         limits["sockets"] = int(process.attrib["sockets"])
     if "memory" in process.attrib:
-        limits["memory_mb"] = size(process.attrib["memory"]) / BYTES_PER_MB
+        limits["memory_mb"] = parse_size_bytes(process.attrib["memory"]) / BYTES_PER_MB
     raw["limits"] = limits
     for key in ("listen", "resolver"):
         if key in process.attrib:
--- a/decklb/lab/experiments/experiment_file.py
+++ b/decklb/lab/experiments/experiment_file.py
@@ -12,7 +12,7 @@
 
 from decklb.config.errors import Fault as FileFault
 from decklb.config.errors import SettingsError
-from decklb.config.units import duration, share
+from decklb.config.units import parse_duration_ms, parse_fraction
 from decklb.config.xml import read
 from decklb.interface import Effect
 from decklb.lab.emulation.emulated_world import EmulatedWorld, FaultKind, InjectedFault
@@ -34,14 +34,14 @@
 WORLD: Attributes = {
     "managers": ("managers", int),
     "engines": ("engines", int),
-    "span": ("duration_ms", duration),
-    "warm": ("warm_up_ms", duration),
-    "delay": ("network_delay_ms", duration),
-    "loss": ("message_loss", share),
-    "list-late": ("list_delay_ms", duration),
-    "list-partial": ("partial_update_share", share),
+    "span": ("duration_ms", parse_duration_ms),
+    "warm": ("warm_up_ms", parse_duration_ms),
+    "delay": ("network_delay_ms", parse_duration_ms),
+    "loss": ("message_loss", parse_fraction),
+    "list-late": ("list_delay_ms", parse_duration_ms),
+    "list-partial": ("partial_update_share", parse_fraction),
     "uneven": ("speed_sigma", float),
-    "probing": ("health_check_period_ms", duration),
+    "probing": ("health_check_period_ms", parse_duration_ms),
     "sample": ("max_recorded_requests", int),
 }
 ENGINE: Attributes = {
@@ -51,32 +51,32 @@
     "memory": ("memory_mb", float),
     "knee": ("thrash_threshold", float),
     "thrash": ("thrash_slope", float),
-    "cold": ("warm_up_ms", duration),
-    "cold-share": ("initial_capacity", share),
+    "cold": ("warm_up_ms", parse_duration_ms),
+    "cold-share": ("initial_capacity", parse_fraction),
 }
 WORKLOAD: Attributes = {
     "rate": ("requests_per_second", float),
     "groups": ("table_groups", int),
-    "day": ("daily_amplitude", share),
-    "day-length": ("day_length_ms", duration),
+    "day": ("daily_amplitude", parse_fraction),
+    "day-length": ("day_length_ms", parse_duration_ms),
     "retries": ("client_retries", int),
-    "patience": ("patience_share", share),
+    "patience": ("patience_share", parse_fraction),
 }
 CLASS: Attributes = {
     "name": ("name", str),
-    "share": ("arrival_share", share),
-    "work": ("mean_work_ms", duration),
-    "aim": ("latency_objective_ms", duration),
-    "deadline": ("deadline_ms", duration),
+    "share": ("arrival_share", parse_fraction),
+    "work": ("mean_work_ms", parse_duration_ms),
+    "aim": ("latency_objective_ms", parse_duration_ms),
+    "deadline": ("deadline_ms", parse_duration_ms),
     "worth": ("priority_weight", float),
     "late-worth": ("late_priority_weight", float),
     "threads": ("threads", int),
-    "io": ("io_share", share),
+    "io": ("io_share", parse_fraction),
     "memory": ("memory_mb", float),
     "spread": ("work_sigma", float),
-    "tail": ("tail_share", share),
+    "tail": ("tail_share", parse_fraction),
     "tail-times": ("tail_factor", float),
-    "runaway": ("bad_plan_share", share),
+    "runaway": ("bad_plan_share", parse_fraction),
     "semantics": ("effect", Effect),
     "serial-by-key": ("ordered_by_key", boolean),
     "keys": ("distinct_keys", int),
@@ -85,21 +85,21 @@
 }
 TENANT: Attributes = {
     "name": ("name", str),
-    "share": ("contract_share", share),
-    "sends": ("sent_share", share),
+    "share": ("contract_share", parse_fraction),
+    "sends": ("sent_share", parse_fraction),
 }
 SURGE: Attributes = {
-    "at": ("start_ms", duration),
-    "for": ("duration_ms", duration),
+    "at": ("start_ms", parse_duration_ms),
+    "for": ("duration_ms", parse_duration_ms),
     "times": ("factor", float),
     "tenant": ("tenant", str),
     "tables": ("table_group", int),
 }
 FAULT: Attributes = {
-    "at": ("at_ms", duration),
+    "at": ("at_ms", parse_duration_ms),
     "what": ("kind", FaultKind),
-    "for": ("duration_ms", duration),
-    "share": ("victim_share", share),
+    "for": ("duration_ms", parse_duration_ms),
+    "share": ("victim_share", parse_fraction),
     "count": ("victim_count", int),
     "times": ("slowdown", float),
 }
@@ -206,7 +206,7 @@
             if ("share" in element.attrib) == ("count" in element.attrib):
                 self._report(element, "<fault>: either share or count would be right")
             at = element.attrib["at"]
-            if duration(at) >= world.duration_ms:
+            if parse_duration_ms(at) >= world.duration_ms:
                 limit_s = world.duration_ms / 1000
                 self._report(element, f"<fault>: at {at} the run is over; under {limit_s:g}s would be right")
 
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -182,11 +182,21 @@
             assert c.control == str(Path(folder).resolve() / "c.sock")
 
     def test_units_are_converted_and_malformed_values_rejected(self):
-        assert [units.duration(x) for x in ("250ms", "2s", "1.5min", "1h")] == [250.0, 2000.0, 90_000.0, 3_600_000.0]
-        assert (units.size("64KiB"), units.share("2.5%")) == (65536, 0.025)
-        assert [units.written(x) for x in (250.0, 2000.0, 1500.0, 90_000.0)] == ["250ms", "2s", "1.5s", "1.5min"]
+        assert [units.parse_duration_ms(x) for x in ("250ms", "2s", "1.5min", "1h")] == [
+            250.0,
+            2000.0,
+            90_000.0,
+            3_600_000.0,
+        ]
+        assert (units.parse_size_bytes("64KiB"), units.parse_fraction("2.5%")) == (65536, 0.025)
+        assert [units.format_duration(x) for x in (250.0, 2000.0, 1500.0, 90_000.0)] == [
+            "250ms",
+            "2s",
+            "1.5s",
+            "1.5min",
+        ]
         for text in ("", "2", "s", "-1s", "1 s", "1e3ms", "2m"):
-            self.assertRaises(ValueError, units.duration, text)
+            self.assertRaises(ValueError, units.parse_duration_ms, text)
 
     def test_check_and_schema_print_what_holds(self):
         run = CliRunner().invoke
