--- /dev/null
+++ b/tests/test_cli_fault_runs_wire_format.py
@@ -0,0 +1,93 @@
+"""What the laboratory's fault-run commands print of given results, and what they ask for, stays as recorded."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+from click.testing import CliRunner
+
+from decklb.cli import main
+from decklb.lab.checks.execution_verdict import Verdict
+from decklb.lab.checks.zone_verdict import ZoneVerdict
+from decklb.lab.fault_runs import handoff_run, maintenance_run, zone_run
+from decklb.lab.faults.fault_schedule import FleetFault, FleetFaultKind
+from tests.standins import ROOT
+
+RECORDED = json.loads((ROOT / "tests" / "golden" / "cli_fault_runs.json").read_text())
+FAULTS = [
+    FleetFault(120.4, FleetFaultKind.KILL, "m1"),
+    FleetFault(900.0, FleetFaultKind.HEAL, "m1"),
+    FleetFault(1500.6, FleetFaultKind.CUT, "m2", "m3"),
+    FleetFault(2100.0, FleetFaultKind.HEAL, "m2"),
+]
+UNCLEAN = Verdict(
+    requests=40, served=38, lost=["k1"], doubled=["k2"], repeated=["k3"], overlapping=["k4"], came_back=2, late_ms=1.5
+)
+CLEAN = Verdict(requests=30, served=29, failed=1, came_back=4)
+FAILING_FLEETS = 7  # as many fleets make a campaign fail here
+
+
+class Campaigns:
+    """Stands in for the campaigns of real processes: notes what each is asked for, and returns made-up results."""
+
+    def __init__(self):
+        self.asked = []
+
+    def _start(self, *asked, fleets=1):
+        self.asked.append([*asked, fleets])
+        if fleets == FAILING_FLEETS:
+            raise OSError("no process can be started")
+
+    async def handoff(self, setup, seeds, fleets, on_run, logs=""):
+        size = [setup.managers, setup.engines, setup.rate, setup.span, setup.faults, setup.data]
+        self._start(size, [kind.value for kind in setup.kinds], list(setup.work), seeds, logs, fleets=fleets)
+        verdicts = [UNCLEAN if seed % 2 else CLEAN for seed in seeds]
+        for seed, verdict in zip(seeds, verdicts, strict=True):
+            on_run(seed, verdict, FAULTS)
+        return verdicts, {"handoff.claimed": 3}
+
+    async def handoff_cost(self, setup, requests, at_once, seed):
+        self._start(setup.managers, requests, at_once, seed)
+        return {"with": {"p50_ms": 1.25, "p99_ms": 4}, "without": {"p50_ms": 1, "p99_ms": 3}, "memory": {"kib": 7}}
+
+    async def zones(self, cases, seeds, ways, fleets, on_run, logs=""):
+        self._start(cases, seeds, ways, logs, fleets=fleets)
+        verdicts = [
+            ZoneVerdict(case, way, seed, requests=90, served=80, errors=6, lost=4, stayed=60, left=20, changes=5)
+            for case in cases
+            for way in ways
+            for seed in seeds
+        ]
+        for verdict in verdicts:
+            verdict.flood, verdict.late_ms, verdict.wrong = 1.25, 12.6, 1
+            on_run(verdict)
+        return verdicts
+
+    async def maintenance(self, cases, seeds, fleets, on_run, logs=""):
+        self._start(cases, seeds, logs, fleets=fleets)
+        runs = [
+            maintenance_run.Told(case, seed, requests=50, ended=True, seconds=3.25, again=1, seen=["drained"])
+            for case in cases
+            for seed in seeds
+        ]
+        for run in runs:
+            run.doubled = ["step 4"] if run.seed == 3 else []
+            on_run(run)
+        return runs
+
+
+def output_of(command, monkeypatch):
+    """Exit code, what the campaign was asked for, and the lines printed."""
+    campaigns = Campaigns()
+    monkeypatch.setattr(handoff_run, "campaign", campaigns.handoff)
+    monkeypatch.setattr(handoff_run, "cost", campaigns.handoff_cost)
+    monkeypatch.setattr(zone_run, "campaign", campaigns.zones)
+    monkeypatch.setattr(maintenance_run, "campaign", campaigns.maintenance)
+    result = CliRunner().invoke(main, ["lab", *command.split()])
+    return json.loads(json.dumps([result.exit_code, campaigns.asked, *result.output.splitlines()]))
+
+
+@pytest.mark.parametrize("command", RECORDED)
+def test_fault_run_commands_print_the_recorded_lines(command, monkeypatch):
+    assert output_of(command, monkeypatch) == RECORDED[command]
