--- a/decklb/lab/emulation/simulated_cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -105,11 +105,13 @@
             seed: Of all draws.
             instances: Hosts.
             engines: Subjects of the health checks.
-            membership, duty: Settings of all nodes.
+            membership: Its settings, of all nodes.
+            duty: Settings of the health checks, of all nodes.
             faults: What the network does to datagrams.
             shared: Whether all nodes use one ranking.
             warm: Whether all know all already, as after a long time without change.
-            drift, skew_ms: Of the hosts' clocks at most, either way.
+            drift: Of the hosts' clocks at most, either way.
+            skew_ms: Of the hosts' clocks at most, either way.
         """
         world = SimulatedNetwork(seed, faults)
         made = cls(
--- a/decklb/lab/emulation/simulated_handoff.py
+++ b/decklb/lab/emulation/simulated_handoff.py
@@ -1,5 +1,6 @@
-"""Handoff's coordinators on a simulated network: members that die, return without memory, are cut off or held up, and
-clients that come back with their keys.
+"""Handoff's coordinators on a simulated network.
+
+Members die, return without memory, are cut off or held up, and clients come back with their keys.
 
 `HandoffSimulation` owns the members, the network, stand-in engines, clients and faults; tests play it by seed: the same
 seed, the same run. It records what clients saw and what engines executed, and `checks.execution_verdict` judges that.
--- a/decklb/lab/emulation/simulated_loop.py
+++ b/decklb/lab/emulation/simulated_loop.py
@@ -43,7 +43,7 @@
         """Make a call once, after that many ms."""
         scheduled = Call(call)
 
-        def due(event: object) -> None:
+        def due(_event: object) -> None:
             if scheduled.call is not None:
                 self.made += 1
                 scheduled.call()
--- a/decklb/lab/emulation/simulated_quorum_register.py
+++ b/decklb/lab/emulation/simulated_quorum_register.py
@@ -134,7 +134,7 @@
         number = next(self._change_numbers)
         self.open_changes[number] = name
 
-        def done(value: Value | Exception) -> None:
+        def done(_value: Value | Exception) -> None:
             self.open_changes.pop(number, None)
             self.verdict.done.append(number)
 
--- a/decklb/lab/faults/clock_jump.py
+++ b/decklb/lab/faults/clock_jump.py
@@ -19,7 +19,7 @@
     machine_time = time.time
     offset_s = 0.0
 
-    def jump(number: int, frame: object) -> None:
+    def jump(number: int, _frame: object) -> None:
         nonlocal offset_s
         offset_s = CLOCK_OFFSETS_S[signal.Signals(number)]
 
--- a/decklb/lab/faults/network_proxy.py
+++ b/decklb/lab/faults/network_proxy.py
@@ -32,7 +32,7 @@
 INGRESS = "in"  # first half of the role of an ingress socket, beside its member
 
 
-def _always(name: str, host: str) -> str:
+def _always(name: str, _host: str) -> str:
     return name
 
 
