--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -24,7 +24,7 @@
 
 from decklb.cluster import keyfile
 from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
-from decklb.lab.fault_runs.isolation import TRIES, apart
+from decklb.lab.fault_runs.isolation import MAX_ATTEMPTS, run_in_subprocess
 from decklb.lab.faults import free_ports as ports
 from decklb.lab.faults.fault_schedule import CUT, LOSSY, FleetFault, FleetFaultKind, draw_schedule
 from decklb.lab.faults.network_proxy import MAX_LATE_MS, Address, NetworkProxy
@@ -439,8 +439,8 @@
 
     async def one(index: int) -> None:
         last: dict[str, int] = {}
-        async for run in apart(
-            f"{__name__}:alone", Played, setup=setup, seeds=seeds[index::fleets], index=index, logs=logs
+        async for run in run_in_subprocess(
+            f"{__name__}:isolated_runs", Played, setup=setup, seeds=seeds[index::fleets], index=index, logs=logs
         ):
             told(run.seed, run.verdict, run.faults)
             last = run.logged
@@ -453,19 +453,19 @@
     return verdicts, counts
 
 
-async def alone(setup: dict[str, Any], seeds: list[int], index: int, logs: str) -> AsyncIterator[Played]:
-    """The runs of one fleet, for `apart`."""
+async def isolated_runs(setup: dict[str, Any], seeds: list[int], index: int, logs: str) -> AsyncIterator[Played]:
+    """The runs of one fleet, for `run_in_subprocess`."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(msgspec.convert(setup, Setup), seeds[0] * 1000 + index, folder, index)
         try:
             await fleet.start()
             for seed in seeds:
-                for turn in range(TRIES):
+                for turn in range(MAX_ATTEMPTS):
                     await fleet.remember()
                     verdict, faults = await play(fleet, seed, turn)
                     if logs and not verdict.clean:
                         await asyncio.to_thread(fleet.keep_logs, Path(logs) / str(seed))
-                    again = turn < TRIES - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
+                    again = turn < MAX_ATTEMPTS - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
                     yield Played(seed, verdict, faults, {name: fleet.logged(name) for name in COUNTED}, again)
                     if not again:
                         break
--- a/decklb/lab/fault_runs/isolation.py
+++ b/decklb/lab/fault_runs/isolation.py
@@ -1,11 +1,13 @@
-"""Fault runs in processes of their own, one for each fleet.
+"""Runs each fleet of a fault run in a subprocess of its own.
 
-The rig carries every datagram and connection of its fleet, and the callers live beside it: six fleets in one process
-take its whole core, and then the rig itself is the slow peer that nobody asked for.
+The network proxy carries every datagram and connection of its fleet, and the simulated clients run beside it. Six
+fleets in one process would use up its core, and the proxy itself would delay traffic that no fault should delay.
 
-`python -m decklb.lab.fault_runs.isolation MODULE:FUNCTION JSON` runs an async generator of the laboratory and prints
-what it yields, a line of JSON each; it ends with its work, at SIGTERM, or when nobody reads it any more, and takes its
-processes along.
+`python -m decklb.lab.fault_runs.isolation MODULE:FUNCTION JSON` is the subprocess: it calls an async generator of the
+laboratory with the JSON object as keyword arguments and prints each result as one line of JSON. It ends when the
+generator does, at SIGTERM, or when its output is closed, and the generator then ends the processes it started.
+
+The module keeps no state. The campaigns of `handoff_run`, `zone_run` and `maintenance_run` call it.
 """
 
 from __future__ import annotations
@@ -20,70 +22,101 @@
 
 import msgspec
 
-T = TypeVar("T")
-LINE = 1 << 24  # bytes of one result at most
-TRIES = 3  # of a run that the machine held up
+ResultT = TypeVar("ResultT")
+MAX_RESULT_BYTES = 1 << 24  # of one line of JSON; a verdict with all its findings stays far below
+MAX_ATTEMPTS = 3  # of a run whose result can't be judged, as the machine itself delayed the fleet
+LABORATORY_PREFIX = "decklb.lab."  # only functions of these modules may be called
+REPOSITORY_ROOT = Path(__file__).parents[3]
+
+
+async def run_in_subprocess(function: str, result_type: type[ResultT], **arguments: Any) -> AsyncIterator[ResultT]:
+    """Yield the results of an async generator that runs in a subprocess.
 
+    The subprocess inherits stderr. It is terminated when the caller stops iterating.
 
-async def apart(function: str, result: type[T], **words: Any) -> AsyncIterator[T]:
-    """What a function yields in a process of its own. Raises RuntimeError where that fails; its words are on ours."""
+    Args:
+        function: The generator function, as `module:name`; its module is part of `decklb.lab`.
+        result_type: Type that each line of JSON is decoded to.
+        **arguments: Keyword arguments of the function, encoded as JSON.
+
+    Raises:
+        RuntimeError: The subprocess ended with an exit status other than 0.
+    """
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "decklb.lab.fault_runs.isolation",
         function,
-        msgspec.json.encode(words).decode(),
-        cwd=Path(__file__).parents[3],
+        msgspec.json.encode(arguments).decode(),
+        cwd=REPOSITORY_ROOT,
         stdout=asyncio.subprocess.PIPE,
-        limit=LINE,
+        limit=MAX_RESULT_BYTES,
     )
     assert child.stdout is not None
     try:
         while line := await child.stdout.readline():
-            yield msgspec.json.decode(line, type=result)
-        if code := await child.wait():
-            raise RuntimeError(f"{function} ended with {code}: {words}")
+            yield msgspec.json.decode(line, type=result_type)
+        if exit_status := await child.wait():
+            raise RuntimeError(f"{function} ended with {exit_status}: {arguments}")
     finally:
         if child.returncode is None:
             child.terminate()
             await child.wait()
 
 
-async def side_by_side(
+async def run_side_by_side(
     function: str,
-    result: type[T],
-    plays: Iterable[dict[str, Any]],
-    fleets: int,
-    told: Callable[[T], None],
-    judged: Callable[[T], bool],
-) -> list[T]:
-    """One run of each play, a few fleets side by side. Each is told; one that can't be judged, since the machine itself
-    stood still, is played again, and what stands of it is the last."""
-    left, made = iter(plays), list[T]()
-
-    async def one(index: int) -> None:
-        for play in left:
-            for _ in range(TRIES):
-                async for run in apart(function, result, index=index, **play):
-                    told(run)
-                if judged(run):
+    result_type: type[ResultT],
+    runs: Iterable[dict[str, Any]],
+    fleet_count: int,
+    on_result: Callable[[ResultT], None],
+    is_conclusive: Callable[[ResultT], bool],
+) -> list[ResultT]:
+    """Run a function once for each set of arguments, a few fleets at a time.
+
+    A run whose result is not conclusive is repeated, up to MAX_ATTEMPTS in all.
+
+    Args:
+        function: See `run_in_subprocess`; it yields one result a run.
+        result_type: Type of the results.
+        runs: Keyword arguments of each run. `index`, the number of the fleet, is added to them.
+        fleet_count: Fleets that run at the same time.
+        on_result: Called with each result, also with those of repeated attempts.
+        is_conclusive: Whether a result can be judged, or the machine has delayed the fleet too much for that.
+
+    Returns:
+        The last result of each run, in the order in which the runs ended.
+    """
+    pending = iter(runs)
+    results: list[ResultT] = []
+
+    async def run_fleet(index: int) -> None:
+        for arguments in pending:
+            for _ in range(MAX_ATTEMPTS):
+                async for result in run_in_subprocess(function, result_type, index=index, **arguments):
+                    on_result(result)
+                if is_conclusive(result):
                     break
-            made.append(run)
+            results.append(result)
+
+    await asyncio.gather(*(run_fleet(index) for index in range(fleet_count)))
+    return results
 
-    await asyncio.gather(*(one(i) for i in range(fleets)))
-    return made
 
+async def main(function: str, arguments: dict[str, Any]) -> None:
+    """Call an async generator function in this process and print its results.
 
-async def main(function: str, words: dict[str, Any]) -> None:
-    """Run it here."""
+    Raises:
+        ValueError: The function is not part of the laboratory.
+    """
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     module, _, name = function.partition(":")
-    if not module.startswith("decklb.lab."):
+    if not module.startswith(LABORATORY_PREFIX):
         raise ValueError(f"{module} is not of the laboratory")
-    async for found in getattr(importlib.import_module(module), name)(**words):
-        sys.stdout.buffer.write(msgspec.json.encode(found) + b"\n")
+    async for result in getattr(importlib.import_module(module), name)(**arguments):
+        sys.stdout.buffer.write(msgspec.json.encode(result) + b"\n")
         sys.stdout.buffer.flush()
 
 
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -20,7 +20,7 @@
 
 from decklb.lab.checks.zone_verdict import CallRecord
 from decklb.lab.fault_runs.handoff_run import Process
-from decklb.lab.fault_runs.isolation import side_by_side
+from decklb.lab.fault_runs.isolation import run_side_by_side
 from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
 from decklb.lab.faults.network_proxy import MAX_LATE_MS
 from decklb.management.control_client import ControlError, query
@@ -437,11 +437,11 @@
 ) -> list[Told]:
     """All cases and seeds, a few fleets side by side, each in a process of its own."""
     plays = [{"case": c, "seed": s, "logs": logs} for s in seeds for c in cases]
-    return await side_by_side(
-        f"{__name__}:alone", Told, plays, fleets, told, lambda run: run.clean or run.late_ms <= MAX_LATE_MS
+    return await run_side_by_side(
+        f"{__name__}:isolated_run", Told, plays, fleets, told, lambda run: run.clean or run.late_ms <= MAX_LATE_MS
     )
 
 
-async def alone(case: str, seed: int, index: int, logs: str) -> AsyncIterator[Told]:
-    """One run, for `apart`."""
+async def isolated_run(case: str, seed: int, index: int, logs: str) -> AsyncIterator[Told]:
+    """One run, for `run_in_subprocess`."""
     yield await play(case, seed, index, logs)
--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -20,7 +20,7 @@
 
 from decklb.lab.checks.zone_verdict import CallRecord, ZoneFault, ZoneStateChange, ZoneVerdict, judge
 from decklb.lab.fault_runs.handoff_run import Fleet, Process, Setup
-from decklb.lab.fault_runs.isolation import side_by_side
+from decklb.lab.fault_runs.isolation import run_side_by_side
 from decklb.lab.faults.fault_schedule import CLEAN, CUT, LinkConditions
 from decklb.lab.faults.network_proxy import MAX_LATE_MS
 from decklb.locality.settings import LocalitySettings
@@ -350,11 +350,11 @@
 ) -> list[ZoneVerdict]:
     """All cases and seeds, each with every way of judging, a few fleets side by side, each in a process of its own."""
     plays = [{"case": c, "seed": s, "way": w, "logs": logs} for c in cases for s in seeds for w in ways]
-    return await side_by_side(
-        f"{__name__}:alone", ZoneVerdict, plays, fleets, told, lambda run: run.late_ms <= MAX_LATE_MS
+    return await run_side_by_side(
+        f"{__name__}:isolated_run", ZoneVerdict, plays, fleets, told, lambda run: run.late_ms <= MAX_LATE_MS
     )
 
 
-async def alone(case: str, seed: int, way: str, index: int, logs: str) -> AsyncIterator[ZoneVerdict]:
-    """One run, for `apart`."""
+async def isolated_run(case: str, seed: int, way: str, index: int, logs: str) -> AsyncIterator[ZoneVerdict]:
+    """One run, for `run_in_subprocess`."""
     yield await play(case, seed, way, index, logs)
