--- a/decklb/cli/injection.py
+++ b/decklb/cli/injection.py
@@ -11,8 +11,8 @@
 from decklb import log
 
 if TYPE_CHECKING:
-    from decklb.lab.fault_runs.connection_cut_run import Round
-    from decklb.lab.fault_runs.system_call_run import Played
+    from decklb.lab.fault_runs.connection_cut_run import CutRound
+    from decklb.lab.fault_runs.system_call_run import CaseResult
 
 
 @click.command()
@@ -47,21 +47,22 @@
 
     import ujson
 
-    from decklb.lab.fault_runs.system_call_run import PlayError, play_cases
+    from decklb.lab.fault_runs.program_process import ProgramStartError
+    from decklb.lab.fault_runs.system_call_run import play_cases
     from decklb.lab.faults.interposer import InterposerError
     from decklb.lab.faults.system_call_cases import all_cases, some_cases
 
     log.set_up("ERROR", "text")
     cases = all_cases() if part >= 1 else some_cases(seed, part)
 
-    async def play() -> list[Played]:
+    async def play() -> list[CaseResult]:
         return [_tell(played) async for played in play_cases(cases, at_once, program)]
 
     try:
         made = asyncio.run(play())
-    except (InterposerError, PlayError) as error:
+    except (InterposerError, ProgramStartError) as error:
         raise click.ClickException(str(error)) from error
-    failed = [played for played in made if played.faults]
+    failed = [played for played in made if played.violations]
     struck = sum(played.hits > 0 for played in made)
     click.echo(f"{len(made)} cases, {struck} with a call struck, {len(failed)} did not hold")
     rows = [_row(played) for played in made]
@@ -87,18 +88,18 @@
     import asyncio
 
     from decklb.lab.fault_runs.connection_cut_run import play_cuts
-    from decklb.lab.fault_runs.system_call_run import PlayError
+    from decklb.lab.fault_runs.program_process import ProgramStartError
 
     log.set_up("ERROR", "text")
 
-    async def play() -> list[Round]:
+    async def play() -> list[CutRound]:
         return [_tell_round(made) async for made in play_cuts(front, seed, rounds, program)]
 
     try:
         made = asyncio.run(play())
-    except PlayError as error:
+    except ProgramStartError as error:
         raise click.ClickException(str(error)) from error
-    failed = sum(bool(one.faults) for one in made)
+    failed = sum(bool(one.violations) for one in made)
     click.echo(f"{len(made)} rounds, {sum(one.struck for one in made)} struck, {failed} did not hold")
     if failed:
         raise SystemExit(1)
@@ -113,13 +114,13 @@
     """Start many managers as processes and one cold engine, and count what all of them together send it."""
     import asyncio
 
+    from decklb.lab.fault_runs.program_process import ProgramStartError
     from decklb.lab.fault_runs.slow_start_run import play
-    from decklb.lab.fault_runs.system_call_run import PlayError
 
     log.set_up("ERROR", "text")
     try:
         made = asyncio.run(play(managers, rate, seconds, seed))
-    except PlayError as error:
+    except ProgramStartError as error:
         raise click.ClickException(str(error)) from error
     click.echo(
         f"{made.managers} managers, {made.requests} requests, {made.served} served, {made.arrivals} at the cold "
@@ -129,21 +130,21 @@
         raise SystemExit(1)
 
 
-def _tell_round(made: Round) -> Round:
-    if made.faults:
-        click.echo(f"{made.strike.action.value} at byte {made.strike.at}: {'; '.join(made.faults)}")
+def _tell_round(made: CutRound) -> CutRound:
+    if made.violations:
+        click.echo(f"{made.strike.action.value} at byte {made.strike.at}: {'; '.join(made.violations)}")
     return made
 
 
-def _tell(played: Played) -> Played:
-    if played.faults:
-        click.echo(f"{played.case}: {'; '.join(played.faults)}")
-        for line in played.log:
+def _tell(played: CaseResult) -> CaseResult:
+    if played.violations:
+        click.echo(f"{played.case}: {'; '.join(played.violations)}")
+        for line in played.log_excerpt:
             click.echo(f"    {line.rstrip()}")
     return played
 
 
-def _row(played: Played) -> dict[str, Any]:
+def _row(played: CaseResult) -> dict[str, Any]:
     case = played.case
     return {
         "front": case.front,
@@ -152,8 +153,8 @@
         "error": case.error,
         "span": case.span,
         "hits": played.hits,
-        "answers": dict(played.answers),
-        "faults": played.faults,
+        "answers": {outcome.value: count for outcome, count in played.outcomes.items()},
+        "faults": played.violations,
     }
 
 
--- a/decklb/lab/fault_runs/connection_cut_run.py
+++ b/decklb/lab/fault_runs/connection_cut_run.py
@@ -1,7 +1,10 @@
-"""Plays requests of one key while connections to engines are struck at drawn bytes of the answers.
+"""Fault run on connections to engines, which are cut at random bytes of the answers while a key's requests come.
 
-The check is the engines': an attempt whose connection was struck did not end with a whole answer, whatever arrived of
-it, so its key rests from the strike on, and where it may have run an unsafe request is not sent again.
+The stand-in engines' records are checked. An attempt whose connection was cut has an uncertain outcome, whatever
+arrived of its answer. So its key is held back from the cut on, and a request of the class `load`, which must run at
+most once, is not sent again.
+
+`play_cuts` is called by the command `decklb lab cuts`. State lives in its `ProxiedProgram` only.
 """
 
 from __future__ import annotations
@@ -16,120 +19,165 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from decklb.lab.fault_runs.system_call_run import SETTINGS, Player
+from decklb.lab.fault_runs.program_clients import RequestOutcome
+from decklb.lab.fault_runs.program_process import RECOVERY_TIMEOUT_S, SETTINGS, ProgramProcess
 from decklb.lab.faults.connection_proxy import Action, ConnectionProxy, Strike
 from decklb.lab.standins.recording_peers import RecordedAttempt, RecordingEngine
 
-SETTLE = 0.3  # seconds that a key rests
-RULES = {"settle_after_doubt": 1000 * SETTLE}
-LINE = 3  # requests of a key, the later ones waiting for those before
-ENDS = 0.4  # share of strikes that hit right behind the last byte of an answer
-CUTS = (Action.RESET, Action.CLOSE, Action.HALF_CLOSE, Action.SILENCE)
+HOLD_DOWN_S = 0.3  # in which no request of a key is sent after an uncertain outcome
+RULES = {"settle_after_doubt": 1000 * HOLD_DOWN_S}  # the setting is in ms
+REQUESTS_PER_ROUND = 3  # of one key, the later ones waiting for those before
+LAST_BYTE_PROBABILITY = 0.4  # that a cut comes right behind the last byte of an answer
+SHORT_GAP_S = 0.01  # between two requests: the next one comes while the one before runs
+LONG_GAP_S = 0.1  # the next one comes a moment later
+SHORT_GAP_PROBABILITY = 0.5
+CONNECTION_LOST = (Action.RESET, Action.CLOSE, Action.HALF_CLOSE, Action.SILENCE)  # the answer never arrives complete
 
 
 @dataclass(slots=True)
-class Round:
-    """What came of one line of requests."""
+class CutRound:
+    """What came of one round, that is the requests of one key.
+
+    Attributes:
+        strike: What was to happen, and at which byte.
+        struck: Whether it did.
+        outcomes: Of the requests.
+        violations: What did not hold, in words; empty where all did.
+    """
 
     strike: Strike
     struck: bool
-    answers: Counter[str] = field(default_factory=Counter)
-    faults: list[str] = field(default_factory=list)
+    outcomes: Counter[RequestOutcome] = field(default_factory=Counter)
+    violations: list[str] = field(default_factory=list)
+
 
+class ProxiedProgram(ProgramProcess):
+    """A program that reaches each engine through a proxy, which can cut connections.
 
-class StruckPlayer(Player):
-    """A player with a proxy before each engine."""
+    Attributes:
+        proxies: One for each engine, in their order; empty until the start.
+    """
 
-    def __init__(self, front: str, folder: Path, tree: Path | None) -> None:
-        classes = [dict(c, serial_by_key=c["name"] == "load") for c in SETTINGS["categories"]]
-        super().__init__(front, folder, tree, SETTINGS | {"categories": classes, "rules": SETTINGS["rules"] | RULES})
+    def __init__(self, front: str, folder: Path, source_tree: Path | None) -> None:
+        categories = [dict(category, serial_by_key=category["name"] == "load") for category in SETTINGS["categories"]]
+        settings = SETTINGS | {"categories": categories, "rules": SETTINGS["rules"] | RULES}
+        super().__init__(front, folder, source_tree, settings)
         self.proxies: list[ConnectionProxy] = []
 
-    async def listed(self) -> dict[str, int]:
-        """The proxies' ports in place of the engines'."""
+    async def advertised_engine_ports(self) -> dict[str, int]:
+        """Start the proxies and return their ports in place of the engines'."""
         self.proxies = [ConnectionProxy(engine.port) for engine in self.engines]
         for proxy in self.proxies:
             await proxy.start()
         return {f"s-{i}": proxy.listen_port for i, proxy in enumerate(self.proxies)}
 
     async def stop(self) -> None:
-        """See Player."""
+        """Stop the proxies, the program and its peers."""
         for proxy in self.proxies:
             proxy.stop()
         await super().stop()
 
-    async def play_round(self, draw: random.Random) -> Round:
-        """A line of requests of one key; the first answer of any engine is struck."""
-        await self._serves(5.0)
+    async def play_round(self, rng: random.Random) -> CutRound:
+        """Send requests of one key; the first answer of each engine that gets so far is struck."""
+        await self.wait_until_serving(RECOVERY_TIMEOUT_S)
         for engine in self.engines:
             engine.attempts.clear()
-        whole = max(engine.answer_size for engine in self.engines)
-        at = whole if draw.random() < ENDS else draw.randint(1, whole)
-        strike = Strike(at, draw.choice(list(Action)))
+        strike = self._draw_strike(rng)
         for proxy in self.proxies:
             proxy.arm(strike)
-        key = self.name()
-        names = [self.name() for _ in range(LINE)]
-        links = [await self.connect("load", key) for _ in names]
-        asked = []
-        for link, name in zip(links, names, strict=True):
-            asked.append(asyncio.create_task(link.ask(name)))
-            await asyncio.sleep(0.01 if draw.random() < 0.5 else 0.1)  # waits already, or comes a moment later
-        found = Round(strike, False, Counter(await asyncio.gather(*asked)))
-        for link in links:
-            link.close()
-        found.struck = any(proxy.struck_at_s is not None for proxy in self.proxies)
-        found.faults = self._order(names) + self._overlaps()
+        key = self.new_request_name()
+        names = [self.new_request_name() for _ in range(REQUESTS_PER_ROUND)]
+        outcomes = await self._send_requests(key, names, rng)
+        struck = any(proxy.struck_at_s is not None for proxy in self.proxies)
+        violations = self._order_violations(names) + self.overlapping_attempts()
         for engine, proxy in zip(self.engines, self.proxies, strict=True):
-            if proxy.struck_at_s is not None and strike.action in CUTS:
-                found.faults += self._after(engine, proxy.struck_at_s)
+            if proxy.struck_at_s is not None and strike.action in CONNECTION_LOST:
+                violations += self._violations_after_cut(engine, proxy.struck_at_s)
             proxy.arm(None)
-        if found.answers["silent"] or found.answers["ended"]:
-            found.faults.append(f"requests without an answer: {dict(found.answers)}")
-        return found
-
-    def _runs(self) -> list[RecordedAttempt]:
-        return sorted((run for engine in self.engines for run in engine.attempts), key=lambda run: run.began)
-
-    def _order(self, names: list[str]) -> list[str]:
-        runs = [run for run in self._runs() if run.name in names]
-        faults = [
-            f"{a.name} and {b.name} at once"
-            for a, b in itertools.combinations(runs, 2)
-            if a.name != b.name and b.began < a.ended
+        if outcomes[RequestOutcome.NO_RESPONSE] or outcomes[RequestOutcome.CONNECTION_ENDED]:
+            counts = {outcome.value: count for outcome, count in outcomes.items()}
+            violations.append(f"requests without an answer: {counts}")
+        return CutRound(strike, struck, outcomes, violations)
+
+    def _draw_strike(self, rng: random.Random) -> Strike:
+        answer_size = max(engine.answer_size for engine in self.engines)
+        at_byte = answer_size if rng.random() < LAST_BYTE_PROBABILITY else rng.randint(1, answer_size)
+        return Strike(at_byte, rng.choice(list(Action)))
+
+    async def _send_requests(self, key: str, names: list[str], rng: random.Random) -> Counter[RequestOutcome]:
+        """Send the requests of a key, each on a connection of its own, and count their outcomes."""
+        connections = [await self.connect("load", key) for _ in names]
+        requests = []
+        for connection, name in zip(connections, names, strict=True):
+            requests.append(asyncio.create_task(connection.request(name)))
+            await asyncio.sleep(SHORT_GAP_S if rng.random() < SHORT_GAP_PROBABILITY else LONG_GAP_S)
+        outcomes = Counter(await asyncio.gather(*requests))
+        for connection in connections:
+            connection.close()
+        return outcomes
+
+    def _attempts_by_start(self) -> list[RecordedAttempt]:
+        attempts = (attempt for engine in self.engines for attempt in engine.attempts)
+        return sorted(attempts, key=lambda attempt: attempt.began)
+
+    def _order_violations(self, names: list[str]) -> list[str]:
+        """Describe requests of the key that ran at the same time, or in another order than they were sent in."""
+        attempts = [attempt for attempt in self._attempts_by_start() if attempt.name in names]
+        violations = [
+            f"{first.name} and {second.name} at once"
+            for first, second in itertools.combinations(attempts, 2)
+            if first.name != second.name and second.began < first.ended
         ]
-        order = [names.index(run.name) for run in runs]
-        return faults + ([f"out of order: {order}"] if order != sorted(order) else [])
-
-    def _after(self, engine: RecordingEngine, struck: float) -> list[str]:
-        """What may not follow the cut of an engine's answer at that moment."""
-        cut = max((run for run in engine.attempts if run.began < struck), key=lambda run: run.began, default=None)
-        faults: list[str] = []
-        if cut is None:  # it was struck before any request
-            return faults
-        for run in self._runs():
-            if run.began > struck and run.name == cut.name:
-                faults.append(f"{run.name} was sent again though it may have run")
-            elif struck < run.began < struck + SETTLE:
-                faults.append(f"{run.name} began {1000 * (run.began - struck):.0f} ms after the strike")
-        return faults
-
-
-async def play_cuts(front: str, seed: int, rounds: int, tree: Path | None = None) -> AsyncIterator[Round]:
-    """Play so many rounds on one process; `tree`: see Player."""
-    draw = random.Random(seed)
-    async with struck_player(front, tree) as player:
+        order = [names.index(attempt.name) for attempt in attempts]
+        if order != sorted(order):
+            violations.append(f"out of order: {order}")
+        return violations
+
+    def _violations_after_cut(self, engine: RecordingEngine, cut_at_s: float) -> list[str]:
+        """Describe attempts that should not have followed the cut of an engine's answer.
+
+        Args:
+            engine: Whose connection was cut.
+            cut_at_s: When, on the monotonic clock.
+        """
+        before_cut = (attempt for attempt in engine.attempts if attempt.began < cut_at_s)
+        cut_attempt = max(before_cut, key=lambda attempt: attempt.began, default=None)
+        if cut_attempt is None:  # it was cut before any request
+            return []
+        violations: list[str] = []
+        for attempt in self._attempts_by_start():
+            if attempt.began > cut_at_s and attempt.name == cut_attempt.name:
+                violations.append(f"{attempt.name} was sent again though it may have run")
+            elif cut_at_s < attempt.began < cut_at_s + HOLD_DOWN_S:
+                violations.append(f"{attempt.name} began {1000 * (attempt.began - cut_at_s):.0f} ms after the strike")
+        return violations
+
+
+async def play_cuts(front: str, seed: int, rounds: int, source_tree: Path | None = None) -> AsyncIterator[CutRound]:
+    """Play rounds on one process and yield what came of each.
+
+    Args:
+        front: Protocol of the clients, `platform` or `postgres`.
+        seed: Of the strikes and of the gaps between requests.
+        rounds: How many.
+        source_tree: See ProgramProcess.
+
+    Raises:
+        ProgramStartError: The program did not start.
+    """
+    rng = random.Random(seed)
+    async with running_proxied_program(front, source_tree) as program:
         for _ in range(rounds):
-            yield await player.play_round(draw)
+            yield await program.play_round(rng)
 
 
 @asynccontextmanager
-async def struck_player(front: str, tree: Path | None) -> AsyncIterator[StruckPlayer]:
-    """A player with its program running, ended afterwards."""
+async def running_proxied_program(front: str, source_tree: Path | None) -> AsyncIterator[ProxiedProgram]:
+    """Provide a started ProxiedProgram in a temporary folder, and stop it afterwards."""
     with TemporaryDirectory() as folder:
-        player = StruckPlayer(front, Path(folder), tree)
+        program = ProxiedProgram(front, Path(folder), source_tree)
         try:
-            await player.start()
-            yield player
+            await program.start()
+            yield program
         finally:
-            await player.stop()
+            await program.stop()
--- a/decklb/lab/fault_runs/slow_start_run.py
+++ b/decklb/lab/fault_runs/slow_start_run.py
@@ -1,7 +1,10 @@
-"""Many real processes of the program, warm engines and one that has just started: does the sum of them let it warm up?
+"""Fault run on slow start: many real managers, warm engines and one that has just started.
 
-The bound is the operators': within any window of `fall` ms a cold engine may get N + 2 root(N) + 2 requests of mean
-work (N under 30: N + 3 root(N) + 3), N being what the settings allow it at the window's end.
+Each manager limits what it sends to the new engine by itself; the run checks the sum. The limit is the operators':
+in any window of the setting `fall` a cold engine may get N + 2 sqrt(N) + 2 requests of mean work (where N is under 30,
+N + 3 sqrt(N) + 3), with N being what the settings allow it at the window's end.
+
+`play` is called by the command `decklb lab ramp`; state lives for one call of it only.
 """
 
 from __future__ import annotations
@@ -17,114 +20,177 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from decklb.lab.fault_runs.system_call_run import SETTINGS, Player
+from decklb.lab.fault_runs.program_clients import RequestOutcome
+from decklb.lab.fault_runs.program_process import SETTINGS, ProgramProcess
 from decklb.lab.standins.recording_peers import RecordingEngine, RespEngine, StandinDirectory
 
-CORES = 8
-COLD, SHARE, FACTOR, FALL = 15_000.0, 0.31, 3.0, 1500.0  # as the first deployment's settings name them
-WORK = 0.2  # seconds of one core that a request takes
-WARM = 3  # engines that are warm
-MANY = 30  # requests in a window from which on chance is allowed for less
+ENGINE_CORES = 8
+# The managers' settings of slow start, with the values of the first deployment.
+SLOW_START_MS = 15_000.0  # setting `cold`: age at which an engine is warm
+INITIAL_SHARE = 0.31  # setting `cold_share`: part of the full load that an engine of age 0 may get
+OVERLOAD_FACTOR = 3.0  # setting `overload_factor`: work in flight for each core
+WINDOW_MS = 1500.0  # setting `fall`, and the window that is checked
+DRAIN_GRACE_MS = 2000.0  # setting `drain_grace`
+MEAN_WORK_S = 0.2  # of one core that a request takes
+WARM_ENGINES = 3
+MANY_REQUESTS = 30  # in a window; from here on chance needs a smaller allowance
+WARM_UP_S = 2.0  # of load on warm engines, in which the managers learn what a request costs
+CONNECTIONS_PER_MANAGER = 4  # to begin with; more are opened where none is idle
 
 
 @dataclass(slots=True)
-class Ramp:
-    """What the cold engine got."""
+class SlowStartResult:
+    """What the cold engine got.
+
+    Attributes:
+        managers: Of the fleet.
+        requests: Sent after the cold engine was listed.
+        served: Of these.
+        arrivals: Attempts at the cold engine.
+        worst: The fullest window's requests, as a part of what is allowed; above 1 the limit was broken.
+    """
 
     managers: int
-    requests: int  # in all
+    requests: int
     served: int
-    arrivals: int  # at the cold engine
-    worst: float  # the most that a window held, as a part of what it might have held
+    arrivals: int
+    worst: float
 
 
-class Member(Player):
-    """One manager of the fleet; engines and directory are the fleet's."""
+class FleetManager(ProgramProcess):
+    """One manager of the fleet. The engines and the directory belong to the fleet, which starts and stops them."""
 
     def __init__(
         self, folder: Path, number: int, managers: int, engines: list[RecordingEngine], directory: StandinDirectory
     ) -> None:
-        settings: dict[str, Any] = SETTINGS | {
-            "balancers": managers,
-            "me": number,
-            "rules": SETTINGS["rules"]
-            | {"cold": COLD, "cold_share": SHARE, "overload_factor": FACTOR, "fall": FALL, "drain_grace": 2000.0},
+        rules = SETTINGS["rules"] | {
+            "cold": SLOW_START_MS,
+            "cold_share": INITIAL_SHARE,
+            "overload_factor": OVERLOAD_FACTOR,
+            "fall": WINDOW_MS,
+            "drain_grace": DRAIN_GRACE_MS,
         }
+        settings: dict[str, Any] = SETTINGS | {"balancers": managers, "me": number, "rules": rules}
         super().__init__("platform", folder, None, settings)
         self.engines, self.directory = engines, directory
 
     async def start(self) -> None:
         """Start the program alone."""
-        await self._start_program()
+        await self.start_program()
 
     async def stop(self) -> None:
-        """End the program alone."""
-        await self._end_program()
+        """Kill the program alone."""
+        await self.kill_program()
 
 
-def allowed(age: float) -> float:
-    """Requests in a window that ends when the engine is `age` ms old."""
-    share = min(1.0, SHARE + (1.0 - SHARE) * age / COLD)
-    number = FACTOR * share * CORES * FALL / (1000.0 * WORK)
-    return number + (3 * math.sqrt(number) + 3 if number < MANY else 2 * math.sqrt(number) + 2)
+def allowed_requests(engine_age_ms: float) -> float:
+    """Return how many requests an engine may get in a window at whose end it has this age."""
+    load_share = min(1.0, INITIAL_SHARE + (1.0 - INITIAL_SHARE) * engine_age_ms / SLOW_START_MS)
+    expected = OVERLOAD_FACTOR * load_share * ENGINE_CORES * WINDOW_MS / (1000.0 * MEAN_WORK_S)
+    if expected < MANY_REQUESTS:
+        return expected + (3 * math.sqrt(expected) + 3)
+    return expected + (2 * math.sqrt(expected) + 2)
 
 
-def worst_window(arrivals: list[float], started: float) -> float:
-    """The fullest window before the engine is warm, as a part of what is allowed; times in ms, in order."""
+def worst_window(arrivals_ms: list[float], started_ms: float) -> float:
+    """Return the requests of the fullest window before the engine is warm, as a part of what is allowed.
+
+    Args:
+        arrivals_ms: When requests arrived at the engine, in order.
+        started_ms: When the engine started, on the same clock.
+    """
     worst = 0.0
-    for i, at in enumerate(arrivals):
-        if at - started < COLD:
-            inside = i + 1 - bisect_left(arrivals, at - FALL)
-            worst = max(worst, inside / allowed(at - started))
+    for i, arrival_ms in enumerate(arrivals_ms):
+        age_ms = arrival_ms - started_ms
+        if age_ms < SLOW_START_MS:
+            requests_in_window = i + 1 - bisect_left(arrivals_ms, arrival_ms - WINDOW_MS)
+            worst = max(worst, requests_in_window / allowed_requests(age_ms))
     return worst
 
 
-async def play(managers: int, rate: float, seconds: float, seed: int) -> Ramp:
-    """Play a fleet: `rate` requests a second at each manager, for so long after the cold engine is listed."""
-    draw = random.Random(seed)
+async def play(managers: int, rate: float, seconds: float, seed: int) -> SlowStartResult:
+    """Start a fleet, add a cold engine under load and count what it gets.
+
+    Args:
+        managers: Processes of the fleet.
+        rate: Requests a second at each manager.
+        seconds: Of load, from the moment at which the cold engine is listed.
+        seed: Of the moments at which requests are sent.
+
+    Raises:
+        ProgramStartError: A manager did not start.
+    """
+    rng = random.Random(seed)
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(TemporaryDirectory()))
-        engines: list[RecordingEngine] = [RespEngine(work_s=WORK) for _ in range(WARM + 1)]
-        for engine in engines:
-            await engine.start()
-            stack.push_async_callback(engine.stop)
-        directory = StandinDirectory({f"s-{i}": engine.port for i, engine in enumerate(engines[:WARM])})
+        engines = await _start_engines(stack)
+        cold_engine = engines[WARM_ENGINES]
+        directory = StandinDirectory({f"s-{i}": engine.port for i, engine in enumerate(engines[:WARM_ENGINES])})
         await directory.start()
         stack.callback(directory.stop)
-        members = []
-        for number in range(managers):
-            (folder / str(number)).mkdir()
-            member = Member(folder / str(number), number, managers, engines, directory)
-            stack.push_async_callback(member.stop)
-            await member.start()
-            members.append(member)
-        before = asyncio.gather(*[_load(member, rate, 2.0, draw) for member in members])
-        await before  # classes are learned on warm engines
-        started = time.monotonic()
-        directory.add(f"s-{WARM}", engines[WARM].port, round(time.time() * 1000))
-        answers = [a for many in await asyncio.gather(*[_load(m, rate, seconds, draw) for m in members]) for a in many]
-        arrivals = sorted(1000 * run.began for run in engines[WARM].attempts)
-        return Ramp(
-            managers, len(answers), answers.count("served"), len(arrivals), worst_window(arrivals, 1000 * started)
+        fleet = await _start_managers(stack, folder, managers, engines, directory)
+        await asyncio.gather(*[_send_load(manager, rate, WARM_UP_S, rng) for manager in fleet])
+        started_s = time.monotonic()
+        directory.add(f"s-{WARM_ENGINES}", cold_engine.port, round(time.time() * 1000))
+        outcomes_by_manager = await asyncio.gather(*[_send_load(manager, rate, seconds, rng) for manager in fleet])
+        outcomes = [outcome for of_manager in outcomes_by_manager for outcome in of_manager]
+        arrivals_ms = sorted(1000 * attempt.began for attempt in cold_engine.attempts)
+        return SlowStartResult(
+            managers=managers,
+            requests=len(outcomes),
+            served=outcomes.count(RequestOutcome.SERVED),
+            arrivals=len(arrivals_ms),
+            worst=worst_window(arrivals_ms, 1000 * started_s),
         )
 
 
-async def _load(member: Member, rate: float, seconds: float, draw: random.Random) -> list[str]:
-    """Requests at random moments, each on a connection that is free."""
-    idle, tasks = [await member.connect() for _ in range(4)], []
-    end = time.monotonic() + seconds
-
-    async def one() -> str:
-        link = idle.pop() if idle else await member.connect()
-        answer = await link.ask(member.name())
-        if not link.over:
-            idle.append(link)
-        return answer
+async def _start_engines(stack: AsyncExitStack) -> list[RecordingEngine]:
+    """Start the warm engines and, last, the cold one; the stack stops them."""
+    engines: list[RecordingEngine] = [RespEngine(work_s=MEAN_WORK_S) for _ in range(WARM_ENGINES + 1)]
+    for engine in engines:
+        await engine.start()
+        stack.push_async_callback(engine.stop)
+    return engines
+
+
+async def _start_managers(
+    stack: AsyncExitStack, folder: Path, count: int, engines: list[RecordingEngine], directory: StandinDirectory
+) -> list[FleetManager]:
+    """Start the managers, each in a folder of its own; the stack stops them."""
+    fleet = []
+    for number in range(count):
+        (folder / str(number)).mkdir()
+        manager = FleetManager(folder / str(number), number, count, engines, directory)
+        stack.push_async_callback(manager.stop)
+        await manager.start()
+        fleet.append(manager)
+    return fleet
+
+
+async def _send_load(manager: ProgramProcess, rate: float, seconds: float, rng: random.Random) -> list[RequestOutcome]:
+    """Send requests at random moments, each on an idle connection, and return their outcomes.
+
+    Args:
+        manager: That gets them.
+        rate: Requests a second on average; the gaps are drawn from an exponential distribution.
+        seconds: In which they are sent.
+        rng: Draws the gaps.
+    """
+    idle = [await manager.connect() for _ in range(CONNECTIONS_PER_MANAGER)]
+    requests = []
+
+    async def send_one() -> RequestOutcome:
+        connection = idle.pop() if idle else await manager.connect()
+        outcome = await connection.request(manager.new_request_name())
+        if not connection.is_closed:
+            idle.append(connection)
+        return outcome
 
+    end = time.monotonic() + seconds
     while time.monotonic() < end:
-        await asyncio.sleep(draw.expovariate(rate))
-        tasks.append(asyncio.create_task(one()))
-    answers = list(await asyncio.gather(*tasks))
-    for link in idle:
-        link.close()
-    return answers
+        await asyncio.sleep(rng.expovariate(rate))
+        requests.append(asyncio.create_task(send_one()))
+    outcomes = list(await asyncio.gather(*requests))
+    for connection in idle:
+        connection.close()
+    return outcomes
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from decklb.lab.fault_runs.system_call_run import Player, play_cases, running
+from decklb.lab.fault_runs.program_process import ProgramProcess, running_program
+from decklb.lab.fault_runs.system_call_run import play_cases
 from decklb.lab.faults import system_call_cases as cases
 from decklb.lab.faults.interposer import CALLS, Interposer, InterposerError
 
@@ -25,7 +26,7 @@
         return [played async for played in play_cases(chosen, 2)]
 
     made = asyncio.run(play())
-    assert [(str(p.case), p.faults, p.log) for p in made if p.faults] == []
+    assert [(str(p.case), p.violations, p.log_excerpt) for p in made if p.violations] == []
     assert sum(p.hits > 0 for p in made) >= 0.8 * len(made)
 
 
@@ -45,20 +46,20 @@
 
 
 def started(front, act):
-    """What `act(player)` gives on a program that runs."""
+    """What `act(program)` gives on a program that runs."""
 
     async def play():
-        async with running(front) as player:
-            return await act(player)
+        async with running_program(front) as program:
+            return await act(program)
 
     return asyncio.run(play())
 
 
 @pytest.mark.parametrize("front", cases.FRONTS)
 def test_calls_that_move_a_byte_at_a_time_change_no_answer(front):
-    async def act(player):
-        rules = [player.interposer.fail(call, most=1) for call in ("recv", "send")]
-        answers = [await player.ask() for _ in range(3)]
+    async def act(program):
+        rules = [program.interposer.fail(call, most=1) for call in ("recv", "send")]
+        answers = [await program.request_on_new_connection() for _ in range(3)]
         return answers, [rule.hits > 100 for rule in rules]
 
     assert started(front, act) == (["served"] * 3, [True, True])
@@ -71,14 +72,14 @@
     """Seen before: the process did not start."""
 
     async def play():
-        player = Player("platform", tmp_path, None)
-        rule = player.interposer.fail(call, error, count=1)
+        program = ProgramProcess("platform", tmp_path, None)
+        rule = program.interposer.fail(call, error, count=1)
         try:
-            await player.start()
-            answer, asked = await player.ask(), await player._asked_again(0)
+            await program.start()
+            answer, asked = await program.request_on_new_connection(), await program.wait_for_directory_question(0)
             return rule.hits, answer, asked
         finally:
-            await player.stop()
+            await program.stop()
 
     assert asyncio.run(play()) == (1, "served", True)
 
@@ -86,21 +87,21 @@
 @pytest.mark.parametrize("seconds", [3600.0, -3600.0, 5.0, -5.0])
 @pytest.mark.parametrize("when", ["under-requests", "in-a-reload", "in-a-drain"])
 def test_a_wall_clock_that_is_set_changes_no_answer_and_no_end(seconds, when):
-    async def act(player):
-        process = player._process
+    async def act(program):
+        process = program.process
         if when == "in-a-drain":
             process.terminate()
-            while not player.logged("draining"):
+            while not program.first_log_line("draining"):
                 await asyncio.sleep(0.01)
-        open_ = [asyncio.create_task(player.ask()) for _ in range(5)]
-        player.interposer.set_wall_clock(seconds)
+        open_ = [asyncio.create_task(program.request_on_new_connection()) for _ in range(5)]
+        program.interposer.set_wall_clock(seconds)
         answers = await asyncio.gather(*open_)
         if when == "in-a-reload":
             process.send_signal(signal.SIGHUP)
-            while not player.logged("configuration read"):
+            while not program.first_log_line("configuration read"):
                 await asyncio.sleep(0.01)
         if when != "in-a-drain":
-            answers += [await player.ask() for _ in range(5)]
+            answers += [await program.request_on_new_connection() for _ in range(5)]
             process.terminate()
         async with asyncio.timeout(20):
             await process.wait()
@@ -113,14 +114,14 @@
 def test_what_waits_in_the_queue_at_a_drain_is_answered_in_spite_of_errors():
     """Seen before: one error ended the loop, and the listener was closed on who still waited."""
 
-    async def act(player):
-        player._process.terminate()
-        while not player.logged("draining"):
+    async def act(program):
+        program.process.terminate()
+        while not program.first_log_line("draining"):
             await asyncio.sleep(0.01)
-        player.interposer.fail("accept4", errno.ENFILE, port=player.port, count=20)
-        answers = await asyncio.gather(*[player.ask() for _ in range(10)])
-        await player._process.wait()
-        return set(answers) <= {"served", "refused"}, player._process.returncode
+        program.interposer.fail("accept4", errno.ENFILE, port=program.port, count=20)
+        answers = await asyncio.gather(*[program.request_on_new_connection() for _ in range(10)])
+        await program.process.wait()
+        return set(answers) <= {"served", "refused"}, program.process.returncode
 
     assert started("platform", act) == (True, 0)
 
