--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -1,5 +1,7 @@
-"""Fault runs between real processes: managers that take over one another's work, their engines, clients that come
-back, and faults by seed between all of them. On loopback, bounded in time and count; see docs/faults.md.
+"""Fault runs of the handoff between real processes.
+
+Managers that take over one another's requests, their engines, clients that retry, and faults by seed between all of
+them. On loopback, bounded in time and count; see docs/faults.md.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 
 from decklb.cluster import keyfile
 from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
-from decklb.lab.fault_runs.isolation import TRIES, apart
+from decklb.lab.fault_runs.isolation import MAX_ATTEMPTS, run_in_subprocess
 from decklb.lab.faults import free_ports as ports
 from decklb.lab.faults.fault_schedule import CUT, LOSSY, FleetFault, FleetFaultKind, draw_schedule
 from decklb.lab.faults.network_proxy import MAX_LATE_MS, Address, NetworkProxy
@@ -246,8 +248,10 @@
             self.since[name] = time.monotonic()
 
     async def remember(self) -> None:
-        """Wait until every manager remembers for longer than any record lives, so that each may vote again; one that
-        keeps its records on disk does so by itself."""
+        """Wait until every manager remembers for longer than any record lives, so that each may vote again.
+
+        One that keeps its records on disk does so by itself.
+        """
         await asyncio.sleep(max(0.0, max(self.since.values()) + self.setup.life / 1000 + 0.3 - time.monotonic()))
 
     async def strike(self, fault: FleetFault) -> None:
@@ -288,8 +292,10 @@
         return sum(event in line for line in lines)
 
     def late(self, since: float) -> float:
-        """ms by which the rig or a manager came late at worst since a moment, by the managers' own words: for runs that
-        stop nobody on purpose."""
+        """How late the rig or a manager was at worst since a moment, in ms, by their own logs.
+
+        For runs that stop nobody on purpose.
+        """
         worst = self.rig.late_ms
         for p in self.managers.values():
             for line, at in zip(p.lines, p.stamps, strict=False):
@@ -389,8 +395,10 @@
 
 
 async def play(fleet: Fleet, seed: int, turn: int = 0) -> tuple[Verdict, list[FleetFault]]:
-    """One run on a fleet that is up: faults by seed while requests come, all undone before the end. `turn` counts runs
-    of the same seed on it, whose keys must not be those of the run before."""
+    """One run on a fleet that is up: faults by seed while requests come, all undone before the end.
+
+    `turn` counts runs of the same seed on it, whose keys must not be those of the run before.
+    """
     s, rng = fleet.setup, random.Random(seed)
     faults = draw_schedule(seed, fleet.names, s.span, s.faults, s.kinds)
     start, fleet.rig.late_ms = time.monotonic(), 0.0
@@ -432,15 +440,17 @@
 async def campaign(
     setup: Setup, seeds: list[int], fleets: int, told: Callable[[int, Verdict, list[FleetFault]], None], logs: str = ""
 ) -> tuple[list[Verdict], dict[str, int]]:
-    """Runs of all seeds, divided among fleets side by side, each in a process of its own; each lives on from run to
-    run. `logs`: a folder for what the managers of a run that was not clean have said."""
+    """Runs of all seeds, divided among fleets side by side, each in a process of its own that lives on from run to run.
+
+    `logs`: a folder for the logs of the managers of a run that was not clean.
+    """
     verdicts: list[Verdict] = []
     counts = dict.fromkeys(COUNTED, 0)
 
     async def one(index: int) -> None:
         last: dict[str, int] = {}
-        async for run in apart(
-            f"{__name__}:alone", Played, setup=setup, seeds=seeds[index::fleets], index=index, logs=logs
+        async for run in run_in_subprocess(
+            f"{__name__}:isolated_runs", Played, setup=setup, seeds=seeds[index::fleets], index=index, logs=logs
         ):
             told(run.seed, run.verdict, run.faults)
             last = run.logged
@@ -453,19 +463,19 @@
     return verdicts, counts
 
 
-async def alone(setup: dict[str, Any], seeds: list[int], index: int, logs: str) -> AsyncIterator[Played]:
-    """The runs of one fleet, for `apart`."""
+async def isolated_runs(setup: dict[str, Any], seeds: list[int], index: int, logs: str) -> AsyncIterator[Played]:
+    """The runs of one fleet, for `run_in_subprocess`."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(msgspec.convert(setup, Setup), seeds[0] * 1000 + index, folder, index)
         try:
             await fleet.start()
             for seed in seeds:
-                for turn in range(TRIES):
+                for turn in range(MAX_ATTEMPTS):
                     await fleet.remember()
                     verdict, faults = await play(fleet, seed, turn)
                     if logs and not verdict.clean:
                         await asyncio.to_thread(fleet.keep_logs, Path(logs) / str(seed))
-                    again = turn < TRIES - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
+                    again = turn < MAX_ATTEMPTS - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
                     yield Played(seed, verdict, faults, {name: fleet.logged(name) for name in COUNTED}, again)
                     if not again:
                         break
@@ -485,9 +495,12 @@
 
 
 async def cost(setup: Setup, requests: int, at_once: int, seed: int) -> dict[str, dict[str, float]]:
-    """What it costs to protect a statement: ms from sending to the whole answer, with a key and without, in turns on
-    the same sessions of a fleet without faults; and memory, by what the managers hold at the end and after all of it
-    has lapsed. The engines' own part is next to nothing."""
+    """What it costs to protect a statement, in latency and memory.
+
+    Latency is ms from sending to the complete answer, with a key and without, in turns on the same sessions of a fleet
+    without faults; memory is what the managers hold at the end and after all of it has lapsed. The engines' own part is
+    next to nothing.
+    """
     rng = random.Random(seed)
     took: dict[str, list[float]] = {"without": [], "with": []}
 
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -1,5 +1,7 @@
-"""Fault runs of maintenance between real processes: machines taken out by the fleet's plan while callers send, its
-driver killed, members cut off, zones lost. On loopback, bounded; see docs/faults.md.
+"""Fault runs of maintenance between real processes.
+
+Machines are taken out by the fleet's plan while callers send, its driver is killed, members are cut off, zones lost. On
+loopback, bounded; see docs/faults.md.
 
 The rig does the work that operators would: once the plan says that an engine is out it kills and restarts it, and it
 starts a manager again that has ended at the plan's word. Callers whose manager ends ask another, as clients do.
@@ -20,7 +22,7 @@
 
 from decklb.lab.checks.zone_verdict import CallRecord
 from decklb.lab.fault_runs.handoff_run import Process
-from decklb.lab.fault_runs.isolation import side_by_side
+from decklb.lab.fault_runs.isolation import run_side_by_side
 from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
 from decklb.lab.faults.network_proxy import MAX_LATE_MS
 from decklb.management.control_client import ControlError, query
@@ -277,8 +279,11 @@
 
 
 def _overlapping(fleet: Upkeep) -> tuple[int, int]:
-    """Requests that had two runs out at one moment, and those that ran more than once. Without a name a client whose
-    manager was killed asks another, and the engine goes on with what nobody called off: that is another request."""
+    """Requests that had two runs out at one moment, and those that ran more than once.
+
+    Without a name a client whose manager was killed asks another, and the engine goes on with what nobody cancelled:
+    that is another request.
+    """
     runs: dict[tuple[str, int], dict[tuple[str, int], list[float]]] = {}
     for x in fleet.witnessed():
         runs.setdefault((x.key, 0 if fleet.named else x.manager), {}).setdefault((x.engine, x.run), []).append(x.at)
@@ -316,7 +321,7 @@
     return bool(plan["jobs"]) and set(_stages(plan)) == {"done"}
 
 
-async def _rolling(fleet: Upkeep, rng: random.Random, told: Told) -> None:
+async def _rolling(fleet: Upkeep, rng: random.Random, _told: Told) -> None:
     await _request(fleet, rng.choice(fleet.names), "upgrade", "z0")
     await _until(fleet, _all_done)
 
@@ -437,11 +442,11 @@
 ) -> list[Told]:
     """All cases and seeds, a few fleets side by side, each in a process of its own."""
     plays = [{"case": c, "seed": s, "logs": logs} for s in seeds for c in cases]
-    return await side_by_side(
-        f"{__name__}:alone", Told, plays, fleets, told, lambda run: run.clean or run.late_ms <= MAX_LATE_MS
+    return await run_side_by_side(
+        f"{__name__}:isolated_run", Told, plays, fleets, told, lambda run: run.clean or run.late_ms <= MAX_LATE_MS
     )
 
 
-async def alone(case: str, seed: int, index: int, logs: str) -> AsyncIterator[Told]:
-    """One run, for `apart`."""
+async def isolated_run(case: str, seed: int, index: int, logs: str) -> AsyncIterator[Told]:
+    """One run, for `run_in_subprocess`."""
     yield await play(case, seed, index, logs)
--- a/decklb/lab/standins/engine_server.py
+++ b/decklb/lab/standins/engine_server.py
@@ -269,5 +269,5 @@
 
 
 def moment() -> float:
-    """ms on the monotonic clock."""
+    """Milliseconds on the monotonic clock."""
     return time.monotonic() * 1000.0
--- a/decklb/lab/standins/observer_engine.py
+++ b/decklb/lab/standins/observer_engine.py
@@ -1,5 +1,6 @@
-"""Stand-in PostgreSQL engines in a process of their own, which write down each run of a statement: the fault runs'
-witnesses.
+"""Stand-in PostgreSQL engines in a process of their own, which write down each run of a statement.
+
+The fault runs judge by what they wrote.
 
 `python -m decklb.lab.standins.observer_engine NAME LOG PORTS` listens on one port for each manager, so that a run can
 be laid at the manager that sent it, prints them, and serves until it is killed. PORTS are JSON; one that
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 
+from tests.source_trees import syntax_tree
 from tests.standins import ROOT
 
 OFF = (
@@ -145,7 +146,7 @@
 
 def imported(path, known):
     found = set()
-    for node in ast.walk(ast.parse(path.read_text())):
+    for node in ast.walk(syntax_tree(path)):
         if isinstance(node, ast.Import):
             found |= {alias.name for alias in node.names if alias.name in known}
         elif isinstance(node, ast.ImportFrom):
--- a/tests/test_log_page.py
+++ b/tests/test_log_page.py
@@ -5,13 +5,12 @@
 import ast
 import re
 
+from tests.source_trees import syntax_tree
 from tests.standins import ROOT
 
 PAGE = (ROOT / "docs" / "operations" / "logs.md").read_text()
 SOURCES = [
-    ast.parse(path.read_text())
-    for path in sorted((ROOT / "decklb").rglob("*.py"))
-    if "lab" not in path.relative_to(ROOT).parts
+    syntax_tree(path) for path in sorted((ROOT / "decklb").rglob("*.py")) if "lab" not in path.relative_to(ROOT).parts
 ]
 # Calls whose first argument is an event code.
 CODE_FIRST = {"Notice", "HandoffEvent", "log", "_log_error"}
--- a/tests/test_policy_imports.py
+++ b/tests/test_policy_imports.py
@@ -4,13 +4,14 @@
 
 import ast
 
+from tests.source_trees import syntax_tree
 from tests.standins import ROOT
 
 ALLOWED = {"__future__", "bisect", "collections", "dataclasses", "hashlib", "math", "random", "struct", "typing"}
 
 
 def imported(path):
-    for node in ast.walk(ast.parse(path.read_text())):
+    for node in ast.walk(syntax_tree(path)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
--- a/tests/test_policy_size.py
+++ b/tests/test_policy_size.py
@@ -5,6 +5,7 @@
 import ast
 import tomllib
 
+from tests.source_trees import syntax_tree
 from tests.standins import ROOT
 
 MAX_FILE_LINES = 220
@@ -27,6 +28,6 @@
 
 def test_functions_of_the_decision_module_are_short():
     for path in (ROOT / "decklb" / "policy").glob("*.py"):
-        for node in ast.walk(ast.parse(path.read_text())):
+        for node in ast.walk(syntax_tree(path)):
             if isinstance(node, ast.FunctionDef):
                 assert node.end_lineno - node.lineno + 1 <= MAX_FUNCTION_LINES, f"{path.name}: {node.name}"
