--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -1,7 +1,7 @@
 """Fault runs of the locality between real processes.
 
-Managers and engines in three zones of two regions; a zone is lost, cut off from some, slow, and so on, while the managers
-decide in common or each alone. On loopback, bounded; see docs/faults.md.
+Managers and engines in three zones of two regions; a zone is lost, cut off from some, slow, and so on, while the
+managers decide in common or each alone. On loopback, bounded; see docs/faults.md.
 """
 
 from __future__ import annotations
