--- a/decklb/lab/experiments/experiment_file.py
+++ b/decklb/lab/experiments/experiment_file.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any
 
+from decklb.config.document import boolean
 from decklb.config.errors import Fault as FileFault
 from decklb.config.errors import SettingsError
 from decklb.config.units import parse_duration_ms, parse_fraction
@@ -26,11 +27,6 @@
 DEFAULT_TENANTS = (Tenant("t", 1.0),)
 
 
-def boolean(text: str) -> bool:
-    """Read an XML Schema boolean."""
-    return text in ("true", "1")
-
-
 WORLD: Attributes = {
     "managers": ("managers", int),
     "engines": ("engines", int),
--- a/tests/source_trees.py
+++ b/tests/source_trees.py
@@ -12,8 +12,8 @@
 def syntax_tree(path: Path) -> ast.Module:
     """The tree of a module, parsed once.
 
-    CPython 3.11 raises "AST constructor recursion depth mismatch" where a garbage collection during the parse runs a
-    finalizer that raises, such as that of a transport whose loop has closed; so nothing is collected meanwhile.
+    CPython 3.11 raises SystemError, "AST constructor recursion depth mismatch", where a garbage collection during a
+    parse runs a finalizer that parses something itself; so nothing is collected meanwhile.
     """
     was_enabled = gc.isenabled()
     gc.disable()
