--- a/decklb/config/platform.py
+++ b/decklb/config/platform.py
@@ -11,7 +11,7 @@
 from decklb.config.errors import ConfigError
 from decklb.config.model import Config, parse_address
 from decklb.interface import Settings
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 
 if TYPE_CHECKING:
     from decklb.bgp.settings import BgpSettings
@@ -26,7 +26,7 @@
     try:
         known = raw.get("known") or {}
         limits = raw.get("limits") or {}
-        settings = settings_from(raw["settings"])
+        settings = parse_settings(raw["settings"])
         return Config(
             name=raw.get("name") or os.environ.get("LB_NAME", "decklb"),
             listen=parse_address(raw.get("listen") or os.environ.get("LB_LISTEN", "")),
--- a/decklb/core/ports.py
+++ b/decklb/core/ports.py
@@ -1,7 +1,7 @@
-"""The ports of the core: what the dispatcher needs from the outside, and what fronts bring to it.
+"""Ports of the core: the interfaces between the dispatcher, the fronts and the runtime.
 
-The core knows no wire. Fronts (`net`, `pg`, `middleware`) read requests, engine clients of the same packages run
-attempts, the reactor supplies the clock. Times are milliseconds on a monotonic clock.
+The core is independent of any wire protocol. The fronts (`net`, `pg`, `middleware`) read requests, the engine clients
+of the same packages run attempts, and the reactor supplies the clock. Times are milliseconds on a monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,68 +17,71 @@
 class IncomingRequest:
     """One request as a front read it.
 
-    The client's request id, the class, the statement and the deduplication token go to engines unchanged.
+    The client's request id, the class, the statement and the deduplication token are passed to engines unchanged.
     """
 
     client_request_id: str
     request_class: str
     tenant: str
-    budget_ms: float  # how long its client waits, counted from when it sent the request
+    budget_ms: float  # how long the client waits for the answer, counted from when it sent the request
     statement: bytes
     table_group: int = 0
-    ordering_key: str | None = None  # requests of one key run one after another, where the class asks for it
+    ordering_key: str | None = None  # requests with the same key run one after another if their class requires it
     deduplication_token: str = ""
-    idempotency_key: str = ""  # under which its client may ask any manager for its one answer again; "": none
+    idempotency_key: str = ""  # with this key the client can ask any manager again for the same answer; "": none
 
 
 class Timer(Protocol):
-    """A call that is still to come."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Forget the call."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
-    """Monotonic time and calls at a later time."""
+    """A monotonic clock that can schedule calls."""
 
     def now(self) -> float:
-        """Milliseconds since an arbitrary moment."""
+        """Return the current time in ms since an arbitrary moment."""
 
-    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Make the call once, after `delay` ms."""
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
+        """Schedule one call of `callback` after `delay_ms`."""
 
 
 class ResponseSink(Protocol):
-    """Where a front receives the final answer of a request: exactly one of these methods is called, once."""
+    """Receives the final answer of a request for its front: exactly one of these methods is called, once."""
 
     def served(self, result: bytes) -> None:
-        """The complete result."""
+        """The request succeeded; `result` is complete."""
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Not served, and a retry is harmless; it should come after `retry_after_ms` (0: not told)."""
+        """The request was not executed and is safe to retry, after `retry_after_ms` (0: unspecified)."""
 
     def failed(self) -> None:
-        """Failed, with no promise about what was done."""
+        """The request failed; it may or may not have been executed."""
 
 
 class RequestHandler(Protocol):
-    """What a front hands its requests to: the dispatcher, or a subsystem that stands before it."""
+    """Accepts requests from a front: the dispatcher, or a subsystem in front of it."""
 
-    def submit(self, work: IncomingRequest, sink: ResponseSink) -> Any:
-        """Take a request; its sink gets one answer, unless it is abandoned. Returns a handle for the other methods."""
+    def submit(self, request: IncomingRequest, sink: ResponseSink) -> Any:
+        """Accept a request and return a handle for the other methods.
 
-    def abandon(self, taken: Any) -> None:
-        """The client has disconnected: nobody waits for an answer."""
+        The sink gets exactly one answer, unless the request is abandoned or cancelled.
+        """
 
-    def cancel(self, taken: Any) -> None:
-        """The client has cancelled the request: no answer, and its work is stopped."""
+    def abandon(self, handle: Any) -> None:
+        """The client has disconnected, so nobody waits for an answer."""
+
+    def cancel(self, handle: Any) -> None:
+        """The client has cancelled the request: send no answer and stop its execution."""
 
 
 class ZoneRouter(Protocol):
-    """Chooses zones for requests, above the policy's choice of an engine."""
+    """Selects the zones for a request before the policy selects an engine."""
 
     def route(self, request_class: str) -> tuple[str, Collection[str] | None]:
-        """For one request: the zone to prefer ("" for any), and all zones that it may use (None for any)."""
+        """Return the preferred zone ("" for any) and all allowed zones (None for any) for one request."""
 
     def attempt_ended(self, engine_id: str, request_class: str, outcome: Outcome, duration_ms: float) -> None:
-        """How an attempt of that class ended at an engine."""
+        """Record the outcome and duration of an attempt of that class at an engine."""
--- a/decklb/policy/concurrency.py
+++ b/decklb/policy/concurrency.py
@@ -66,7 +66,7 @@
         self._threads.clear()
         for engine in engines:
             for key, group in engine.in_flight.items():
-                run_ms = group.statistics.run_ms * group.size_step
+                run_ms = group.statistics.run_ms * group.size_bucket
                 _, threads = self._threads.get(key, (run_ms, 0))
                 # What was surely lost must not fill the limit.
                 self._threads[key] = run_ms, threads + group.threads_since(now - SURELY_LOST_RUNS * run_ms)
@@ -74,7 +74,7 @@
     def add_attempt(self, attempt: Attempt) -> None:
         """Count an attempt sent since."""
         spec = attempt.request.spec
-        key = spec.name, attempt.size_step
+        key = spec.name, attempt.size_bucket
         run_ms, threads = self._threads.get(key, (attempt.request.expected_run_ms(), 0))
         self._threads[key] = run_ms, threads + spec.threads
 
--- a/decklb/policy/engines.py
+++ b/decklb/policy/engines.py
@@ -41,15 +41,15 @@
                 engine = self.by_id[entry.engine_id] = Engine(
                     entry, float(max(1, cores.get(entry.kind, 1))), now
                 )
-            engine.entry = entry
+            engine.endpoint = entry
             engine.started_at = max(engine.started_at, entry.started_at_ms or LONG_AGO)
         listed = {entry.engine_id for entry in entries}
         for name, engine in list(self.by_id.items()):
             if complete and name not in listed:
-                engine.entry = replace(engine.entry, phase=Phase.REMOVED)
-            if engine.entry.phase is Phase.REMOVED and not engine.attempts:
+                engine.endpoint = replace(engine.endpoint, phase=Phase.REMOVED)
+            if engine.endpoint.phase is Phase.REMOVED and not engine.attempts:
                 del self.by_id[name]
-        up = [engine for engine in self.by_id.values() if engine.entry.phase is Phase.UP]
+        up = [engine for engine in self.by_id.values() if engine.endpoint.phase is Phase.UP]
         if up != self._up:
             self._up, self.by_tag = up, {engine.tag(): engine for engine in up}
             self._orders.clear()
@@ -59,6 +59,6 @@
         if group not in self._orders:
             self._orders[group] = sorted(
                 self._up,
-                key=lambda engine: (not engine.preferred, engine.hash_for(group), engine.entry.engine_id),
+                key=lambda engine: (not engine.preferred, engine.hash_for(group), engine.endpoint.engine_id),
             )
         return self._orders[group]
--- a/decklb/policy/gateway.py
+++ b/decklb/policy/gateway.py
@@ -315,13 +315,13 @@
         wait_ms = max(settings.tick_ms, arrival.time_left_ms - (self.now - request.arrived_at))
         if engine.on_trial:
             wait_ms = min(wait_ms, MAYBE_LOST_RUNS * request.statistics.run_ms)
-        attempt = Attempt(request, len(request.attempts), engine, self.now, request.size_step())
+        attempt = Attempt(request, len(request.attempts), engine, self.now, request.size_bucket())
         request.attempts.append(attempt)
         engine.add_attempt(attempt)
         engine.reported_load += request.spec.threads / engine.cores
         self.limit.add_attempt(attempt)
         self.slow_start.record_send(engine, request.statistics.work_ms, self.now)
-        self.actions.append(api.StartAttempt(arrival.request_id, engine.entry.engine_id, wait_ms))
+        self.actions.append(api.StartAttempt(arrival.request_id, engine.endpoint.engine_id, wait_ms))
 
     def _cancel_for_retry(self, attempt: Attempt) -> None:
         """Cancel an attempt; its outcome leads to a retry elsewhere."""
@@ -340,7 +340,7 @@
         """The final answer without a result: rejected where a client's retry is harmless, else failed."""
         spec, settings = request.spec, self.settings
         is_deduplicated = spec.effect is Effect.KEYED and spec.deduplication_scope == "all"
-        if request.first_executed() is None or spec.effect is Effect.SAFE or is_deduplicated:
+        if request.first_possibly_executed() is None or spec.effect is Effect.SAFE or is_deduplicated:
             wait_ms = min(settings.max_retry_after_ms, spec.latency_objective_ms) * settings.retry_after
             self.actions.append(api.Reject(request.arrival.request_id, wait_ms))
         else:
--- a/decklb/policy/load_reports.py
+++ b/decklb/policy/load_reports.py
@@ -51,7 +51,7 @@
             if self._saved_probes >= 1 and engine.probe_sent_at == LONG_AGO:
                 self._saved_probes -= 1
                 engine.probe_sent_at = now
-                actions.append(CheckHealth(engine.entry.engine_id))
+                actions.append(CheckHealth(engine.endpoint.engine_id))
         return actions
 
     def record(
--- a/decklb/policy/memory_grants.py
+++ b/decklb/policy/memory_grants.py
@@ -28,7 +28,7 @@
     grant_mb: float = ratio * (request.arrival.estimated_memory_mb or 1.0) ** MEMORY_ESTIMATE_EXPONENT
     return min(
         grant_mb,
-        settings.largest_grant_fraction * settings.memory_mb_by_kind.get(engine.entry.kind, grant_mb),
+        settings.largest_grant_fraction * settings.memory_mb_by_kind.get(engine.endpoint.kind, grant_mb),
     )
 
 
--- a/decklb/policy/retry_budget.py
+++ b/decklb/policy/retry_budget.py
@@ -69,7 +69,7 @@
     def allows(self, request: Request, now: float) -> bool:
         """Whether class, number of attempts, time left and the budget allow another attempt."""
         settings, spec = self._settings, request.spec
-        executed = request.first_executed()
+        executed = request.first_possibly_executed()
         if request.closed or request.streaming or len(request.attempts) >= settings.max_attempts:
             return False
         if is_hopeless(request, now, settings.tick_ms):
--- a/decklb/policy/routing.py
+++ b/decklb/policy/routing.py
@@ -57,7 +57,7 @@
             return self._choose_by_reports(request, order, now, actions)
         wanted = max(CHOICES, math.ceil(THREADS_COMPARED * len(order) / max(1.0, self._limit.thread_limit)))
         preferred, last_resort = list[Engine](), list[Engine]()
-        executed = request.first_executed()
+        executed = request.first_possibly_executed()
         for engine in order:
             if not self._is_usable(request, engine, executed, now):
                 continue
@@ -73,7 +73,7 @@
             key=lambda engine: (
                 engine.threads / engine.cores + (1 - self._limit.traffic_fraction) * engine.slowdown,
                 round(engine.slowdown),
-                engine.entry.zone != self._settings.zone,
+                engine.endpoint.zone != self._settings.zone,
                 self._rng.random(),
             ),
         )
@@ -98,7 +98,7 @@
             key=lambda engine: (
                 engine.reported_load * engine.slowdown,
                 round(engine.slowdown),
-                engine.entry.zone != self._settings.zone,
+                engine.endpoint.zone != self._settings.zone,
                 self._rng.random(),
             ),
         )
@@ -109,7 +109,7 @@
         first, oldest = int(request.order_offset * REPORTED_HEAD), now - reports.max_age_ms
         tail = sorted(order[REPORTED_HEAD:], key=lambda engine: engine.reported_at < oldest)
         candidates = Candidates([], [], [])
-        executed = request.first_executed()
+        executed = request.first_possibly_executed()
         for i, engine in enumerate(order[first:REPORTED_HEAD] + order[:first] + tail):
             if not self._is_usable(request, engine, executed, now):
                 continue
@@ -145,9 +145,9 @@
         if request.attempts and request.attempts[-1].engine is engine:
             return True
         spec, arrival = request.spec, request.arrival
-        if (spec.waits_for_loads or spec.locks_tables) and engine.runs_load_on(arrival.table_group):
+        if (spec.waits_for_loads or spec.locks_tables) and engine.is_loading_tables(arrival.table_group):
             return True
-        return not engine.preferred or arrival.preferred_zone not in ("", engine.entry.zone)
+        return not engine.preferred or arrival.preferred_zone not in ("", engine.endpoint.zone)
 
     def _prefer_cold(self, engines: list[Engine], now: float) -> list[Engine]:
         """A turn at a cold engine is used first where several are compared."""
@@ -160,12 +160,12 @@
 
 def is_placeable(request: Request, engine: Engine, executed: Attempt | None) -> bool:
     """Whether placement allows an engine; a keyed retry stays in the group that drops its repeats."""
-    spec, entry = request.spec, engine.entry
+    spec, entry = request.spec, engine.endpoint
     if request.allowed_zones is not None and entry.zone not in request.allowed_zones:
         return False
     if spec.allowed_kinds is not None and entry.kind not in spec.allowed_kinds:
         return False
     if executed is None or spec.effect is not Effect.KEYED or spec.deduplication_scope == "all":
         return True
-    home = executed.engine.entry
+    home = executed.engine.endpoint
     return entry.zone == home.zone and (spec.deduplication_scope == "zone" or entry.cell == home.cell)
--- a/decklb/settings.py
+++ b/decklb/settings.py
@@ -1,6 +1,6 @@
-"""The reader of a settings object (JSON), shared by the simulator's adapter and the real program.
+"""Parses the JSON settings object into `interface.Settings`, for the simulator's adapter and the daemon.
 
-The keys are the platform's and stay as they are; they are translated here once, into `interface.Settings`.
+The platform defines the keys, so their spelling is fixed; they are translated here, in one place.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 Json = dict[str, Any]
 
 
-def settings_from(raw: Json) -> api.Settings:
-    """Translate a settings object; absent optional settings mean off, unknown ones are skipped.
+def parse_settings(raw: Json) -> api.Settings:
+    """Parse a settings object. A feature whose settings are absent is off; unknown keys are ignored.
 
     Raises:
-        KeyError: a class or tenant lacks a required key.
-        ValueError: a figure that makes no sense, or an unknown kind of class.
+        KeyError: The classes, or a required key of a class or tenant, are missing.
+        ValueError: A value is out of range, or the semantics of a class are unknown.
     """
     rules, limits, domain = raw.get("rules", {}), raw.get("limits", {}), raw.get("domain", {})
     kinds, telemetry = raw.get("kinds", []), raw.get("telemetry", {})
     return api.Settings(
-        classes={c["name"]: _class_from(c, i, domain) for i, c in enumerate(raw["categories"])},
-        tenants={t["name"]: _tenant_from(t) for t in raw.get("tenants", [])},
+        classes={c["name"]: _parse_class(c, i, domain) for i, c in enumerate(raw["categories"])},
+        tenants={t["name"]: _parse_tenant(t) for t in raw.get("tenants", [])},
         gateway_index=raw.get("me", 0),
         gateway_count=raw.get("balancers", 1),
         zone=raw.get("zone", ""),
@@ -59,8 +59,8 @@
     )
 
 
-def _class_from(raw: Json, index: int, domain: Json) -> api.RequestClass:
-    """Translate a class; some of its figures stand in lists of the domain, at its index."""
+def _parse_class(raw: Json, index: int, domain: Json) -> api.RequestClass:
+    """Parse a class; `domain` holds some of its values in lists that are indexed by the position of the class."""
     return api.RequestClass(
         name=raw["name"],
         latency_objective_ms=raw["aim"],
@@ -81,11 +81,11 @@
     )
 
 
-def _tenant_from(raw: Json) -> api.TenantSpec:
+def _parse_tenant(raw: Json) -> api.TenantSpec:
     return api.TenantSpec(raw["name"], raw.get("share", 0.0), raw.get("quota_per_s"))
 
 
 def _value_at(domain: Json, name: str, index: int, default: Any) -> Any:
-    """A list's value at an index, or the default where the list is absent or too short."""
+    """Return element `index` of the list `name`, or the default if the list is absent or too short."""
     values = domain.get(name) or []
     return values[index] if index < len(values) else default
--- a/decklb/wirehost.py
+++ b/decklb/wirehost.py
@@ -15,7 +15,7 @@
 
 from decklb import interface as api
 from decklb.policy.gateway import Gateway
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 
 Json = dict[str, Any]
 Lists = dict[int, list[api.Endpoint]]  # endpoint lists by the simulator's number
@@ -199,7 +199,7 @@
     def _boot(self, who: int, message: Json) -> list[Json]:
         """Start an instance; settings that can't be used are reported."""
         try:
-            self.gateways[who] = Gateway(settings_from(message["setup"]), message["salt"])
+            self.gateways[who] = Gateway(parse_settings(message["setup"]), message["salt"])
         except (TypeError, ValueError, ArithmeticError, AttributeError) as error:
             return [_error_note(who, f"boot: {error!r}")]
         return []
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -29,7 +29,7 @@
 from decklb.pg.health_check import PgHealthCheckConnection
 from decklb.pg.settings import PgSettings
 from decklb.pg.work import PgWork
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from decklb.wire.health_check import HealthChecker
 from tests.standins import SETTINGS
 
@@ -79,7 +79,7 @@
     def __init__(self, front):
         self.reactor, self.clock = MemoryReactorClock(), TestClock()
         if front == "postgres":
-            settings = PgSettings.from_raw(POSTGRES, settings_from(SETTINGS))
+            settings = PgSettings.from_raw(POSTGRES, parse_settings(SETTINGS))
             self.engines = PgEngines(self.reactor, self.clock, settings)
         else:
             self.engines = RespEngines(self.reactor, self.clock, {"streams_per_conn": 3})
@@ -238,7 +238,7 @@
 
     def __init__(self, most_buffered):
         self.clock, self.done, self.connections, self.attempts = TestClock(), [], [], []
-        core = Dispatcher(settings_from(SETTINGS), 1, self.clock, self)
+        core = Dispatcher(parse_settings(SETTINGS), 1, self.clock, self)
         core.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.UP)])
         self.front = FrameListener(core, lambda: True, self.PLACES, self.SPARE, most_buffered)
         self.front.attach_port(ListeningPort(lambda what: self.done.append(what)))
--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -19,7 +19,7 @@
 
 from decklb import interface as api
 from decklb import wirehost
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 
 FOLDER = Path(__file__).parent / "golden" / "decisions"
 TICK_MS = 5.0
@@ -114,7 +114,7 @@
             elif message["msg"] == "down":
                 self.gateways.pop(message["who"], None)
             elif message["msg"] == "boot":
-                self.gateways[message["who"]] = wirehost.Gateway(settings_from(message["setup"]), message["salt"])
+                self.gateways[message["who"]] = wirehost.Gateway(parse_settings(message["setup"]), message["salt"])
                 pending[message["who"]] = []
             elif (event := self.event(message)) is not None and message["who"] in self.gateways:
                 pending.setdefault(message["who"], []).append(event)
--- a/tests/standin_app.py
+++ b/tests/standin_app.py
@@ -10,7 +10,7 @@
 
 from decklb import interface as api
 from decklb.middleware import Members, RequestSpec, WorkloadMiddleware
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from tests.standins import SETTINGS
 
 NAME = os.environ["MEMBER"]
@@ -36,7 +36,7 @@
 
 app = WorkloadMiddleware(
     Starlette(routes=[Route("/", handle, methods=["GET", "POST"])]),
-    settings_from(SETTINGS),
+    parse_settings(SETTINGS),
     [api.Endpoint(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(2)],
     classify,
     fleet=Members(os.environ["FLEET"], NAME),
--- a/tests/test_client_connection_close.py
+++ b/tests/test_client_connection_close.py
@@ -13,7 +13,7 @@
 from decklb.net import frames
 from decklb.net.client_connection import ClientConnection
 from decklb.net.listener import FrameListener
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from decklb.wire.client_timeouts import LINGERING_CLOSE_TIMEOUT_MS
 from tests.frame_standins import request
 
@@ -58,7 +58,7 @@
     def setUp(self):
         self.clock = TestClock()
         self.taken = []
-        core = Dispatcher(settings_from(SETTINGS), 1, self.clock, self)
+        core = Dispatcher(parse_settings(SETTINGS), 1, self.clock, self)
         self.front = FrameListener(core, lambda: True, 1, 4, 1 << 20)
 
     def start(self, attempt):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -10,7 +10,7 @@
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import IncomingRequest
 from decklb.interface import Outcome
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from tests.standins import SETTINGS
 
 
@@ -65,7 +65,7 @@
 
     def setUp(self):
         self.clock, self.engines = TestClock(), Engines()
-        self.d = Dispatcher(settings_from(SETTINGS), 1, self.clock, self.engines)
+        self.d = Dispatcher(parse_settings(SETTINGS), 1, self.clock, self.engines)
         self.d.update_endpoints([api.Endpoint(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(3)])
 
     def ask(self, lane="read", budget=5000.0, rid="a" * 16, key=None):
@@ -208,7 +208,7 @@
         rules = SETTINGS["rules"] | {"settle_after_doubt": settle}
         for doubted in (False, True):
             self.setUp()
-            self.d = Dispatcher(settings_from(SETTINGS | {"rules": rules}), 1, self.clock, self.engines)
+            self.d = Dispatcher(parse_settings(SETTINGS | {"rules": rules}), 1, self.clock, self.engines)
             self.d.update_endpoints([api.Endpoint(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(3)])
             self.ask("load", key="k")
             self.run_until_started(1)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -5,14 +5,14 @@
 import unittest
 
 from decklb.net import frames
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from tests.standins import SETTINGS
 
 GOOD = {"method": "read", "rid": "9b1f03aa5c7e2d41", "budget": "1500", "acct": "cusco"}
 
 
 class Frames(unittest.TestCase):
-    settings = settings_from(SETTINGS)
+    settings = parse_settings(SETTINGS)
 
     def test_split_anywhere(self):
         raw = frames.pack(1, 7, b"abc") + frames.pack(3, 8) + frames.pack(4, 1, b"\0")
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -13,7 +13,7 @@
 
 from decklb import interface as api
 from decklb.middleware import Ask, RequestSpec, WorkloadMiddleware
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from tests.standins import DEADLINE, SETTINGS
 
 ENGINES = [api.Endpoint(f"e{i}", "z", "k", 0, api.Phase.UP) for i in range(2)]
@@ -24,7 +24,7 @@
         app = Starlette(routes=[Route("/{rest:path}", endpoint, methods=["GET", "POST"])])
         self.wrapped = WorkloadMiddleware(
             app,
-            settings_from(SETTINGS),
+            parse_settings(SETTINGS),
             engines,
             lambda scope: None if scope["path"] == "/health" else RequestSpec("read", "cusco", budget_ms),
             **options,
--- a/tests/test_middleware_wire_format.py
+++ b/tests/test_middleware_wire_format.py
@@ -10,7 +10,7 @@
 from decklb.middleware import RequestSpec, WorkloadMiddleware
 from decklb.middleware.codec import AsgiCodec
 from decklb.middleware.requests import AsgiWork
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from tests.standins import ROOT, SETTINGS
 
 GOLDEN = json.loads((ROOT / "tests" / "golden" / "middleware.json").read_text())
@@ -72,7 +72,7 @@
 
     async def call():
         middleware = WorkloadMiddleware(
-            None, settings_from(SETTINGS), [], lambda scope: RequestSpec("read", "", budget_ms)
+            None, parse_settings(SETTINGS), [], lambda scope: RequestSpec("read", "", budget_ms)
         )
         middleware.request_handler = FakeIntake()
         sent, received = [], [{"type": "http.request", "body": b"", "more_body": False}]
--- a/tests/test_net_wire_format.py
+++ b/tests/test_net_wire_format.py
@@ -15,7 +15,7 @@
 
 from decklb.net import dns, frames, resp
 from decklb.net.endpoints import from_reply
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from tests.exchanges import ClientExchange, EngineExchange, ProbeExchange
 from tests.standins import SETTINGS
 
@@ -58,7 +58,7 @@
     """The values of a request's fields in their order, or why it can't be taken."""
     payload = frames.pack_fields(case["fields"]) if "fields" in case else b""
     try:
-        work = frames.read_request(payload + bytes.fromhex(case["body"]), settings_from(SETTINGS))
+        work = frames.read_request(payload + bytes.fromhex(case["body"]), parse_settings(SETTINGS))
     except frames.InvalidRequestError as error:
         return {"error": str(error)}
     return {"work": [v.hex() if isinstance(v, bytes) else v for v in dataclasses.astuple(work)]}
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -16,7 +16,7 @@
 from decklb.pg.settings import PgSettings
 from decklb.pg.statements import classify
 from decklb.pg.work import PgWork
-from decklb.settings import settings_from
+from decklb.settings import parse_settings
 from tests.standins import ROOT, SETTINGS
 
 GOLDEN = json.loads((ROOT / "tests" / "golden" / "pg_messages.json").read_text())
@@ -105,7 +105,7 @@
 def set_parameter(name, value):
     """The value that SHOW tells after SET, or the error of SET."""
     try:
-        changed = SessionParameters("cusco", "read").set(name, value, settings_from(SETTINGS))
+        changed = SessionParameters("cusco", "read").set(name, value, parse_settings(SETTINGS))
     except PgError as error:
         return {"error": error_fields(error)}
     return {n: changed.show(n) for n in ("tenant", "class", "budget", "key", "request")}
@@ -187,7 +187,7 @@
     """The clock and settings that a front looks up at its dispatcher."""
 
     def __init__(self, clock):
-        self.settings, self.clock = settings_from(SETTINGS), self
+        self.settings, self.clock = parse_settings(SETTINGS), self
         self._clock = clock
 
     def now(self):
--- a/tests/test_policy_engines.py
+++ b/tests/test_policy_engines.py
@@ -11,8 +11,8 @@
 
 def test_hash_order_is_shared_by_gateways_and_differs_by_group():
     a, b = make_gateway(engines=6), make_gateway(engines=6)
-    assert [x.entry.engine_id for x in a.engines.order(3)] == [x.entry.engine_id for x in b.engines.order(3)]
-    assert len({a.engines.order(i)[0].entry.engine_id for i in range(20)}) > 2
+    assert [x.endpoint.engine_id for x in a.engines.order(3)] == [x.endpoint.engine_id for x in b.engines.order(3)]
+    assert len({a.engines.order(i)[0].endpoint.engine_id for i in range(20)}) > 2
 
 
 @pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.REMOVED])
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -10,7 +10,7 @@
 
 def test_two_choice_takes_the_less_loaded_of_the_first_two_in_hash_order():
     gateway = make_gateway(engines=5)
-    order = [x.entry.engine_id for x in gateway.engines.order(7)]
+    order = [x.endpoint.engine_id for x in gateway.engines.order(7)]
     actions = gateway.step(1.0, [arrival(str(i), table_group=7) for i in range(4)])
     assert sorted(send.engine_id for send in sent(actions)) == sorted(order[:2] * 2)
 
@@ -61,7 +61,7 @@
 def test_a_tie_goes_to_the_own_zone():
     for zone in ("z0", "z1", "z2"):
         gateway = make_gateway(engines=3, zone=zone)
-        pairs = [[x.entry.zone for x in gateway.engines.order(i)[:2]] for i in range(40)]
+        pairs = [[x.endpoint.zone for x in gateway.engines.order(i)[:2]] for i in range(40)]
         mine = next(i for i, pair in enumerate(pairs) if zone in pair)
         (send,) = sent(gateway.step(1.0, [arrival("q", table_group=mine)]))
         assert send.engine_id == "e" + zone[1]
@@ -97,5 +97,5 @@
         x.slowdown = 3.0
     order[1].slowdown, order[1].threads = 1.0, 1
     assert [send.engine_id for send in sent(gateway.step(1.0, [arrival("a", table_group=7)]))] == [
-        order[1].entry.engine_id
+        order[1].endpoint.engine_id
     ]
--- a/tests/test_policy_subsetting.py
+++ b/tests/test_policy_subsetting.py
@@ -14,8 +14,8 @@
         gateway = make_gateway(gateway_count=fronts, engines=engines, gateway_index=me)
         own = [x for x in gateway.engines.up() if x.preferred]
         for x in own:
-            users[x.entry.engine_id] += 1
+            users[x.endpoint.engine_id] += 1
         assert [x.preferred for x in gateway.engines.order(3)] == [True] * len(own) + [False] * (engines - len(own))
         firsts = {send.engine_id for send in sent(gateway.step(1.0, [arrival("q", table_group=3)]))}
-        assert not own or firsts <= {x.entry.engine_id for x in own}
+        assert not own or firsts <= {x.endpoint.engine_id for x in own}
     assert set(users.values()) == {min(fronts, max(2 * 8, -(-4 * fronts // engines)))}
