--- a/decklb/policy/__init__.py
+++ b/decklb/policy/__init__.py
@@ -1,1 +1,4 @@
-"""The decisions of decklb, without sockets, files, clocks or loggers. The way in is `gateway.Gateway`."""
+"""The policy of a gateway: decides on events which actions to take, without sockets, files, clocks or logs.
+
+The entry point is `gateway.Gateway`.
+"""
--- a/decklb/policy/class_statistics.py
+++ b/decklb/policy/class_statistics.py
@@ -1,7 +1,8 @@
-"""What answers have taught about each request class: run time, work and the memory needed over estimated.
+"""Statistics of each request class, learned from answers: run time, work, and memory over its estimate.
 
-One `ClassStatistics` a class; the gateway feeds it every answer, queueing, slow start, load shedding and
-memory grants read it. Moving averages start as plain means, so that the first answers count in full.
+There is one `ClassStatistics` per class. The gateway updates it with every answer; queueing, slow start, load
+shedding and memory grants read it. The moving averages start as plain means, so that the first answers have
+their full weight.
 """
 
 from __future__ import annotations
@@ -13,56 +14,62 @@
 from decklb.interface import AttemptEnded
 from decklb.policy.constants import EWMA_WEIGHT
 
-TRUSTED_ANSWERS = 20  # answers before learned figures replace guesses
-MEMORY_SAMPLES = 10 * TRUSTED_ANSWERS  # samples of memory need kept a class: enough for a quantile of 0.96
-MEMORY_ESTIMATE_EXPONENT = 0.5  # power of an estimate that is believed: estimates scatter as widely as needs
-MAX_COST_STEP = 5  # times the mean that a single cost estimate may count: estimates have a long tail
-MAX_ANSWER_SLOWDOWN = 4.0  # times the usual that one answer may count
+MIN_ANSWERS = 20  # answers of a class from which its statistics replace the initial guesses
+MAX_MEMORY_RATIOS = 10 * MIN_ANSWERS  # sample size per class, large enough for a quantile of 0.96
+MEMORY_ESTIMATE_EXPONENT = 0.5  # of an estimate in the expected need: estimates scatter as much as needs
+MAX_RELATIVE_ESTIMATE = 5  # multiple of the mean at which a single estimate is capped: they have a long tail
+MAX_ANSWER_SLOWDOWN = 4.0  # cap of the slowdown of one answer
 
 
 @dataclass(slots=True, eq=False)
 class ClassStatistics:
-    """Learned figures of one class."""
+    """Learned statistics of one request class."""
 
-    run_ms: float  # mean time that an answered query ran
-    work_ms: float  # mean work on one thread
-    normalized_run_ms: float  # mean run time of a query of usual size
-    best_run_ms: float  # the least mean of that so far, slowly forgotten
-    mean_cost: float = 0.0  # mean of the clients' cost estimates, 0 while there are none
-    answers: int = 0
-    memory_ratios: list[float] = field(default_factory=list)  # sorted sample: memory needed over estimated
-    unsent_memory_ratio: float = 0.0  # the last of these, until peers have been told
+    run_ms: float  # mean run time of answered queries in ms
+    work_ms: float  # mean work in ms of one thread
+    normalized_run_ms: float  # mean of the run time divided by the relative size, in ms
+    best_run_ms: float  # lowest value of that mean so far in ms; it slowly rises, to follow changes
+    mean_estimate: float = 0.0  # mean of the clients' work estimates in ms; 0: there are none
+    answers: int = 0  # number of answers so far
+    memory_ratios: list[float] = field(default_factory=list)  # sorted sample: memory used over expected
+    unsent_memory_ratio: float = 0.0  # ratio of the last own answer, until it is sent to peers; 0: none
 
     @classmethod
     def initial(cls, run_ms: float, threads: int) -> ClassStatistics:
-        """The guess before any answer."""
+        """Return the guesses that hold until the first answer."""
         return cls(run_ms, run_ms * threads, run_ms, run_ms)
 
-    def relative_size(self, cost: float) -> float:
-        """A cost estimate over the mean of its class; 1 where there is none."""
-        return cost / self.mean_cost if cost > 0 and self.mean_cost > 0 else 1.0
+    def relative_size(self, estimate: float) -> float:
+        """Return a work estimate over the mean of its class; 1 without an estimate."""
+        return estimate / self.mean_estimate if estimate > 0 and self.mean_estimate > 0 else 1.0
 
-    def learn_cost(self, cost: float) -> None:
-        """Follow the cost estimates that requests bring along; 0 is none."""
-        if cost > 0:
-            weight = EWMA_WEIGHT if self.mean_cost else 1.0
-            self.mean_cost += weight * (min(cost, MAX_COST_STEP * self.mean_cost or cost) - self.mean_cost)
+    def learn_estimate(self, estimate: float) -> None:
+        """Update the mean with the work estimate of a new request; 0 is no estimate."""
+        if estimate > 0:
+            weight = EWMA_WEIGHT if self.mean_estimate else 1.0
+            self.mean_estimate += weight * (
+                min(estimate, MAX_RELATIVE_ESTIMATE * self.mean_estimate or estimate) - self.mean_estimate
+            )
 
     def learn_answer(
         self, answer: AttemptEnded, threads: int, relative_size: float, estimate_mb: float, rng: random.Random
     ) -> float:
-        """Learn from an answer and return its slowdown: times the usual that it took, capped."""
+        """Update the statistics with an answer and return its slowdown.
+
+        The slowdown is the duration over the usual duration, at most `MAX_ANSWER_SLOWDOWN`.
+        """
         self.answers += 1
         weight = max(EWMA_WEIGHT, 1.0 / self.answers)
         normalized = answer.duration_ms / relative_size
         self.normalized_run_ms += weight * (normalized - self.normalized_run_ms)
-        if self.answers > TRUSTED_ANSWERS / 2:
+        if self.answers > MIN_ANSWERS / 2:
             self.best_run_ms = min(self.best_run_ms, self.normalized_run_ms) * (1 + EWMA_WEIGHT * EWMA_WEIGHT)
         slowdown = (
             answer.duration_ms * threads / answer.work_ms if answer.work_ms else normalized / self.best_run_ms
         )
         self.run_ms += weight * (answer.duration_ms - self.run_ms)
-        # Without bills the best time tells of work: run times grow with a jam, and objectives with them.
+        # If the engine does not report the work, it is estimated from the best run time: the current run
+        # time grows under overload, and latency objectives that depend on the work would grow with it.
         work = answer.work_ms or min(answer.duration_ms, self.best_run_ms) * threads
         self.work_ms += weight * (work - self.work_ms)
         self.unsent_memory_ratio = answer.memory_mb / (estimate_mb or 1.0) ** MEMORY_ESTIMATE_EXPONENT
@@ -70,14 +77,14 @@
         return min(MAX_ANSWER_SLOWDOWN, slowdown)
 
     def add_memory_ratio(self, ratio: float, rng: random.Random) -> None:
-        """Keep a sorted random sample of ratios; 0 means that no memory was billed."""
+        """Add a ratio to the sorted random sample; 0 means that no memory was reported."""
         if ratio <= 0:
             return
-        if len(self.memory_ratios) > MEMORY_SAMPLES:
+        if len(self.memory_ratios) > MAX_MEMORY_RATIOS:
             del self.memory_ratios[rng.randrange(len(self.memory_ratios))]
         insort(self.memory_ratios, ratio)
 
     def take_unsent_memory_ratio(self) -> float:
-        """The last ratio learned from an own answer, once; 0 for none."""
+        """Return the ratio of the last own answer once, then 0."""
         ratio, self.unsent_memory_ratio = self.unsent_memory_ratio, 0.0
         return ratio
--- a/decklb/policy/concurrency.py
+++ b/decklb/policy/concurrency.py
@@ -1,9 +1,9 @@
-"""Concurrency limits: how many own threads may be in flight, at one engine and in all.
+"""Adaptive concurrency limits: how many threads this gateway may have in flight, per engine and in total.
 
-The design page bounds an engine to two threads a core times this gateway's fraction of all gateways, at
-least one query, since answers tell of a jam too late. The limit adapts as TCP's window does, by factors: it
-opens while answers are quick and closes under pressure. Asked by the gateway before each send and by the
-router for each engine.
+By the design (docs/design.md) an engine gets at most two threads per core times this gateway's fraction of
+all traffic, but at least one query; answers would show an overload too late. A factor adapts the limit as
+TCP adapts its congestion window: it grows while answers are fast and shrinks while they are slow. The gateway
+checks the total limit before each send, the router that of each engine.
 """
 
 from __future__ import annotations
@@ -13,92 +13,114 @@
 from decklb.interface import Settings
 from decklb.policy.class_statistics import MAX_ANSWER_SLOWDOWN
 from decklb.policy.constants import EWMA_WEIGHT, PEER_WEIGHT
-from decklb.policy.lost_attempts import SURELY_LOST_RUNS
+from decklb.policy.lost_attempts import CERTAINLY_LOST_RUNS
 from decklb.policy.records import Attempt, Engine, Request
 
-THREADS_PER_CORE = 2.0  # threads a core under pressure (design page); beyond it engines lose work
-EXTRA_QUERIES = 1.0  # further queries of the widest class that may be in flight while answers are quick
-PRESSURE_SLOWDOWN = 1.6  # times the usual that answers take, from which on there is pressure
-CLOSE_FACTOR = 0.7  # step of the limit each second under pressure
-OPEN_FACTOR = 1.2  # step of the limit each second without
-INITIAL_FACTOR = 4.0  # of the limit, until the first endpoint list bounds it
-MIN_FACTOR = 0.35  # of the limit
-LONGER_RUN = 2.0  # times as long as a query, from which on what is in flight does not hold it back
-OWN_WEIGHT = 4 * EWMA_WEIGHT  # weight of one own answer in the slowdown at large
+THREADS_PER_CORE = 2.0  # threads per core under load (docs/design.md); beyond it engines lose throughput
+# Queries of the class with the most threads that may be in flight beyond the limit while answers are fast
+EXTRA_QUERIES = 1.0
+PRESSURE_SLOWDOWN = 1.6  # mean slowdown of answers from which the limit shrinks
+DECREASE_FACTOR = 0.7  # change of the limit per second while answers are slow
+INCREASE_FACTOR = 1.2  # change of the limit per second otherwise
+INITIAL_FACTOR = 4.0  # factor of the limit until the first endpoint list bounds it
+MIN_FACTOR = 0.35  # lower bound of the factor
+LONG_RUN_RATIO = 2.0  # attempts expected to run this many times as long as a request do not delay it
+OWN_ANSWER_WEIGHT = 4 * EWMA_WEIGHT  # weight of one own answer in the mean slowdown
 
 
 class ConcurrencyLimit:
-    """The limit, what it follows, and the own threads in flight that it is held against."""
+    """The concurrency limit, and the own threads in flight that count against it.
 
-    def __init__(self, settings: Settings, polls_load: bool, report_max_age_ms: float) -> None:
+    Attributes:
+        traffic_fraction: This gateway's fraction of all traffic.
+        thread_limit: Limit on all own threads in flight, before the factor.
+        factor: Adaptive factor of the limits.
+        slowdown: Moving average of the slowdown of answers, own and reported by peers.
+    """
+
+    def __init__(self, settings: Settings, uses_reports: bool, report_max_age_ms: float) -> None:
         self._settings = settings
-        self._polls_load = polls_load
+        self._uses_reports = uses_reports
         self._report_max_age_ms = report_max_age_ms
-        self.traffic_fraction = 1.0 / settings.gateway_count  # this gateway's, of all traffic
-        self.thread_limit = 1.0  # all own threads, before the factor
+        self.traffic_fraction = 1.0 / settings.gateway_count
+        self.thread_limit = 1.0
         self.factor = INITIAL_FACTOR
-        self.slowdown = 1.0  # times the usual that answers took of late, own and peers'
-        self._threads: dict[tuple[str, float], tuple[float, int]] = {}  # class, size step: (run ms, threads)
+        self.slowdown = 1.0
+        # By class and size bucket: expected run time in ms and threads
+        self._threads: dict[tuple[str, float], tuple[float, int]] = {}
 
     def observe_answer(self, slowdown: float) -> None:
-        """Follow the slowdown of an own answer."""
-        self.slowdown += OWN_WEIGHT * (slowdown - self.slowdown)
+        """Update the mean slowdown with an own answer."""
+        self.slowdown += OWN_ANSWER_WEIGHT * (slowdown - self.slowdown)
 
     def observe_peer(self, slowdown: float) -> None:
-        """Follow the slowdown that a peer reports."""
+        """Update the mean slowdown with that reported by a peer."""
         self.slowdown += PEER_WEIGHT * (min(slowdown, MAX_ANSWER_SLOWDOWN) - self.slowdown)
 
     def adapt(self) -> None:
-        """Open or close by one step."""
-        self.factor *= OPEN_FACTOR if self.slowdown < PRESSURE_SLOWDOWN else CLOSE_FACTOR
+        """Increase or decrease the factor by one step."""
+        self.factor *= INCREASE_FACTOR if self.slowdown < PRESSURE_SLOWDOWN else DECREASE_FACTOR
 
     def resize(self, traffic_fraction: float, engines: list[Engine], now: float) -> None:
-        """Set the limit from this gateway's fraction of the traffic and the engines in use."""
+        """Recompute the limit for this gateway's fraction of the traffic and the engines in use."""
         self.traffic_fraction = traffic_fraction
         cores = sum(engine.cores for engine in engines if now >= engine.ejected_until)
         self.thread_limit = THREADS_PER_CORE * traffic_fraction * cores
-        widest = max(spec.threads for spec in self._settings.classes.values())
-        most = 1 + EXTRA_QUERIES * widest / max(1.0, self.thread_limit)
-        self.factor = max(MIN_FACTOR, 1 / most, min(most, self.factor))
+        max_threads = max(spec.threads for spec in self._settings.classes.values())
+        max_factor = 1 + EXTRA_QUERIES * max_threads / max(1.0, self.thread_limit)
+        self.factor = max(MIN_FACTOR, 1 / max_factor, min(max_factor, self.factor))
 
     def count_threads(self, engines: Iterable[Engine], now: float) -> None:
-        """Count own threads by class and size, once a step: thousands may be in flight."""
+        """Count own threads in flight by class and size bucket.
+
+        Called once per step of the gateway, since thousands of attempts may be in flight.
+        """
         self._threads.clear()
         for engine in engines:
             for key, group in engine.in_flight.items():
                 run_ms = group.statistics.run_ms * group.size_bucket
                 _, threads = self._threads.get(key, (run_ms, 0))
-                # What was surely lost must not fill the limit.
-                self._threads[key] = run_ms, threads + group.threads_since(now - SURELY_LOST_RUNS * run_ms)
+                # Attempts that are certainly lost must not use up the limit.
+                self._threads[key] = run_ms, threads + group.threads_since(now - CERTAINLY_LOST_RUNS * run_ms)
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Count an attempt sent since."""
+        """Count an attempt that was sent after `count_threads`."""
         spec = attempt.request.spec
         key = spec.name, attempt.size_bucket
         run_ms, threads = self._threads.get(key, (attempt.request.expected_run_ms(), 0))
         self._threads[key] = run_ms, threads + spec.threads
 
     def admits(self, request: Request) -> bool:
-        """Whether one more fits the limit on all own threads.
+        """Return whether the limit on all own threads admits one more request.
 
-        Much longer work does not count, else short work waits seconds behind it where the limit is small.
-        Where engines report their load these reports limit, each for its engine.
+        Attempts that run much longer than the request do not count, otherwise short requests would wait
+        seconds behind them where the limit is small. If engines report their load, only the limits of single
+        engines apply.
         """
-        if self._polls_load:
+        if self._uses_reports:
             return True
-        limit, longest = max(1.0, self.thread_limit * self.factor), LONGER_RUN * request.expected_run_ms()
-        return limit > sum(threads for run_ms, threads in self._threads.values() if run_ms < longest)
+        limit, bound_ms = (
+            max(1.0, self.thread_limit * self.factor),
+            LONG_RUN_RATIO * request.expected_run_ms(),
+        )
+        return limit > sum(threads for run_ms, threads in self._threads.values() if run_ms < bound_ms)
 
     def is_saturated(self, engine: Engine, now: float) -> bool:
-        """Whether an engine may get no more, by its load report if it is recent, else by own threads."""
+        """Return whether an engine may get no more requests.
+
+        Decided by its load report if that is recent, otherwise by own threads in flight.
+        """
         if now - engine.reported_at < self._report_max_age_ms:
             return engine.reported_load >= engine.load_limit
         limit = THREADS_PER_CORE * engine.cores * self.traffic_fraction * self.factor
         return engine.threads >= max(1.0, limit)
 
     def all_saturated(self, engines: list[Engine], now: float) -> bool:
-        """Whether no engine may get more, so that routing is in vain; never said where load is polled."""
-        if self._polls_load:
+        """Return whether no engine may get more requests, so that routing need not be tried.
+
+        Always False if engines report their load.
+        """
+        if self._uses_reports:
             return False
         for engine in engines:  # noqa: SIM110 - a generator would cost a frame each
             if not self.is_saturated(engine, now):
--- a/decklb/policy/engines.py
+++ b/decklb/policy/engines.py
@@ -1,7 +1,7 @@
-"""The engines that endpoint lists have named, and their rendezvous-hash order for each group of tables.
+"""The engines of the endpoint list, and their order by rendezvous hash for each table group.
 
-Ordering is rendezvous (highest random weight) hashing of Thaler and Ravishankar, the same at every gateway.
-The gateway owns the registry and updates it from the list; routing asks for orders.
+The order is rendezvous (highest random weight) hashing after Thaler and Ravishankar, the same at every
+gateway. The gateway owns the registry and updates it from the endpoint list; routing reads the order.
 """
 
 from __future__ import annotations
@@ -14,51 +14,62 @@
 
 
 class EngineRegistry:
-    """All known engines, by id."""
+    """All known engines.
+
+    Attributes:
+        by_id: Engines by id.
+        by_short_id: Engines that are up, by 16-bit identifier.
+    """
 
     def __init__(self) -> None:
         self.by_id: dict[str, Engine] = {}
-        self.by_tag: dict[int, Engine] = {}  # those that are up
+        self.by_short_id: dict[int, Engine] = {}
         self._up: list[Engine] = []
-        self._orders: dict[int, list[Engine]] = {}  # by group of tables
+        self._orders: dict[int, list[Engine]] = {}  # engines that are up, by table group
 
     def up(self) -> list[Engine]:
-        """Engines that the list calls up."""
+        """Return the engines whose phase in the endpoint list is `UP`."""
         return self._up
 
-    def update(self, entries: list[Endpoint], complete: bool, now: float, cores: dict[str, int]) -> None:
-        """Take an update of the endpoint list; whatever a complete list lacks is removed.
+    def update(self, endpoints: list[Endpoint], complete: bool, now: float, cores: dict[str, int]) -> None:
+        """Apply an update of the endpoint list.
+
+        Engines that a complete list does not contain are removed, once their attempts have ended.
 
         Args:
-            entries: the lines that are new or have changed, or all.
-            complete: whether these are all.
-            now: ms.
-            cores: cores of an engine, by kind.
+            endpoints: The new and changed entries, or all entries.
+            complete: Whether these are all entries.
+            now: Current time in ms.
+            cores: Number of cores of an engine, by kind of engine.
         """
-        for entry in entries:
-            engine = self.by_id.get(entry.engine_id)
+        for endpoint in endpoints:
+            engine = self.by_id.get(endpoint.engine_id)
             if engine is None:
-                engine = self.by_id[entry.engine_id] = Engine(
-                    entry, float(max(1, cores.get(entry.kind, 1))), now
+                engine = self.by_id[endpoint.engine_id] = Engine(
+                    endpoint, float(max(1, cores.get(endpoint.kind, 1))), now
                 )
-            engine.endpoint = entry
-            engine.started_at = max(engine.started_at, entry.started_at_ms or LONG_AGO)
-        listed = {entry.engine_id for entry in entries}
-        for name, engine in list(self.by_id.items()):
-            if complete and name not in listed:
+            engine.endpoint = endpoint
+            engine.started_at = max(engine.started_at, endpoint.started_at_ms or LONG_AGO)
+        listed_ids = {endpoint.engine_id for endpoint in endpoints}
+        for engine_id, engine in list(self.by_id.items()):
+            if complete and engine_id not in listed_ids:
                 engine.endpoint = replace(engine.endpoint, phase=Phase.REMOVED)
             if engine.endpoint.phase is Phase.REMOVED and not engine.attempts:
-                del self.by_id[name]
+                del self.by_id[engine_id]
         up = [engine for engine in self.by_id.values() if engine.endpoint.phase is Phase.UP]
         if up != self._up:
-            self._up, self.by_tag = up, {engine.tag(): engine for engine in up}
+            self._up, self.by_short_id = up, {engine.short_id(): engine for engine in up}
             self._orders.clear()
 
-    def order(self, group: int) -> list[Engine]:
-        """Engines that are up in a group's hash order, preferred ones first."""
-        if group not in self._orders:
-            self._orders[group] = sorted(
+    def order(self, table_group: int) -> list[Engine]:
+        """Return the engines that are up, in hash order of the table group but preferred engines first."""
+        if table_group not in self._orders:
+            self._orders[table_group] = sorted(
                 self._up,
-                key=lambda engine: (not engine.preferred, engine.hash_for(group), engine.endpoint.engine_id),
+                key=lambda engine: (
+                    not engine.preferred,
+                    engine.hash_for(table_group),
+                    engine.endpoint.engine_id,
+                ),
             )
-        return self._orders[group]
+        return self._orders[table_group]
--- a/decklb/policy/gateway.py
+++ b/decklb/policy/gateway.py
@@ -1,8 +1,8 @@
-"""The decisions of one gateway: events in, actions out. Types: `decklb.interface`.
+"""The policy of one gateway: events in, actions out (types: `decklb.interface`).
 
-`Gateway.step` is called by the dispatcher (real sockets) or the simulator's adapter, at most once a tick.
-It does no I/O and reads no clock. Each mechanism is in a module of its own beside this one and keeps its own
-state; this module says what happens at each event. `docs/design.md` explains the design.
+The dispatcher (real sockets) or the simulator's adapter calls `Gateway.step`, at most once per tick. It does
+no I/O and reads no clock. Each mechanism is in a module of its own in this package and keeps its own state;
+this module defines what happens at each event. `docs/design.md` explains the design.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from decklb.policy.class_statistics import ClassStatistics
 from decklb.policy.concurrency import ConcurrencyLimit
 from decklb.policy.constants import CONTROL_PERIOD_MS, HOUSEKEEPING_PERIOD_MS, SCAN_TICKS
-from decklb.policy.deadlines import is_hopeless
+from decklb.policy.deadlines import is_too_late
 from decklb.policy.engines import EngineRegistry
 from decklb.policy.gossip import PeerGossip
 from decklb.policy.key_ordering import KeyOrdering
 from decklb.policy.load_reports import LoadReports
 from decklb.policy.load_shedding import LoadShedder
-from decklb.policy.lost_attempts import MAYBE_LOST_RUNS, LostAttemptDetector
+from decklb.policy.lost_attempts import POSSIBLY_LOST_RUNS, LostAttemptDetector
 from decklb.policy.memory_grants import NORMAL_PRIORITY, memory_grant_mb, priority
 from decklb.policy.peer_messages import PeerMessage
 from decklb.policy.queueing import WeightedRoundRobin
@@ -32,9 +32,11 @@
 from decklb.policy.subsetting import assign_subsets
 from decklb.policy.weight_controller import update_weights
 
-LIST_RETRY_MS = 500.0  # to twice that by chance, before a broken endpoint list is asked for again
-QUEUE_HEAD = 8  # requests of a queue that are tried in turn, past those held back by placement or a key
-QUEUE_HEAD_POLLING = 2  # the same where load is polled, since all that waits for reports waits alike
+ENDPOINT_LIST_RETRY_MS = (
+    500.0  # minimum delay before a failed endpoint list is requested again; up to twice it
+)
+QUEUE_LOOKAHEAD = 8  # requests tried from the head of a queue, past those blocked by placement or a key
+QUEUE_LOOKAHEAD_POLLING = 2  # the same if load is polled: then all requests wait for the same reports
 
 
 class Gateway:
@@ -42,7 +44,8 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
-        # Before the first answers half the objective is the guess: high, so that a cold engine is safe.
+        # Until the first answers half the objective is the guess: too high rather than too low, so that
+        # cold engines are not overloaded.
         self.statistics = {
             name: ClassStatistics.initial(spec.latency_objective_ms / 2, spec.threads)
             for name, spec in settings.classes.items()
@@ -59,18 +62,18 @@
         self.slow_start = SlowStart(settings, self.statistics)
         self.shedder = LoadShedder(settings, self.statistics)
         self.router = Router(settings, self.engines, self.limit, self.slow_start, self.reports, self.rng)
-        self.now = 0.0  # of the step under way, as are the actions
-        self.actions: list[api.Action] = []
+        self.now = 0.0  # time of the current step in ms
+        self.actions: list[api.Action] = []  # actions of the current step
         self._started = False
-        self._arrivals = 0  # requests so far
-        self._scanned_at = 0.0
-        self._housekept_at = 0.0
-        self._weights_set_at = 0.0
-        self._list_retry_at = 0.0  # 0: none is due
-        self._wakes_at = 0.0
+        self._arrivals = 0  # number of requests so far
+        self._last_scan_at = 0.0
+        self._last_housekeeping_at = 0.0
+        self._last_weight_update_at = 0.0
+        self._list_retry_at = 0.0  # time in ms of the next request of the endpoint list; 0: none is due
+        self._timer_due_at = 0.0  # expiry in ms of the last timer that was set
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take a batch of events at one moment, in ms, and return the actions in order."""
+        """Handle a batch of events at the time `now` in ms, and return the actions in order."""
         self.now, self.actions = now, []
         if not self._started:
             self._start()
@@ -81,9 +84,9 @@
                 case api.AttemptEnded():
                     self._on_attempt_ended(event)
                 case api.CompletionUncertain():
-                    self.keys.hold_again(event.ordering_key, now)
-                case api.EndpointsUpdated(failed=True):  # ask again a little later, so that the list recovers
-                    self._list_retry_at = now + LIST_RETRY_MS * (1 + self.rng.random())
+                    self.keys.extend_hold_down(event.ordering_key, now)
+                case api.EndpointsUpdated(failed=True):  # request it later, so that its service can recover
+                    self._list_retry_at = now + ENDPOINT_LIST_RETRY_MS * (1 + self.rng.random())
                 case api.EndpointsUpdated():
                     self._on_endpoints_updated(event)
                 case api.HealthCheckResult():
@@ -98,10 +101,10 @@
                     self._on_peer_message(event)
                 case api.AttemptProgress() if event.request_id in self.requests:
                     self._on_progress(self.requests[event.request_id], event)
-        if now - self._scanned_at >= (SCAN_TICKS - 1) * self.settings.tick_ms:
+        if now - self._last_scan_at >= (SCAN_TICKS - 1) * self.settings.tick_ms:
             self._scan()
         if self.scheduler.has_queued():
-            self._release()
+            self._send_queued()
             for request in self.shedder.excess(list(self.scheduler.queues.values()), self.limit, now):
                 self._give_up(request)
         self._set_timer()
@@ -111,7 +114,7 @@
 
     def _start(self) -> None:
         self._started = True
-        self._weights_set_at = self._housekept_at = self.reports.last_report_at = self.now
+        self._last_weight_update_at = self._last_housekeeping_at = self.reports.last_report_at = self.now
         if self.settings.must_subscribe:
             self.actions.append(api.WatchEndpoints())
 
@@ -132,10 +135,10 @@
         if tenant.spec.quota_per_s:
             own_quota = tenant.spec.quota_per_s * self.gossip.tenant_fractions[tenant.index]
             request.over_quota = not tenant.quota.take(own_quota, self.now)
-        statistics.learn_cost(arrival.estimated_work_ms)
-        if is_hopeless(request, self.now, self.settings.tick_ms):  # a client's last retry may leave no time
+        statistics.learn_estimate(arrival.estimated_work_ms)
+        if is_too_late(request, self.now, self.settings.tick_ms):  # for example a client's last retry
             self._give_up(request)
-        elif self.keys.join(request):
+        elif self.keys.register(request):
             self.scheduler.enqueue(request)
 
     def _on_attempt_ended(self, ended: api.AttemptEnded) -> None:
@@ -161,10 +164,10 @@
                 self._give_up(request)
 
     def _update_engine(self, engine: Engine, request: Request, ended: api.AttemptEnded) -> None:
-        """What an outcome tells of its engine."""
+        """Update the state of an engine with the outcome of an attempt."""
         match ended.outcome:
             case Outcome.SUCCESS:
-                self._learn(engine, request, ended)
+                self._learn_from_answer(engine, request, ended)
             case Outcome.UNREACHABLE:
                 outlier_detection.record_unreachable(engine, self.now)
             case Outcome.TIMED_OUT if engine.on_trial:
@@ -175,23 +178,23 @@
                     self.retries.discard_request(request.arrived_at)
                 if engine.on_trial:
                     outlier_detection.eject(engine, self.now)
-            case Outcome.OVERLOADED:  # turning work away leaves it idle, as errors do
+            case Outcome.OVERLOADED:  # rejecting work leaves an engine idle, as errors do
                 outlier_detection.record_error(engine, self.now)
             case Outcome.CONNECTION_RESET:
                 outlier_detection.record_reset(engine, self.now)
 
-    def _learn(self, engine: Engine, request: Request, answer: api.AttemptEnded) -> None:
+    def _learn_from_answer(self, engine: Engine, request: Request, answer: api.AttemptEnded) -> None:
         outlier_detection.record_answer(engine, request, self.now)
         size, estimate_mb = request.relative_size(), request.arrival.estimated_memory_mb
         ratio = request.statistics.learn_answer(answer, request.spec.threads, size, estimate_mb, self.rng)
         self.limit.observe_answer(ratio)
         slowdown.record(engine, ratio)
 
-    def _on_progress(self, request: Request, note: api.AttemptProgress) -> None:
-        if note.attempt < len(request.attempts):
-            attempt = request.attempts[note.attempt]
+    def _on_progress(self, request: Request, progress: api.AttemptProgress) -> None:
+        if progress.attempt < len(request.attempts):
+            attempt = request.attempts[progress.attempt]
             attempt.last_progress_at = self.now
-            if hedging.is_runaway(attempt, note, self.now):
+            if hedging.is_runaway(attempt, progress, self.now):
                 self._cancel_for_retry(attempt)
 
     def _on_endpoints_updated(self, update: api.EndpointsUpdated) -> None:
@@ -205,19 +208,19 @@
                 outlier_detection.eject(engine, self.now)
             self.reports.record(engine, result, self.limit.factor, self.now, self.rng)
 
-    def _on_peer_message(self, datagram: api.PeerMessage) -> None:
-        message = self.gossip.receive(datagram.sender, datagram.data, self.now)
+    def _on_peer_message(self, event: api.PeerMessage) -> None:
+        message = self.gossip.receive(event.sender, event.data, self.now)
         if message is None:
             return
         self.limit.observe_peer(message.slowdown)
-        for tag, ratio in message.engine_slowdowns:
-            if engine := self.engines.by_tag.get(tag):
+        for short_id, ratio in message.engine_slowdowns:
+            if engine := self.engines.by_short_id.get(short_id):
                 slowdown.record_peer(engine, ratio)
         for statistics, ratio in zip(self.statistics.values(), message.memory_ratios, strict=True):
             statistics.add_memory_ratio(ratio, self.rng)
 
     def _on_shutdown(self) -> None:
-        """Cancel what is in flight, and answer all that is open."""
+        """Cancel the attempts in flight, and answer all open requests."""
         for request in [request for request in self.requests.values() if not request.closed]:
             if self.settings.cancellation:
                 numbers = [attempt.number for attempt in request.attempts if attempt.outcome is None]
@@ -227,11 +230,11 @@
     # Timers.
 
     def _scan(self) -> None:
-        """Look after what falls due, several ticks apart."""
-        self._scanned_at = self.now
+        """Run the periodic checks, every few ticks."""
+        self._last_scan_at = self.now
         queues = self.scheduler.queues.values()
         for request in [queued[2] for queue in queues for queued in queue.requests] + self.keys.waiting():
-            if not request.closed and is_hopeless(request, self.now, self.settings.tick_ms):
+            if not request.closed and is_too_late(request, self.now, self.settings.tick_ms):
                 self._give_up(request)
         for attempt in self.lost_attempts.mark_lost(self.engines.up(), self.now):
             if not self.settings.hedging:
@@ -242,16 +245,16 @@
         if 0 < self._list_retry_at <= self.now:
             self._list_retry_at = 0.0
             self.actions.append(api.WatchEndpoints())
-        if self.now - self._housekept_at >= HOUSEKEEPING_PERIOD_MS:
-            self._housekeep()
-        if self.now - self._weights_set_at >= CONTROL_PERIOD_MS:
-            self._weights_set_at = self.now
+        if self.now - self._last_housekeeping_at >= HOUSEKEEPING_PERIOD_MS:
+            self._do_housekeeping()
+        if self.now - self._last_weight_update_at >= CONTROL_PERIOD_MS:
+            self._last_weight_update_at = self.now
             update_weights(self.scheduler.tenants())
 
-    def _housekeep(self) -> None:
+    def _do_housekeeping(self) -> None:
         for tenant in self.scheduler.tenants():
-            tenant.update_arrival_rate(self.now - self._housekept_at)
-        self._housekept_at = self.now
+            tenant.update_arrival_rate(self.now - self._last_housekeeping_at)
+        self._last_housekeeping_at = self.now
         slowdown.refresh(self.engines.up(), self.now)
         if self.gossip.enabled:
             message = PeerMessage(
@@ -260,7 +263,7 @@
                 [statistics.take_unsent_memory_ratio() for statistics in self.statistics.values()],
                 slowdown.take_changed(self.engines.up()),
             )
-            self.actions += self.gossip.address(message, self.rng)
+            self.actions += self.gossip.build_messages(message, self.rng)
         self.reports.update_threads_per_query(self.statistics)
         self.limit.adapt()
         self._update_limit()
@@ -271,19 +274,19 @@
 
     def _set_timer(self) -> None:
         tick = self.settings.tick_ms
-        delay_ms = SCAN_TICKS * tick if self.requests else HOUSEKEEPING_PERIOD_MS  # idle gateways seldom wake
+        delay_ms = SCAN_TICKS * tick if self.requests else HOUSEKEEPING_PERIOD_MS  # idle gateways wake rarely
         due = self.now + delay_ms
-        if not self.now + tick / 2 < self._wakes_at <= due:
-            self._wakes_at = due
+        if not self.now + tick / 2 < self._timer_due_at <= due:
+            self._timer_due_at = due
             self.actions.append(api.SetTimer(due - self.now, "sweep"))
 
     # Requests.
 
-    def _release(self) -> None:
-        """Weighted round robin over tenants with something to send, until nothing more fits."""
+    def _send_queued(self) -> None:
+        """Send queued requests by weighted round robin over the tenants, until no more can be sent."""
         ready = list(self.scheduler.queues.values())
         up = self.engines.up()
-        head = QUEUE_HEAD_POLLING if self.reports.enabled else QUEUE_HEAD
+        head = QUEUE_LOOKAHEAD_POLLING if self.reports.enabled else QUEUE_LOOKAHEAD
         self.limit.count_threads(up, self.now)
         while ready and not self.limit.all_saturated(up, self.now):
             queue = min(ready, key=lambda queue: queue.virtual_time)
@@ -297,7 +300,7 @@
                 ready.remove(queue)
 
     def _route(self, request: Request) -> Engine | None:
-        if self.keys.is_held(request, self.now):
+        if self.keys.is_held_down(request, self.now):
             return None
         if request.attempts and not self.retries.allows(request, self.now):
             return None
@@ -314,7 +317,7 @@
             self.actions.append(api.SetResources(arrival.request_id, grant_mb, rank))
         wait_ms = max(settings.tick_ms, arrival.time_left_ms - (self.now - request.arrived_at))
         if engine.on_trial:
-            wait_ms = min(wait_ms, MAYBE_LOST_RUNS * request.statistics.run_ms)
+            wait_ms = min(wait_ms, POSSIBLY_LOST_RUNS * request.statistics.run_ms)
         attempt = Attempt(request, len(request.attempts), engine, self.now, request.size_bucket())
         request.attempts.append(attempt)
         engine.add_attempt(attempt)
@@ -324,20 +327,20 @@
         self.actions.append(api.StartAttempt(arrival.request_id, engine.endpoint.engine_id, wait_ms))
 
     def _cancel_for_retry(self, attempt: Attempt) -> None:
-        """Cancel an attempt; its outcome leads to a retry elsewhere."""
+        """Cancel an attempt, if allowed; its outcome leads to a retry at another engine."""
         request = attempt.request
         if hedging.may_cancel(attempt, self.settings) and self.retries.allows(request, self.now):
             self.actions.append(api.CancelAttempt(request.arrival.request_id, attempt.number))
 
     def _give_up(self, request: Request) -> None:
-        """Answer now; of a request whose attempt is in flight only the queued hedge is given up."""
+        """Answer now, or if an attempt is in flight only remove the queued hedged request."""
         if request.is_in_flight() and not request.closed:
             self.scheduler.remove(request)
         else:
             self._answer(request)
 
     def _answer(self, request: Request) -> None:
-        """The final answer without a result: rejected where a client's retry is harmless, else failed."""
+        """Give a final answer without a result: rejected if a client's retry does no harm, else failed."""
         spec, settings = request.spec, self.settings
         is_deduplicated = spec.effect is Effect.KEYED and spec.deduplication_scope == "all"
         if request.first_possibly_executed() is None or spec.effect is Effect.SAFE or is_deduplicated:
@@ -348,7 +351,7 @@
         self._close(request)
 
     def _close(self, request: Request) -> None:
-        """The request is over; its key's line and its attempts live on until all of them have ended."""
+        """Finish a request; its key's queue and its record remain until all its attempts have ended."""
         request.closed = True
         self.scheduler.remove(request)
         if not request.attempts:
@@ -357,4 +360,4 @@
             self.scheduler.enqueue(head)
         if not request.is_in_flight():
             self.requests.pop(request.arrival.request_id, None)
-            request.attempts.clear()  # a circle of references would wait for the garbage collector
+            request.attempts.clear()  # breaks the reference cycle, which would need the garbage collector
--- a/decklb/policy/hedging.py
+++ b/decklb/policy/hedging.py
@@ -1,9 +1,9 @@
-"""Hedging: what is done about an attempt that is lost or runs away.
+"""Hedging: what happens to an attempt that is presumed lost or runs far too long.
 
-A lost attempt gets a hedged request beside it where the settings allow two at a time ('The Tail at Scale',
-Dean and Barroso), else it is cancelled, and its outcome leads to a retry. A bad plan, drawn anew each time,
-shows as a share done that is far behind: once, a retry is quicker. No state; called by the gateway on
-progress notes and scans.
+A lost attempt gets a hedged request beside it if the settings allow two attempts at a time ('The Tail at
+Scale', Dean and Barroso); otherwise it is cancelled, and its outcome leads to a retry. Query plans are chosen
+anew for each attempt, and a bad plan shows as a completed fraction that is far too small for the time spent:
+for a first attempt a retry is faster then. Stateless; called by the gateway on progress reports and at scans.
 """
 
 from __future__ import annotations
@@ -11,20 +11,27 @@
 from decklb.interface import AttemptProgress, Effect, Settings
 from decklb.policy.records import Attempt
 
-RUNAWAY_FACTOR = 2.5  # times its usual run time, or its objective, that a query with a bad plan has left
-SHARE_DONE = 1  # kind of progress note that carries the share done
+RUNAWAY_FACTOR = (
+    2.5  # an attempt is cancelled if it has this multiple of its usual run time, or objective, left
+)
+COMPLETED_FRACTION = 1  # kind of progress report whose level is the completed fraction
 
 
-def is_runaway(attempt: Attempt, note: AttemptProgress, now: float) -> bool:
-    """Whether a first attempt's share done tells that the rest will take far longer than a retry."""
-    if note.kind != SHARE_DONE or not 0 < note.level < 1 or attempt.number or attempt.outcome is not None:
+def is_runaway(attempt: Attempt, progress: AttemptProgress, now: float) -> bool:
+    """Return whether a first attempt, by its completed fraction, will take far longer than a retry."""
+    if (
+        progress.kind != COMPLETED_FRACTION
+        or not 0 < progress.level < 1
+        or attempt.number
+        or attempt.outcome is not None
+    ):
         return False
-    rest_ms = (now - attempt.sent_at) * (1 - note.level) / note.level
-    return rest_ms > RUNAWAY_FACTOR * max(
+    remaining_ms = (now - attempt.sent_at) * (1 - progress.level) / progress.level
+    return remaining_ms > RUNAWAY_FACTOR * max(
         attempt.request.expected_run_ms(), attempt.request.spec.latency_objective_ms
     )
 
 
 def may_cancel(attempt: Attempt, settings: Settings) -> bool:
-    """Whether an attempt may be cancelled for the sake of a retry."""
+    """Return whether an attempt may be cancelled in favour of a retry."""
     return settings.cancellation and attempt.request.spec.effect is Effect.SAFE
--- a/decklb/policy/lost_attempts.py
+++ b/decklb/policy/lost_attempts.py
@@ -1,9 +1,9 @@
-"""Lost-attempt detection: attempts whose outcome will come late or never, at engines that answer others.
+"""Lost-attempt detection: finds attempts whose outcome will be late or missing at engines that answer.
 
-Where engines send progress notes, an attempt is lost once they cease. Elsewhere one far past its usual time
-is taken for lost, if of late a share of attempts surely was. Its threads no longer count; the gateway
-hedges or cancels it (hedging.py). The protocol's machines that are cut off say nothing, so nothing else
-tells. Called by each scan.
+If engines send progress reports, an attempt is presumed lost once these stop. Otherwise an attempt far beyond
+its usual run time is presumed lost, provided that the recent loss rate is high. Its threads no longer count,
+and the gateway hedges or cancels it (hedging.py). A machine that is cut off from the network sends nothing at
+all, so there is no other sign. Called at each scan.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from decklb.policy.constants import EWMA_WEIGHT
 from decklb.policy.records import Attempt, Engine
 
-MAYBE_LOST_RUNS = 3.0  # times its usual run time after which an attempt may be lost
-SURELY_LOST_RUNS = 8.0  # times its usual run time after which it surely was
-LOSSY_SHARE = 0.08  # share of attempts surely lost of late, from which those that may be are taken for lost
-SILENT_NOTE_PERIODS = 2.2  # periods of progress notes without one after which an attempt is lost
+POSSIBLY_LOST_RUNS = 3.0  # multiple of its usual run time after which an attempt may be lost
+CERTAINLY_LOST_RUNS = 8.0  # multiple of its usual run time after which an attempt is certainly lost
+LOSS_RATE_THRESHOLD = 0.08  # loss rate from which possibly lost attempts are presumed lost
+MISSED_PROGRESS_PERIODS = 2.2  # reporting intervals without a report: the attempt is presumed lost
 
 
 class LostAttemptDetector:
-    """The share of attempts that were surely lost of late."""
+    """Tracks the recent rate of lost attempts and marks attempts as presumed lost."""
 
     def __init__(self, settings: Settings) -> None:
-        self._note_period_ms = settings.progress_interval_ms  # 0: there are no notes
-        self.lost_share = 0.0
+        self._progress_interval_ms = settings.progress_interval_ms  # 0: engines send no progress reports
+        self.loss_rate = 0.0  # moving average: fraction of attempts that were certainly lost
 
-    def observe(self, attempt: Attempt, verdict: AttemptEnded) -> None:
-        """Follow an attempt that was answered or timed out."""
-        if verdict.outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
-            overdue = verdict.duration_ms > SURELY_LOST_RUNS * attempt.request.expected_run_ms()
+    def observe(self, attempt: Attempt, ended: AttemptEnded) -> None:
+        """Update the loss rate with an attempt that was answered or timed out."""
+        if ended.outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
+            is_overdue = ended.duration_ms > CERTAINLY_LOST_RUNS * attempt.request.expected_run_ms()
             lost = (
-                overdue
+                is_overdue
                 and attempt.engine.last_answer_at > attempt.sent_at
-                and verdict.outcome is Outcome.TIMED_OUT
+                and ended.outcome is Outcome.TIMED_OUT
             )
-            self.lost_share += EWMA_WEIGHT * (lost - self.lost_share)
+            self.loss_rate += EWMA_WEIGHT * (lost - self.loss_rate)
 
     def mark_lost(self, engines: list[Engine], now: float) -> list[Attempt]:
-        """Mark the attempts that are lost by now, and return them."""
-        if not self._note_period_ms and self.lost_share < LOSSY_SHARE:
+        """Mark the attempts that are now presumed lost, and return them."""
+        if not self._progress_interval_ms and self.loss_rate < LOSS_RATE_THRESHOLD:
             return []
         lost = [
             attempt
@@ -52,9 +52,10 @@
         return lost
 
     def _is_lost(self, attempt: Attempt, now: float) -> bool:
-        last_sign = max(attempt.sent_at, attempt.last_progress_at)
-        silent_ms = now - last_sign
-        most = (
-            SILENT_NOTE_PERIODS * self._note_period_ms or MAYBE_LOST_RUNS * attempt.request.expected_run_ms()
+        last_activity_at = max(attempt.sent_at, attempt.last_progress_at)
+        silent_ms = now - last_activity_at
+        limit_ms = (
+            MISSED_PROGRESS_PERIODS * self._progress_interval_ms
+            or POSSIBLY_LOST_RUNS * attempt.request.expected_run_ms()
         )
-        return silent_ms >= most and attempt.engine.last_answer_at >= last_sign + silent_ms / 2
+        return silent_ms >= limit_ms and attempt.engine.last_answer_at >= last_activity_at + silent_ms / 2
--- a/decklb/policy/queueing.py
+++ b/decklb/policy/queueing.py
@@ -1,10 +1,10 @@
-"""Tenant queues and the weighted round robin that serves them.
+"""Queues of the tenants, and the weighted round robin that serves them.
 
-From the feedback controlled scheduler (Krebs and Mehta, section II): each tenant has a queue, served oldest
-first, and non-empty queues take turns by weight. Turns are kept as virtual time, as in weighted fair
-queueing: serving a request moves its queue's time on by the usual work of its class over the weight, so that
-heavy classes pay for what they take. The gateway owns the scheduler; the weights are set by
-`weight_controller.py`.
+After the feedback-controlled scheduler of Krebs and Mehta, section II: each tenant has a queue, served oldest
+first, and non-empty queues take turns by weight. Turns are tracked as virtual time, as in weighted fair
+queueing: each request served advances the virtual time of its queue by the usual work of its class over the
+weight, so that tenants pay for heavy requests. The gateway owns the scheduler; `weight_controller.py` sets
+the weights.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 from decklb.policy.records import Request
 from decklb.policy.tenants import Tenant
 
-MIN_WEIGHT = 1e-6  # of a tenant, so that a turn stays finite
+MIN_WEIGHT = 1e-6  # lower bound of a tenant's weight in a turn, which keeps the virtual time finite
 
 
 @dataclass(slots=True, eq=False)
 class TenantQueue:
-    """The requests of a tenant that wait to be sent."""
+    """The requests of one tenant that wait to be sent."""
 
     tenant: Tenant
     requests: list[tuple[float, int, Request]] = field(
         default_factory=list
     )  # (arrived at, sequence, request)
     count_by_class: dict[str, int] = field(default_factory=dict)
-    virtual_time: float = 0.0  # work in ms over weight, of all turns so far
+    virtual_time: float = 0.0  # total work in ms over weight of all turns so far
 
     def add(self, request: Request) -> None:
-        """Queue a request, oldest first."""
+        """Insert a request by its time of arrival."""
         request.queued = True
         name = request.spec.name
         self.count_by_class[name] = self.count_by_class.get(name, 0) + 1
         insort(self.requests, (request.arrived_at, request.sequence, request))
 
     def remove(self, request: Request) -> None:
-        """Take out a request that is in the queue."""
+        """Remove a request that is in the queue."""
         del self.requests[bisect_left(self.requests, (request.arrived_at, request.sequence))]
         request.queued = False
         self.count_by_class[request.spec.name] -= 1
@@ -52,42 +52,45 @@
         self.queues = {
             name: TenantQueue(Tenant(spec, i, spec.share)) for i, (name, spec) in enumerate(specs.items())
         }
-        self._listed = len(self.queues)
+        self._listed_count = len(self.queues)
         self._virtual_time = 0.0
 
     def tenant(self, name: str) -> Tenant:
-        """The tenant of that name; one that is not listed has no share and starts with an even weight."""
+        """Return the tenant of that name.
+
+        A tenant that is not listed in the settings has no share and starts with an even weight.
+        """
         if name not in self.queues:
             index = len(self.queues)
             self.queues[name] = TenantQueue(Tenant(TenantSpec(name, 0.0), index, 1.0 / (index + 1)))
         return self.queues[name].tenant
 
     def tenants(self) -> list[Tenant]:
-        """All tenants."""
+        """Return all tenants."""
         return [queue.tenant for queue in self.queues.values()]
 
     def has_queued(self) -> bool:
-        """Whether any request waits in a queue."""
+        """Return whether any request is queued."""
         return any(queue.requests for queue in self.queues.values())
 
     def enqueue(self, request: Request) -> None:
-        """Queue a request; an idle tenant saves up no turns."""
+        """Queue a request; a tenant does not save up turns while its queue is empty."""
         queue = self.queues[request.tenant.spec.name]
         if not queue.requests:
             queue.virtual_time = max(queue.virtual_time, self._virtual_time)
         queue.add(request)
 
     def remove(self, request: Request) -> None:
-        """Take a request out of its queue if it is there."""
+        """Remove a request from its queue if it is queued."""
         if request.queued:
             self.queues[request.tenant.spec.name].remove(request)
 
     def charge(self, queue: TenantQueue, request: Request) -> None:
-        """Make a queue pay for its turn, with the usual work of the request over the weight."""
+        """Advance a queue's virtual time by the expected work of the request over the weight."""
         self._virtual_time = max(self._virtual_time, queue.virtual_time)
         turn = request.expected_work_ms() / max(MIN_WEIGHT, queue.tenant.weight)
         queue.virtual_time = self._virtual_time + turn
 
     def listed_arrival_rates(self) -> list[float]:
-        """Own arrivals a second of each tenant that the settings list."""
-        return [tenant.arrival_rate_per_s for tenant in self.tenants()[: self._listed]]
+        """Return the arrivals per second at this gateway of each tenant listed in the settings."""
+        return [tenant.arrival_rate_per_s for tenant in self.tenants()[: self._listed_count]]
--- a/decklb/policy/records.py
+++ b/decklb/policy/records.py
@@ -144,7 +144,7 @@
     ejected_until: float = 0.0  # time in ms until which no request is sent to it
     backoff_ms: float = 0.0  # length of the last ejection in ms; 0 after an answer
     on_trial: bool = False  # has not answered since its last ejection; one trial attempt at a time
-    error_share: float = 0.0  # moving average: fraction of answers that were 'full' or its own errors
+    error_rate: float = 0.0  # moving average: fraction of answers that were 'full' or its own errors
     # Slowdown detection
     slowdown: float = 1.0  # moving average: duration of its answers over the usual duration
     slowdown_changed: bool = False  # `slowdown` was updated from own attempts since it was last sent to peers
@@ -167,7 +167,7 @@
             ).digest()
         return self.hashes[table_group]
 
-    def tag(self) -> int:
+    def short_id(self) -> int:
         """Return a 16-bit identifier that is the same at every gateway."""
         return int.from_bytes(self.hash_for(0)[:2], "big")
 
--- a/decklb/policy/retry_budget.py
+++ b/decklb/policy/retry_budget.py
@@ -1,9 +1,9 @@
-"""Retries: which requests may get another attempt, and the budget that all of them share.
+"""Retries: which requests may get another attempt, and the retry budget that all requests share.
 
-The rules: no second effect of a request that may have run, a most of attempts a request, and a budget of
-attempts beyond the first within a sliding window (a floor and a ratio of the requests taken, as Finagle's
-and Envoy's retry budgets). The budget is computed a tick to the safe side at both ends of the window. Owned
-by the gateway.
+The rules are: a request that must not be executed twice gets no retry once it may have been executed, the
+number of attempts per request is bounded, and retries within a sliding window are bounded by a budget (a
+floor plus a ratio of the accepted requests, as in Finagle's and Envoy's retry budgets). The window is
+computed one tick to the safe side at both ends. Owned by the gateway.
 """
 
 from __future__ import annotations
@@ -12,32 +12,34 @@
 from collections import deque
 
 from decklb.interface import Effect, Outcome, Settings
-from decklb.policy.deadlines import is_hopeless
+from decklb.policy.deadlines import is_too_late
 from decklb.policy.records import Request
 
-MAX_ERRORS = 2  # errors after which a request gets no retry: what no engine can use would use up the budget
+MAX_ERRORS = (
+    2  # errors after which a request is not retried: one that fails everywhere would use up the budget
+)
 
 
 class SlidingWindow(deque[float]):
-    """Times, oldest first, none older than `span_ms` before the newest."""
+    """Times in ascending order, none more than `span_ms` before the newest."""
 
     def __init__(self, span_ms: float) -> None:
         super().__init__()
         self.span_ms = span_ms
 
     def add(self, now: float) -> None:
-        """Count one at this moment, and forget what is too old, also where nobody asks for long."""
+        """Add the current time and remove expired ones, so that the window stays small if never read."""
         self.append(now)
         self.count_since(now - self.span_ms)
 
-    def discard(self, when: float) -> None:
-        """One of that time does not count after all, if it is still here."""
-        i = bisect_left(self, when)
-        if i < len(self) and self[i] == when:
-            del self[i]
+    def discard(self, time: float) -> None:
+        """Remove one entry of that time, if it is still in the window."""
+        index = bisect_left(self, time)
+        if index < len(self) and self[index] == time:
+            del self[index]
 
     def count_since(self, start: float) -> int:
-        """How many at or after `start`; what is older is forgotten."""
+        """Return the number of entries at or after `start`; older ones are removed."""
         while self and self[0] < start:
             self.popleft()
         return len(self)
@@ -52,13 +54,14 @@
         self._requests, self._retries = SlidingWindow(span_ms), SlidingWindow(span_ms)
 
     def add_request(self, now: float) -> None:
-        """Count a request taken."""
+        """Count an accepted request."""
         self._requests.add(now)
 
     def discard_request(self, arrived_at: float) -> None:
-        """A request widens the budget no longer: it was never sent, or its first attempt was an error.
+        """Stop counting a request that was never sent or whose first attempt had an error.
 
-        Else a flood of requests taken back, or that no engine can use, would pay for retries of others.
+        Otherwise a flood of requests that are cancelled, or that no engine can execute, would pay for retries
+        of other requests.
         """
         self._requests.discard(arrived_at)
 
@@ -67,12 +70,15 @@
         self._retries.add(now)
 
     def allows(self, request: Request, now: float) -> bool:
-        """Whether class, number of attempts, time left and the budget allow another attempt."""
+        """Return whether another attempt is allowed.
+
+        Its class, the number of attempts, the time left and the budget have to allow it.
+        """
         settings, spec = self._settings, request.spec
         executed = request.first_possibly_executed()
         if request.closed or request.streaming or len(request.attempts) >= settings.max_attempts:
             return False
-        if is_hopeless(request, now, settings.tick_ms):
+        if is_too_late(request, now, settings.tick_ms):
             return False
         if sum(attempt.outcome is Outcome.ERROR for attempt in request.attempts) >= MAX_ERRORS:
             return False
@@ -91,7 +97,7 @@
         if settings.retry_budget_ratio is None:
             return True
         start = now - settings.retry_budget_window_ms
-        most = settings.retry_budget_floor + settings.retry_budget_ratio * self._requests.count_since(
+        max_retries = settings.retry_budget_floor + settings.retry_budget_ratio * self._requests.count_since(
             start + 2 * settings.tick_ms
         )
-        return self._retries.count_since(start - settings.tick_ms) + 1 <= most
+        return self._retries.count_since(start - settings.tick_ms) + 1 <= max_retries
--- a/decklb/policy/slowdown.py
+++ b/decklb/policy/slowdown.py
@@ -1,6 +1,7 @@
-"""How slow each engine is: times the usual that its answers take, by own answers and peers' reports.
+"""Slowdown of each engine: duration of its answers over the usual, from own answers and peers' reports.
 
-A moving average that fades to 1. The router weighs it, gossip spreads it. State: two fields of each engine.
+It is a moving average that decays to 1. The router weighs it, gossip spreads it. State: two fields of each
+engine.
 """
 
 from __future__ import annotations
@@ -8,40 +9,50 @@
 from decklb.policy.constants import PEER_WEIGHT
 from decklb.policy.records import Engine
 
-MAX_SLOWDOWN = 15.0  # times the usual that an engine counts as slow: an error counts as much
-OWN_WEIGHT = 4 * PEER_WEIGHT  # weight of one own answer
+MAX_SLOWDOWN = 15.0  # upper bound of the slowdown of one answer; an error counts as this much
+OWN_ANSWER_WEIGHT = 4 * PEER_WEIGHT  # weight of one own answer
 
 
 def record(engine: Engine, slowdown: float) -> None:
-    """An answer there took this many times the usual."""
-    engine.slowdown += OWN_WEIGHT * (min(slowdown, MAX_SLOWDOWN) - engine.slowdown)
+    """Update the slowdown of an engine with that of an own answer."""
+    engine.slowdown += OWN_ANSWER_WEIGHT * (min(slowdown, MAX_SLOWDOWN) - engine.slowdown)
     engine.slowdown_changed = True
 
 
 def record_error(engine: Engine) -> None:
-    """Quick errors leave an engine idle, so that it would draw more and more requests."""
+    """Record an error as the largest slowdown.
+
+    Quick errors leave an engine idle, so it would attract more and more requests.
+    """
     record(engine, MAX_SLOWDOWN)
 
 
 def record_peer(engine: Engine, slowdown: float) -> None:
-    """Follow what a peer reports."""
+    """Update the slowdown of an engine with that reported by a peer."""
     engine.slowdown += PEER_WEIGHT * (slowdown - engine.slowdown)
 
 
 def refresh(engines: list[Engine], now: float) -> None:
-    """Once a second: fade, and take what is in flight for longer as word of a jam that answers nothing."""
+    """Once a second: decay the slowdown, and count long-running attempts as slow.
+
+    An overloaded engine may answer nothing at all, so its answers alone would not show the overload.
+    """
     for engine in engines:
         engine.slowdown += PEER_WEIGHT * (1 - engine.slowdown)
         oldest = max(
-            ((now - a.sent_at) / a.request.expected_run_ms() for a in engine.attempts.values()), default=0.0
+            (
+                (now - attempt.sent_at) / attempt.request.expected_run_ms()
+                for attempt in engine.attempts.values()
+            ),
+            default=0.0,
         )
         if oldest > engine.slowdown:
             record(engine, oldest)
 
 
 def take_changed(engines: list[Engine]) -> list[tuple[int, float]]:
-    """Tag and slowdown of the engines with own marks since the last call, for peers."""
+    """Return identifier and slowdown of engines updated by own attempts since the last call."""
     changed = [engine for engine in engines if engine.slowdown_changed]
     for engine in changed:
         engine.slowdown_changed = False
-    return [(engine.tag(), engine.slowdown) for engine in changed]
+    return [(engine.short_id(), engine.slowdown) for engine in changed]
--- a/decklb/policy/weight_controller.py
+++ b/decklb/policy/weight_controller.py
@@ -1,10 +1,10 @@
-"""The proportional-integral controller that sets the tenants' weights, once a control period.
+"""Proportional-integral controller that sets the tenants' weights once per control period.
 
-Krebs and Mehta, section II: proportional on the error of the last period, integral on those before, against
-a mean latency R and a throughput quota X. The error, the gains and the period are the design page's and
-ours: R is the mean objective of the classes answered, X the tenant's share of what this gateway answered.
-Departure: the integral is a fading sum, since a gateway sees too few outcomes in two bare periods. State:
-`ControlState`, one a tenant.
+After Krebs and Mehta, section II: proportional to the error of the last period, integral over those before,
+relative to a mean latency R and a throughput quota X. The error, the gains and the period are this project's
+(docs/design.md): R is the mean latency objective of the classes answered, X the tenant's share of the answers
+of this gateway. Unlike in the paper the integral is a decaying sum, since one gateway sees too few outcomes
+in just two periods. State: one `ControlState` per tenant.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 from decklb.policy.tenants import ControlState, Tenant
 
-PROPORTIONAL_GAIN = 0.5  # weight per unit of relative error of the last period
-INTEGRAL_GAIN = 0.25  # weight per unit of the fading sum of errors
-INTEGRAL_MEMORY = 0.7  # share of the sum kept each period; two bare periods smooth too little
-MAX_WEIGHT_FACTOR = 4.0  # of its share that a weight is at most: a burst is repaid in a few periods
+PROPORTIONAL_GAIN = 0.5  # weight per unit of relative error in the last period
+INTEGRAL_GAIN = 0.25  # weight per unit of the decaying sum of errors
+INTEGRAL_DECAY = 0.7  # fraction of the sum kept each period; a sum of just two periods is too noisy
+MAX_WEIGHT_FACTOR = 4.0  # bound of the weight over the share; a burst is compensated within a few periods
 
 
 def update_weights(tenants: Collection[Tenant]) -> None:
-    """Set all weights for the next period, normalised to 1."""
+    """Set the weights of all tenants for the next period; they sum to 1."""
     answered = sum(tenant.control.answers for tenant in tenants)
-    shares = sum(tenant.spec.share for tenant in tenants) or 1.0
+    total_share = sum(tenant.spec.share for tenant in tenants) or 1.0
     for tenant in tenants:
         control = tenant.control
-        error = _relative_error(control, max(1.0, tenant.spec.share / shares * answered))
-        control.integral = INTEGRAL_MEMORY * control.integral + error
+        error = _relative_error(control, max(1.0, tenant.spec.share / total_share * answered))
+        control.integral = INTEGRAL_DECAY * control.integral + error
         factor = 1 + PROPORTIONAL_GAIN * error + INTEGRAL_GAIN * control.integral
         share = tenant.spec.share or 1.0 / len(tenants)
         tenant.weight = share * max(1 / MAX_WEIGHT_FACTOR, min(MAX_WEIGHT_FACTOR, factor))
@@ -36,10 +36,14 @@
         tenant.weight /= total
 
 
-def _relative_error(control: ControlState, quota: float) -> float:
-    """Below 0 for a tenant past its quota of answers, above 0 for one within it that is served too slowly."""
-    if control.answers > quota:
-        return max(-1.0, 1 - control.answers / quota)
+def _relative_error(control: ControlState, answer_quota: float) -> float:
+    """Return the relative error of a tenant.
+
+    Negative if it has had more answers than its quota; positive if it is within its quota but its answers
+    are slower than their objectives.
+    """
+    if control.answers > answer_quota:
+        return max(-1.0, 1 - control.answers / answer_quota)
     if control.latency_sum_ms > control.objective_sum_ms > 0:
         return min(1.0, control.latency_sum_ms / control.objective_sum_ms - 1)
     return 0.0
--- a/decklb/wirehost.py
+++ b/decklb/wirehost.py
@@ -1,7 +1,7 @@
-"""The simulator's adapter: JSON lines in, JSON lines out, one Gateway per instance. It decides nothing.
+"""The simulator's adapter: JSON lines in, JSON lines out, one `Gateway` per instance. It makes no decisions.
 
 `python -m decklb.wirehost` reads batches: a `clock` line, events of any instances, a `go` line. It answers each batch
-with the actions and an `ok` line. The words of the wire are translated here, once, and reach no deeper.
+with the actions and an `ok` line. The names of the simulator's protocol are translated here and used nowhere else.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from decklb.settings import parse_settings
 
 Json = dict[str, Any]
-Lists = dict[int, list[api.Endpoint]]  # endpoint lists by the simulator's number
+EndpointLists = dict[int, list[api.Endpoint]]  # endpoint lists by the number that the simulator gives them
 
-# The words of the simulator's protocol for the ends of attempts and health checks.
+# Outcomes of attempts and health checks, by their names in the simulator's protocol.
 OUTCOME_BY_WORD = {
     "GOOD": api.Outcome.SUCCESS,
     "BAD": api.Outcome.ERROR,
@@ -31,26 +31,30 @@
     "CXL": api.Outcome.CANCELLED,
     "NOP": api.Outcome.NEVER_SENT,
 }
-WORD_BY_OUTCOME = {outcome: word for word, outcome in OUTCOME_BY_WORD.items()}
+WORD_BY_OUTCOME = {outcome: name for name, outcome in OUTCOME_BY_WORD.items()}
 
-MAX_NOTE = 200  # characters of an error that the simulator is told
-COMPLETE_MODES = "FC"  # modes of a `members` event whose list is the whole one
-FAILED_MODE = "X"  # the call or subscription broke
-USED_UP_BASE = 4096  # `used_up` is work in ms times this, plus memory
-USED_UP_MEMORY_MB = 4  # MB of memory in one unit of it
-EXIT_MALFORMED = 2  # exit status after input that can't be read
+MAX_ERROR_LENGTH = 200  # characters of an error message to the simulator
+COMPLETE_MODES = "FC"  # modes of a `members` event with a complete list
+FAILED_MODE = "X"  # mode of a `members` event after a failed query or subscription
+USED_UP_BASE = 4096  # `used_up` is the work in ms times this, plus the units of memory
+USED_UP_MEMORY_MB = 4  # MB per unit of memory in `used_up`
+EXIT_MALFORMED = 2  # exit status after malformed input
 
 
-def outcome_from(word: str) -> api.Outcome:
-    """Translate the word for an end. Raises ValueError for a word that the protocol does not have."""
+def parse_outcome(name: str) -> api.Outcome:
+    """Translate an outcome's name in the protocol.
+
+    Raises:
+        ValueError: The protocol has no such name.
+    """
     try:
-        return OUTCOME_BY_WORD[word]
+        return OUTCOME_BY_WORD[name]
     except KeyError:
-        raise ValueError(f"{word!r} is not a verdict") from None
+        raise ValueError(f"unknown verdict {name!r}") from None
 
 
-def endpoint_from(row: Json) -> api.Endpoint:
-    """Translate one line of an endpoint list."""
+def parse_endpoint(row: Json) -> api.Endpoint:
+    """Translate one entry of an endpoint list."""
     return api.Endpoint(
         row["engine"],
         row.get("region_part", ""),
@@ -62,19 +66,19 @@
     )
 
 
-def event_from(message: Json, lists: Lists) -> api.Event | None:
-    """Translate one event; None for a kind this adapter does not know."""
+def parse_event(message: Json, lists: EndpointLists) -> api.Event | None:
+    """Translate one event; None for a kind that this adapter does not know."""
     match message["msg"]:
         case "request":
-            return _arrival(message)
+            return _parse_request(message)
         case "verdict":
-            return _attempt_outcome(message)
+            return _parse_verdict(message)
         case "interim":
-            return _progress(message)
+            return _parse_progress(message)
         case "members":
-            return _endpoint_list(message, lists)
+            return _parse_endpoint_list(message, lists)
         case "echo":
-            return _probe_result(message)
+            return _parse_health_check(message)
         case "left":
             return api.ClientGone(message["req"])
         case "timer":
@@ -82,18 +86,18 @@
         case "headers":
             return api.ResponseStarted(message["req"], message.get("leg", 0))
         case "datagram":
-            return _peer_message(message)
+            return _parse_peer_message(message)
     return None
 
 
-def _endpoint_list(message: Json, lists: Lists) -> api.EndpointsUpdated:
+def _parse_endpoint_list(message: Json, lists: EndpointLists) -> api.EndpointsUpdated:
     mode = message["mode"]
     if mode == FAILED_MODE:
         return api.EndpointsUpdated([], False, True)
     return api.EndpointsUpdated(lists.get(message.get("table", 0), []), mode in COMPLETE_MODES, False)
 
 
-def _arrival(message: Json) -> api.RequestArrived:
+def _parse_request(message: Json) -> api.RequestArrived:
     return api.RequestArrived(
         message["req"],
         message["lane"],
@@ -107,13 +111,13 @@
     )
 
 
-def _attempt_outcome(message: Json) -> api.AttemptEnded:
+def _parse_verdict(message: Json) -> api.AttemptEnded:
     used_up = int(message.get("used_up") or 0)
     return api.AttemptEnded(
         message["req"],
         message.get("leg", 0),
         message["engine"],
-        outcome_from(message["verdict"]),
+        parse_outcome(message["verdict"]),
         message.get("rtt", 0.0),
         bool(message.get("finished")),
         float(used_up // USED_UP_BASE),
@@ -123,120 +127,120 @@
     )
 
 
-def _progress(message: Json) -> api.AttemptProgress:
+def _parse_progress(message: Json) -> api.AttemptProgress:
     return api.AttemptProgress(message["req"], message.get("leg", 0), message.get("kind", 0), message.get("level", 0.0))
 
 
-def _probe_result(message: Json) -> api.HealthCheckResult:
-    outcome = outcome_from(message["verdict"])
+def _parse_health_check(message: Json) -> api.HealthCheckResult:
+    outcome = parse_outcome(message["verdict"])
     return api.HealthCheckResult(message["engine"], outcome, message.get("rtt", 0.0), message.get("pressure") or {})
 
 
-def _peer_message(message: Json) -> api.PeerMessage | None:
+def _parse_peer_message(message: Json) -> api.PeerMessage | None:
     try:
         return api.PeerMessage(message.get("sender", 0), base64.b64decode(message.get("data", ""), validate=True))
     except (binascii.Error, ValueError):
         return None
 
 
-def action_to(who: int, action: api.Action) -> Json:
+def encode_action(instance: int, action: api.Action) -> Json:
     """Translate one action of an instance."""
     match action:
         case api.StartAttempt():
             fields = {"req": action.request_id, "engine": action.engine_id, "max_wait": action.timeout_ms}
-            return {"msg": "attempt", "who": who, **fields}
+            return {"msg": "attempt", "who": instance, **fields}
         case api.SetResources():
             fields = {"req": action.request_id, "memory_grant": action.memory_mb, "lane": action.priority}
-            return {"msg": "set_terms", "who": who, **fields}
+            return {"msg": "set_terms", "who": instance, **fields}
         case api.CancelAttempt():
-            return {"msg": "retract", "who": who, "req": action.request_id, "leg": action.attempt}
+            return {"msg": "retract", "who": instance, "req": action.request_id, "leg": action.attempt}
         case api.CheckHealth():
-            return {"msg": "probe", "who": who, "engine": action.engine_id}
+            return {"msg": "probe", "who": instance, "engine": action.engine_id}
         case api.Reject():
-            return {"msg": "bounce", "who": who, "req": action.request_id, "wait": action.retry_after_ms}
+            return {"msg": "bounce", "who": instance, "req": action.request_id, "wait": action.retry_after_ms}
         case api.Fail():
-            return {"msg": "respond_error", "who": who, "req": action.request_id}
+            return {"msg": "respond_error", "who": instance, "req": action.request_id}
         case api.SetTimer():
-            return {"msg": "sleep", "who": who, "from_now": action.delay_ms, "label": action.label}
+            return {"msg": "sleep", "who": instance, "from_now": action.delay_ms, "label": action.label}
         case api.WatchEndpoints():
-            return {"msg": "tail", "who": who, "want": True}
+            return {"msg": "tail", "who": instance, "want": True}
         case api.SendPeerMessage():
             data = base64.b64encode(action.data).decode()
-            return {"msg": "broadcast_to", "who": who, "target": action.peer, "data": data}
+            return {"msg": "broadcast_to", "who": instance, "target": action.peer, "data": data}
 
 
 class Host:
-    """Feeds batches to the gateways of this process, which share nothing."""
+    """Passes batches of events to the gateways of this process, which share no state."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.lists: Lists = {}
+        self.lists: EndpointLists = {}
 
-    def batch(self, now: float, messages: Iterable[Json]) -> list[Json]:
-        """Handle one batch and return the reply's messages."""
+    def handle_batch(self, now: float, messages: Iterable[Json]) -> list[Json]:
+        """Handle one batch and return the messages of the reply."""
         replies: list[Json] = []
         pending: dict[int, list[api.Event]] = {}
         for message in messages:
             if message["msg"] == "census":
-                self.lists[message["table"]] = [endpoint_from(row) for row in message["rows_in"]]
+                self.lists[message["table"]] = [parse_endpoint(row) for row in message["rows_in"]]
                 continue
-            who = message.get("who")
-            if who is None:
+            instance = message.get("who")
+            if instance is None:
                 continue
             if message["msg"] == "down":
-                self.gateways.pop(who, None)
-                pending.pop(who, None)
+                self.gateways.pop(instance, None)
+                pending.pop(instance, None)
             elif message["msg"] == "boot":
-                replies += self._boot(who, message)
-                pending[who] = []
-            elif (event := event_from(message, self.lists)) is not None and who in self.gateways:
-                pending.setdefault(who, []).append(event)
-        for who, events in pending.items():
-            if who in self.gateways:
-                replies += self._step(who, now, events)
+                replies += self._boot(instance, message)
+                pending[instance] = []
+            elif (event := parse_event(message, self.lists)) is not None and instance in self.gateways:
+                pending.setdefault(instance, []).append(event)
+        for instance, events in pending.items():
+            if instance in self.gateways:
+                replies += self._step(instance, now, events)
         return replies
 
-    def _boot(self, who: int, message: Json) -> list[Json]:
-        """Start an instance; settings that can't be used are reported."""
+    def _boot(self, instance: int, message: Json) -> list[Json]:
+        """Start an instance; invalid settings are reported to the simulator."""
         try:
-            self.gateways[who] = Gateway(parse_settings(message["setup"]), message["salt"])
+            self.gateways[instance] = Gateway(parse_settings(message["setup"]), message["salt"])
         except (TypeError, ValueError, ArithmeticError, AttributeError) as error:
-            return [_error_note(who, f"boot: {error!r}")]
+            return [_error_reply(instance, f"boot: {error!r}")]
         return []
 
-    def _step(self, who: int, now: float, events: list[api.Event]) -> list[Json]:
-        """Hand an instance its events; any fault of the decisions is reported, never hidden."""
+    def _step(self, instance: int, now: float, events: list[api.Event]) -> list[Json]:
+        """Pass an instance its events; any exception in the policy is reported to the simulator."""
         try:
-            return [action_to(who, action) for action in self.gateways[who].step(now, events)]
+            return [encode_action(instance, action) for action in self.gateways[instance].step(now, events)]
         except Exception as error:
-            return [_error_note(who, repr(error))]
+            return [_error_reply(instance, repr(error))]
 
 
-def _error_note(who: int, text: str) -> Json:
-    return {"msg": "give_in", "who": who, "note_text": text[:MAX_NOTE]}
+def _error_reply(instance: int, text: str) -> Json:
+    return {"msg": "give_in", "who": instance, "note_text": text[:MAX_ERROR_LENGTH]}
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
-    """Read batches until the input ends."""
+def serve(input_stream: TextIO, output_stream: TextIO) -> None:
+    """Handle batches until the input ends."""
     host, now = Host(), 0.0
     messages: list[Json] = []
-    for line in source:
+    for line in input_stream:
         if not line.strip():
             continue
         message = json.loads(line)
         if message["msg"] == "clock":
             now, messages = float(message["clock"]), []
         elif message["msg"] == "go":
-            for reply in host.batch(now, messages):
-                sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
-            sink.write('{"msg":"ok"}\n')
-            sink.flush()
+            for reply in host.handle_batch(now, messages):
+                output_stream.write(json.dumps(reply, separators=(",", ":")) + "\n")
+            output_stream.write('{"msg":"ok"}\n')
+            output_stream.flush()
         else:
             messages.append(message)
 
 
 def main() -> int:
-    """Entry point of the adapter: the exit status."""
+    """Run the adapter and return the exit status."""
     try:
         serve(sys.stdin, sys.stdout)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -88,7 +88,7 @@
     player, now, messages, answers = DirectPlayer(), 0.0, [], []
     for line in map(json.loads, text.splitlines()):
         if line["msg"] == "go":
-            answers += player.batch(now, messages) + [{"msg": "ok"}]
+            answers += player.handle_batch(now, messages) + [{"msg": "ok"}]
         elif line["msg"] == "clock":
             now, messages = line["clock"], []
         else:
@@ -106,11 +106,11 @@
     def __init__(self):
         self.gateways, self.lists = {}, {}
 
-    def batch(self, now, messages):
+    def handle_batch(self, now, messages):
         pending, answers = {}, []
         for message in messages:
             if message["msg"] == "census":
-                self.lists[message["table"]] = [wirehost.endpoint_from(row) for row in message["rows_in"]]
+                self.lists[message["table"]] = [wirehost.parse_endpoint(row) for row in message["rows_in"]]
             elif message["msg"] == "down":
                 self.gateways.pop(message["who"], None)
             elif message["msg"] == "boot":
@@ -120,7 +120,7 @@
                 pending.setdefault(message["who"], []).append(event)
         for who, events in pending.items():
             if who in self.gateways:
-                answers += [wirehost.action_to(who, action) for action in self.gateways[who].step(now, events)]
+                answers += [wirehost.encode_action(who, action) for action in self.gateways[who].step(now, events)]
         return answers
 
     def event(self, message):
@@ -128,7 +128,7 @@
             return api.CompletionUncertain(message["key"])
         if message["msg"] == "closing":
             return api.ShutdownStarted()
-        event = wirehost.event_from(message, self.lists)
+        event = wirehost.parse_event(message, self.lists)
         if message["msg"] == "request":
             event.preferred_zone, event.allowed_zones = message.get("zone", ""), message.get("zones")
         elif message["msg"] == "verdict":
@@ -270,7 +270,7 @@
         if not messages:
             return
         self.heard += [{"msg": "clock", "clock": self.now}, *messages, {"msg": "go"}]
-        replies = self.player.batch(self.now, messages)
+        replies = self.player.handle_batch(self.now, messages)
         self.said += [*replies, {"msg": "ok"}]
         for reply in replies:
             self.carry_out(reply["who"], reply)
--- a/tests/test_policy_class_statistics.py
+++ b/tests/test_policy_class_statistics.py
@@ -11,11 +11,11 @@
 def test_estimated_size_counts_between_a_tenth_and_ten_times_the_usual():
     gateway = make_gateway(engines=0)
     gateway.step(1.0, [arrival("usual", estimated_work_ms=100.0)])
-    gateway.statistics["safe"].mean_cost = 100.0
+    gateway.statistics["safe"].mean_estimate = 100.0
     sizes = []
     for i, cost in enumerate((1.0, 20.0, 500.0, 9e9)):
         gateway.step(2.0 + i, [arrival(f"q{i}", estimated_work_ms=cost)])
-        gateway.statistics["safe"].mean_cost = 100.0
+        gateway.statistics["safe"].mean_estimate = 100.0
         sizes.append(gateway.requests[f"q{i}"].relative_size())
     assert sizes == pytest.approx([0.1, 0.2, 5.0, 10.0])
 
--- a/tests/test_policy_load_reports.py
+++ b/tests/test_policy_load_reports.py
@@ -6,7 +6,7 @@
 from decklb.interface import Effect, Outcome
 from decklb.policy.constants import CONTROL_PERIOD_MS
 from decklb.policy.gateway import Gateway
-from decklb.policy.load_reports import MAX_SAVED_PROBES
+from decklb.policy.load_reports import MAX_PROBE_CREDIT
 from tests.policy_builders import SAFE, arrival, entry, polling_gateway, probed_engines, report, sent
 
 
@@ -61,7 +61,7 @@
     for i in range(40):  # all are busy, and their reports grow too old
         now = probed_engines(gateway.step(6.0 + 200 * i, [report(e, 90) for e in now]))
         asked += len(now)
-    assert 2 < asked <= MAX_SAVED_PROBES
+    assert 2 < asked <= MAX_PROBE_CREDIT
     gateway = polling_gateway(health_checks=False)
     actions = gateway.step(1.0, [arrival("a")])
     assert sent(actions) and not probed_engines(actions)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -84,7 +84,7 @@
 
     monkeypatch.setattr(wirehost.Gateway, "step", broken)
     host = wirehost.Host()
-    (reply,) = host.batch(0.0, BOOT)
+    (reply,) = host.handle_batch(0.0, BOOT)
     assert reply["msg"] == "give_in" and "broken" in reply["note_text"]
 
 
@@ -92,9 +92,9 @@
     settings = BOOT[0]["setup"] | {"limits": {"probes": True}}
     settings["telemetry"] = {"how": "pull", "fields": ["rif"]}
     host = wirehost.Host()
-    host.batch(0.0, [BOOT[0] | {"setup": settings}, *BOOT[1:]])
+    host.handle_batch(0.0, [BOOT[0] | {"setup": settings}, *BOOT[1:]])
     request = {"msg": "request", "who": 3, "req": "r1", "lane": "c", "time_left": 900.0}
-    (probe,) = [m for m in host.batch(1.0, [request]) if m["msg"] == "probe"]
+    (probe,) = [m for m in host.handle_batch(1.0, [request]) if m["msg"] == "probe"]
     echo = {"msg": "echo", "who": 3, "engine": probe["engine"], "verdict": "GOOD", "rtt": 0.4}
-    held = host.batch(6.0, [echo | {"pressure": {"rif": 1}}])
+    held = host.handle_batch(6.0, [echo | {"pressure": {"rif": 1}}])
     assert [m["req"] for m in held if m["msg"] == "attempt"] == ["r1"]
