--- a/tests/test_memory_growth.py
+++ b/tests/test_memory_growth.py
@@ -1,4 +1,4 @@
-"""A long emulated day: what the real dispatcher and decision module hold stays flat after the first third."""
+"""Over a long emulated day the memory of the real dispatcher and policy stays constant after the first third."""
 
 import gc
 import tracemalloc
@@ -6,18 +6,18 @@
 from decklb.lab.emulation.emulator import Run
 from decklb.lab.experiments.bundled import world
 
-SPAN = 120_000.0  # ms
+SPAN = 120_000.0  # ms of emulated time
 PROGRAM = ["*/decklb/core/*", "*/decklb/policy/*", "*/decklb/interface.py"]
 
 
 def held() -> int:
-    """Bytes alive that the program's own code allocated; the laboratory's records of the day are left out."""
+    """Return the bytes in use that the program's own code allocated, without the laboratory's records."""
     gc.collect()
     snapshot = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(True, p) for p in PROGRAM])
     return sum(stat.size for stat in snapshot.statistics("filename"))
 
 
-def test_what_the_program_holds_does_not_grow_with_the_requests_it_has_answered():
+def test_memory_does_not_grow_with_the_number_of_answered_requests():
     run = Run(world(1, 8, 150.0, SPAN), 5)
     sizes: list[int] = []
     for third in (1, 2, 3):
--- a/tests/test_policy_imports.py
+++ b/tests/test_policy_imports.py
@@ -1,4 +1,4 @@
-"""What the decision module may know: its interface, its own files and the standard library's plain parts."""
+"""The policy may import only its interface, its own modules and modules of the standard library that do no I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
             yield node.module
 
 
-def test_decisions_know_no_io():
+def test_the_policy_imports_no_module_that_does_io():
     for path in (ROOT / "decklb" / "policy").glob("*.py"):
         for module in imported(path):
             own = module in ("decklb", "decklb.interface") or module.startswith("decklb.policy")
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -1,10 +1,10 @@
-"""Ejection of engines, and their return."""
+"""Ejection of engines and their readmission."""
 
 from __future__ import annotations
 
 from decklb import interface as api
 from decklb.interface import Outcome, Phase
-from tests.policy_builders import arrival, ended, entry, make_gateway, of_type, sent
+from tests.policy_builders import arrival, ended, endpoint, make_gateway, of_type, sent
 
 
 def test_a_failed_engine_is_ejected_then_tried_once():
@@ -18,30 +18,30 @@
 
 def test_a_single_reset_ejects_no_engine_but_resetting_all_in_flight_does():
     gateway = make_gateway(engines=2)
-    out = [send for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(6)])) if send.engine_id == "e0"]
-    gateway.step(10.0, [ended(out[0], Outcome.CONNECTION_RESET)])
+    sends = [send for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(6)])) if send.engine_id == "e0"]
+    gateway.step(10.0, [ended(sends[0], Outcome.CONNECTION_RESET)])
     assert "e0" in {send.engine_id for send in sent(gateway.step(11.0, [arrival(f"a{i}") for i in range(2)]))}
     gateway = make_gateway(engines=2)
-    out = [send for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(6)])) if send.engine_id == "e0"]
-    gateway.step(10.0, [ended(send, Outcome.CONNECTION_RESET) for send in out])
+    sends = [send for send in sent(gateway.step(1.0, [arrival(str(i)) for i in range(6)])) if send.engine_id == "e0"]
+    gateway.step(10.0, [ended(send, Outcome.CONNECTION_RESET) for send in sends])
     assert {send.engine_id for send in sent(gateway.step(11.0, [arrival(f"a{i}") for i in range(2)]))} == {"e1"}
 
 
-def test_an_engine_that_errs_alone_is_ejected_and_comes_back_by_a_trial():
-    """Its quick errors leave it idle, so it got most of the work, and the ration of further attempts went with it."""
-    gateway, now, tried = make_gateway(engines=2, retry_budget_floor=100.0, retry_budget_ratio=0.0), 2.0, 0
+def test_an_engine_with_errors_of_its_own_is_ejected_and_readmitted_by_a_trial():
+    """Without ejection an engine whose quick errors leave it idle gets most requests and uses up the retry budget."""
+    gateway, now, attempt_count = make_gateway(engines=2, retry_budget_floor=100.0, retry_budget_ratio=0.0), 2.0, 0
     first = sent(gateway.step(1.0, [arrival(f"f{i}") for i in range(8)]))
     gateway.step(
         2.0, [ended(send, Outcome.SUCCESS) for send in first if send.engine_id == "e0"]
-    )  # the others keep e1 the busier one
+    )  # those in flight keep e1 the busier one
     for i in range(40):
         now += 20.0
         (send,) = sent(gateway.step(now, [arrival(f"q{i}")]))
-        if bad := send.engine_id == "e0":
-            tried += 1
+        if failed := send.engine_id == "e0":
+            attempt_count += 1
             (send,) = sent(gateway.step(now + 1, [ended(send, Outcome.ERROR, duration_ms=1.0)]))
-        gateway.step(now + 2, [ended(send, Outcome.SUCCESS, attempt=int(bad))])
-    assert 4 <= tried <= 6
+        gateway.step(now + 2, [ended(send, Outcome.SUCCESS, attempt=int(failed))])
+    assert 4 <= attempt_count <= 6
     while send.engine_id == "e1":
         now += 20.0
         (send,) = sent(gateway.step(now, [arrival(f"t{now}")]))
@@ -49,7 +49,7 @@
     assert now < 3000.0 and not gateway.engines.by_id["e0"].on_trial
 
 
-def test_what_no_engine_can_use_ejects_none_and_is_tried_twice():
+def test_a_request_that_fails_everywhere_ejects_no_engine_and_is_tried_twice():
     gateway, now = make_gateway(engines=3), 0.0
     for i in range(30):
         now += 20.0
@@ -61,25 +61,25 @@
                 sends + 1,
             )
         assert sends == 2 and len(of_type(api.Reject, actions)) == 1
-    assert not any(x.on_trial for x in gateway.engines.up())
+    assert not any(engine.on_trial for engine in gateway.engines.up())
 
 
 def test_an_engine_that_answers_full_is_ejected():
-    """One that said 'full' to all it got was asked again and again, 160 times a second (c225a8ac)."""
-    gateway, now, tried = make_gateway(engines=2, retry_budget_floor=100.0, retry_budget_ratio=0.0), 2.0, 0
+    """An engine that answered 'full' to every request was tried again 160 times per second (c225a8ac)."""
+    gateway, now, attempt_count = make_gateway(engines=2, retry_budget_floor=100.0, retry_budget_ratio=0.0), 2.0, 0
     first = sent(gateway.step(1.0, [arrival(f"f{i}") for i in range(8)]))
     gateway.step(2.0, [ended(send, Outcome.SUCCESS) for send in first if send.engine_id == "e0"])
     for i in range(40):
         now += 20.0
         (send,) = sent(gateway.step(now, [arrival(f"q{i}")]))
         if full := send.engine_id == "e0":
-            tried += 1
+            attempt_count += 1
             (send,) = sent(gateway.step(now + 1, [ended(send, Outcome.OVERLOADED, duration_ms=1.0)]))
         gateway.step(now + 2, [ended(send, Outcome.SUCCESS, attempt=int(full))])
-    assert 4 <= tried <= 6
+    assert 4 <= attempt_count <= 6
 
 
-def test_a_health_check_without_connection_ejects_an_engine_and_a_good_one_admits_none():
+def test_a_failed_health_check_ejects_an_engine_and_a_successful_one_readmits_none():
     gateway = make_gateway(engines=2)
     gateway.step(
         1.0,
@@ -89,6 +89,6 @@
         ],
     )
     assert {send.engine_id for send in sent(gateway.step(2.0, [arrival(str(i)) for i in range(6)]))} == {"e1"}
-    gateway.step(3.0, [api.EndpointsUpdated([entry("e0", phase=Phase.DRAINING), entry("e1")], True)])
+    gateway.step(3.0, [api.EndpointsUpdated([endpoint("e0", phase=Phase.DRAINING), endpoint("e1")], True)])
     actions = gateway.step(2000.0, [api.HealthCheckResult("e0", Outcome.SUCCESS, 1.0), arrival("late")])
     assert "e0" not in {send.engine_id for send in sent(actions)}
--- a/tests/test_policy_settings.py
+++ b/tests/test_policy_settings.py
@@ -1,4 +1,4 @@
-"""Settings and classes that can not be."""
+"""Settings and classes with invalid values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("bad", [{"classes": {}}, {"gateway_count": 0}, {"tick_ms": 0.0}, {"cores_by_kind": {"k": 0}}])
-def test_settings_that_make_no_sense_are_rejected_when_built(bad):
+def test_invalid_settings_are_rejected(bad):
     with pytest.raises(ValueError):
         api.Settings(**({"classes": {"safe": SAFE}} | bad))
     with pytest.raises(ValueError):
--- a/tests/test_policy_size.py
+++ b/tests/test_policy_size.py
@@ -1,4 +1,4 @@
-"""The decision module stays readable: small files with one job each, short functions, narrow lines."""
+"""Bounds that keep the policy readable: small files with one purpose each, short functions, narrow lines."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tests.standins import ROOT
 
 MAX_FILE_LINES = 220
-MAX_GATEWAY_LINES = 400  # gateway.py: what happens at each event
+MAX_GATEWAY_LINES = 400  # gateway.py: handles every event
 MAX_COLUMNS = 110
-MAX_FUNCTION_LINES = 45  # with the docstring
+MAX_FUNCTION_LINES = 45  # including the docstring
 
 
-def test_files_of_the_decision_module_are_short_and_narrow():
+def test_files_of_the_policy_are_short_and_narrow():
     for path in (ROOT / "decklb" / "policy").glob("*.py"):
         lines = path.read_text().splitlines()
         assert max(map(len, lines), default=0) <= MAX_COLUMNS, path.name
@@ -26,7 +26,7 @@
     assert sorted(listed) == sorted(str(p.relative_to(ROOT)) for p in (ROOT / "decklb" / "policy").glob("*.py"))
 
 
-def test_functions_of_the_decision_module_are_short():
+def test_functions_of_the_policy_are_short():
     for path in (ROOT / "decklb" / "policy").glob("*.py"):
         for node in ast.walk(syntax_tree(path)):
             if isinstance(node, ast.FunctionDef):
--- a/tests/test_policy_weight_controller.py
+++ b/tests/test_policy_weight_controller.py
@@ -1,4 +1,4 @@
-"""The controller of tenants' weights."""
+"""The controller of the tenants' weights."""
 
 from __future__ import annotations
 
@@ -16,4 +16,4 @@
     gateway.step(6000.0, [])
     assert a.weight > 0.6 and b.weight < 0.4
     gateway.step(12000.0, [])
-    assert a.weight > 0.5  # the integral remembers
+    assert a.weight > 0.5  # due to the integral
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess, on a few lines of the wire."""
+"""The simulator's adapter: as a subprocess and in process, on a few lines of its protocol."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     assert [(m["req"], m["engine"], m["who"]) for m in sends] == [("r1", "10.0.0.1:7", 3)]
 
 
-def test_down_forgets_and_a_list_number_is_used_again():
+def test_down_removes_an_instance_and_list_numbers_can_be_reused():
     gone = ROW | {"engine": "10.0.0.2:7"}
     request = {"msg": "request", "who": 3, "req": "r1", "lane": "c", "time_left": 900.0}
     run = run_adapter(
@@ -67,7 +67,7 @@
     assert replies_by_batch(run)[2] == [{"msg": "ok"}]
 
 
-def test_what_is_no_message_stops_the_adapter_with_one_line():
+def test_malformed_input_stops_the_adapter_with_one_line_of_error():
     for text in (
         "no json\n",
         '{"clock":1}\n',
@@ -78,7 +78,7 @@
         assert run.returncode != 0 and len(run.stderr.splitlines()) == 1, text
 
 
-def test_an_exception_in_the_decisions_is_reported(monkeypatch):
+def test_an_exception_in_the_policy_is_reported(monkeypatch):
     def broken(self, now, events):
         raise RuntimeError("broken")
 
@@ -88,7 +88,7 @@
     assert reply["msg"] == "give_in" and "broken" in reply["note_text"]
 
 
-def test_probes_go_out_and_their_answers_come_in():
+def test_probes_are_sent_and_their_answers_used():
     settings = BOOT[0]["setup"] | {"limits": {"probes": True}}
     settings["telemetry"] = {"how": "pull", "fields": ["rif"]}
     host = wirehost.Host()
