--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -1,10 +1,10 @@
-"""Recorded decisions: streams of events with the actions that the decision module answered, replayed byte for byte.
+"""Recorded decisions: streams of events and the policy's actions on them, replayed and compared byte for byte.
 
-`python -m tests.golden_decisions` records them anew (only where a change of behaviour is meant). A stream is a list of
-JSON lines in the simulator's wire form, as `decklb.wirehost` reads it. Streams named `direct-*` hold three things more,
-which that form does not carry and the embedding program sends: `uncertain` (the completion of a key's last attempt is
-in doubt), `closing`, and on requests and verdicts the fields `zone`, `zones` and `certain`. They are played without
-wirehost.
+`python -m tests.golden_decisions` records them again (only after an intended change of behaviour). A stream is a list
+of JSON lines in the simulator's protocol, as `decklb.wirehost` reads it. Streams named `direct-*` also contain three
+things that the protocol does not have but the embedding program sends: `uncertain` (it is uncertain whether the last
+attempt of an ordering key has completed), `closing` (shutdown), and the fields `zone`, `zones` and `certain` of
+requests and verdicts. They are replayed without wirehost.
 """
 
 from __future__ import annotations
@@ -67,21 +67,21 @@
 }
 
 
-def plays_direct(name):
+def is_direct(name):
     return name.startswith("direct-")
 
 
-def lines_of(name, kind):
+def read_stream(name, kind):
     return gzip.decompress((FOLDER / f"{name}.{kind}.gz").read_bytes()).decode()
 
 
 def replay(name, text):
-    """What the decision module answers to a stream, as text."""
-    if plays_direct(name):
+    """Return the policy's actions on a stream, as text."""
+    if is_direct(name):
         return replay_direct(text)
-    sink = io.StringIO()
-    wirehost.serve(io.StringIO(text), sink)
-    return sink.getvalue()
+    output = io.StringIO()
+    wirehost.serve(io.StringIO(text), output)
+    return output.getvalue()
 
 
 def replay_direct(text):
@@ -93,15 +93,15 @@
             now, messages = line["clock"], []
         else:
             messages.append(line)
-    return "".join(dump(answer) for answer in answers)
+    return "".join(encode_line(answer) for answer in answers)
 
 
-def dump(message):
+def encode_line(message):
     return json.dumps(message, separators=(",", ":")) + "\n"
 
 
 class DirectPlayer:
-    """Hands events to gateways by their own interface."""
+    """Passes events to gateways through their own interface."""
 
     def __init__(self):
         self.gateways, self.lists = {}, {}
@@ -118,9 +118,11 @@
                 pending[message["who"]] = []
             elif (event := self.event(message)) is not None and message["who"] in self.gateways:
                 pending.setdefault(message["who"], []).append(event)
-        for who, events in pending.items():
-            if who in self.gateways:
-                answers += [wirehost.encode_action(who, action) for action in self.gateways[who].step(now, events)]
+        for instance, events in pending.items():
+            if instance in self.gateways:
+                answers += [
+                    wirehost.encode_action(instance, action) for action in self.gateways[instance].step(now, events)
+                ]
         return answers
 
     def event(self, message):
@@ -136,9 +138,9 @@
         return event
 
 
-def setup(scenario, me):
-    """A settings object of one gateway; what the scenario does not name is off or small."""
-    draw = random.Random(str(scenario))
+def setup(scenario, gateway_index):
+    """Return the settings of one gateway; features that the scenario does not name are off or small."""
+    rng = random.Random(str(scenario))
     placement, serial = scenario.get("placement", False), scenario.get("serial", False)
     categories = [
         {"name": "read", "aim": 400.0, "deadline": 2000.0, "worth": 1.0, "late_worth": 0.3, "semantics": "idempotent"},
@@ -152,7 +154,7 @@
             "semantics": "at_most_once",
         },
         {"name": "keyed", "aim": 500.0, "deadline": 3000.0, "late_worth": 0.2, "semantics": "deduplicated"}
-        | {"memory_span": 900.0, "group": draw.choice(["zone", "cell"]) if placement else "all"},
+        | {"memory_span": 900.0, "group": rng.choice(["zone", "cell"]) if placement else "all"},
     ]
     categories[0]["aim_stretch"] = scenario.get("stretch", 0.0)
     categories[1]["streaming"] = True
@@ -167,7 +169,7 @@
             {"name": "alpha", "share": 0.7, "quota_per_s": scenario.get("quota")},
             {"name": "beta", "share": 0.3, "quota_per_s": scenario.get("quota")},
         ],
-        "me": me,
+        "me": gateway_index,
         "balancers": scenario["balancers"],
         "zone": "za",
         "kinds": ["small", "large"],
@@ -211,18 +213,18 @@
 
 
 class Simulation:
-    """Clients, engines and a list of engines round the gateways of one scenario; it records what it says and hears."""
+    """Clients, engines and an endpoint list around the gateways of one scenario; records events and actions."""
 
     def __init__(self, name):
-        self.scenario, self.direct = SCENARIOS[name], plays_direct(name)
-        self.draw, self.now = random.Random(name), 1000.0
+        self.scenario, self.direct = SCENARIOS[name], is_direct(name)
+        self.rng, self.now = random.Random(name), 1000.0
         self.player = DirectPlayer() if self.direct else wirehost.Host()
-        self.hosted = list(range(min(self.scenario["balancers"], self.scenario.get("hosted", 99))))
-        self.engines = [self.engine(i) for i in range(self.scenario.get("engines", 4))]
-        self.due, self.serial, self.requests, self.attempts = [], 0, 0, {}  # due: (when, number, message)
-        self.heard, self.said, self.silent = [], [], set()
+        self.instances = list(range(min(self.scenario["balancers"], self.scenario.get("hosted", 99))))
+        self.engines = [self.make_engine(i) for i in range(self.scenario.get("engines", 4))]
+        self.due, self.serial, self.requests, self.attempts = [], 0, 0, {}  # due: (time, number, message)
+        self.recorded_events, self.recorded_actions, self.silent = [], [], set()
 
-    def engine(self, number, ready_at=0.0):
+    def make_engine(self, number, ready_at=0.0):
         return {
             "engine": f"10.0.0.{number}:7",
             "region_part": ["za", "zb", "zc"][number % 3],
@@ -232,87 +234,89 @@
             "ready_at": ready_at,
         }
 
-    def later(self, wait, message):
+    def schedule(self, delay_ms, message):
         self.serial += 1
-        heapq.heappush(self.due, (self.now + wait, self.serial, message))
+        heapq.heappush(self.due, (self.now + delay_ms, self.serial, message))
 
-    def boot(self, who):
-        self.later(0.0, {"msg": "boot", "who": who, "salt": 7 + who, "setup": setup(self.scenario, who)})
+    def boot(self, instance):
+        self.schedule(
+            0.0, {"msg": "boot", "who": instance, "salt": 7 + instance, "setup": setup(self.scenario, instance)}
+        )
         if not self.scenario.get("ask"):
-            self.tell_list(who, "C")
+            self.send_endpoint_list(instance, "C")
 
-    def tell_list(self, who, mode):
-        self.later(0.0, {"msg": "census", "table": who, "rows_in": [dict(row) for row in self.engines]})
-        self.later(0.0, {"msg": "members", "who": who, "mode": mode, "serial": self.serial, "table": who})
+    def send_endpoint_list(self, instance, mode):
+        self.schedule(0.0, {"msg": "census", "table": instance, "rows_in": [dict(row) for row in self.engines]})
+        self.schedule(0.0, {"msg": "members", "who": instance, "mode": mode, "serial": self.serial, "table": instance})
 
     def run(self):
-        for who in self.hosted:
-            self.boot(who)
-        end = self.now + self.scenario.get("span", 8e3)
-        while self.now < end or self.due and self.now < end + 7e3:
-            if self.now < end:
-                self.clients()
-                self.faults()
+        for instance in self.instances:
+            self.boot(instance)
+        end_time = self.now + self.scenario.get("span", 8e3)
+        while self.now < end_time or self.due and self.now < end_time + 7e3:
+            if self.now < end_time:
+                self.add_client_requests()
+                self.inject_faults()
             self.batch()
             self.now += TICK_MS
-        return "".join(map(dump, self.heard)), "".join(map(dump, self.said))
+        return "".join(map(encode_line, self.recorded_events)), "".join(map(encode_line, self.recorded_actions))
 
     def batch(self):
         messages = []
         while self.due and self.due[0][0] <= self.now:
             message = heapq.heappop(self.due)[2]
             if message["msg"] == "verdict":
-                attempt = self.attempts.pop((message["who"], message["req"], message["leg"]), None)
-                if attempt is None:
+                sent_at = self.attempts.pop((message["who"], message["req"], message["leg"]), None)
+                if sent_at is None:
                     continue
-                message["rtt"] = round(self.now - attempt + 0.25, 3)
+                message["rtt"] = round(self.now - sent_at + 0.25, 3)
             messages.append(message)
         if not messages:
             return
-        self.heard += [{"msg": "clock", "clock": self.now}, *messages, {"msg": "go"}]
+        self.recorded_events += [{"msg": "clock", "clock": self.now}, *messages, {"msg": "go"}]
         replies = self.player.handle_batch(self.now, messages)
-        self.said += [*replies, {"msg": "ok"}]
+        self.recorded_actions += [*replies, {"msg": "ok"}]
         for reply in replies:
             self.carry_out(reply["who"], reply)
 
-    def clients(self):
-        for who in self.hosted:
-            burst = 25 if self.draw.random() < 0.002 else 1
-            while self.draw.random() < self.scenario.get("rate", 0.12) and burst or burst > 1:
-                burst -= 1
-                self.request(who)
-            if self.scenario.get("stray") and self.draw.random() < 0.02:
-                self.later(0.0, {"who": who} | self.draw.choice(self.strays()))
+    def add_client_requests(self):
+        for instance in self.instances:
+            remaining_burst = 25 if self.rng.random() < 0.002 else 1
+            while self.rng.random() < self.scenario.get("rate", 0.12) and remaining_burst or remaining_burst > 1:
+                remaining_burst -= 1
+                self.request(instance)
+            if self.scenario.get("stray") and self.rng.random() < 0.02:
+                self.schedule(0.0, {"who": instance} | self.rng.choice(self.stray_messages()))
 
-    def request(self, who):
+    def request(self, instance):
         self.requests += 1
-        lane = self.draw.choices(["read", "report", "write", "keyed"], [6, 1, 1, 2])[0]
+        lane = self.rng.choices(["read", "report", "write", "keyed"], [6, 1, 1, 2])[0]
         request = {
             "msg": "request",
-            "who": who,
+            "who": instance,
             "req": f"r{self.requests}",
-            "lane": "none" if self.draw.random() < 0.003 else lane,
-            "owner": self.draw.choices(["alpha", "beta", "other", None], [50, 50, 2, 1])[0],
-            "time_left": self.draw.choice([2000.0, 1500.0, 900.0, 60.0]) * (3 if lane == "report" else 1),
-            "tables": self.draw.randint(0, 4),
+            "lane": "none" if self.rng.random() < 0.003 else lane,
+            "owner": self.rng.choices(["alpha", "beta", "other", None], [50, 50, 2, 1])[0],
+            "time_left": self.rng.choice([2000.0, 1500.0, 900.0, 60.0]) * (3 if lane == "report" else 1),
+            "tables": self.rng.randint(0, 4),
         }
         if lane in ("write", "keyed"):
-            request["table"] = self.draw.choice("xyz")
+            request["table"] = self.rng.choice("xyz")
         if self.scenario.get("grants") or self.scenario.get("progress"):
-            request["cost"] = round(self.draw.lognormvariate(5, 0.8), 1)
-            request["footprint_mb"] = round(self.draw.lognormvariate(4, 0.5), 1)
-        if self.direct and self.draw.random() < 0.4:
-            request["zone"] = self.draw.choice(["za", "zb", "zc"])
-            request["zones"] = self.draw.choice([None, ["za", "zb"], ["zb", "zc"]])
-        self.later(0.0, request)
-        if self.draw.random() < 0.02:
-            self.later(self.draw.random() * 300, {"msg": "left", "who": who, "req": request["req"]})
-
-    def strays(self):
-        """Messages that should change nothing or little."""
-        data = [b"", b"\x00" * 7, b"\xff" * 28, bytes(self.draw.randrange(256) for _ in range(31))]
+            request["cost"] = round(self.rng.lognormvariate(5, 0.8), 1)
+            request["footprint_mb"] = round(self.rng.lognormvariate(4, 0.5), 1)
+        if self.direct and self.rng.random() < 0.4:
+            request["zone"] = self.rng.choice(["za", "zb", "zc"])
+            request["zones"] = self.rng.choice([None, ["za", "zb"], ["zb", "zc"]])
+        self.schedule(0.0, request)
+        if self.rng.random() < 0.02:
+            self.schedule(self.rng.random() * 300, {"msg": "left", "who": instance, "req": request["req"]})
+
+    def stray_messages(self):
+        """Return messages that should have little or no effect."""
+        data = [b"", b"\x00" * 7, b"\xff" * 28, bytes(self.rng.randrange(256) for _ in range(31))]
         return [
-            {"msg": "datagram", "sender": self.draw.randrange(12), "data": base64.b64encode(d).decode()} for d in data
+            {"msg": "datagram", "sender": self.rng.randrange(12), "data": base64.b64encode(d).decode()} for d in data
         ] + [
             {"msg": "datagram", "sender": 1, "data": "no base64"},
             {"msg": "novelty"},
@@ -325,32 +329,32 @@
             {"msg": "members", "mode": "X"},
         ]
 
-    def faults(self):
-        if self.draw.random() < self.scenario.get("changes", 0.004):
-            row = self.draw.choice(self.engines)
-            row["lifecycle"] = self.draw.choice(["up", "up", "draining", "removed"])
+    def inject_faults(self):
+        if self.rng.random() < self.scenario.get("changes", 0.004):
+            row = self.rng.choice(self.engines)
+            row["lifecycle"] = self.rng.choice(["up", "up", "draining", "removed"])
             if row["lifecycle"] == "up":
                 row["ready_at"] = self.now
             if self.scenario.get("forget") and row["lifecycle"] == "removed":
                 self.engines.remove(row)
-                self.engines.append(self.engine(len(self.engines) + 10, self.now))
-            for who in self.hosted:
-                self.tell_list(who, self.draw.choice("FCU"))
-        if self.scenario.get("outages") and self.draw.random() < 0.0015:  # a gateway falls silent to some of its peers
-            self.silent ^= {self.draw.choice(self.hosted)}
-        if self.scenario.get("outages") and self.draw.random() < 0.0004:
-            who = self.draw.choice(self.hosted)
-            self.later(0.0, {"msg": "down", "who": who})
-            self.later(TICK_MS, {"msg": "novelty", "who": who})
+                self.engines.append(self.make_engine(len(self.engines) + 10, self.now))
+            for instance in self.instances:
+                self.send_endpoint_list(instance, self.rng.choice("FCU"))
+        if self.scenario.get("outages") and self.rng.random() < 0.0015:  # a gateway's messages stop or resume
+            self.silent ^= {self.rng.choice(self.instances)}
+        if self.scenario.get("outages") and self.rng.random() < 0.0004:
+            instance = self.rng.choice(self.instances)
+            self.schedule(0.0, {"msg": "down", "who": instance})
+            self.schedule(TICK_MS, {"msg": "novelty", "who": instance})
             self.now += TICK_MS
             self.batch()
-            self.attempts = {key: sent for key, sent in self.attempts.items() if key[0] != who}
-            self.boot(who)
-        if self.scenario.get("stops") and self.draw.random() < 0.004:  # all engines out of use for a while
+            self.attempts = {key: sent for key, sent in self.attempts.items() if key[0] != instance}
+            self.boot(instance)
+        if self.scenario.get("stops") and self.rng.random() < 0.004:  # all engines are draining for a while
             down = [row | {"lifecycle": "draining"} for row in self.engines]
-            self.later(0.0, {"msg": "census", "table": 90, "rows_in": down})
-            self.later(0.0, {"msg": "members", "who": 0, "mode": "C", "serial": self.serial, "table": 90})
-            self.later(0.0, {"msg": "novelty", "who": 0})
+            self.schedule(0.0, {"msg": "census", "table": 90, "rows_in": down})
+            self.schedule(0.0, {"msg": "members", "who": 0, "mode": "C", "serial": self.serial, "table": 90})
+            self.schedule(0.0, {"msg": "novelty", "who": 0})
             heapq.heappush(
                 self.due,
                 (
@@ -363,82 +367,97 @@
                 self.due, (self.now + 900.0, self.serial + 0.6, {"msg": "members", "who": 0, "mode": "C", "table": 0})
             )
         if self.scenario.get("closing") and 7000 < self.now < 7000 + TICK_MS + 1:
-            self.later(0.0, {"msg": "closing", "who": 1})
+            self.schedule(0.0, {"msg": "closing", "who": 1})
 
-    def carry_out(self, who, reply):
+    def carry_out(self, instance, reply):
         match reply["msg"]:
             case "attempt":
-                self.attempt(who, reply)
+                self.start_attempt(instance, reply)
             case "retract":
-                self.end(4.0, who, reply["req"], reply["leg"], "", "CXL")
+                self.end_attempt(4.0, instance, reply["req"], reply["leg"], "", "CXL")
             case "probe":
-                held = self.draw.randint(0, 9)
-                answer = {"msg": "echo", "who": who, "engine": reply["engine"], "verdict": "GOOD", "rtt": 0.4}
-                lost = self.draw.random() < 0.1
-                self.later(
-                    self.draw.choice([1.0, 8.0]),
-                    answer | ({"verdict": "LATE"} if lost else {"pressure": {"rif": held}}),
+                queries = self.rng.randint(0, 9)
+                answer = {"msg": "echo", "who": instance, "engine": reply["engine"], "verdict": "GOOD", "rtt": 0.4}
+                lost = self.rng.random() < 0.1
+                self.schedule(
+                    self.rng.choice([1.0, 8.0]),
+                    answer | ({"verdict": "LATE"} if lost else {"pressure": {"rif": queries}}),
                 )
             case "sleep":
-                self.later(reply["from_now"], {"msg": "timer", "who": who, "label": reply["label"]})
+                self.schedule(reply["from_now"], {"msg": "timer", "who": instance, "label": reply["label"]})
             case "tail":
-                if self.draw.random() < 0.4:
-                    self.later(2.0, {"msg": "members", "who": who, "mode": "X"})
+                if self.rng.random() < 0.4:
+                    self.schedule(2.0, {"msg": "members", "who": instance, "mode": "X"})
                 else:
-                    self.tell_list(who, "F")
+                    self.send_endpoint_list(instance, "F")
             case "broadcast_to":
-                peers = [p for p in self.hosted if p != who] if reply["target"] == -1 else [reply["target"]]
+                peers = [p for p in self.instances if p != instance] if reply["target"] == -1 else [reply["target"]]
                 for peer in peers:
-                    if who not in self.silent and peer in self.hosted:
-                        self.later(1.0, {"msg": "datagram", "who": peer, "sender": who, "data": reply["data"]})
-
-    def attempt(self, who, reply):
-        req, engine = reply["req"], reply["engine"]
-        leg = 0
-        while (who, req, leg, "sent") in self.attempts:
-            leg += 1
-        self.attempts[who, req, leg, "sent"] = self.attempts[who, req, leg] = self.now
+                    if instance not in self.silent and peer in self.instances:
+                        self.schedule(1.0, {"msg": "datagram", "who": peer, "sender": instance, "data": reply["data"]})
+
+    def start_attempt(self, instance, reply):
+        request_id, engine = reply["req"], reply["engine"]
+        attempt_number = 0
+        while (instance, request_id, attempt_number, "sent") in self.attempts:
+            attempt_number += 1
+        self.attempts[instance, request_id, attempt_number, "sent"] = self.attempts[
+            instance, request_id, attempt_number
+        ] = self.now
         weights = [70, self.scenario.get("bad", 4), 2, 2, 2, self.scenario.get("lossy", 1)]
-        outcome = self.draw.choices(["GOOD", "BAD", "FULL", "NOCONN", "RST", "LATE"], weights)[0]
+        outcome = self.rng.choices(["GOOD", "BAD", "FULL", "NOCONN", "RST", "LATE"], weights)[0]
         number = int(engine.split(":")[0].rpartition(".")[2])
-        if number in self.scenario.get("faulty", {}) and self.draw.random() < self.scenario.get("fault_share", 0.75):
+        if number in self.scenario.get("faulty", {}) and self.rng.random() < self.scenario.get("fault_share", 0.75):
             outcome = self.scenario["faulty"][number]
-        took = self.draw.expovariate(1 / self.scenario.get("hold", 150.0)) + 5.0
+        duration_ms = self.rng.expovariate(1 / self.scenario.get("hold", 150.0)) + 5.0
         if outcome in ("BAD", "FULL", "NOCONN"):
-            took = 2.0
-        if outcome == "LATE" or took > reply["max_wait"]:
-            outcome, took = "LATE", reply["max_wait"]
-        self.end(took, who, req, leg, engine, outcome)
+            duration_ms = 2.0
+        if outcome == "LATE" or duration_ms > reply["max_wait"]:
+            outcome, duration_ms = "LATE", reply["max_wait"]
+        self.end_attempt(duration_ms, instance, request_id, attempt_number, engine, outcome)
         if self.scenario.get("progress"):
-            for note in range(1, int(min(took, 1000) / self.scenario["progress"]) + 1):
-                if self.draw.random() < 0.8:
-                    level = round(self.draw.choice([0.02, min(0.99, note * self.scenario["progress"] / took)]), 3)
-                    kind = self.draw.choice([1, 1, 1, 2, 3])
-                    note_at = note * self.scenario["progress"]
-                    self.later(
-                        note_at, {"msg": "interim", "who": who, "req": req, "leg": leg, "kind": kind, "level": level}
+            for report_number in range(1, int(min(duration_ms, 1000) / self.scenario["progress"]) + 1):
+                if self.rng.random() < 0.8:
+                    level = round(
+                        self.rng.choice([0.02, min(0.99, report_number * self.scenario["progress"] / duration_ms)]), 3
                     )
-        if outcome == "GOOD" and self.draw.random() < 0.1:
-            self.later(took / 2, {"msg": "headers", "who": who, "req": req, "leg": leg})
+                    kind = self.rng.choice([1, 1, 1, 2, 3])
+                    report_at = report_number * self.scenario["progress"]
+                    self.schedule(
+                        report_at,
+                        {
+                            "msg": "interim",
+                            "who": instance,
+                            "req": request_id,
+                            "leg": attempt_number,
+                            "kind": kind,
+                            "level": level,
+                        },
+                    )
+        if outcome == "GOOD" and self.rng.random() < 0.1:
+            self.schedule(
+                duration_ms / 2, {"msg": "headers", "who": instance, "req": request_id, "leg": attempt_number}
+            )
 
-    def end(self, wait, who, req, leg, engine, outcome):
-        used = self.draw.randint(20, 300) * 4096 + self.draw.randint(5, 90) if self.scenario.get("grants") else 0
+    def end_attempt(self, delay_ms, instance, request_id, attempt_number, engine, outcome):
+        used_up = self.rng.randint(20, 300) * 4096 + self.rng.randint(5, 90) if self.scenario.get("grants") else 0
         verdict = {
             "msg": "verdict",
-            "who": who,
-            "req": req,
-            "leg": leg,
+            "who": instance,
+            "req": request_id,
+            "leg": attempt_number,
             "engine": engine,
             "verdict": outcome,
             "rtt": 0.0,
         }
         if self.direct:
-            verdict["certain"] = self.draw.random() < 0.3
-            if outcome == "GOOD" and self.draw.random() < 0.3:
-                self.later(
-                    wait + self.draw.random() * 400, {"msg": "uncertain", "who": who, "key": self.draw.choice("xyz")}
+            verdict["certain"] = self.rng.random() < 0.3
+            if outcome == "GOOD" and self.rng.random() < 0.3:
+                self.schedule(
+                    delay_ms + self.rng.random() * 400,
+                    {"msg": "uncertain", "who": instance, "key": self.rng.choice("xyz")},
                 )
-        self.later(wait, verdict | {"finished": outcome == "GOOD", "used_up": used})
+        self.schedule(delay_ms, verdict | {"finished": outcome == "GOOD", "used_up": used_up})
 
 
 def record():
