--- a/decklb/policy/class_statistics.py
+++ b/decklb/policy/class_statistics.py
@@ -16,7 +16,8 @@
 
 MIN_ANSWERS = 20  # answers of a class from which its statistics replace the initial guesses
 MAX_MEMORY_RATIOS = 10 * MIN_ANSWERS  # sample size per class, large enough for a quantile of 0.96
-MEMORY_ESTIMATE_EXPONENT = 0.5  # of an estimate in the expected need: estimates scatter as much as needs
+# The memory need is expected to grow as this power of its estimate: estimates scatter as much as needs.
+MEMORY_ESTIMATE_EXPONENT = 0.5
 MAX_RELATIVE_ESTIMATE = 5  # multiple of the mean at which a single estimate is capped: they have a long tail
 MAX_ANSWER_SLOWDOWN = 4.0  # cap of the slowdown of one answer
 
--- a/decklb/policy/gateway.py
+++ b/decklb/policy/gateway.py
@@ -32,9 +32,7 @@
 from decklb.policy.subsetting import assign_subsets
 from decklb.policy.weight_controller import update_weights
 
-ENDPOINT_LIST_RETRY_MS = (
-    500.0  # minimum delay before a failed endpoint list is requested again; up to twice it
-)
+ENDPOINT_LIST_RETRY_MS = 500.0  # a failed endpoint list is requested again after this to twice this time
 QUEUE_LOOKAHEAD = 8  # requests tried from the head of a queue, past those blocked by placement or a key
 QUEUE_LOOKAHEAD_POLLING = 2  # the same if load is polled: then all requests wait for the same reports
 
@@ -286,11 +284,11 @@
         """Send queued requests by weighted round robin over the tenants, until no more can be sent."""
         ready = list(self.scheduler.queues.values())
         up = self.engines.up()
-        head = QUEUE_LOOKAHEAD_POLLING if self.reports.enabled else QUEUE_LOOKAHEAD
+        lookahead = QUEUE_LOOKAHEAD_POLLING if self.reports.enabled else QUEUE_LOOKAHEAD
         self.limit.count_threads(up, self.now)
         while ready and not self.limit.all_saturated(up, self.now):
             queue = min(ready, key=lambda queue: queue.virtual_time)
-            for _, _, request in queue.requests[:head]:
+            for _, _, request in queue.requests[:lookahead]:
                 engine = self._route(request) if self.limit.admits(request) else None
                 if engine is not None:
                     self.scheduler.charge(queue, request)
@@ -312,9 +310,9 @@
         if request.attempts:
             self.retries.add_retry(self.now)
         grant_mb = memory_grant_mb(request, engine, settings)
-        rank = priority(request, self.statistics, settings)
-        if grant_mb or rank != NORMAL_PRIORITY:
-            self.actions.append(api.SetResources(arrival.request_id, grant_mb, rank))
+        priority_level = priority(request, self.statistics, settings)
+        if grant_mb or priority_level != NORMAL_PRIORITY:
+            self.actions.append(api.SetResources(arrival.request_id, grant_mb, priority_level))
         wait_ms = max(settings.tick_ms, arrival.time_left_ms - (self.now - request.arrived_at))
         if engine.on_trial:
             wait_ms = min(wait_ms, POSSIBLY_LOST_RUNS * request.statistics.run_ms)
@@ -356,8 +354,8 @@
         self.scheduler.remove(request)
         if not request.attempts:
             self.retries.discard_request(request.arrived_at)
-        if head := self.keys.advance(request.arrival.ordering_key, self.now):
-            self.scheduler.enqueue(head)
+        if next_request := self.keys.advance(request.arrival.ordering_key, self.now):
+            self.scheduler.enqueue(next_request)
         if not request.is_in_flight():
             self.requests.pop(request.arrival.request_id, None)
             request.attempts.clear()  # breaks the reference cycle, which would need the garbage collector
--- a/decklb/policy/hedging.py
+++ b/decklb/policy/hedging.py
@@ -11,9 +11,8 @@
 from decklb.interface import AttemptProgress, Effect, Settings
 from decklb.policy.records import Attempt
 
-RUNAWAY_FACTOR = (
-    2.5  # an attempt is cancelled if it has this multiple of its usual run time, or objective, left
-)
+# A query is a runaway if its remaining time exceeds this multiple of its usual run time and of its objective.
+RUNAWAY_FACTOR = 2.5
 COMPLETED_FRACTION = 1  # kind of progress report whose level is the completed fraction
 
 
--- a/decklb/policy/load_reports.py
+++ b/decklb/policy/load_reports.py
@@ -90,7 +90,7 @@
 
         Load reports count queries, while limits count threads.
         """
-        weights = [max(1, known.answers) * known.run_ms for known in statistics.values()]
+        weights = [max(1, stats.answers) * stats.run_ms for stats in statistics.values()]
         threads = [self._classes[name].threads for name in statistics]
         weighted_threads = sum(weight * count for weight, count in zip(weights, threads, strict=True))
         self._threads_per_query = weighted_threads / sum(weights)
--- a/decklb/policy/lost_attempts.py
+++ b/decklb/policy/lost_attempts.py
@@ -1,4 +1,4 @@
-"""Lost-attempt detection: finds attempts whose outcome will be late or missing at engines that answer.
+"""Lost-attempt detection: finds attempts that are answered late or never, at engines that answer others.
 
 If engines send progress reports, an attempt is presumed lost once these stop. Otherwise an attempt far beyond
 its usual run time is presumed lost, provided that the recent loss rate is high. Its threads no longer count,
@@ -15,7 +15,7 @@
 POSSIBLY_LOST_RUNS = 3.0  # multiple of its usual run time after which an attempt may be lost
 CERTAINLY_LOST_RUNS = 8.0  # multiple of its usual run time after which an attempt is certainly lost
 LOSS_RATE_THRESHOLD = 0.08  # loss rate from which possibly lost attempts are presumed lost
-MISSED_PROGRESS_PERIODS = 2.2  # reporting intervals without a report: the attempt is presumed lost
+MISSED_PROGRESS_PERIODS = 2.2  # reporting intervals without a report until it is presumed lost
 
 
 class LostAttemptDetector:
--- a/decklb/policy/outlier_detection.py
+++ b/decklb/policy/outlier_detection.py
@@ -14,14 +14,12 @@
 
 MIN_BACKOFF_MS = 500.0  # length of the first ejection
 MAX_BACKOFF_MS = 4000.0  # upper bound of the length of an ejection
-MAX_ERROR_RATE = (
-    0.5  # an engine is ejected above this fraction of own errors and 'full' among its recent answers
-)
+MAX_ERROR_RATE = 0.5  # fraction of own errors and 'full' among recent answers above which it is ejected
 ERROR_WEIGHT = 0.2  # weight of one answer in the error rate
 
 
 def eject(engine: Engine, now: float) -> None:
-    """Eject an engine until a trial, twice as long as the last time."""
+    """Eject an engine, for twice as long as the last time; then it gets one trial."""
     if now >= engine.ejected_until:
         engine.backoff_ms = min(MAX_BACKOFF_MS, max(MIN_BACKOFF_MS, 2 * engine.backoff_ms))
         engine.ejected_until, engine.on_trial = now + engine.backoff_ms, True
--- a/decklb/policy/peer_messages.py
+++ b/decklb/policy/peer_messages.py
@@ -5,7 +5,7 @@
 import struct
 from dataclasses import dataclass
 
-MAX_BYTES = 256  # size of a message
+MAX_BYTES = 256  # maximum size of a message
 FLOAT_BYTES = 4
 ENGINE_BYTES = 3  # identifier (2) and slowdown (1)
 SLOWDOWN_SCALE = 16  # a slowdown of 1 is encoded as this value of its byte
--- a/decklb/policy/queueing.py
+++ b/decklb/policy/queueing.py
@@ -24,9 +24,8 @@
     """The requests of one tenant that wait to be sent."""
 
     tenant: Tenant
-    requests: list[tuple[float, int, Request]] = field(
-        default_factory=list
-    )  # (arrived at, sequence, request)
+    # Time of arrival in ms, sequence number and request, in ascending order
+    requests: list[tuple[float, int, Request]] = field(default_factory=list)
     count_by_class: dict[str, int] = field(default_factory=dict)
     virtual_time: float = 0.0  # total work in ms over weight of all turns so far
 
--- a/decklb/policy/retry_budget.py
+++ b/decklb/policy/retry_budget.py
@@ -15,9 +15,8 @@
 from decklb.policy.deadlines import is_too_late
 from decklb.policy.records import Request
 
-MAX_ERRORS = (
-    2  # errors after which a request is not retried: one that fails everywhere would use up the budget
-)
+# Errors after which a request is not retried: a request that fails at every engine would use up the budget.
+MAX_ERRORS = 2
 
 
 class SlidingWindow(deque[float]):
--- a/decklb/policy/slow_start.py
+++ b/decklb/policy/slow_start.py
@@ -54,7 +54,7 @@
             # If a gateway's fraction is below two queries, gateways take turns, in an order that each
             # computes by itself. Half of the budget is divided among the few whose turn it is, so that no
             # window exceeds the whole budget even if two turns overlap in it.
-            gateways_per_turn = int(budget / (4 * query_work_ms)) or 1  # in each window
+            gateways_per_turn = int(budget / (4 * query_work_ms)) or 1  # gateways whose turn it is
             budget *= TURN_BUDGET_FRACTION * engine.subset_size / gateways_per_turn
             turn = (
                 engine.subset_rank
