--- a/tests/test_policy_retry_budget.py
+++ b/tests/test_policy_retry_budget.py
@@ -55,8 +55,8 @@
 def test_an_unsafe_request_that_never_ran_is_retried_elsewhere():
     gateway = make_gateway(UNSAFE)
     (send,) = sent(gateway.step(1.0, [arrival("q", "unsafe")]))
-    (retries,) = sent(gateway.step(50.0, [ended(send, Outcome.UNREACHABLE)]))
-    assert retries.engine_id != send.engine_id
+    (retry,) = sent(gateway.step(50.0, [ended(send, Outcome.UNREACHABLE)]))
+    assert retry.engine_id != send.engine_id
 
 
 @pytest.mark.parametrize("group, same", [("zone", True), ("cell", True), ("all", False)])
@@ -66,9 +66,9 @@
     )
     gateway = make_gateway(spec)
     (send,) = sent(gateway.step(1.0, [arrival("q", "keyed", 9000.0)]))
-    (retries,) = sent(gateway.step(50.0, [ended(send, Outcome.ERROR)]))
-    assert (retries.engine_id == send.engine_id) is same
-    actions = gateway.step(2500.0, [ended(retries, Outcome.ERROR, attempt=1)])
+    (retry,) = sent(gateway.step(50.0, [ended(send, Outcome.ERROR)]))
+    assert (retry.engine_id == send.engine_id) is same
+    actions = gateway.step(2500.0, [ended(retry, Outcome.ERROR, attempt=1)])
     assert not sent(actions)
     assert bool(of_type(api.Reject, actions)) is (scope == "all")
     assert bool(of_type(api.Fail, actions)) is (scope != "all")
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -36,7 +36,7 @@
     assert send.engine_id == "e1"
     for attempt in range(1, 4):  # retries stay there too, though there is no other engine
         retries = sent(gateway.step(attempt + 1.0, [ended(send, Outcome.OVERLOADED, attempt=attempt - 1)]))
-        assert {engine.engine_id for engine in retries} <= {"e1"}
+        assert {retry.engine_id for retry in retries} <= {"e1"}
     gateway.step(10.0, [api.HealthCheckResult("e1", Outcome.UNREACHABLE, 0.0)])
     assert not sent(gateway.step(11.0, [arrival("b", "near", allowed_zones=("z1", "z3"))]))
 
@@ -86,7 +86,7 @@
     for seed in range(20):
         gateway = Gateway(api.Settings(classes={"safe": SAFE}, cores_by_kind={"k": 8}, tick_ms=5.0), seed)
         gateway.step(0.0, [api.EndpointsUpdated([endpoint("e0"), endpoint("e1")], True)])
-        chosen |= {engine.engine_id for engine in sent(gateway.step(1.0, [arrival("q")]))}
+        chosen |= {send.engine_id for send in sent(gateway.step(1.0, [arrival("q")]))}
     assert chosen == {"e0", "e1"}
 
 
