--- a/tests/test_policy_retry_budget.py
+++ b/tests/test_policy_retry_budget.py
@@ -59,7 +59,7 @@
     assert retry.engine_id != send.engine_id
 
 
-@pytest.mark.parametrize("group, same", [("zone", True), ("cell", True), ("all", False)])
+@pytest.mark.parametrize("scope, same", [("zone", True), ("cell", True), ("all", False)])
 def test_a_keyed_retry_stays_in_its_group_and_window(scope, same):
     spec = api.RequestClass(
         "keyed", 1000.0, 9000.0, effect=Effect.KEYED, deduplication_window_ms=2000.0, deduplication_scope=scope
