--- a/decklb/interface.py
+++ b/decklb/interface.py
@@ -56,7 +56,7 @@
 
     name: str
     latency_objective_ms: float  # ms from arrival within which an answer has its full value
-    deadline_ms: float  # maximum time budget of a request in ms
+    deadline_ms: float  # maximum time budget of a request in ms, and its budget if it states none
     priority_weight: float = 1.0  # relative value of an answer within the latency objective
     late_priority_weight: float = 0.0  # fraction of that value that a later answer still has
     objective_stretch: float = 0.0  # multiple of (work / threads) in ms by which the latency objective is extended
@@ -64,7 +64,7 @@
     deduplication_scope: str = "all"  # engines that share tokens: "all", those of a "zone" or of a "cell"
     deduplication_window_ms: float = 0.0  # ms for which engines remember a deduplication token
     ordered_by_key: bool = False  # requests with the same ordering key run one at a time, in order of arrival
-    streaming: bool = False  # answers are streamed, so a client may receive the start before the end is known
+    streaming: bool = False  # answers are streamed; not read by the policy, which relies on `ResponseStarted`
     allowed_zones: tuple[str, ...] | None = None  # zones whose engines may serve it; None: any
     allowed_kinds: tuple[str, ...] | None = None  # kinds of engines that may serve it; None: any
     threads: int = 1  # number of threads on which an engine runs one query
@@ -105,11 +105,11 @@
     largest_grant_fraction: float = 1.0  # largest memory grant of a query, as a fraction of the engine's memory
     memory_grants: bool = False  # engines apply the memory grants that are sent to them
     priorities: bool = False  # engines apply the priorities that are sent to them
-    usage_reported: bool = False  # answers report the work and memory that the query used
+    usage_reported: bool = False  # answers report work and memory used; not read: the values in `AttemptEnded` are
     progress_interval_ms: float = 0.0  # ms between two progress reports of an attempt; 0: none are sent
-    over_quota_weight: float = 1.0  # factor on the priority weight of requests above their tenant's quota
+    over_quota_weight: float = 1.0  # load shedding: factor on the value of requests above their tenant's quota
     must_subscribe: bool = False  # the endpoint list is sent to subscribers only
-    subscribe_within_ms: float = 0.0  # ms within which the gateway has to subscribe to the endpoint list
+    subscribe_within_ms: float = 0.0  # ms allowed for subscribing; not read: the policy subscribes in its first step
     cancellation: bool = False  # engines stop a query when they receive its cancellation
     peer_messages: bool = False  # gateways may exchange messages
     health_checks: bool = False  # gateways may query the health and load of engines
@@ -121,14 +121,14 @@
     slow_start_min_fraction: float = 1.0  # fraction of its capacity that an engine has right after its start
     slow_start_window_ms: float = 0.0  # ms from the start of an engine until it has its full capacity
     slow_start_overload_factor: float = 1.0  # multiple of its current capacity that a starting engine survives
-    slow_start_budget_window_ms: float = 0.0  # length in ms of the window over which that load is measured
+    slow_start_budget_window_ms: float = 0.0  # length in ms of the window over which that load is measured; 0: no limit
     drain_grace_ms: float = 0.0  # ms after a drain notice in which an attempt may still start at that engine
     retry_budget_floor: float = 0.0  # number of retries allowed per window regardless of traffic
     retry_budget_ratio: float | None = None  # retries allowed per accepted request; None: no retry budget
     retry_budget_window_ms: float = 0.0  # length of the sliding window of the retry budget in ms
     key_hold_down_ms: float = 0.0  # ms for which an ordering key is blocked after an attempt with an uncertain end
     tick_ms: float = 1.0  # ms between two batches of events to the policy
-    goal_weights: dict[str, float] = field(default_factory=dict)  # weights of the parts of the score, by part
+    goal_weights: dict[str, float] = field(default_factory=dict)  # weights of the parts of the score; not read
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -148,7 +148,7 @@
     kind: str
     cell: int
     phase: Phase
-    capacity_hint: float = 1.0  # relative capacity as stated by the endpoint list
+    capacity_hint: float = 1.0  # weight in the endpoint list; read only by a policy of the laboratory
     started_at_ms: float = 0.0  # time of its last start in ms; 0: long ago
 
 
@@ -176,7 +176,7 @@
     ordering_key: str | None = None  # orders requests of classes with `ordered_by_key`; None: no order
     estimated_work_ms: float = 0.0  # estimated work in ms of one thread; 0: no estimate
     estimated_memory_mb: float = 0.0  # estimated memory in MB; 0: no estimate
-    is_retry: bool = False  # the client sent the request again
+    is_retry: bool = False  # the client has sent the request before; not read by the policy
     preferred_zone: str = ""  # zone whose engines are preferred; "": any
     allowed_zones: Collection[str] | None = None  # zones allowed for it, within those of its class; None: any
 
@@ -207,9 +207,9 @@
 
 @dataclass(slots=True)
 class CompletionUncertain:
-    """The last attempt of an ordering key may have outlived its answer.
+    """The connection of an ordering key's last attempt was lost soon after its answer.
 
-    At the time of this event its engine knows how the attempt ended.
+    The attempt may therefore have ended later than the answer. By the time of this event its engine knows how it ended.
     """
 
     ordering_key: str
--- a/decklb/policy/class_statistics.py
+++ b/decklb/policy/class_statistics.py
@@ -14,9 +14,12 @@
 from decklb.interface import AttemptEnded
 from decklb.policy.constants import EWMA_WEIGHT
 
-MIN_ANSWERS = 20  # answers of a class from which its statistics replace the initial guesses
+# Number of memory ratios of a class from which memory is granted; the best run time of a class is tracked
+# after half as many answers.
+MIN_ANSWERS = 20
 MAX_MEMORY_RATIOS = 10 * MIN_ANSWERS  # sample size per class, large enough for a quantile of 0.96
-# The memory need is expected to grow as this power of its estimate: estimates scatter as much as needs.
+# The memory need is assumed to grow with this power of its estimate, not in proportion to it, because the
+# estimates vary as widely as the needs.
 MEMORY_ESTIMATE_EXPONENT = 0.5
 MAX_RELATIVE_ESTIMATE = 5  # multiple of the mean at which a single estimate is capped: they have a long tail
 MAX_ANSWER_SLOWDOWN = 4.0  # cap of the slowdown of one answer
@@ -32,7 +35,8 @@
     best_run_ms: float  # lowest value of that mean so far in ms; it slowly rises, to follow changes
     mean_estimate: float = 0.0  # mean of the clients' work estimates in ms; 0: there are none
     answers: int = 0  # number of answers so far
-    memory_ratios: list[float] = field(default_factory=list)  # sorted sample: memory used over expected
+    # Sorted sample: memory used over the estimate to the power of `MEMORY_ESTIMATE_EXPONENT`
+    memory_ratios: list[float] = field(default_factory=list)
     unsent_memory_ratio: float = 0.0  # ratio of the last own answer, until it is sent to peers; 0: none
 
     @classmethod
--- a/decklb/policy/concurrency.py
+++ b/decklb/policy/concurrency.py
@@ -17,11 +17,11 @@
 from decklb.policy.records import Attempt, Engine, Request
 
 THREADS_PER_CORE = 2.0  # threads per core under load (docs/design.md); beyond it engines lose throughput
-# Queries of the class with the most threads that may be in flight beyond the limit while answers are fast
+# While answers are fast, this many queries of the class with the most threads may exceed the limit.
 EXTRA_QUERIES = 1.0
 PRESSURE_SLOWDOWN = 1.6  # mean slowdown of answers from which the limit shrinks
-DECREASE_FACTOR = 0.7  # change of the limit per second while answers are slow
-INCREASE_FACTOR = 1.2  # change of the limit per second otherwise
+DECREASE_FACTOR = 0.7  # multiplies the limit each second while answers are slow
+INCREASE_FACTOR = 1.2  # multiplies the limit each second otherwise
 INITIAL_FACTOR = 4.0  # factor of the limit until the first endpoint list bounds it
 MIN_FACTOR = 0.35  # lower bound of the factor
 LONG_RUN_RATIO = 2.0  # attempts expected to run this many times as long as a request do not delay it
@@ -122,7 +122,7 @@
         """
         if self._uses_reports:
             return False
-        for engine in engines:  # noqa: SIM110 - a generator would cost a frame each
+        for engine in engines:  # noqa: SIM110 - a generator expression would add a frame per engine
             if not self.is_saturated(engine, now):
                 return False
         return True
--- a/decklb/policy/gateway.py
+++ b/decklb/policy/gateway.py
@@ -176,7 +176,7 @@
                     self.retries.discard_request(request.arrived_at)
                 if engine.on_trial:
                     outlier_detection.eject(engine, self.now)
-            case Outcome.OVERLOADED:  # rejecting work leaves an engine idle, as errors do
+            case Outcome.OVERLOADED:  # an engine that rejects requests stays idle, as one with errors does
                 outlier_detection.record_error(engine, self.now)
             case Outcome.CONNECTION_RESET:
                 outlier_detection.record_reset(engine, self.now)
--- a/decklb/policy/gossip.py
+++ b/decklb/policy/gossip.py
@@ -15,7 +15,8 @@
 from decklb.policy.peer_messages import PeerMessage
 
 FANOUT = 7  # number of peers that get each message
-PEER_SILENCE_MS = 0.7 * CONTROL_PERIOD_MS  # then a peer counts as down: three lost messages are unlikely
+# Without a message for this long a peer counts as down: three messages in a row are unlikely to be lost.
+PEER_SILENCE_MS = 0.7 * CONTROL_PERIOD_MS
 ALL_PEERS = -1  # peer index that addresses all peers
 
 
--- a/decklb/policy/key_ordering.py
+++ b/decklb/policy/key_ordering.py
@@ -64,7 +64,7 @@
         )
 
     def extend_hold_down(self, key: str, now: float) -> None:
-        """Restart a hold-down, since the last attempt has outlived its answer.
+        """Restart a hold-down, since the last attempt may have ended later than its answer.
 
         A hold-down that is over is not restarted: the next request of the key may be in flight.
         """
--- a/decklb/policy/load_reports.py
+++ b/decklb/policy/load_reports.py
@@ -3,8 +3,8 @@
 Each request that arrives earns a few probes, so that probes are sent at a rate proportional to that of
 requests, as in Prequal (Wydrowski et al.). Reports are late and slightly inaccurate: a report is valid for a
 fraction of the shortest latency objective, what was sent since is added to it, and the load limit that comes
-with it is random. The gateway passes in the reports, the router reads them. State: the probe credit, and
-five fields of each engine.
+with it is random. The gateway passes in the reports, the router reads them. State: the probe credit, the mean
+threads of a query, and four fields of each engine.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from decklb.policy.constants import CONTROL_PERIOD_MS, LONG_AGO, SCAN_TICKS
 from decklb.policy.records import Engine, Request
 
-QUERIES_FIELD = "rif"  # field of a load report: number of queries in flight at the engine (outer name)
+QUERIES_FIELD = "rif"  # field of a load report: queries in flight at the engine (named by the platform)
 PROBES_PER_REQUEST = 2.0  # probes that each accepted request earns
 MAX_PROBE_CREDIT = 8.0  # largest number of probes earned but not sent
 MAX_AGE_FRACTION = 0.25  # time for which a report is valid, as a fraction of the shortest latency objective
-MIN_LIMIT_FRACTION = 0.6  # load limits are drawn between this fraction and all of the limit on reported load
+MIN_LIMIT_FRACTION = 0.6  # load limits are drawn at random from this fraction of the maximum to all of it
 INITIAL_THREADS_PER_QUERY = 1.5  # mean threads of a query until the first answers
 
 
--- a/decklb/policy/memory_grants.py
+++ b/decklb/policy/memory_grants.py
@@ -3,7 +3,7 @@
 The grant is a high quantile of the memory that queries of the class needed over the estimate, so that few of
 them spill to disk; larger grants would take memory from others. Short queries get a high priority, since they
 gain most from a larger share of the cores, and so do queries that lock tables, to release the locks early.
-Both are parameters of a send in the protocol. Stateless; called by the gateway for each send.
+Both are sent to the engine with the attempt. Stateless; called by the gateway for each send.
 """
 
 from __future__ import annotations
--- a/decklb/policy/outlier_detection.py
+++ b/decklb/policy/outlier_detection.py
@@ -26,7 +26,7 @@
 
 
 def record_error(engine: Engine, now: float) -> None:
-    """Record an error of the engine's own."""
+    """Record an error of the engine's own, or that it answered 'full'."""
     engine.error_rate += ERROR_WEIGHT * (1 - engine.error_rate)
     if engine.on_trial or engine.error_rate > MAX_ERROR_RATE:
         eject(engine, now)
--- a/decklb/policy/records.py
+++ b/decklb/policy/records.py
@@ -59,13 +59,13 @@
     tenant: Tenant  # tenant on whose behalf the request runs
     arrived_at: float  # time of arrival in ms
     sequence: int  # number in order of arrival
-    over_quota: bool = False  # arrived when its tenant had used up its quota
+    over_quota: bool = False  # arrived above this gateway's part of its tenant's quota
     attempts: list[Attempt] = field(default_factory=list)  # all attempts in order of sending
     closed: bool = False  # needs no answer any more: answered, or its client has gone
     queued: bool = False  # waiting in the queue of its tenant
     streaming: bool = False  # a streamed answer has started
     order_offset: float = 0.0  # random fraction, 0 to 1: where in the order of engines routing starts
-    awaits_reports_since: float = 0.0  # time in ms since it has waited for load reports; 0: not waiting
+    awaits_reports_since: float = 0.0  # time in ms when it first waited for load reports; 0: never
     allowed_zones: Collection[str] | None = None  # zones that its class and its arrival allow; None: any
 
     def __post_init__(self) -> None:
--- a/decklb/policy/retry_budget.py
+++ b/decklb/policy/retry_budget.py
@@ -2,8 +2,9 @@
 
 The rules are: a request that must not be executed twice gets no retry once it may have been executed, the
 number of attempts per request is bounded, and retries within a sliding window are bounded by a budget (a
-floor plus a ratio of the accepted requests, as in Finagle's and Envoy's retry budgets). The window is
-computed one tick to the safe side at both ends. Owned by the gateway.
+floor plus a ratio of the accepted requests, as in Finagle's and Envoy's retry budgets). To be on the safe
+side, requests are counted over a window that is two ticks shorter, retries over one that is a tick longer.
+Owned by the gateway.
 """
 
 from __future__ import annotations
--- a/decklb/policy/routing.py
+++ b/decklb/policy/routing.py
@@ -23,8 +23,10 @@
 from decklb.policy.slow_start import SlowStart
 
 MIN_CHOICES = 2  # smallest number of engines that are compared
-MIN_COMPARED_THREADS = 8.0  # the compared engines together may bear this many own threads
-ROTATED_HEAD = 6  # first engines in the order, searched from a random one if load is polled
+# As many engines are compared as together may have this many threads of this gateway in flight
+MIN_COMPARED_THREADS = 8.0
+# If load is polled, the search starts at a random one of this many engines at the head of the order
+ROTATED_HEAD = 6
 
 
 class Candidates(NamedTuple):
--- a/decklb/wirehost.py
+++ b/decklb/wirehost.py
@@ -201,7 +201,10 @@
         return replies
 
     def _boot(self, instance: int, message: Json) -> list[Json]:
-        """Start an instance; invalid settings are reported to the simulator."""
+        """Start an instance.
+
+        Invalid values in its settings are reported to the simulator; a missing key counts as malformed input.
+        """
         try:
             self.gateways[instance] = Gateway(parse_settings(message["setup"]), message["salt"])
         except (TypeError, ValueError, ArithmeticError, AttributeError) as error:
--- a/tests/test_policy_load_reports.py
+++ b/tests/test_policy_load_reports.py
@@ -57,10 +57,10 @@
     gateway = polling_gateway(
         api.RequestClass("safe", latency_objective_ms=9000.0, deadline_ms=20000.0, effect=Effect.SAFE)
     )
-    now, probe_count = probed_engines(gateway.step(1.0, [arrival("a", time_left_ms=20000.0)])), 2
+    probed, probe_count = probed_engines(gateway.step(1.0, [arrival("a", time_left_ms=20000.0)])), 2
     for i in range(40):  # all engines are busy, and their reports expire
-        now = probed_engines(gateway.step(6.0 + 200 * i, [report(engine_id, 90) for engine_id in now]))
-        probe_count += len(now)
+        probed = probed_engines(gateway.step(6.0 + 200 * i, [report(engine_id, 90) for engine_id in probed]))
+        probe_count += len(probed)
     assert 2 < probe_count <= MAX_PROBE_CREDIT
     gateway = polling_gateway(health_checks=False)
     actions = gateway.step(1.0, [arrival("a")])
--- a/tests/test_policy_retry_budget.py
+++ b/tests/test_policy_retry_budget.py
@@ -59,15 +59,15 @@
     assert retry.engine_id != send.engine_id
 
 
-@pytest.mark.parametrize("scope, same", [("zone", True), ("cell", True), ("all", False)])
-def test_a_keyed_retry_stays_in_its_group_and_window(scope, same):
+@pytest.mark.parametrize("scope, same_engine", [("zone", True), ("cell", True), ("all", False)])
+def test_a_keyed_retry_stays_in_its_deduplication_scope_and_window(scope, same_engine):
     spec = api.RequestClass(
         "keyed", 1000.0, 9000.0, effect=Effect.KEYED, deduplication_window_ms=2000.0, deduplication_scope=scope
     )
     gateway = make_gateway(spec)
     (send,) = sent(gateway.step(1.0, [arrival("q", "keyed", 9000.0)]))
     (retry,) = sent(gateway.step(50.0, [ended(send, Outcome.ERROR)]))
-    assert (retry.engine_id == send.engine_id) is same
+    assert (retry.engine_id == send.engine_id) is same_engine
     actions = gateway.step(2500.0, [ended(retry, Outcome.ERROR, attempt=1)])
     assert not sent(actions)
     assert bool(of_type(api.Reject, actions)) is (scope == "all")
