--- a/decklb/policy/records.py
+++ b/decklb/policy/records.py
@@ -59,13 +59,13 @@
     tenant: Tenant  # tenant on whose behalf the request runs
     arrived_at: float  # time of arrival in ms
     sequence: int  # number in order of arrival
-    over_quota: bool = False  # arrived when its tenant had used up its quota
+    over_quota: bool = False  # arrived above this gateway's part of its tenant's quota
     attempts: list[Attempt] = field(default_factory=list)  # all attempts in order of sending
     closed: bool = False  # needs no answer any more: answered, or its client has gone
     queued: bool = False  # waiting in the queue of its tenant
     streaming: bool = False  # a streamed answer has started
     order_offset: float = 0.0  # random fraction, 0 to 1: where in the order of engines routing starts
-    awaits_reports_since: float = 0.0  # time in ms since it has waited for load reports; 0: not waiting
+    awaits_reports_since: float = 0.0  # time in ms when it first waited for load reports; 0: never
     allowed_zones: Collection[str] | None = None  # zones that its class and its arrival allow; None: any
 
     def __post_init__(self) -> None:
@@ -144,7 +144,7 @@
     ejected_until: float = 0.0  # time in ms until which no request is sent to it
     backoff_ms: float = 0.0  # length of the last ejection in ms; 0 after an answer
     on_trial: bool = False  # has not answered since its last ejection; one trial attempt at a time
-    error_share: float = 0.0  # moving average: fraction of answers that were 'full' or its own errors
+    error_rate: float = 0.0  # moving average: fraction of answers that were 'full' or its own errors
     # Slowdown detection
     slowdown: float = 1.0  # moving average: duration of its answers over the usual duration
     slowdown_changed: bool = False  # `slowdown` was updated from own attempts since it was last sent to peers
@@ -167,7 +167,7 @@
             ).digest()
         return self.hashes[table_group]
 
-    def tag(self) -> int:
+    def short_id(self) -> int:
         """Return a 16-bit identifier that is the same at every gateway."""
         return int.from_bytes(self.hash_for(0)[:2], "big")
 
