--- a/decklb/handoff/__init__.py
+++ b/decklb/handoff/__init__.py
@@ -1,5 +1,5 @@
-"""Replicated records of in-flight requests, so that another member takes them over once when their holder is lost.
+"""Replicates records of in-flight requests, so that exactly one other member takes a request over if its holder fails.
 
-`coordinator.py` is the place to start, `docs/handoff.md` the design. All modules but `runtime.py`, `peer_connection.py`
-and `store.py` are free of I/O.
+Start reading at `coordinator.py`; `docs/handoff.md` describes the design. Only `runtime.py`, `peer_connection.py` and
+`store.py` do I/O.
 """
--- a/decklb/handoff/admission.py
+++ b/decklb/handoff/admission.py
@@ -1,8 +1,8 @@
 """Admission of requests with an idempotency key: a request is admitted once a quorum of voters has its record.
 
-A key that is known already is looked up instead. Whatever can't be vouched for is rejected, which is harmless: the
-client may come back with its key at any time. Called by the front through `HandoffCoordinator`; the only state is
-`on_admission` of each `HeldRequest`.
+If the key is already known, the existing request is looked up instead. If no quorum can be reached, the request is
+rejected, which is harmless: the client may retry with the same key at any time. The front calls this module through
+`HandoffCoordinator`. The only state is `on_admission` of each `HeldRequest`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Admission:
-    """Admits requests under their keys."""
+    """Admits requests with idempotency keys."""
 
     def __init__(
         self,
@@ -41,8 +41,8 @@
         Args:
             now: This member's clock in ms.
             record: The request's record; holder, incarnation, term, version and voters are filled in here.
-            body: The request itself, as the front encoded it.
-            on_result: Told once what became of it.
+            body: The request itself, as encoded by the front.
+            on_result: Called once with the result.
         """
         state, key = self._state, record.key
         try:
@@ -66,7 +66,7 @@
         held = state.held[key] = HeldRequest(record, now, on_admission=on_result)
         if not self._memory.covers(now, record.key_generated, age_ms=0.0):
             held.ineligible_voters.add(state.member)
-        self._replicator.await_quorum(now, held, lambda reached: self._decided(held, reached))
+        self._replicator.await_quorum(now, held, lambda reached: self._on_quorum_result(held, reached))
         self._replicator.replicate(now, held)
 
     def _first_version(self, record: Record) -> Record:
@@ -80,9 +80,9 @@
             voters=state.fleet.voters(record.key),
         )
 
-    def _decided(self, held: HeldRequest, reached: bool) -> None:
+    def _on_quorum_result(self, held: HeldRequest, reached: bool) -> None:
         on_result, held.on_admission = held.on_admission, None
-        if on_result is None:  # told otherwise meanwhile
+        if on_result is None:  # the result has already been reported
             return
         if reached:
             self._state.counters["taken"] += 1
@@ -92,7 +92,7 @@
         self._state.reject(on_result, "no-quorum")
 
     def raise_term(self, now: float, held: HeldRequest, highest_term: int) -> None:
-        """A voter granted a higher term in an earlier life of the key: the new record goes above it."""
+        """Raise the term of a new record above the highest one that a voter granted in an earlier use of the key."""
         held.record = replace(held.record, term=highest_term + 1)
         held.acked_versions.clear()
         self._state.table.write(held.record)
@@ -102,7 +102,7 @@
         self._replicator.replicate(now, held)
 
     def on_key_held(self, now: float, held: HeldRequest, message: ReplicateReject) -> None:
-        """A voter keeps the key for another holder: its request is the same, which is looked up, or another."""
+        """A voter has the key for another holder: look the request up if it is the same, else report key reuse."""
         on_result = held.on_admission
         assert on_result is not None
         held.on_admission, held.pending = None, []
@@ -113,7 +113,7 @@
             self._lookups.ask_holder(now, message.holder, message.key, held.record.request_digest, on_result)
 
     def cancel(self, held: HeldRequest, reason: str) -> None:
-        """Reject a request whose admission is still to be decided."""
+        """Reject a request whose admission is undecided."""
         if (on_result := held.on_admission) is not None:
             held.on_admission, held.pending = None, []
             self._state.reject(on_result, reason)
--- a/decklb/handoff/admission_result.py
+++ b/decklb/handoff/admission_result.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that a front brings under an idempotency key."""
+"""Results of submitting a request with an idempotency key."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class AdmissionState(Enum):
-    """The result of an admission. The values are read in the log at DEBUG."""
+    """State of a submitted request. The values appear in the log at DEBUG level."""
 
-    ADMITTED = "admitted"  # a quorum has its record: the front may run it
-    RUNNING = "running"  # it runs already, here or elsewhere, or is being taken over
-    ANSWERED = "answered"  # its final answer is known
-    REJECTED = "rejected"  # nobody can vouch for it now; the client may come back with its key at any time
-    KEY_REUSED = "key-reused"  # its key was given to another request
+    ADMITTED = "admitted"  # a quorum has its record, so the front may run it
+    RUNNING = "running"  # already running here or elsewhere, or being taken over
+    ANSWERED = "answered"  # the final answer is known
+    REJECTED = "rejected"  # not admitted; the client may retry with the same key at any time
+    KEY_REUSED = "key-reused"  # the key already belongs to a different request
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionResult:
-    """The result of an admission, and the final answer where `state` is ANSWERED."""
+    """The result of an admission, with the final answer if `state` is ANSWERED."""
 
     state: AdmissionState
     outcome: Outcome | None = None
--- a/decklb/handoff/attempts.py
+++ b/decklb/handoff/attempts.py
@@ -1,6 +1,6 @@
-"""Progress of a held request: its attempts at engines and its final answer, each known to a quorum before it counts.
+"""Progress of a held request: its attempts and its final answer take effect only once a quorum has recorded them.
 
-Called by the front through `HandoffCoordinator`. The state is the record of each `HeldRequest`.
+The front calls this module through `HandoffCoordinator`. The only state is the record of each `HeldRequest`.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 
 class Attempts:
-    """Writes what happens to held requests into their records."""
+    """Writes the progress of held requests into their records."""
 
     def __init__(self, state: MemberState, replicator: Replicator) -> None:
         self._state, self._replicator = state, replicator
 
     def begin(self, now: float, key: str, engine: str, on_quorum: QuorumCallback, cancel_token: bytes) -> None:
-        """An attempt is to be sent; `on_quorum` is told whether it may be, once a quorum knows of it."""
+        """Record that an attempt is about to be sent; `on_quorum` reports whether a quorum has this, so it may be."""
         held = self._state.held.get(key)
         if held is None or held.suspended or self._state.closed:
             on_quorum(False)
             return
         self._replicator.write(now, held, held.record.with_attempt(engine, cancel_token))
-        self._replicator.await_quorum(now, held, lambda reached: self._begun(now, held, reached, on_quorum))
+        self._replicator.await_quorum(now, held, lambda reached: self._on_begin_quorum(now, held, reached, on_quorum))
 
-    def _begun(self, now: float, held: HeldRequest, reached: bool, on_quorum: QuorumCallback) -> None:
+    def _on_begin_quorum(self, now: float, held: HeldRequest, reached: bool, on_quorum: QuorumCallback) -> None:
         if not reached and self._state.is_held(held):
-            # It was never sent; the request is taken up again once a quorum answers.
+            # The attempt was never sent; the request is resumed once a quorum answers again.
             held.record, held.suspended = held.record.with_attempt_rejected(), True
             self._replicator.write(now, held, held.record)
             self._state.supervised_keys[held.key] = None
         on_quorum(reached)
 
     def set_cancel_token(self, now: float, key: str, engine: str, cancel_token: bytes) -> None:
-        """The attempt at an engine can be cancelled by this token from now on. Nobody waits for its replication."""
+        """Record the token that cancels the attempt at an engine. Nothing waits for its replication."""
         held = self._state.held.get(key)
         if held is None or held.suspended:
             return
@@ -43,7 +43,7 @@
             self._replicator.write(now, held, held.record.with_cancel_token(cancel_token))
 
     def rejected(self, now: float, key: str) -> None:
-        """The attempt provably never ran."""
+        """Record that the attempt provably never ran."""
         held = self._state.held.get(key)
         if held is not None and held.record.stage is Stage.SENT:
             self._replicator.write(now, held, held.record.with_attempt_rejected())
@@ -51,7 +51,7 @@
     def complete(
         self, now: float, key: str, outcome: Outcome, answer: bytes, reason: str, on_quorum: QuorumCallback
     ) -> None:
-        """The final answer is known; `on_quorum` is told whether it may be given, once a quorum has it."""
+        """Record the final answer; `on_quorum` reports whether a quorum has it, so the client may receive it."""
         held = self._state.held.get(key)
         if held is None or held.record.stage >= Stage.ANSWERED or self._state.closed:
             on_quorum(False)
--- a/decklb/handoff/coordinator.py
+++ b/decklb/handoff/coordinator.py
@@ -1,10 +1,10 @@
-"""One member's part in the handoff: what happens at each call of its front, at each message, and at each tick.
+"""The handoff's state machine in one member: handles calls of the front, messages of other members, and ticks.
 
-The coordinator wires the mechanisms (admission, attempts, replication, leases, takeover, voting, recovery, lookups) to
-one `MemberState`, and does no I/O. `runtime.py` drives it with connections and a clock, the laboratory with a
-simulated network. Both call `update_members`, `connected`, `disconnected`, `receive` and `tick`, and then carry out
-`take_outbox` and `take_events`. All times are milliseconds of this member's own monotonic clock. `docs/handoff.md` has
-the rules that are kept.
+The coordinator connects the mechanisms (admission, attempts, replication, leases, takeover, voting, recovery, lookups)
+to one `MemberState`, and does no I/O. `runtime.py` drives it with real connections and a clock, the laboratory with a
+simulated network. Both call `update_members`, `connected`, `disconnected`, `receive` and `tick`, then send the messages
+of `take_outbox` and log `take_events`. All times are in ms on this member's own monotonic clock. `docs/handoff.md`
+states the guarantees.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from decklb.handoff.takeover import Takeover
 from decklb.handoff.voting import Voter
 
-ABOVE_ALL_NAMES = "\uffff"  # sorts after every member's name: the highest ballot of a term
+ABOVE_ALL_NAMES = "\uffff"  # sorts after every member's name, which makes the highest ballot of a term
 
 
 class HandoffCoordinator:
-    """The records of one member and its votes on others'."""
+    """Manages the records that one member holds, and its votes on the records of others."""
 
     def __init__(
         self,
@@ -49,16 +49,16 @@
         now: float,
         runner: RequestRunner,
     ) -> None:
-        """Wire the mechanisms of one member.
+        """Create and connect the mechanisms of one member.
 
         Args:
-            settings: The same for all members.
+            settings: Must be the same for all members.
             member: This member's name.
-            incarnation: Tells processes of this member apart, as membership does.
-            memory_id: Names what this member remembers.
-            memory_age_ms: How far that reaches back: 0 at a start without a store.
-            rng: Spreads claims that are repeated.
-            now: This member's clock.
+            incarnation: Distinguishes successive processes of this member, as in the membership protocol.
+            memory_id: Identifies this member's memory of records and grants; it changes when that memory is lost.
+            memory_age_ms: How far back that memory reaches; 0 at a start without a store.
+            rng: Randomizes the delay of repeated claims.
+            now: Current time on this member's clock in ms.
             runner: Runs and stops requests.
         """
         self.settings, self.member, self.incarnation = settings, member, incarnation
@@ -75,53 +75,53 @@
         self._recovery = PeerRecovery(state, self._replicator, self._fencing)
         self._heartbeat_at_ms = now
 
-    # What the front calls.
+    # Calls from the front.
 
     def admit(self, now: float, record: Record, body: bytes, on_result: ResultCallback) -> None:
-        """A client brought a request with a key. See `Admission.admit`."""
+        """Admit a request that a client sent with a key. See `Admission.admit`."""
         self._admission.admit(now, record, body, on_result)
 
     def begin_attempt(
         self, now: float, key: str, engine: str, on_quorum: QuorumCallback, cancel_token: bytes = b""
     ) -> None:
-        """An attempt is to be sent to an engine; `on_quorum` is told whether it may be."""
+        """Record that an attempt is about to be sent to an engine; `on_quorum` reports whether it may be."""
         self._attempts.begin(now, key, engine, on_quorum, cancel_token)
 
     def set_cancel_token(self, now: float, key: str, engine: str, cancel_token: bytes) -> None:
-        """The attempt at an engine can be cancelled by this token from now on."""
+        """Record the token that cancels the attempt at an engine."""
         self._attempts.set_cancel_token(now, key, engine, cancel_token)
 
     def attempt_rejected(self, now: float, key: str) -> None:
-        """The attempt provably never ran."""
+        """Record that the attempt provably never ran."""
         self._attempts.rejected(now, key)
 
     def complete(
         self, now: float, key: str, outcome: Outcome, answer: bytes, reason: str, on_quorum: QuorumCallback
     ) -> None:
-        """The final answer is known; `on_quorum` is told whether it may be given."""
+        """Record the final answer; `on_quorum` reports whether it may be sent to the client."""
         self._attempts.complete(now, key, outcome, answer, reason, on_quorum)
 
     def release(self, key: str) -> None:
-        """The request was rejected, so that its client may come again with its key: nothing is held of it any more."""
+        """Drop the record of a rejected request, so that its client may retry with the same key."""
         if (held := self.state.held.get(key)) is not None:
             self._replicator.release(held)
 
     def held(self, key: str) -> HeldRequest | None:
-        """The request held here under a key."""
+        """Return the request that this member holds under a key, if any."""
         return self.state.held.get(key)
 
-    # What the runtime calls.
+    # Calls from the runtime.
 
     def restore(self, key: str, record: Record | None, body: bytes | None, granted: Ballot | None, now: float) -> None:
-        """Take back what an earlier process of this member stored of a key."""
+        """Restore the stored entry of a key that an earlier process of this member wrote."""
         self.state.table.restore(key, record, body, granted, now)
 
     def update_members(self, now: float, alive: Mapping[str, int], known: Collection[str]) -> None:
-        """What membership says: who is alive, with the incarnation of each, and whom it knows at all."""
+        """Apply the membership view: the members that are alive, with their incarnations, and all that are known."""
         self.state.fleet.update(now, alive, known)
 
     def connected(self, now: float, peer: str, memory_id: int, incarnation: int) -> None:
-        """A connection to a member, on which all messages pass in order."""
+        """A connection to a member was established; it delivers messages in order."""
         self._recovery.on_connected(now, peer, memory_id, incarnation)
 
     def disconnected(self, peer: str) -> None:
@@ -129,7 +129,7 @@
         self.state.fleet.connected.pop(peer, None)
 
     def receive(self, now: float, peer: str, message: Message) -> None:
-        """A message of a member."""
+        """Handle a message from a member."""
         match message:
             case messages.Replicate():
                 self._voter.on_replicate(now, peer, message)
@@ -168,7 +168,7 @@
                 self._replicator.resend_body_to(peer, held)
             case RejectReason.FENCED if awaits_admission:
                 self._admission.raise_term(now, held, message.highest_term)
-            case RejectReason.FENCED:  # not by a claim of ours, or it would have been admitted
+            case RejectReason.FENCED:  # a claim of this member's own would not have fenced the record
                 self._leases.on_fenced(peer, message.key, (message.highest_term, ABOVE_ALL_NAMES))
             case RejectReason.KEY_HELD | RejectReason.KEY_REUSED if awaits_admission:
                 self._admission.on_key_held(now, held, message)
@@ -176,7 +176,7 @@
                 self._replicator.postpone(now, peer, held)
 
     def tick(self, now: float) -> None:
-        """Do what is due; to be called every few tens of milliseconds."""
+        """Do all work that is due. Must be called every few tens of milliseconds."""
         self._send_heartbeats(now)
         self.state.fleet.refresh(now)
         self._replicator.resend_due(now)
@@ -194,7 +194,7 @@
                 self.state.send(peer, messages.Heartbeat(now))
 
     def _supervise(self, now: float, key: str) -> None:
-        """What time does to a request held here: its waits end, its lease ends or is regained."""
+        """Time out waits for a quorum, and suspend or resume a held request as its lease ends or is regained."""
         held = self.state.held.get(key)
         if held is None:
             self.state.supervised_keys.pop(key, None)
@@ -220,34 +220,34 @@
             self._fencing.forget(key)
 
     def close(self) -> None:
-        """The process ends: nothing is admitted or answered here from now on, and whoever waits is told so."""
+        """Stop admitting and answering requests, and notify all waiting callers. Called when the process ends."""
         self.state.closed = True
         for held in list(self.state.held.values()):
             self._admission.cancel(held, "closed")
             self._leases.stop(held)
 
     def take_outbox(self) -> list[tuple[str, Message]]:
-        """The messages to send, each with its receiver, in order."""
+        """Remove and return the messages to send, each with its receiver, in order."""
         outbox, self.state.outbox = self.state.outbox, []
         return outbox
 
     def take_events(self) -> list[HandoffEvent]:
-        """The lines to log, in order."""
+        """Remove and return the events to log, in order."""
         events, self.state.events = self.state.events, []
         return events
 
     @property
     def has_output(self) -> bool:
-        """Whether there is something to send or to log."""
+        """Whether there are messages to send or events to log."""
         return bool(self.state.outbox or self.state.events)
 
     @property
     def table(self) -> RecordTable:
-        """The records kept here."""
+        """The records that this member stores."""
         return self.state.table
 
     def figures(self) -> dict[str, Any]:
-        """Counters, for operators; the names are those of `decklb handoff`."""
+        """Return counters and current sizes under the names that `decklb handoff` shows."""
         state = self.state
         return {
             "held": len(state.table),
--- a/decklb/handoff/errors.py
+++ b/decklb/handoff/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the handoff, each with what to do about it."""
+"""Errors of the handoff, and how to resolve them."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 
 
 class KeyReusedError(HandoffError):
-    """A key came with another request than the one it was first given to: the client must use a new key."""
+    """A key was reused for a different request. The client must use a new key for each request."""
 
     def __init__(self, key: str) -> None:
-        super().__init__(f"key {key!r} was given to another request; give each request a key of its own")
+        super().__init__(f"key {key!r} already belongs to a different request; use a new key for each request")
         self.key = key
 
 
 class RecordLimitError(HandoffError):
-    """No capacity for another record: raise `capacity` or `room` in the settings, or add members."""
+    """There is no capacity for another record: raise `capacity` or `room` in the settings, or add members."""
 
     def __init__(self, max_records: int) -> None:
-        super().__init__(f"{max_records} records held; the request runs without a copy elsewhere")
+        super().__init__(
+            f"no capacity for another record, within the limits of {max_records} records and of their size in bytes"
+        )
         self.max_records = max_records
 
 
 class FrameError(HandoffError):
-    """A frame of another member that can't be decoded: its connection ends.
+    """A frame from another member could not be decoded. The connection is closed.
 
     Attributes:
         reason: A short code for the log: "shape", "version" or "replay".
@@ -36,4 +38,4 @@
 
 
 class StoreError(HandoffError):
-    """The store's folder can't be used: free space there, or name another; until then nothing is protected here."""
+    """The store's folder is unusable: free space there or choose another. Until then no request is protected here."""
--- a/decklb/handoff/fencing.py
+++ b/decklb/handoff/fencing.py
@@ -1,7 +1,7 @@
-"""Notices to former holders that a higher claim of their key was granted.
+"""Notifies former holders that a higher claim of their key was granted.
 
-A former holder's lease rests on this voter's answers, so it is told at once, and first of all on each new connection.
-The state is the last claim granted for each key, until its record expires or is held here.
+A former holder's lease depends on this voter's answers, so it is notified at once, and before any other message on
+each new connection. The state is the last claim granted for each key, until its record expires or is held here.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 
 class FencingNotices:
-    """Tells former holders which of their keys were granted to others."""
+    """Notifies former holders of keys that were granted to other members."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
         self._granted: dict[str, _GrantedClaim] = {}  # by key
 
     def fence(self, record: Record, ballot: Ballot) -> None:
-        """A claim of this record was granted here: its holder is told, and told again when it is connected anew."""
+        """Notify the holder of a record that a claim of it was granted here, now and after each reconnection."""
         self._granted[record.key] = _GrantedClaim(record.holder, ballot)
         if record.holder in self._state.fleet.connected:
             self._notify(record.key, record.holder, ballot)
 
     def on_connected(self, peer: str) -> None:
-        """A member was connected: it is told of all that others were granted."""
+        """A connection to a member was established: notify it of all its keys that were granted to others."""
         for key, claim in self._granted.items():
             if claim.former_holder == peer:
                 self._notify(key, peer, claim.ballot)
@@ -45,5 +45,5 @@
             self._state.send(holder, Fenced(key, term, claimer))
 
     def forget(self, key: str) -> None:
-        """The key is held here, or its record expired."""
+        """Stop notifying about a key: it is held here now, or its record expired."""
         self._granted.pop(key, None)
--- a/decklb/handoff/leases.py
+++ b/decklb/handoff/leases.py
@@ -1,7 +1,7 @@
-"""Who may act on a held request now: suspending it when its lease ends, resuming it, and giving it up when fenced.
+"""Suspends held requests when their lease ends, resumes them when it is regained, and gives them up when fenced.
 
-A holder stops a part of a lease early, so that its engines have time to cancel what runs. It is fenced once so many
-voters granted higher claims that no quorum is left for it. The state is `suspended` of each `HeldRequest`.
+A holder stops a fraction of a lease early, so that engines have time to cancel running attempts. It is fenced once so
+many voters have granted higher claims that no quorum remains for it. The state is `suspended` of each `HeldRequest`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from decklb.handoff.replication import NOT_ACKED, Replicator
 from decklb.handoff.takeover_policy import TakeoverAction, decide_takeover
 
-STOP_MARGIN = 0.2  # of a lease before its end, in which the engines cancel what runs
+STOP_MARGIN_LEASES = 0.2  # part of a lease, at its end, that is left to the engines to cancel running attempts
 
 
 class LeaseSupervisor:
@@ -23,27 +23,27 @@
         self._state, self._replicator = state, replicator
 
     def is_expiring(self, now: float, held: HeldRequest) -> bool:
-        """Whether the lease on a request is over, but for the margin."""
-        return not self._state.may_act(now, held, STOP_MARGIN * self._state.settings.lease_ms)
+        """Whether the lease on a request has ended or will end within the stop margin."""
+        return not self._state.may_act(now, held, STOP_MARGIN_LEASES * self._state.settings.lease_ms)
 
     def is_regained(self, now: float, held: HeldRequest) -> bool:
-        """Whether a quorum has some version of a suspended request, and the lease on it is current again."""
+        """Whether a quorum has any version of a suspended request, and its lease is valid again."""
         return self._replicator.committed_version(held) > NOT_ACKED and not self.is_expiring(now, held)
 
     def suspend(self, held: HeldRequest) -> None:
-        """The lease has ended: this member stops acting on the request."""
+        """Stop acting on a request whose lease has ended."""
         held.suspended = True
         self._state.counters["stalled"] += 1
         self._state.log("handoff-lease-ended", held.key, term=held.record.term)
         self.stop(held)
 
     def stop(self, held: HeldRequest) -> None:
-        """Cancel what waits and what runs of a request here."""
+        """Fail the callers that wait for a quorum, and stop the request at the front."""
         held.fail_pending()
         self._state.runner.stop(held.key)
 
     def resume(self, now: float, held: HeldRequest) -> None:
-        """This member may act on what it took over, or on what it had suspended."""
+        """Act on a request that this member has taken over, or had suspended."""
         held.suspended = False
         decision = decide_takeover(held.record, now)
         self._state.counters[f"resumed-{decision.reason}"] += 1
@@ -61,13 +61,13 @@
 
     def _run_again(self, held: HeldRequest) -> None:
         body = self._state.table.body(held.key)
-        if body is None:  # an answer too large to replicate: only its holder had the request by then
+        if body is None:  # answer too large to replicate: by then only the former holder had the body
             self._replicator.release(held)
         else:
             self._state.runner.run(held.record, body)
 
     def on_fenced(self, voter: str, key: str, ballot: Ballot) -> None:
-        """A voter granted a higher claim of a key: it counts for the record held here no more."""
+        """A voter granted a higher claim of a key, so it no longer counts as a voter of the record held here."""
         held = self._state.held.get(key)
         if held is None or ballot <= (held.record.term, self._state.member):
             return
@@ -77,7 +77,7 @@
             self.give_up(held)
 
     def give_up(self, held: HeldRequest) -> None:
-        """Another member holds the request now, or will."""
+        """Stop holding a request that another member holds or is about to hold."""
         if not self._state.is_held(held):
             return
         del self._state.held[held.key]
--- a/decklb/handoff/lookups.py
+++ b/decklb/handoff/lookups.py
@@ -1,7 +1,7 @@
-"""Answers for clients that come back with a key: from the record held here, or by asking its holder.
+"""Looks up requests whose clients retry with the same key: in the record held here, or by asking its holder.
 
-A lookup that the holder does not answer within the quorum timeout counts as still running. The state is the lookups
-sent to holders and not answered yet.
+If the holder does not answer within the quorum timeout, the request is reported as still running. The state is the
+lookups sent to holders and not answered yet.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 class Lookups:
-    """Finds out what became of a request that was admitted before."""
+    """Finds the state and the final answer of requests that were admitted earlier."""
 
     def __init__(self, state: MemberState, replicator: Replicator) -> None:
         self._state, self._replicator = state, replicator
-        self._pending: dict[int, _PendingLookup] = {}  # by request_id
+        self._pending: dict[int, _PendingLookup] = {}  # by the lookup's request_id
         self._last_request_id = 0
 
     def find(self, now: float, key: str, request_digest: str, on_result: ResultCallback) -> None:
-        """Tell what became of a request whose record is kept here."""
+        """Report the result of a request whose record this member has."""
         held = self._state.held.get(key)
         if held is not None:
             self._find_held(now, held, on_result)
@@ -51,7 +51,7 @@
             on_result(AdmissionResult(AdmissionState.RUNNING))
             return
         if not record.answer_retained and record.effect is Effect.SAFE:
-            self._replicator.release(held)  # it may be run again
+            self._replicator.release(held)  # the client may have it run again
             self._state.reject(on_result, "answer-not-kept")
             return
         self._state.counters["answered-again"] += 1
@@ -59,7 +59,7 @@
         on_result(AdmissionResult(AdmissionState.ANSWERED, outcome, record.answer, record.reason))
 
     def ask_holder(self, now: float, holder: str, key: str, request_digest: str, on_result: ResultCallback) -> None:
-        """Ask the holder of a key."""
+        """Ask the holder of a key for the result of its request."""
         fleet = self._state.fleet
         if holder not in fleet.connected or holder not in fleet.alive:
             on_result(AdmissionResult(AdmissionState.RUNNING, reason="holder-lost"))
@@ -70,20 +70,20 @@
         self._state.send(holder, LookupRequest(self._last_request_id, key, request_digest))
 
     def expire(self, now: float) -> None:
-        """Holders that did not answer in time: the request counts as running."""
+        """Report requests as running whose holders did not answer in time."""
         expired = [request_id for request_id, lookup in self._pending.items() if lookup.expires_at_ms <= now]
         for request_id in expired:
             lookup = self._pending.pop(request_id)
             lookup.on_result(AdmissionResult(AdmissionState.RUNNING, reason="holder-silent"))
 
     def on_request(self, now: float, peer: str, message: LookupRequest) -> None:
-        """A member asks about a key that it believes is held here."""
+        """Answer a member that expects a key to be held here."""
         record = self._state.table.get(message.key)
         if record is None:
             self._reply_unknown(peer, message)
         elif record.request_digest != message.request_digest:
             self._state.send(peer, LookupReply(message.request_id, LookupState.OTHER_REQUEST))
-        elif message.key not in self._state.held:  # on its way to yet another member
+        elif message.key not in self._state.held:  # another member holds it now, or is taking it over
             self._state.send(peer, LookupReply(message.request_id, LookupState.RUNNING))
         else:
             self.find(
@@ -94,7 +94,7 @@
             )
 
     def _reply_unknown(self, peer: str, message: LookupRequest) -> None:
-        """Somebody still has a replica of what was released here: its voters are told once more."""
+        """Repeat the release of a key to its voters: the peer still has a replica of the released record."""
         state = self._state
         state.send(peer, LookupReply(message.request_id, LookupState.UNKNOWN))
         for member in dict.fromkeys((peer, *state.fleet.voters(message.key))):
@@ -110,7 +110,7 @@
         self._state.send(peer, LookupReply(request_id, state, result.outcome, result.answer, result.reason))
 
     def on_reply(self, message: LookupReply) -> None:
-        """The holder's answer."""
+        """Handle the holder's answer to a lookup."""
         lookup = self._pending.pop(message.request_id, None)
         if lookup is None:
             return
--- a/decklb/handoff/member_state.py
+++ b/decklb/handoff/member_state.py
@@ -1,7 +1,7 @@
-"""What the handoff's mechanisms share in one member: its records, held requests, view of the fleet, and outputs.
+"""State shared by the handoff's mechanisms in one member: records, held requests, fleet view and outputs.
 
-`HandoffCoordinator` makes one and gives it to each mechanism. Outputs gather in `outbox` and `events`, which the
-runtime (or the simulated network of the tests) takes and carries out.
+`HandoffCoordinator` creates one `MemberState` and passes it to each mechanism. Outputs are queued in `outbox` and
+`events`; the runtime (or the simulated network of the laboratory) sends and logs them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from decklb.handoff.records import Record
 from decklb.handoff.settings import HandoffSettings
 
-REJECT_COUNTERS = {  # the last part of a counter's name, as `decklb handoff` shows it
+REJECT_COUNTERS = {  # last parts of the counter names that `decklb handoff` shows
     RejectReason.KEY_HELD: "taken",
     RejectReason.KEY_REUSED: "key-reused",
     RejectReason.FENCED: "fenced",
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoffEvent:
-    """Something that operators read in the log: its code, the key, and further fields of the line."""
+    """A line for the operators' log: its event code, the key, and further fields."""
 
     code: str
     key: str
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRunner:
-    """Callbacks by which the handoff runs and stops requests at the front.
+    """Callbacks that run and stop requests at the front.
 
     Attributes:
-        run: Run a request that was taken over, or taken up again; its body is the request as the front encoded it.
-        stop: Cancel what runs under a key: this member may not act on it now.
+        run: Run a request that was taken over or resumed; the body is the request as encoded by the front.
+        stop: Cancel the request of a key, which this member may not act on now.
     """
 
     run: Callable[[Record, bytes], None]
@@ -56,40 +56,42 @@
 
 
 class MemberState:
-    """State of one member that more than one mechanism uses."""
+    """State of one member that several mechanisms use."""
 
     def __init__(
         self, settings: HandoffSettings, member: str, incarnation: int, rng: random.Random, runner: RequestRunner
     ) -> None:
-        """`member` and `incarnation` name this process, as membership does; `rng` spreads claims that are repeated."""
+        """`member` and `incarnation` identify this process; `rng` randomizes the delay of repeated claims."""
         self.settings, self.member, self.incarnation, self.rng, self.runner = settings, member, incarnation, rng, runner
         self.table = RecordTable(settings)
         self.leases = LeaseTracker(settings, member)
         self.fleet = FleetView(settings, member, incarnation, self.leases)
         self.held: dict[str, HeldRequest] = {}  # by key
-        self.supervised_keys: dict[str, None] = {}  # held here, and waiting for something or for a final answer
+        self.supervised_keys: dict[
+            str, None
+        ] = {}  # held here, with a waiting caller or without a final answer; checked at each tick
         self.outbox: list[tuple[str, Message]] = []  # receiver and message, in order
         self.events: list[HandoffEvent] = []
         self.counters: Counter[str] = Counter()
         self.closed = False
 
     def send(self, peer: str, message: Message) -> None:
-        """Queue a message to a member."""
+        """Queue a message for a member."""
         self.outbox.append((peer, message))
 
     def log(self, code: str, key: str, **fields: Any) -> None:
-        """Queue a line of the log."""
+        """Queue a line for the log."""
         self.events.append(HandoffEvent(code, key, fields))
 
     def reject(self, on_result: ResultCallback, reason: str) -> None:
-        """Count and tell a rejected admission."""
+        """Count a rejected admission and report it to its caller."""
         self.counters[f"refused-{reason}"] += 1
         on_result(AdmissionResult(AdmissionState.REJECTED, reason=reason))
 
     def is_held(self, held: HeldRequest) -> bool:
-        """Whether this very request is still held, and not a later one under its key."""
+        """Whether `held` is still the request held under its key: not released, and not replaced by a later one."""
         return self.held.get(held.key) is held
 
     def may_act(self, now: float, held: HeldRequest, margin_ms: float = 0.0) -> bool:
-        """Whether the lease on a held request is current, and stays so for `margin_ms`."""
+        """Whether the lease on a held request is valid now and for the next `margin_ms`."""
         return self.leases.permits(held.record, now, self.table.ballots, held.ineligible_voters, margin_ms)
--- a/decklb/handoff/messages.py
+++ b/decklb/handoff/messages.py
@@ -1,12 +1,13 @@
-"""Messages between members about replicated records, and their frames: MessagePack arrays by msgspec.
+"""Messages between members about replicated records, and their frames, encoded as MessagePack arrays by msgspec.
 
-A frame is one envelope around any number of messages, sealed as the cluster's datagrams are. Its nonce is the
-receiver's own, from its greeting on this connection, and its sequence number counts up: a frame of an earlier
-connection, or one that is replayed, is refused.
+A frame is one envelope with any number of messages, sealed in the same way as the cluster's datagrams. It carries the
+nonce from the receiver's greeting on this connection and an increasing sequence number, so frames of an earlier
+connection and replayed frames are rejected.
 
-The order of the fields and the tags are the wire form, which members of several versions share. Messages are made and
-handled by the modules that `coordinator.py` wires, and framed by `runtime.py`. Durations and times are milliseconds; a
-`sent_at_ms` is on its sender's clock and comes back unchanged in the answer, where it renews the lease.
+The tags and the order of the fields define the wire format, which must stay compatible between versions. Messages are
+created and handled by the modules that `coordinator.py` connects, and framed by `peer_connection.py`. Durations and
+times are in ms. A `sent_at_ms` is on its sender's clock and is returned unchanged in the answer, where it renews the
+sender's lease.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from decklb.handoff.records import Outcome, Record
 
 PROTOCOL_VERSION = 1
-MAX_FRAME_BYTES = 8 << 20  # of a sealed frame
-MAX_MESSAGES = 1000  # in one frame
+MAX_FRAME_BYTES = 8 << 20  # size limit of a sealed frame
+MAX_MESSAGES = 1000  # limit per frame
 
 MemberName = Annotated[str, Meta(min_length=1, max_length=64)]
 Key = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -31,35 +32,35 @@
 
 
 class RejectReason(IntEnum):
-    """Why a replica or a claim is rejected."""
+    """Reason for rejecting a replica or a claim."""
 
-    KEY_HELD = 1  # another member, or another incarnation, holds the key
-    KEY_REUSED = 2  # the key was given to another request
-    FENCED = 3  # a higher claim was granted
+    KEY_HELD = 1  # another member, or another incarnation of the same member, holds the key
+    KEY_REUSED = 2  # the key belongs to a different request
+    FENCED = 3  # a higher claim of the key was granted
     MEMORY_TOO_SHORT = 4  # this voter may have forgotten a record of the key
-    BODY_MISSING = 5  # the request itself is lacking here
+    BODY_MISSING = 5  # this voter does not have the request itself
     OUT_OF_CAPACITY = 6
-    HOLDER_ALIVE = 7  # the holder is alive in this voter's view
-    TERM_TOO_LOW = 8  # a claim must be above `highest_term`
+    HOLDER_ALIVE = 7  # this voter sees the holder alive
+    TERM_TOO_LOW = 8  # the term of a claim must be above `highest_term`
 
 
 class LookupState(IntEnum):
-    """What the holder of a key answers about it."""
+    """The holder's answer about a key."""
 
     UNKNOWN = 0
     RUNNING = 1
     ANSWERED = 2
-    OTHER_REQUEST = 3  # the key was given to another request
+    OTHER_REQUEST = 3  # the key belongs to a different request
 
 
 class Greeting(Struct, array_like=True, frozen=True):
-    """The first frame of each side."""
+    """The first frame that each side sends."""
 
     version: int
     member: MemberName
     incarnation: Count
-    memory_id: Count  # names what the sender remembers; another one means that it has forgotten
-    memory_age_ms: Milliseconds  # how far that reaches back
+    memory_id: Count  # identifies the sender's memory; a changed id means that its earlier memory is lost
+    memory_age_ms: Milliseconds  # how far back that memory reaches
     nonce: Annotated[bytes, Meta(min_length=16, max_length=16)]
 
 
@@ -68,14 +69,14 @@
 
     record: Record
     remaining_ms: Milliseconds  # until the record's deadline
-    age_ms: Milliseconds  # since the holder admitted the key, or took it over
+    age_ms: Milliseconds  # time since the holder admitted the key or took it over
     sent_at_ms: float
-    new_key: bool  # the request waits for its admission
-    body: bytes | None = None  # the request itself, until the voter has it
+    new_key: bool  # the admission of the request is undecided
+    body: bytes | None = None  # the request itself; None once the voter has it
 
 
 class ReplicateAck(Struct, array_like=True, tag=2, frozen=True):
-    """Voter to holder: this version is kept here."""
+    """Voter to holder: the voter has stored this version."""
 
     key: Key
     term: Count
@@ -84,30 +85,30 @@
 
 
 class ReplicateReject(Struct, array_like=True, tag=3, frozen=True):
-    """Voter to holder: this version is not kept here."""
+    """Voter to holder: the voter has not stored this version."""
 
     key: Key
     term: Count
     reason: RejectReason
     sent_at_ms: float
-    holder: str = ""  # of the key, as far as the voter knows
-    highest_term: Count = 0  # that the voter granted for the key
+    holder: str = ""  # holder of the key as far as the voter knows
+    highest_term: Count = 0  # highest term that the voter granted for the key
 
 
 class Heartbeat(Struct, array_like=True, tag=4, frozen=True):
-    """Renews the sender's leases on all that it holds."""
+    """To each connected member: its acknowledgement renews the sender's leases on all records that it holds."""
 
     sent_at_ms: float
 
 
 class HeartbeatAck(Struct, array_like=True, tag=5, frozen=True):
-    """The sender still admits all the receiver holds, but for what it said was fenced."""
+    """The sender still admits all records that the receiver holds, except those it reported as fenced."""
 
     sent_at_ms: float
 
 
 class Fenced(Struct, array_like=True, tag=6, frozen=True):
-    """Voter to former holder: a higher claim of this key was granted to another member."""
+    """Voter to former holder: the voter granted a higher claim of this key to another member."""
 
     key: Key
     term: Count
@@ -115,14 +116,14 @@
 
 
 class ClaimRequest(Struct, array_like=True, tag=7, frozen=True):
-    """Claimer to voter: the holder of this key is lost, and the sender wants to hold it under this term."""
+    """Claimer to voter: the holder of this key is lost, and the claimer requests to hold it under this term."""
 
     key: Key
     term: Count
 
 
 class ClaimGrant(Struct, array_like=True, tag=8, frozen=True):
-    """Voter to claimer: granted, with what the voter keeps of the key."""
+    """Voter to claimer: the claim is granted; the message carries what the voter has of the key."""
 
     key: Key
     term: Count
@@ -132,16 +133,16 @@
 
 
 class ClaimReject(Struct, array_like=True, tag=9, frozen=True):
-    """Voter to claimer: not granted."""
+    """Voter to claimer: the claim is rejected."""
 
     key: Key
     term: Count
     reason: RejectReason
-    highest_term: Count = 0  # that a further claim must be above
+    highest_term: Count = 0  # the term of a further claim must be above this
 
 
 class LookupRequest(Struct, array_like=True, tag=10, frozen=True):
-    """To the holder of a key: a client came to the sender with it."""
+    """To the holder of a key: a client of the sender retried a request with this key."""
 
     request_id: Count
     key: Key
@@ -149,7 +150,7 @@
 
 
 class LookupReply(Struct, array_like=True, tag=11, frozen=True):
-    """What the holder knows of the key."""
+    """Answer of the holder about the key."""
 
     request_id: Count
     state: LookupState
@@ -159,7 +160,7 @@
 
 
 class Release(Struct, array_like=True, tag=12, frozen=True):
-    """The sender holds no record of this key in this incarnation: the key is free."""
+    """Holder to voter: the sender holds no record of this key in this incarnation, so the key is free."""
 
     key: Key
     holder_incarnation: Count
@@ -182,7 +183,7 @@
 
 
 class Envelope(Struct, array_like=True, frozen=True):
-    """One frame after the greeting."""
+    """A frame after the greeting."""
 
     nonce: bytes
     sequence: Count
@@ -190,7 +191,7 @@
 
 
 class _EncodedEnvelope(Struct, array_like=True, frozen=True):
-    """An envelope whose messages are encoded already."""
+    """An envelope of messages that are already encoded."""
 
     nonce: bytes
     sequence: int
@@ -203,20 +204,20 @@
 
 
 def encode_message(message: Message | Greeting) -> bytes:
-    """The bytes of one message, or of a greeting."""
+    """Encode one message or a greeting."""
     return _encoder.encode(message)
 
 
 def encode_envelope(nonce: bytes, sequence: int, messages: list[bytes]) -> bytes:
-    """The bytes of a frame around encoded messages, not yet sealed."""
+    """Encode a frame of encoded messages, without sealing it."""
     return _encoder.encode(_EncodedEnvelope(nonce, sequence, [Raw(message) for message in messages]))
 
 
 def decode_greeting(data: bytes) -> Greeting:
-    """Decode the first frame.
+    """Decode a greeting, the first frame of a connection.
 
     Raises:
-        FrameError: With the reason "shape" or "version".
+        FrameError: The frame is malformed (reason "shape") or of another protocol version (reason "version").
     """
     try:
         greeting = _greeting_decoder.decode(data)
@@ -228,10 +229,10 @@
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Decode a frame after the first.
+    """Decode a frame after the greeting.
 
     Raises:
-        FrameError: With the reason "shape".
+        FrameError: The frame is malformed or has too many messages (reason "shape").
     """
     try:
         envelope = _envelope_decoder.decode(data)
--- a/decklb/handoff/peer_connection.py
+++ b/decklb/handoff/peer_connection.py
@@ -1,8 +1,8 @@
-"""A TCP connection to another member: its greeting, its sealed frames, and their protection against replay.
+"""A TCP connection to another member: greetings, sealed frames and replay protection.
 
-Both sides greet at once, with a nonce of their own. Each later frame carries the receiver's nonce and the next sequence
-number; the first one, which may be empty, proves that its sender read the greeting, and establishes the connection.
-`HandoffService` owns the connections and is told of what they receive.
+Each side sends a greeting with its own nonce as soon as the connection is open. Every later frame carries the
+receiver's nonce and the next sequence number. The first of these frames, which may be empty, proves that its sender
+read the greeting, and establishes the connection. `HandoffService` owns the connections and handles what they receive.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
     from decklb.handoff.runtime import HandoffService
 
 NONCE_BYTES = 16
-MAX_MEMORY_AGE_MS = 1e12  # that a greeting can hold
+MAX_MEMORY_AGE_MS = 1e12  # largest value that a greeting can carry
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection, opened here or accepted."""
+    """One connection, opened by this member or accepted."""
 
     MAX_LENGTH = messages.MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, service: HandoffService, expected_peer: str = "") -> None:
-        """`expected_peer` is the member that was dialled; "" for an accepted connection."""
+        """`expected_peer` is the member that this member connects to; "" for an accepted connection."""
         self.service = service
-        self.peer = expected_peer  # then as its greeting said
+        self.peer = expected_peer  # the expected peer, then the member named in the greeting
         self.established = False
         self.last_received_ms = service.clock.now()
         self._nonce = os.urandom(NONCE_BYTES)
-        self._greeting: messages.Greeting | None = None  # the other side's
+        self._greeting: messages.Greeting | None = None  # the peer's greeting
         self._closed = False
         self._write_paused = False
         self._sent_sequence = 0
@@ -48,13 +48,13 @@
 
     @property
     def greeting(self) -> messages.Greeting:
-        """What the other side greeted with; only once `established`."""
+        """The peer's greeting; only available after it was received."""
         assert self._greeting is not None
         return self._greeting
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the other side has left unread."""
+        """Number of buffered bytes that the peer is too slow to read."""
         return len(self.transport.dataBuffer) if self._write_paused else 0
 
     def connectionMade(self) -> None:
@@ -75,11 +75,11 @@
         self._send_frame(messages.encode_message(greeting))
 
     def pauseProducing(self) -> None:
-        """Twisted: the other side reads slowly."""
+        """Twisted: the peer reads too slowly."""
         self._write_paused = True
 
     def resumeProducing(self) -> None:
-        """Twisted: all that was written has gone."""
+        """Twisted: all buffered bytes have been written."""
         self._write_paused = False
 
     def stopProducing(self) -> None:
@@ -89,14 +89,14 @@
         self.sendString(self.service.sealer.seal(plain))  # type: ignore[no-untyped-call]
 
     def send_messages(self, encoded: list[bytes]) -> None:
-        """Send encoded messages in order; an empty list sends one empty frame."""
+        """Send encoded messages in order; for an empty list send one empty frame."""
         for start in range(0, max(1, len(encoded)), messages.MAX_MESSAGES):
             self._sent_sequence += 1
             chunk = encoded[start : start + messages.MAX_MESSAGES]
             self._send_frame(messages.encode_envelope(self.greeting.nonce, self._sent_sequence, chunk))
 
     def stringReceived(self, data: bytes) -> None:
-        """Twisted: a whole frame."""
+        """Twisted: a complete frame was received."""
         if self._closed:
             return
         try:
@@ -126,14 +126,14 @@
             self.abort(f"other-member: {greeting.member}")
             return
         self._greeting, self.peer = greeting, greeting.member
-        self.send_messages([])  # proves that we read the greeting, which could be a replayed one
+        self.send_messages([])  # proves that this side read the greeting; a greeting alone could be a replay
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Twisted: a frame is longer than any may be."""
+        """Twisted: a frame exceeds the size limit."""
         self.abort("too-long")
 
     def abort(self, reason: str) -> None:
-        """End the connection at once; `reason` is for the log."""
+        """Abort the connection; `reason` is for the log."""
         if not self._closed:
             self._closed, self._end_reason = True, reason
             self.transport.abortConnection()
@@ -151,7 +151,7 @@
 
 
 class PeerConnectionFactory(Factory):
-    """Makes a connection for each member that connects to this one."""
+    """Creates a `PeerConnection` for each accepted connection."""
 
     noisy = False
 
--- a/decklb/handoff/placement.py
+++ b/decklb/handoff/placement.py
@@ -1,8 +1,8 @@
-"""Which members vote on a key: rendezvous hashing by bucket (Thaler and Ravishankar, 1998).
+"""Selects the members that vote on a key, by rendezvous hashing of buckets (Thaler and Ravishankar, 1998).
 
-Keys fall into a fixed number of buckets, and each bucket ranks all members once, so that a change of members costs a
-ranking of buckets, not of every record, and a member that leaves moves only its own buckets. `FleetView` owns the one
-`Placement` of a member; the state is the members and the rankings computed so far.
+Keys are hashed into a fixed number of buckets, and each bucket has one ranking of all members. So a change of members
+costs a new ranking for each bucket instead of each record, and a member that leaves affects only the buckets it votes
+on. `FleetView` owns the one `Placement` of a member; the state is the members and the rankings computed so far.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Placement:
-    """The ranking of members for each bucket, best first."""
+    """Ranks the members for each bucket, best first."""
 
     def __init__(self, bucket_count: int) -> None:
         self.bucket_count = bucket_count
@@ -26,11 +26,11 @@
         self._rankings: dict[int, tuple[str, ...]] = {}  # by bucket
 
     def bucket(self, key: str) -> int:
-        """The bucket of a key."""
+        """Return the bucket of a key."""
         return _hash(key) % self.bucket_count
 
     def set_members(self, members: Iterable[str]) -> bool:
-        """Place keys on these members and no others; whether that was a change."""
+        """Set the members among which keys are placed; return whether they changed."""
         given = tuple(sorted(set(members)))
         if given == self._members:
             return False
@@ -38,7 +38,7 @@
         return True
 
     def ranking(self, bucket: int) -> tuple[str, ...]:
-        """All members for one bucket, best first."""
+        """Return all members in their order for one bucket, best first."""
         ranking = self._rankings.get(bucket)
         if ranking is None:
             by_score = sorted(self._members, key=lambda member: (-_hash(f"{bucket}/{member}"), member))
@@ -46,8 +46,9 @@
         return ranking
 
     def voters(self, key: str, count: int) -> tuple[str, ...]:
-        """The `count` best members for a key, whoever admits it.
+        """Return the `count` best members for a key.
 
-        Any two majorities of one key then share a member, also where two members are given the key at once.
+        They don't depend on the member that admits the key, so any two majorities for the key share a member even if
+        two members receive the key at the same time.
         """
         return self.ranking(self.bucket(key))[:count]
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -1,11 +1,13 @@
-"""Between a front and the dispatcher: requests with an idempotency key are protected, all others pass through.
+"""A request handler between a front and the dispatcher that protects requests with an idempotency key.
 
-This module knows no wire. A protected request runs once a quorum has its record, an attempt is sent once a quorum knows
-of it, and its final answer is given once a quorum has that. Its client may leave and come back with the key, here or to
-another member. Whatever can't be vouched for is rejected: with its key, coming back is always harmless.
+All other requests pass through. A protected request runs once a quorum has its record, each attempt is sent once a
+quorum has recorded it, and the final answer is given to the client once a quorum has it. The client may disconnect and
+retry with the key, here or at another member. If no quorum can be reached the request is rejected: a retry with the
+same key is always harmless.
 
-`ProtectedDispatcher` owns the protected requests that this member runs. Fronts call it in place of the dispatcher, and
-the `HandoffCoordinator` calls `run` and `stop`. It does no I/O but for lines of the log at DEBUG.
+This module is independent of the wire protocol. `ProtectedDispatcher` owns the protected requests that this member
+runs. Fronts call it in place of the dispatcher, and `HandoffCoordinator` calls `run` and `stop`. Its only I/O is to log
+at DEBUG level.
 """
 
 from __future__ import annotations
@@ -25,56 +27,56 @@
 from decklb.handoff.protected_attempts import AttemptPhase, ProtectedAttempt, ProtectedEngineClient
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
 
-RETRY_AFTER_MS = 200.0  # told to a client whose request still runs, or can't be vouched for now
-GENERATED_KEY = "auto"  # the key by which a client asks this member to generate one
-MIN_BUDGET_MS = 1.0  # of a request that is run: what is past its deadline is the dispatcher's to end
+RETRY_AFTER_MS = 200.0  # sent to a client whose request still runs, or for which there is no quorum now
+GENERATED_KEY = "auto"  # key that asks this member to generate a key
+MIN_BUDGET_MS = 1.0  # budget of a request that is run past its deadline; the dispatcher then ends it
 
 
 class RequestCodec(Protocol):
-    """How a front encodes its requests for another member with the same front."""
+    """Encodes a front's requests so that another member with the same front can run them."""
 
-    def encode(self, work: IncomingRequest) -> bytes:
-        """All that another member needs to run it, but for its budget; the same for the same request."""
+    def encode(self, request: IncomingRequest) -> bytes:
+        """Return all that another member needs to run the request except its budget; equal for equal requests."""
 
     def decode(self, body: bytes, budget_ms: float) -> IncomingRequest:
-        """The request again, with what is left of its budget."""
+        """Return the encoded request, with its remaining budget."""
 
 
 @dataclass(eq=False, slots=True)
 class ProtectedRequest:
-    """One request with a key, from its arrival until its answer is given, or until another member holds it.
+    """A request with a key, from its arrival until its answer is given or another member holds it.
 
     It is the dispatcher's `ResponseSink` for the request.
     """
 
     dispatcher: ProtectedDispatcher
     key: str
-    sink: ResponseSink | None  # None: no client waits here, but the answer is retained
-    request: Request | None = None  # the dispatcher's, while it runs
-    attempt: ProtectedAttempt | None = None  # the one that is out
-    after_attempt: list[Callable[[], None]] = field(default_factory=list)  # called once none is out
-    cancelled: bool = False  # by its client, before it was admitted
+    sink: ResponseSink | None  # None: no client waits here; the answer is still retained
+    request: Request | None = None  # the dispatcher's request, while it runs
+    attempt: ProtectedAttempt | None = None  # the attempt in flight
+    after_attempt: list[Callable[[], None]] = field(default_factory=list)  # called once no attempt is in flight
+    cancelled: bool = False  # its client has cancelled it
 
     def served(self, result: bytes) -> None:
-        """The dispatcher: an engine's complete answer."""
+        """The dispatcher has an engine's complete answer."""
         self.dispatcher.complete(self, Outcome.SERVED, result)
 
     def failed(self) -> None:
-        """The dispatcher: failed, with no promise about what was done."""
+        """The dispatcher failed the request; it may or may not have been executed."""
         self.dispatcher.complete(self, Outcome.FAILED, b"")
 
     def rejected(self, retry_after_ms: float) -> None:
-        """The dispatcher: not run, so that the key is free again."""
+        """The dispatcher rejected the request; it was not executed, so the key is free again."""
         self.dispatcher.reject(self, retry_after_ms)
 
     def respond(self, answer: Callable[[ResponseSink], None]) -> None:
-        """Give whoever waits an answer, once."""
+        """Answer the waiting client, if there is one, at most once."""
         sink, self.sink = self.sink, None
         if sink is not None:
             answer(sink)
 
     def respond_retry(self) -> None:
-        """Tell whoever waits to come back."""
+        """Tell the waiting client to retry."""
         self.respond(lambda sink: sink.rejected(RETRY_AFTER_MS))
 
 
@@ -82,52 +84,54 @@
     """Protects the requests of one dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher, clock: Clock, codec: RequestCodec, member: str) -> None:
-        """Stand before a dispatcher, and wrap its engine client.
+        """Wrap a dispatcher and its engine client.
 
         Args:
             dispatcher: Runs the requests.
-            clock: The dispatcher's.
-            codec: The front's.
-            member: This member's name, which begins the keys that it generates.
+            clock: The dispatcher's clock.
+            codec: The front's codec for requests.
+            member: This member's name, the prefix of the keys that it generates.
         """
         self.dispatcher, self.clock, self._codec, self._member = dispatcher, clock, codec, member
-        self.coordinator: HandoffCoordinator  # by `attach`
-        self.flush: Callable[[], None] = lambda: None  # sends what the coordinator put out
+        self.coordinator: HandoffCoordinator  # set by `attach`
+        self.flush: Callable[[], None] = lambda: None  # sends the coordinator's output
         self.running: dict[str, ProtectedRequest] = {}  # by the dispatcher's request id
         self._by_key: dict[str, ProtectedRequest] = {}
         self._generated_keys = 0
-        self._cancelling_keys: set[str] = set()  # whose former holder's attempt is being cancelled
+        self._cancelling_keys: set[str] = set()  # keys for which the former holder's attempt is being cancelled
         self._engines = dispatcher.engines = ProtectedEngineClient(dispatcher.engines, self)
 
     def attach(self, coordinator: HandoffCoordinator, flush: Callable[[], None]) -> None:
-        """Give it the coordinator, and how to send what that puts out; before the first request."""
+        """Set the coordinator and the function that sends its output. Must be called before the first request."""
         self.coordinator, self.flush = coordinator, flush
 
-    # What fronts call.
+    # Calls from fronts.
 
-    def submit(self, work: IncomingRequest, sink: ResponseSink) -> Request | ProtectedRequest:
-        """Take a request; its sink gets one answer, unless it is abandoned."""
-        if not work.idempotency_key:
-            return self.dispatcher.submit(work, sink)
-        generated = work.idempotency_key == GENERATED_KEY
+    def submit(self, request: IncomingRequest, sink: ResponseSink) -> Request | ProtectedRequest:
+        """Accept a request; its sink gets one answer, unless the request is abandoned or cancelled."""
+        if not request.idempotency_key:
+            return self.dispatcher.submit(request, sink)
+        generated = request.idempotency_key == GENERATED_KEY
         if generated:
-            work.idempotency_key = self._generate_key()
-        work.budget_ms = min(work.budget_ms, self.coordinator.settings.max_budget_ms)
-        body, now = self._codec.encode(work), self.clock.now()
-        protected = ProtectedRequest(self, work.idempotency_key, sink)
+            request.idempotency_key = self._generate_key()
+        request.budget_ms = min(request.budget_ms, self.coordinator.settings.max_budget_ms)
+        body, now = self._codec.encode(request), self.clock.now()
+        protected = ProtectedRequest(self, request.idempotency_key, sink)
         record = Record(
-            key=work.idempotency_key,
+            key=request.idempotency_key,
             holder="",
             term=0,
             version=0,
-            tenant=work.tenant,
-            request_class=work.request_class,
-            effect=self.dispatcher.settings.classes[work.request_class].effect,
-            deadline_ms=now + work.budget_ms,
+            tenant=request.tenant,
+            request_class=request.request_class,
+            effect=self.dispatcher.settings.classes[request.request_class].effect,
+            deadline_ms=now + request.budget_ms,
             request_digest=fingerprint(body),
             key_generated=generated,
         )
-        self.coordinator.admit(now, record, body, lambda result: self._on_admission(protected, work, result, now))
+        self.coordinator.admit(
+            now, record, body, lambda result: self._on_admission_result(protected, request, result, now)
+        )
         self.flush()
         return protected
 
@@ -135,52 +139,52 @@
         self._generated_keys += 1
         return f"{self._member}.{self.coordinator.incarnation:x}.{self._generated_keys}"
 
-    def abandon(self, taken: Request | ProtectedRequest) -> None:
-        """The client has disconnected. A protected request goes on: the client may come back for the answer."""
-        if isinstance(taken, ProtectedRequest):
-            taken.sink = None
+    def abandon(self, handle: Request | ProtectedRequest) -> None:
+        """The client has disconnected. A protected request continues, as the client may retry to get the answer."""
+        if isinstance(handle, ProtectedRequest):
+            handle.sink = None
         else:
-            self.dispatcher.abandon(taken)
+            self.dispatcher.abandon(handle)
 
-    def cancel(self, taken: Request | ProtectedRequest) -> None:
-        """The client has cancelled the request, and is told so by its front."""
-        if not isinstance(taken, ProtectedRequest):
-            self.dispatcher.abandon(taken)
+    def cancel(self, handle: Request | ProtectedRequest) -> None:
+        """The client has cancelled the request; its front confirms this to the client."""
+        if not isinstance(handle, ProtectedRequest):
+            self.dispatcher.abandon(handle)
             return
-        taken.sink, taken.cancelled = None, True
-        if taken.request is not None and not taken.request.answered:
-            self.dispatcher.abandon(taken.request)
-            self._forget(taken)
+        handle.sink, handle.cancelled = None, True
+        if handle.request is not None and not handle.request.answered:
+            self.dispatcher.abandon(handle.request)
+            self._detach(handle)
             self.coordinator.complete(
-                self.clock.now(), taken.key, Outcome.FAILED, b"", "cancelled", lambda reached: None
+                self.clock.now(), handle.key, Outcome.FAILED, b"", "cancelled", lambda reached: None
             )
             self.flush()
 
-    # What the coordinator calls.
+    # Calls from the coordinator.
 
-    def _on_admission(
-        self, protected: ProtectedRequest, work: IncomingRequest, result: AdmissionResult, since_ms: float
+    def _on_admission_result(
+        self, protected: ProtectedRequest, request: IncomingRequest, result: AdmissionResult, submitted_at_ms: float
     ) -> None:
         self.log_step(protected, f"{result.state.value} {result.reason}")
         match result.state:
             case AdmissionState.ADMITTED if protected.cancelled:
                 self.coordinator.release(protected.key)
             case AdmissionState.ADMITTED:
-                work.budget_ms = max(MIN_BUDGET_MS, work.budget_ms - (self.clock.now() - since_ms))
-                self._start(protected, work)
+                request.budget_ms = max(MIN_BUDGET_MS, request.budget_ms - (self.clock.now() - submitted_at_ms))
+                self._start(protected, request)
             case AdmissionState.ANSWERED if result.outcome is Outcome.SERVED:
                 protected.respond(lambda sink: sink.served(result.answer))
             case AdmissionState.ANSWERED:
                 protected.respond(lambda sink: sink.failed())
-            case AdmissionState.KEY_REUSED:  # fronts that can say so have a method of their own
+            case AdmissionState.KEY_REUSED:  # sinks may have a `conflict` method to report this
                 protected.respond(lambda sink: getattr(sink, "conflict", sink.failed)())
             case AdmissionState.RUNNING | AdmissionState.REJECTED:
                 protected.respond_retry()
 
     def run(self, record: Record, body: bytes) -> None:
-        """Run a request that was taken over, or is taken up again."""
+        """Run a request that was taken over or resumed."""
         earlier = self._by_key.get(record.key)
-        if earlier is not None and earlier.attempt is not None:  # what was cancelled is not out of the engine yet
+        if earlier is not None and earlier.attempt is not None:  # a cancelled attempt has not left its engine yet
             earlier.after_attempt.append(lambda: self.run(record, body))
             return
         if self.coordinator.held(record.key) is None or record.key in self._cancelling_keys:
@@ -189,7 +193,8 @@
         if not record.cancel_token or cancel_by_token is None:
             self._run_again(record, body)
             return
-        # The engine goes on with what a lost member sent; two runs at once are one too many, also where both may be.
+        # The engine still executes the attempt of the lost member. Two executions must not overlap, even if the request
+        # may be repeated.
         self.log_step(ProtectedRequest(self, record.key, None), f"cancelled at {record.engine}")
         self._cancelling_keys.add(record.key)
         hold_down_ms = self.dispatcher.settings.key_hold_down_ms
@@ -202,48 +207,48 @@
     def _on_cancelled(self, record: Record, body: bytes) -> None:
         self._cancelling_keys.discard(record.key)
         held = self.coordinator.held(record.key)
-        # Where it may not be acted on now, it is taken up again, and comes here once more.
+        # If the request is suspended now, `run` is called again when it is resumed.
         if held is not None and not held.suspended and held.record.stage < Stage.ANSWERED:
             if held.record.term == record.term:
                 self._run_again(record, body)
             else:
-                self.run(held.record, body)  # lost and won again meanwhile
+                self.run(held.record, body)  # lost and taken over again in the meantime
 
     def _run_again(self, record: Record, body: bytes) -> None:
-        work = self._codec.decode(body, max(MIN_BUDGET_MS, record.deadline_ms - self.clock.now()))
-        work.idempotency_key = record.key
-        self._start(ProtectedRequest(self, record.key, None), work)
+        request = self._codec.decode(body, max(MIN_BUDGET_MS, record.deadline_ms - self.clock.now()))
+        request.idempotency_key = record.key
+        self._start(ProtectedRequest(self, record.key, None), request)
 
     def stop(self, key: str) -> None:
-        """This member may not act on a request now: what is out is cancelled, and its client comes back."""
+        """Cancel a request that this member may not act on now; its client is told to retry."""
         protected = self._by_key.get(key)
         if protected is not None:
             self.suspend(protected)
 
-    # What protected requests and their attempts call.
+    # Calls from protected requests and their attempts.
 
     def begin_attempt(self, attempt: ProtectedAttempt, on_quorum: QuorumCallback) -> None:
-        """Write an attempt into its record; `on_quorum` is told whether it may be sent."""
+        """Write an attempt into its request's record; `on_quorum` reports whether it may be sent."""
         self.coordinator.begin_attempt(
             self.clock.now(), attempt.protected.key, attempt.engine_id, on_quorum, attempt.cancel_token
         )
         self.flush()
 
-    def attempt_cancellable(self, attempt: ProtectedAttempt, cancel_token: bytes) -> None:
-        """Write into the record how an attempt that is out can be cancelled."""
+    def set_cancel_token(self, attempt: ProtectedAttempt, cancel_token: bytes) -> None:
+        """Write the token that cancels an attempt in flight into the record."""
         self.coordinator.set_cancel_token(self.clock.now(), attempt.protected.key, attempt.engine_id, cancel_token)
         self.flush()
 
     def attempt_ended(self, attempt: ProtectedAttempt, outcome: str, never_ran: bool) -> None:
-        """An attempt ended at its engine; `outcome` is for the log."""
+        """An attempt has ended at its engine; `outcome` is for the log."""
         self.log_step(attempt.protected, f"attempt ended {outcome}")
         if never_ran:
             self.coordinator.attempt_rejected(self.clock.now(), attempt.protected.key)
             self.flush()
-        self.attempt_out_of_engine(attempt)
+        self.attempt_left_engine(attempt)
 
-    def attempt_out_of_engine(self, attempt: ProtectedAttempt) -> None:
-        """An attempt is out no longer, so that another may be sent."""
+    def attempt_left_engine(self, attempt: ProtectedAttempt) -> None:
+        """An attempt is no longer in flight, so another may be sent."""
         protected, attempt.phase = attempt.protected, AttemptPhase.ENDED
         if protected.attempt is not attempt:
             return
@@ -255,15 +260,15 @@
             del self._by_key[protected.key]
 
     def suspend(self, protected: ProtectedRequest) -> None:
-        """Nobody can vouch for a request here now: stop it, and tell its client to come back."""
+        """Stop a request that this member may not act on now, and tell its client to retry."""
         self.log_step(protected, "suspended")
         if protected.request is not None and not protected.request.answered:
             self.dispatcher.abandon(protected.request)
-        self._forget(protected)
+        self._detach(protected)
         protected.respond_retry()
 
     def complete(self, protected: ProtectedRequest, outcome: Outcome, answer: bytes) -> None:
-        """The dispatcher has the final answer; it is given once a quorum has it."""
+        """Record the dispatcher's final answer, and give it to the client once a quorum has it."""
 
         def on_quorum(reached: bool) -> None:
             self.log_step(protected, f"quorum for the answer: {reached}")
@@ -275,29 +280,29 @@
                 protected.respond(lambda sink: sink.failed())
 
         self.log_step(protected, f"final: {outcome.name}")
-        self._forget(protected)
+        self._detach(protected)
         self.coordinator.complete(self.clock.now(), protected.key, outcome, answer, "", on_quorum)
         self.flush()
 
     def reject(self, protected: ProtectedRequest, retry_after_ms: float) -> None:
-        """The dispatcher rejected the request: its key is free again."""
+        """Release the key of a request that the dispatcher rejected, and pass the rejection on to the client."""
         self.log_step(protected, "rejected")
-        self._forget(protected)
+        self._detach(protected)
         self.coordinator.release(protected.key)
         self.flush()
         protected.respond(lambda sink: sink.rejected(retry_after_ms))
 
     def log_step(self, protected: ProtectedRequest, step: str) -> None:
-        """Log a step of one key at DEBUG."""
+        """Log a step of a request at DEBUG level."""
         logger.debug("key {key}: {what}", event="handoff-step", key=protected.key, what=step)
 
-    def _start(self, protected: ProtectedRequest, work: IncomingRequest) -> None:
+    def _start(self, protected: ProtectedRequest, request: IncomingRequest) -> None:
         self._by_key[protected.key] = protected
-        protected.request = self.dispatcher.submit(work, protected)
+        protected.request = self.dispatcher.submit(request, protected)
         self.running[protected.request.request_id] = protected
 
-    def _forget(self, protected: ProtectedRequest) -> None:
-        """The dispatcher runs it no longer; an attempt may still be out."""
+    def _detach(self, protected: ProtectedRequest) -> None:
+        """Detach a request that the dispatcher no longer runs; an attempt of it may still be in flight."""
         if protected.request is not None:
             self.running.pop(protected.request.request_id, None)
             protected.request = None
--- a/decklb/handoff/record_table.py
+++ b/decklb/handoff/record_table.py
@@ -1,7 +1,7 @@
-"""The records that a member keeps, its own and replicas of others', bounded in number, bytes and time.
+"""The records that a member stores, its own and replicas of others', limited in number, bytes and lifetime.
 
-The table owns the records, the requests themselves until they have a final answer, and the ballots granted for their
-keys. Every mechanism of the package reads it; `runtime.py` writes what changed to the store before a message leaves.
+The table owns the records, the bodies of requests without a final answer, and the ballots granted for their keys.
+Every mechanism of the package reads it. `runtime.py` writes changes to the store before any message is sent.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableEntry:
-    """What the table has of a key: nothing, a request still running at `holder`, or its final answer."""
+    """The table's entry for a key: unknown, a request still running at `holder`, or its final answer."""
 
     holder: str = ""
     outcome: Outcome | None = None
@@ -30,7 +30,7 @@
 
     @property
     def known(self) -> bool:
-        """Whether a record of the key is kept."""
+        """Whether the table has a record of the key."""
         return bool(self.holder) or self.outcome is not None
 
 
@@ -38,16 +38,16 @@
 
 
 class RecordTable:
-    """Records by key, each dropped once nobody can need it any more."""
+    """Records by key; each is dropped once nobody can need it any more."""
 
     def __init__(self, settings: HandoffSettings) -> None:
         self._settings = settings
-        self.changed_keys: dict[str, None] = {}  # in order, since the store was written last
+        self.changed_keys: dict[str, None] = {}  # keys changed since the last write to the store, in order
         self.ballots = GrantedBallots(self.changed_keys)
-        self.bytes_retained = 0  # of requests and answers
+        self.bytes_retained = 0  # size of all bodies and answers
         self._records: dict[str, Record] = {}
         self._bodies: dict[str, bytes] = {}
-        self._expiries: list[tuple[float, str]] = []  # heap of time and key; outdated entries are skipped
+        self._expiries: list[tuple[float, str]] = []  # heap of expiry time and key; outdated entries are skipped
 
     def __len__(self) -> int:
         return len(self._records)
@@ -59,18 +59,18 @@
         return iter(self._records.values())
 
     def get(self, key: str) -> Record | None:
-        """The record of a key, if one is kept."""
+        """Return the record of a key, if there is one."""
         return self._records.get(key)
 
     def body(self, key: str) -> bytes | None:
-        """The request itself, as its front encoded it; None once it has its final answer."""
+        """Return the request itself, as encoded by its front; None once it has a final answer."""
         return self._bodies.get(key)
 
     def lookup(self, key: str, request_digest: str) -> TableEntry:
-        """What is known of a key, for a client that comes back.
+        """Return what is known of a key, for a client that retries a request.
 
         Raises:
-            KeyReusedError: The key was given to another request.
+           KeyReusedError: The key belongs to a different request.
         """
         existing = self._records.get(key)
         if existing is None:
@@ -82,11 +82,11 @@
         return TableEntry(holder=existing.holder)
 
     def add(self, record: Record, body: bytes = b"") -> Record:
-        """Keep a request that this member admits; the same request again gets the record it has.
+        """Add the record of a request that this member admits, or return the existing record of the same request.
 
         Raises:
-            KeyReusedError: The key was given to another request.
-            RecordLimitError: There is no capacity for it.
+           KeyReusedError: The key belongs to a different request.
+           RecordLimitError: There is no capacity for the record.
         """
         existing = self._records.get(record.key)
         if existing is not None:
@@ -99,15 +99,15 @@
         return record
 
     def write(self, record: Record, body: bytes | None = None) -> None:
-        """Keep a new version of a record that this member holds."""
+        """Store a new version of a record that this member holds."""
         self._put(record, body)
 
     def receive_replica(self, record: Record, remaining_ms: float, now: float, body: bytes | None = None) -> bool:
-        """Keep a version that its holder sent, with `remaining_ms` until its deadline.
+        """Store a version received from its holder, with `remaining_ms` until its deadline.
 
         Returns:
-            Whether to acknowledge it: not a version of a term below a granted claim, an older version, another request
-            under the key, or one beyond the capacity.
+           Whether to acknowledge the version. False if its term is below a granted claim, if it is older than the
+           stored version, if the key belongs to a different request, or if there is no capacity.
         """
         if not self.ballots.admits(record):
             return False
@@ -115,23 +115,23 @@
         if existing is not None:
             same_request = existing.request_digest == record.request_digest
             if not same_request or not record.supersedes(existing):
-                return same_request and existing.precedence() == record.precedence()  # the same version twice
+                return same_request and existing.precedence() == record.precedence()  # a repeat of the stored version
         if self._is_full(len(body or b"") + len(record.answer), new_record=existing is None):
             return False
         self._put(replace(record, deadline_ms=now + remaining_ms), body)
         return True
 
     def start_claim(self, key: str, claimer: str, min_term: int = 0) -> Claim | None:
-        """A claim of a record kept here, above any term granted here; None where none is kept."""
+        """Start a claim above all terms granted here; None if the table has no record of the key."""
         existing = self._records.get(key)
         if existing is None:
             return None
         return Claim.start(existing, claimer, self._settings, max(min_term, self.ballots.highest_term(key)))
 
     def grant(self, key: str, ballot: Ballot, now: float) -> bool:
-        """Grant another member's claim if its ballot is the highest; whether it was.
+        """Grant another member's claim if its ballot is the highest so far; return whether it was granted.
 
-        A grant is remembered for as long as a record of the key may live.
+        The grant is remembered for as long as a record of the key may exist.
         """
         if not self.ballots.grant(key, ballot):
             return False
@@ -140,10 +140,10 @@
         return True
 
     def remove(self, key: str) -> None:
-        """Drop a record that its holder released: the key is free.
+        """Drop a record that its holder released, which frees the key.
 
-        If the record was admitted, its term is remembered until the record would have expired: another voter may have
-        missed the release, and its stale replica must not supersede what is admitted next.
+        The term of an admitted record is remembered until the record would have expired: another voter may have missed
+        the release, and its stale replica must not supersede the record that is admitted next.
         """
         existing = self._records.pop(key, None)
         if existing is not None:
@@ -154,14 +154,14 @@
                 self.ballots.require_above(key, existing.term)
 
     def restore(self, key: str, record: Record | None, body: bytes | None, granted: Ballot | None, now: float) -> None:
-        """Take back what an earlier process of this member stored of a key."""
+        """Restore the stored entry of a key that an earlier process of this member wrote."""
         if granted is not None:
             self.grant(key, granted, now)
         if record is not None:
             self._put(record, body)
 
     def expire(self, now: float) -> list[str]:
-        """Drop the records and grants that nobody can need any more; the keys of the records."""
+        """Drop expired records and grants; return the keys of the dropped records."""
         dropped = []
         while self._expiries and self._expiries[0][0] < now:
             _, key = heapq.heappop(self._expiries)
@@ -177,8 +177,8 @@
     def _expiry_of(self, record: Record) -> float:
         return record.deadline_ms + self._settings.deadline_grace_ms + self._settings.answer_retention_ms
 
-    def _is_full(self, more_bytes: int, new_record: bool = True) -> bool:
-        if self.bytes_retained + more_bytes > self._settings.max_bytes:
+    def _is_full(self, added_bytes: int, new_record: bool = True) -> bool:
+        if self.bytes_retained + added_bytes > self._settings.max_bytes:
             return True
         return new_record and len(self._records) >= self._settings.max_records
 
--- a/decklb/handoff/records.py
+++ b/decklb/handoff/records.py
@@ -1,9 +1,10 @@
-"""The replicated record of one in-flight request, and how it changes from admission to its final answer.
+"""The replicated record of one in-flight request, and its changes from admission to the final answer.
 
-A record is immutable and complete: a replica replaces an older one, never merges with it. Of two records of a key the
-one of the higher term wins, and within a term the higher version, since only the holder of a term writes its versions.
-Two members that were given a new key at once may both write term 1; only one of them is admitted by a quorum, and its
-record wins. This module holds no state and does no I/O; every other module of the package uses it.
+A record is immutable and complete: a newer replica replaces an older one and is never merged with it. Of two records
+of a key, the one with the higher term wins, and within a term the one with the higher version, since only the holder
+of a term writes its versions. If two members receive a new key at the same time, both may write term 1; only one of
+the two records is admitted by a quorum, and that record wins. This module holds no state and does no I/O; all other
+modules of the package use it.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
 from decklb.interface import Effect
 
 ANSWER_TOO_LARGE = "too-large"  # `Record.reason` of a final answer that was not replicated
-FINGERPRINT_BYTES = 12  # of a request: enough that two requests under one key never share it by chance
+FINGERPRINT_BYTES = 12  # enough that two requests with the same key never share a digest by chance
 
 
 class Stage(IntEnum):
-    """How far a request has come, in the order of its life. The values are stored and sent to other members."""
+    """Stage of a request, in order of its life cycle. The values are stored and sent to other members."""
 
-    QUEUED = 0  # admitted and never sent, or sent and proven not to have run (the engine was overloaded)
-    SENT = 1  # sent to `Record.engine`, where it may have run
-    ANSWERED = 2  # its final answer is known, and retained for a client that comes back
+    QUEUED = 0  # never sent, or the attempt provably did not run (for example, the engine was overloaded)
+    SENT = 1  # an attempt was sent to `Record.engine` and may have run
+    ANSWERED = 2  # the final answer is known, and retained for a client that retries
 
 
 class Outcome(IntEnum):
-    """The kind of a final answer. The values are stored and sent to other members."""
+    """Kind of a final answer. The values are stored and sent to other members."""
 
     SERVED = 0
     REJECTED = 1
@@ -37,11 +38,11 @@
 
 
 def fingerprint(body: bytes) -> str:
-    """A digest that tells one request from another under the same key."""
+    """Return a digest of a request that distinguishes different requests with the same key."""
     return hashlib.blake2b(body, digest_size=FINGERPRINT_BYTES).hexdigest()
 
 
-# A record is stored and sent as a map by these names, which older members know; all others are the fields' own.
+# A record is stored and sent as a map. These fields have names there that older versions know; all others keep theirs.
 WIRE_NAMES = {
     "holder": "owner",
     "request_class": "category",
@@ -54,36 +55,36 @@
 
 
 class Record(Struct, frozen=True, rename=WIRE_NAMES):
-    """One request under an idempotency key. The order of the fields is part of its stored and its wire form.
+    """One request with an idempotency key. The order of the fields is part of the stored format and the wire format.
 
-    `deadline_ms` is on the clock of the member that keeps this copy: a message carries the time that is left, and its
-    receiver adds that to its own clock (`RecordTable.receive_replica`). So members' clocks need not agree, and one that
-    jumps shortens no deadline elsewhere.
+    `deadline_ms` is on the clock of the member that stores this copy: a message carries the remaining time, and its
+    receiver adds that to its own clock (`RecordTable.receive_replica`). So members' clocks need not agree, and a clock
+    jump at one member changes no deadline at another.
     """
 
     key: str
-    holder: str  # the member that holds the term, and alone acts on the request
-    term: int  # raised by each takeover
-    version: int  # of this term, raised by each change
+    holder: str  # the member that holds the term; only it acts on the request
+    term: int  # increases with each takeover
+    version: int  # within the term; increases with each change
     tenant: str
     request_class: str
     effect: Effect
     deadline_ms: float
     request_digest: str  # `fingerprint` of the request
-    voters: tuple[str, ...] = ()  # fixed at admission: they alone acknowledge versions and grant claims
-    holder_incarnation: int = 0  # of the holder's process: one that restarted under its name has forgotten the record
-    key_generated: bool = False  # the key was generated by a member, so nobody can have used it before
+    voters: tuple[str, ...] = ()  # fixed at admission; only they acknowledge versions and grant claims
+    holder_incarnation: int = 0  # of the holder's process; a restarted process has forgotten the record
+    key_generated: bool = False  # the key was generated by a member, so it can't have been used before
     admitted: bool = False  # a quorum acknowledged its first version
     stage: Stage = Stage.QUEUED
-    engine: str = ""  # where it was sent last
+    engine: str = ""  # engine of the last attempt
     attempts: int = 0
     outcome: Outcome | None = None  # set when `stage` is ANSWERED
     answer: bytes = b""
-    reason: str = ""  # why it ended so, for the log
-    cancel_token: bytes = b""  # by which the attempt at `engine` can be cancelled there, where the protocol has one
+    reason: str = ""  # why the request ended this way, for the log
+    cancel_token: bytes = b""  # cancels the attempt at `engine`, if the protocol supports this
 
     def precedence(self) -> tuple[int, bool, int]:
-        """The sort key by which the higher of two records of a key stands."""
+        """Return the sort key that orders records of the same key; the highest record wins."""
         return self.term, self.admitted, self.version
 
     def supersedes(self, other: Record | None) -> bool:
@@ -91,7 +92,7 @@
         return other is None or self.precedence() > other.precedence()
 
     def with_attempt(self, engine: str, cancel_token: bytes = b"") -> Record:
-        """The next version: an attempt goes to `engine`."""
+        """Return the next version: an attempt is sent to `engine`."""
         return replace(
             self,
             stage=Stage.SENT,
@@ -103,18 +104,18 @@
         )
 
     def with_cancel_token(self, cancel_token: bytes) -> Record:
-        """The next version: the attempt that is out can be cancelled by this token."""
+        """Return the next version: `cancel_token` cancels the attempt in flight."""
         return replace(self, cancel_token=cancel_token, version=self.version + 1)
 
     def with_attempt_rejected(self) -> Record:
-        """The next version: the attempt provably never ran, so any member may send the request again."""
+        """Return the next version: the attempt provably never ran, so any member may send the request again."""
         return replace(self, stage=Stage.QUEUED, cancel_token=b"", version=self.version + 1)
 
     def with_answer(self, outcome: Outcome, answer: bytes, max_answer_bytes: int, reason: str = "") -> Record:
-        """The next version: the final answer is known.
+        """Return the next version: the final answer is known.
 
-        Of an answer above `max_answer_bytes` only the outcome is replicated: that it was served is then never in doubt,
-        and a request whose class may be repeated is sent again for a client that comes back.
+        If the answer exceeds `max_answer_bytes`, only the outcome is replicated. It is then still certain whether the
+        request succeeded, and a request that may be repeated is sent again for a client that retries.
         """
         if len(answer) > max_answer_bytes:
             answer, reason = b"", ANSWER_TOO_LARGE
@@ -129,7 +130,7 @@
         )
 
     def with_local_outcome(self, outcome: Outcome, reason: str) -> Record:
-        """The next version: the holder itself ends the request, without an engine's answer."""
+        """Return the next version: the holder itself ends the request, without an engine's answer."""
         return replace(
             self,
             stage=Stage.ANSWERED,
@@ -141,10 +142,10 @@
         )
 
     def transferred_to(self, holder: str, term: int, holder_incarnation: int = 0) -> Record:
-        """The first version under another holder and a higher term."""
+        """Return the first version under another holder and a higher term."""
         return replace(self, holder=holder, term=term, holder_incarnation=holder_incarnation, version=0, admitted=True)
 
     @property
     def answer_retained(self) -> bool:
-        """Whether the final answer can be given to a client that comes back."""
+        """Whether the final answer can be given to a client that retries."""
         return self.stage >= Stage.ANSWERED and self.reason != ANSWER_TOO_LARGE
--- a/decklb/handoff/replication.py
+++ b/decklb/handoff/replication.py
@@ -1,8 +1,8 @@
-"""Replication of held records to their voters, and commits: versions that a quorum of voters acknowledged.
+"""Replicates held records to their voters, and commits versions that a quorum of voters has acknowledged.
 
-Each new version goes to every connected voter at once, and again after `resend_interval_ms` until it is acknowledged.
-Whoever must not go on before a quorum has a version waits here (`await_quorum`). The state is the keys of which some
-connected voter lacks the newest version; the rest stands in each `HeldRequest`.
+Each new version is sent to all connected voters at once, and again after `resend_interval_ms` until it is
+acknowledged. Callers that must not proceed before a quorum has a version use `await_quorum`. The state is the keys of
+which some connected voter lacks the newest version; everything else is in each `HeldRequest`.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 from decklb.handoff.records import Record
 
 NOT_ACKED = -1  # below every version
-POSTPONED_RESENDS = 4  # resend intervals more for a voter that has no capacity, or not enough memory yet
+POSTPONE_INTERVALS = 4  # further resend intervals to wait for a voter without capacity or with too short a memory
 
 
 class Replicator:
-    """Sends versions of held records, and tells when a quorum has them."""
+    """Sends versions of held records, and reports when a quorum has them."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
-        self._unacked_keys: dict[str, None] = {}
+        self._unacked_keys: dict[str, None] = {}  # keys of which a connected voter lacks the newest version
 
     def write(self, now: float, held: HeldRequest, record: Record) -> None:
-        """Make `record` the newest version, here and at the voters."""
+        """Store `record` as the newest version here, and send it to the voters."""
         held.record = record
         self._state.table.write(record)
         self.replicate(now, held)
 
     def replicate(self, now: float, held: HeldRequest) -> None:
-        """Send the newest version to all voters at once."""
+        """Send the newest version to all connected voters at once."""
         self._unacked_keys[held.key] = None
         held.sent_at_ms.clear()
         self._send_due(now, held)
 
     def resend_due(self, now: float) -> None:
-        """Send again what was not acknowledged in time."""
+        """Resend versions that were not acknowledged in time."""
         for key in list(self._unacked_keys):
             if (held := self._state.held.get(key)) is not None:
                 self._send_due(now, held)
@@ -47,20 +47,20 @@
                 del self._unacked_keys[key]
 
     def resend_to(self, peer: str) -> None:
-        """A voter was connected anew: it gets the newest version of all that it votes on."""
+        """A voter has reconnected: send it the newest versions of all held records that it votes on."""
         for key, held in self._state.held.items():
             if peer in held.record.voters:
                 self._unacked_keys[key] = None
                 held.sent_at_ms.pop(peer, None)
 
     def resend_body_to(self, peer: str, held: HeldRequest) -> None:
-        """A voter lacks the request itself."""
+        """A voter lacks the request itself: include it in the next replica."""
         held.voters_with_body.discard(peer)
         held.sent_at_ms.pop(peer, None)
 
     def postpone(self, now: float, peer: str, held: HeldRequest) -> None:
-        """A voter can't keep the record now; it may have capacity, or memory enough, later."""
-        held.sent_at_ms[peer] = now + self._state.settings.resend_interval_ms * POSTPONED_RESENDS
+        """Delay the next replica to a voter that can't store the record now, but may be able to later."""
+        held.sent_at_ms[peer] = now + self._state.settings.resend_interval_ms * POSTPONE_INTERVALS
 
     def _send_due(self, now: float, held: HeldRequest) -> None:
         """Send the newest version to each connected voter that has not acknowledged it."""
@@ -81,7 +81,7 @@
     def _message_to(self, voter: str, now: float, held: HeldRequest) -> Replicate:
         record = held.record
         return Replicate(
-            replace(record, deadline_ms=0.0),  # a time of our clock, which says nothing elsewhere
+            replace(record, deadline_ms=0.0),  # on this member's clock, so meaningless elsewhere
             remaining_ms=record.deadline_ms - now,
             age_ms=now - held.held_since_ms,
             sent_at_ms=now,
@@ -90,7 +90,7 @@
         )
 
     def release(self, held: HeldRequest) -> None:
-        """Drop a record here and at its voters: its key is free."""
+        """Drop a record here and at its voters, which frees its key."""
         state = self._state
         if state.is_held(held):
             del state.held[held.key]
@@ -100,7 +100,7 @@
                     state.send(voter, Release(held.key, state.incarnation))
 
     def on_ack(self, now: float, peer: str, message: ReplicateAck) -> None:
-        """A voter keeps a version."""
+        """A voter has stored a version."""
         held = self.held_by_answer(message)
         if held is not None:
             held.acked_versions[peer] = max(held.acked_versions.get(peer, NOT_ACKED), message.version)
@@ -108,9 +108,10 @@
             self.settle(now, held)
 
     def held_by_answer(self, answer: ReplicateAck | ReplicateReject) -> HeldRequest | None:
-        """The held request that a voter's answer is about.
+        """Return the held request to which a voter's answer refers.
 
-        None for a key that was released and admitted anew since: what was sent in its earlier life says nothing of it.
+        None if the key was released and admitted again after the message was sent: such an answer refers to the
+        earlier request.
         """
         held = self._state.held.get(answer.key)
         if held is None or held.record.term != answer.term or answer.sent_at_ms < held.held_since_ms:
@@ -118,14 +119,14 @@
         return held
 
     def await_quorum(self, now: float, held: HeldRequest, on_quorum: QuorumCallback) -> None:
-        """Tell `on_quorum` whether a quorum acknowledges the newest version within the quorum timeout."""
+        """Report to `on_quorum` whether a quorum acknowledges the newest version within the quorum timeout."""
         self._state.supervised_keys[held.key] = None
         expires_at_ms = now + self._state.settings.quorum_timeout_ms
         held.pending.append(PendingCommit(held.record.version, expires_at_ms, on_quorum))
         self.settle(now, held)
 
     def committed_version(self, held: HeldRequest) -> int:
-        """The newest version that a quorum of eligible voters has; NOT_ACKED for none."""
+        """Return the newest version that a quorum of eligible voters has; NOT_ACKED if there is none."""
         record, member = held.record, self._state.member
         versions = sorted(
             (
@@ -139,7 +140,7 @@
         return versions[quorum - 1] if len(versions) >= quorum else NOT_ACKED
 
     def settle(self, now: float, held: HeldRequest) -> None:
-        """Tell those whose version is committed, while the lease is current."""
+        """Notify the callers whose version is committed, if the lease is valid."""
         if not held.pending:
             return
         committed = self.committed_version(held)
@@ -151,7 +152,7 @@
             commit.on_quorum(True)
 
     def expire_pending(self, now: float, held: HeldRequest) -> None:
-        """Settle, then tell those whose time to wait for a quorum is over."""
+        """Settle, then report failure to the callers whose quorum timeout has passed."""
         if not held.pending:
             return
         self.settle(now, held)
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -1,9 +1,9 @@
-"""The handoff's I/O: connections to other members, the timer, the store, and the log.
+"""The handoff's I/O: connections to other members, the timer, the store and the log.
 
-`HandoffService` drives one `HandoffCoordinator` and carries out what it decides. Each pair of members shares one
-connection, on which all messages pass in order, since leases rest on that: the member whose name sorts first opens it,
-from the address it binds, to where membership says that the other is. Whatever changed is in the store, where there is
-one, before a message leaves. Made by `daemon/assembly.py`, or by `middleware/members.py` for an application.
+`HandoffService` drives one `HandoffCoordinator` and carries out its output. Each pair of members shares one connection,
+because leases rely on messages being delivered in order. The member whose name sorts first opens it, from the address
+that it binds to the other's address in the membership list. If there is a store, changes are written to it before any
+message is sent. Created by `daemon/subsystems/handoff.py`, or by `middleware/members.py` for an application.
 """
 
 from __future__ import annotations
@@ -35,27 +35,27 @@
 
 TICK_MS = 25.0
 CONNECT_TIMEOUT_S = 1.0
-DIAL_BACKOFF_MIN_MS = 100.0  # before another try to connect to a member, doubled up to the next line's
-DIAL_BACKOFF_MAX_MS = 2000.0
-GREETING_TIMEOUT_MS = 2000.0  # for a greeting and the first frame after it
-SILENT_LEASES = 2.0  # leases without a frame after which a connection is taken for dead
-MAX_UNSENT_BYTES = 64 << 20  # that a member may leave unread
+DIAL_BACKOFF_MIN_MS = 100.0  # before connecting to a member again; doubles with each try
+DIAL_BACKOFF_MAX_MS = 2000.0  # upper limit of the doubled backoff
+GREETING_TIMEOUT_MS = 2000.0  # for the greeting and the first frame after it
+SILENCE_TIMEOUT_LEASES = 2.0  # a connection without a frame for this many leases is considered dead
+MAX_UNSENT_BYTES = 64 << 20  # a connection with more buffered bytes is aborted
 
 
 @dataclass(slots=True)
 class _DialBackoff:
-    """When to try next to connect to a member, and the wait after that."""
+    """When to connect to a member again, and the wait after that try."""
 
     due_ms: float = 0.0
     wait_ms: float = DIAL_BACKOFF_MIN_MS
 
     def advance(self, now: float) -> None:
-        """A try was made."""
+        """Schedule the next try after one was made."""
         self.due_ms, self.wait_ms = now + self.wait_ms, min(DIAL_BACKOFF_MAX_MS, 2 * self.wait_ms)
 
 
 class HandoffService:
-    """One member's handoff on real connections, a clock and a disk."""
+    """Runs one member's handoff with real connections, a clock and a disk."""
 
     def __init__(
         self,
@@ -65,10 +65,10 @@
         cluster: ClusterService,
         dispatcher: ProtectedDispatcher,
     ) -> None:
-        """Read the store and wire the coordinator to the front's dispatcher.
+        """Read the store and connect the coordinator to the front's dispatcher.
 
         Raises:
-            StoreError: The store's folder can't be used.
+            StoreError: The store's folder is unusable.
         """
         self.reactor, self.clock, self.settings, self.cluster = reactor, clock, settings, cluster
         self.connections: set[PeerConnection] = set()
@@ -87,10 +87,10 @@
         self.sealer = self._make_sealer()
 
     def _open_store(self, now: float) -> StoredMemory | None:
-        """What an earlier process of this member remembered; None without a store."""
+        """Open the store and return what earlier processes of this member wrote; None without a store."""
         if not self.settings.store_folder:
             return None
-        from decklb.handoff.store import Store, boot_id  # LMDB is loaded only where it is used
+        from decklb.handoff.store import Store, boot_id  # LMDB is imported only if a store is configured
 
         member = self.cluster.node.membership.local
         self.store = Store(self.settings.store_folder, self.settings.max_bytes)
@@ -114,7 +114,7 @@
 
     def _make_sealer(self) -> Sealer:
         keys = keyfile.read(self.cluster.settings.key_file)
-        # Another name than the datagrams': what is sealed for one is no use for the other.
+        # The name differs from that of the datagrams, so that frames sealed for one are not valid for the other.
         return Sealer(
             f"{self.cluster.settings.membership.cluster_name}/handoff",
             [key.secret for key in keys],
@@ -123,11 +123,11 @@
         )
 
     def start(self) -> None:
-        """Listen, and start the timer. Raises what Twisted raises when the address can't be bound."""
+        """Listen and start the timer. Raises Twisted's errors if the address can't be bound."""
         host, port = self.cluster.settings.bind_address
         self._port = self.reactor.listenTCP(port, PeerConnectionFactory(self), interface=host)
         logger.info(
-            "handoff on {host}:{port}, {copies} voters a key, {members} members, {kept} keys kept on disk",
+            "handoff listening on {host}:{port}: {copies} voters per key, {members} members, {kept} keys restored from disk",
             event="handoff-listening",
             host=host,
             port=port,
@@ -138,7 +138,7 @@
         self._tick()
 
     def reload(self) -> None:
-        """Read the keys anew; the cluster has logged what was wrong with them."""
+        """Read the key file again. If that fails, the old keys stay in use; the cluster has logged the error."""
         try:
             self.sealer = self._make_sealer()
         except KeyFileError:
@@ -161,7 +161,9 @@
 
     def _abort_dead_connections(self, now: float) -> None:
         for connection in list(self.connections):
-            timeout_ms = SILENT_LEASES * self.settings.lease_ms if connection.established else GREETING_TIMEOUT_MS
+            timeout_ms = (
+                SILENCE_TIMEOUT_LEASES * self.settings.lease_ms if connection.established else GREETING_TIMEOUT_MS
+            )
             if now - connection.last_received_ms > timeout_ms:
                 connection.abort("silent")
             elif connection.unsent_bytes > MAX_UNSENT_BYTES:
@@ -179,17 +181,17 @@
         )
         endpoint.connect(factory).addErrback(
             lambda failure: logger.debug(
-                "member {member} can't be reached: {why}",
+                "can't connect to member {member}: {why}",
                 event="handoff-no-connection",
                 member=name,
                 why=failure.type.__name__,
             )
         )
 
-    # What connections call.
+    # Calls from connections.
 
     def on_established(self, connection: PeerConnection) -> None:
-        """A member has proved who it is. A second connection replaces the first."""
+        """A connection to an authenticated member is established; it replaces an earlier one to the same member."""
         peer, greeting = connection.peer, connection.greeting
         earlier = self._established.get(peer)
         if earlier is not None:
@@ -201,7 +203,7 @@
         self.flush()
 
     def on_messages(self, connection: PeerConnection, received: list[Message]) -> None:
-        """Messages of a member, in order."""
+        """Pass received messages to the coordinator, in order."""
         now = self.clock.now()
         for message in received:
             if self._established.get(connection.peer) is connection:
@@ -209,17 +211,17 @@
         self.flush()
 
     def on_closed(self, connection: PeerConnection) -> None:
-        """A connection has ended."""
+        """A connection was closed."""
         self.connections.discard(connection)
         if self._established.get(connection.peer) is connection:
             del self._established[connection.peer]
             self.coordinator.disconnected(connection.peer)
 
-    # What the coordinator decided.
+    # Output of the coordinator.
 
     def flush(self) -> None:
-        """Store, send and log what the coordinator has put out."""
-        if self._flushing:  # what the front is told comes back here
+        """Store, send and log the coordinator's output."""
+        if self._flushing:  # a call to the front during a flush may call this again
             return
         self._flushing = True
         while self.coordinator.has_output:
@@ -232,15 +234,15 @@
         self._flushing = False
 
     def _store_changes(self) -> bool:
-        """Write what changed to the store; whether messages that rest on it may leave."""
+        """Write changes to the store; return whether messages that depend on them may be sent."""
         table = self.coordinator.table
         if self.store is not None and table.changed_keys:
             try:
                 self.store.write_changes(table)
             except StoreError as error:
-                # Votes that may be forgotten are none: others take over what is held here.
+                # Votes that may be forgotten must not count, so stop; others take over the requests held here.
                 logger.error(
-                    "the handoff's store can't be written, nothing is protected here: {error}",
+                    "can't write to the handoff's store, so requests are no longer protected here: {error}",
                     event="handoff-store-failed",
                     error=str(error),
                 )
@@ -265,7 +267,7 @@
         )
 
     def close(self) -> None:
-        """The process ends; others take over what is held here once membership tells them."""
+        """Stop for good. Others take over the requests held here once membership reports this member as gone."""
         if self._closed:
             return
         self._closed = True
--- a/decklb/handoff/settings.py
+++ b/decklb/handoff/settings.py
@@ -1,42 +1,42 @@
-"""Settings of the handoff, made from the operators' `<handoff>` element by `config.sections.handoff`."""
+"""Settings of the handoff, read from the operators' `<handoff>` element by `config.sections.handoff`."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_VOTERS = 8  # of one key: each more costs another copy of every request
-HEARTBEATS_PER_LEASE = 3  # at least, so that one lost heartbeat does not end a lease
+MAX_VOTERS = 8  # per key; each additional voter costs another copy of every request
+MIN_HEARTBEATS_PER_LEASE = 3  # so that one lost heartbeat does not end a lease
 
 
 @dataclass(frozen=True, slots=True)
 class HandoffSettings:
     """How records of in-flight requests are replicated and taken over.
 
-    A takeover needs a quorum of a record's voters, so `voter_count - quorum` of them may be lost at once, with the
-    holder where it is none of them.
+    A takeover needs a quorum of a record's voters, so `voter_count - quorum` voters may be lost at the same time, and
+    the holder as well if it is not a voter.
     """
 
-    voter_count: int = 3  # members that keep a replica of a record and vote on who acts on it; the holder may be one
-    fleet_size: int = 3  # with fewer members known nothing is protected, as two sides could each form a quorum
-    quorum_timeout_ms: float = 250.0  # waited for a quorum's acknowledgements before a request is refused
-    heartbeat_interval_ms: float = 250.0  # between heartbeats to each member; their answers renew the leases
-    resend_interval_ms: float = 150.0  # after which a replica that is not acknowledged is sent again
-    claim_stagger_ms: float = 400.0  # between the turns in which voters claim the records of a lost member
-    max_budget_ms: float = 30_000.0  # budgets of protected requests are cut to this
-    max_bytes: int = 64 << 20  # of requests and answers retained, own records and replicas together
-    bucket_count: int = 4096  # keys are placed by bucket, so that a change of members reranks buckets, not records
-    max_records: int = 200_000  # own records and replicas together
-    max_answer_bytes: int = 65_536  # of a larger answer only the outcome is replicated
-    lease_ms: float = (
-        2_000.0  # a holder that is cut off from its voters stops acting this long after it last heard them
+    voter_count: int = 3  # members that store a record and vote on its holder; may include the holder
+    fleet_size: int = 3  # with fewer known members nothing is protected, as two partitions could both form a quorum
+    quorum_timeout_ms: float = 250.0  # maximum wait for a quorum's acknowledgements before a request is rejected
+    heartbeat_interval_ms: float = 250.0  # between heartbeats to each member, whose answers renew the leases
+    resend_interval_ms: float = 150.0  # after which an unacknowledged replica is sent again
+    claim_stagger_ms: float = 400.0  # delay between successive voters' claims of a lost member's record
+    max_budget_ms: float = 30_000.0  # upper limit for the budgets of protected requests
+    max_bytes: int = 64 << 20  # size limit of all bodies and answers, of own records and replicas together
+    bucket_count: int = (
+        4096  # voters are ranked per bucket of keys, so a change of members reranks buckets, not records
     )
-    max_clock_drift: float = 0.01  # share by which one member's clock may run faster than another's
-    answer_retention_ms: float = 5_000.0  # a final answer is retained this long past its deadline, for its client
-    deadline_grace_ms: float = 500.0  # past a deadline in which the protocol still counts an answer
-    store_folder: str = ""  # of the store by which records outlive the process; "" for none
+    max_records: int = 200_000  # own records and replicas together
+    max_answer_bytes: int = 65_536  # for a larger answer only the outcome is replicated
+    lease_ms: float = 2_000.0  # a holder that is cut off from its voters stops acting within this time
+    max_clock_drift: float = 0.01  # fraction by which one member's clock may run faster than another's
+    answer_retention_ms: float = 5_000.0  # how long past the deadline a final answer is retained for its client
+    deadline_grace_ms: float = 500.0  # time past a deadline within which an answer still counts
+    store_folder: str = ""  # folder of the store in which records outlive the process; "" for no store
 
     def __post_init__(self) -> None:
-        """Raises ValueError, worded by the attributes of the XML."""
+        """Raise ValueError for invalid values; the messages use the names of the XML attributes."""
         if not 1 <= self.voter_count <= MAX_VOTERS:
             raise ValueError(f"copies must be from 1 to {MAX_VOTERS}")
         if self.bucket_count < 1 or self.max_records < 1 or self.max_answer_bytes < 0:
@@ -57,15 +57,15 @@
             raise ValueError("members, patience, beat, resend, stagger, longest and room must be above 0")
         if self.store_folder and self.voter_count < 2:
             raise ValueError("data needs at least 2 copies: what is written here is no vote by itself")
-        if self.lease_ms < HEARTBEATS_PER_LEASE * self.heartbeat_interval_ms:
+        if self.lease_ms < MIN_HEARTBEATS_PER_LEASE * self.heartbeat_interval_ms:
             raise ValueError("lease must be at least three beats, or one lost beat would end it")
 
     @property
     def quorum(self) -> int:
-        """Voters that must grant a claim: a majority, so that two claims can't both win."""
+        """Number of voters that must grant a claim: a majority, so that two claims can't both win."""
         return self.voter_count // 2 + 1
 
     @property
     def record_lifetime_ms(self) -> float:
-        """How long a record lives at most: a member that remembers for so long has forgotten none."""
+        """Maximum lifetime of a record; a member whose memory reaches back this far has forgotten no live record."""
         return (self.max_budget_ms + self.deadline_grace_ms + self.answer_retention_ms) * (1 + self.max_clock_drift)
