--- a/decklb/handoff/attempts.py
+++ b/decklb/handoff/attempts.py
@@ -24,9 +24,9 @@
             on_quorum(False)
             return
         self._replicator.write(now, held, held.record.with_attempt(engine, cancel_token))
-        self._replicator.await_quorum(now, held, lambda reached: self._on_begin_quorum(now, held, reached, on_quorum))
+        self._replicator.await_quorum(now, held, lambda reached: self._on_attempt_quorum(now, held, reached, on_quorum))
 
-    def _on_begin_quorum(self, now: float, held: HeldRequest, reached: bool, on_quorum: QuorumCallback) -> None:
+    def _on_attempt_quorum(self, now: float, held: HeldRequest, reached: bool, on_quorum: QuorumCallback) -> None:
         if not reached and self._state.is_held(held):
             # The attempt was never sent; the request is resumed once a quorum answers again.
             held.record, held.suspended = held.record.with_attempt_rejected(), True
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -55,7 +55,7 @@
     request: Request | None = None  # the dispatcher's request, while it runs
     attempt: ProtectedAttempt | None = None  # the attempt in flight
     after_attempt: list[Callable[[], None]] = field(default_factory=list)  # called once no attempt is in flight
-    cancelled: bool = False  # its client has cancelled it
+    cancelled: bool = False  # by its client
 
     def served(self, result: bytes) -> None:
         """The dispatcher has an engine's complete answer."""
@@ -193,8 +193,8 @@
         if not record.cancel_token or cancel_by_token is None:
             self._run_again(record, body)
             return
-        # The engine still executes the attempt of the lost member. Two executions must not overlap, even if the request
-        # may be repeated.
+        # The engine still executes the attempt of the lost member. Two executions must not overlap, even if the class
+        # allows repeated execution.
         self.log_step(ProtectedRequest(self, record.key, None), f"cancelled at {record.engine}")
         self._cancelling_keys.add(record.key)
         hold_down_ms = self.dispatcher.settings.key_hold_down_ms
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -114,7 +114,7 @@
 
     def _make_sealer(self) -> Sealer:
         keys = keyfile.read(self.cluster.settings.key_file)
-        # The name differs from that of the datagrams, so that frames sealed for one are not valid for the other.
+        # The name differs from that of datagrams, so what is sealed for one is invalid for the other.
         return Sealer(
             f"{self.cluster.settings.membership.cluster_name}/handoff",
             [key.secret for key in keys],
@@ -127,7 +127,7 @@
         host, port = self.cluster.settings.bind_address
         self._port = self.reactor.listenTCP(port, PeerConnectionFactory(self), interface=host)
         logger.info(
-            "handoff listening on {host}:{port}: {copies} voters per key, {members} members, {kept} keys restored from disk",
+            "handoff on {host}:{port}: {copies} voters per key, {members} members, {kept} keys restored from disk",
             event="handoff-listening",
             host=host,
             port=port,
--- a/decklb/handoff/store.py
+++ b/decklb/handoff/store.py
@@ -1,9 +1,10 @@
-"""What a member remembers, on disk (LMDB), so that it outlives its process.
+"""The on-disk store (LMDB) of a member's records and grants, which makes them outlive its process.
 
-Everything is written before a message that rests on it leaves, without a sync: it outlives the process, not the
-machine. After the machine's own restart, which the kernel's boot id tells, it counts as forgotten. Deadlines are on the
-monotonic clock, which goes on from one process to the next until then. The names of LMDB's keys, the order of the
-fields and the version are the stored form. `runtime.py` owns the one store of a member.
+Changes are written before any message that depends on them is sent, but are not synced to disk: they outlive the
+process, not the machine. After a restart of the machine, detected by the kernel's boot id, the stored data counts as
+forgotten. Until then the monotonic clock, on which deadlines are stored, continues from one process to the next. The
+stored format consists of LMDB's keys, the order of the fields and the version. `runtime.py` owns the one store of a
+member.
 """
 
 from __future__ import annotations
@@ -23,23 +24,23 @@
 
 STORE_VERSION = 1
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
-MAP_FACTOR = 8  # LMDB's map to bytes of records: it copies on write, and its pages are larger than most records
+MAP_FACTOR = 8  # LMDB's map size per byte of records: it copies on write, and a page exceeds most records
 MIN_MAP_BYTES = 64 << 20
-ENTRY_KEY_BYTES = 32  # of the digest under which a key's entry stands
-_HEADER_KEY = b"\0head"  # shorter than any entry's
+ENTRY_KEY_BYTES = 32  # length of the digest that is the LMDB key of an entry
+_HEADER_KEY = b"\0head"  # shorter than any entry's key
 
 
 class StoredEntry(msgspec.Struct, array_like=True, frozen=True):
-    """What is kept of one key."""
+    """The stored entry of one key."""
 
     key: str
     record: Record | None
     body: bytes | None  # the request itself
-    granted: Ballot | None  # the highest ballot granted
+    granted: Ballot | None  # highest ballot granted for the key
 
 
 class _Header(msgspec.Struct, array_like=True, frozen=True):
-    """Whose memory the store is."""
+    """Identifies the member, the boot and the memory to which the stored data belongs."""
 
     version: int
     member: str
@@ -47,14 +48,14 @@
     memory_id: int
     since_ms: float
 
-    def is_of(self, member: str, boot: str) -> bool:
-        """Whether it was written by this member, since the machine's start."""
+    def belongs_to(self, member: str, boot: str) -> bool:
+        """Whether the data was written by this member since the machine's last boot."""
         return bool(boot) and (self.version, self.member, self.boot_id) == (STORE_VERSION, member, boot)
 
 
 @dataclass(frozen=True, slots=True)
 class StoredMemory:
-    """What a member remembers at its start."""
+    """What a member reads from its store at its start."""
 
     memory_id: int
     since_ms: float  # on the monotonic clock
@@ -67,7 +68,7 @@
 
 
 def boot_id() -> str:
-    """Names the machine's run since its start; "" where the kernel does not say, and then nothing is trusted."""
+    """Return the kernel's boot id; "" if it is unavailable, in which case stored data is never trusted."""
     try:
         return BOOT_ID_FILE.read_text().strip()
     except OSError:
@@ -75,17 +76,17 @@
 
 
 class Store:
-    """The folder of one member."""
+    """The store folder of one member."""
 
     def __init__(self, folder: str, max_bytes: int) -> None:
-        """Open or make the folder.
+        """Open or create the folder.
 
         Args:
-            folder: Where LMDB's files stand.
-            max_bytes: Of records and requests that it holds.
+            folder: Folder of LMDB's files.
+            max_bytes: Maximum size of the stored answers and bodies.
 
         Raises:
-            StoreError: The folder can't be used.
+            StoreError: The folder is unusable.
         """
         self.folder = folder
         try:
@@ -96,12 +97,12 @@
             raise StoreError(f"{folder}: {error}") from error
 
     def open(self, member: str, new_memory_id: int, now: float, boot: str) -> StoredMemory:
-        """Read what this member wrote since the machine's start, or begin an empty memory.
+        """Read what this member wrote since the machine's last boot, or start an empty memory.
 
         Args:
             member: This member's name.
-            new_memory_id: Names the memory that begins where none is found.
-            now: When it then begins, on the monotonic clock in ms.
+            new_memory_id: Id of the new memory if none is found.
+            now: Current time on the monotonic clock in ms, at which a new memory starts.
             boot: The machine's `boot_id`.
 
         Raises:
@@ -111,7 +112,7 @@
             with self._env.begin(write=True) as txn:
                 raw = txn.get(_HEADER_KEY)
                 header = _header_decoder.decode(raw) if raw is not None else None
-                if header is not None and header.is_of(member, boot):
+                if header is not None and header.belongs_to(member, boot):
                     entries = [_entry_decoder.decode(value) for key, value in txn.cursor() if key != _HEADER_KEY]
                     return StoredMemory(header.memory_id, header.since_ms, entries)
                 txn.drop(self._env.open_db(txn=txn), delete=False)
@@ -121,7 +122,7 @@
             raise StoreError(f"{self.folder}: {error}") from error
 
     def write(self, changes: Mapping[str, StoredEntry | None]) -> None:
-        """Write all of these entries or none; None deletes a key's entry.
+        """Write all these entries or none; None deletes the entry of a key.
 
         Raises:
             StoreError: The folder can't be written.
@@ -138,7 +139,7 @@
             raise StoreError(f"{self.folder}: {error}") from error
 
     def write_changes(self, table: RecordTable) -> None:
-        """Write what a table has of the keys that changed.
+        """Write a table's entries for the keys that changed.
 
         Raises:
             StoreError: The folder can't be written.
@@ -151,5 +152,5 @@
         self.write(changes)
 
     def close(self) -> None:
-        """Nothing is written after this."""
+        """Close the store; it can't be used afterwards."""
         self._env.close()
--- a/decklb/handoff/takeover.py
+++ b/decklb/handoff/takeover.py
@@ -1,8 +1,9 @@
-"""Taking over the records of lost holders: scheduling claims, collecting grants, and holding what was won.
+"""Takes over the records of lost holders: schedules claims, collects grants, and holds the records that were won.
 
-A review looks at all replicas for holders that are not alive, and schedules claims in turns, so that the voters of a
-record don't claim it all at once. A claim that does not win is made again after a random delay. One that wins takes
-effect once any earlier holder's lease has ended (`claims.py`). The state is the claims scheduled and under way.
+A review checks all replicas for holders that are not alive. It schedules the claims of a record's voters at staggered
+times, so that the voters don't claim the record all at once. A claim that does not win is repeated after a random
+delay. A claim that wins takes effect once any earlier holder's lease has ended (`claims.py`). The state is the
+scheduled claims and the active claims.
 """
 
 from __future__ import annotations
@@ -22,19 +23,19 @@
 from decklb.handoff.replication import Replicator
 from decklb.handoff.takeover_policy import claim_rank
 
-MAX_CLAIMS_PER_TICK = 500  # so that the loss of a member with many records does not hold up the loop
-REVIEW_INTERVAL_MS = 1000.0  # between reviews, where no member came or went
-CLAIM_RETRY_MIN_MS = 200.0  # before a claim that did not win is made again
-CLAIM_RETRY_MAX_MS = 600.0  # drawn between the two, so that claimers don't meet again
-CLAIM_TIMEOUT = 2  # quorum timeouts after which a claim that did not win is given up
-RECLAIM_LEASES = 2  # leases between claims of a request that this member itself holds and lost votes for
+MAX_CLAIMS_PER_TICK = 500  # limits how long the loss of a member with many records blocks the event loop
+REVIEW_INTERVAL_MS = 1000.0  # between reviews while the set of live members does not change
+CLAIM_RETRY_MIN_MS = 200.0  # shortest delay before a claim that did not win is repeated
+CLAIM_RETRY_MAX_MS = 600.0  # longest; the delay is random so that claimers don't collide again
+CLAIM_QUORUM_TIMEOUTS = 2  # a claim that has not won after this many quorum timeouts is given up
+RECLAIM_INTERVAL_LEASES = 2  # leases between claims of a request that this member holds itself but lost votes for
 
 
 @dataclass(slots=True)
 class _ActiveClaim:
     claim: Claim
     started_at_ms: float
-    body: bytes | None  # the request itself, from whoever has it
+    body: bytes | None  # the request itself, from the first voter that has it
 
     def add_body(self, body: bytes | None) -> None:
         if self.body is None:
@@ -42,7 +43,7 @@
 
 
 class Takeover:
-    """Claims records whose holder is lost."""
+    """Claims the records of lost holders."""
 
     def __init__(
         self,
@@ -52,53 +53,53 @@
         fencing: FencingNotices,
         now: float,
     ) -> None:
-        """`now` starts the interval to the first review."""
+        """`now` starts the interval until the first review."""
         self._state, self._replicator, self._leases, self._fencing = state, replicator, leases, fencing
         self._active: dict[str, _ActiveClaim] = {}  # by key
-        self._scheduled: dict[str, float] = {}  # keys to claim, and when
-        self._min_terms: dict[str, int] = {}  # by key, as rejections named them
+        self._scheduled: dict[str, float] = {}  # time of the claim, by key
+        self._min_terms: dict[str, int] = {}  # from rejections, by key
         self._reviewed_at_ms = now
 
     @property
     def active_count(self) -> int:
-        """Claims under way."""
+        """Number of active claims."""
         return len(self._active)
 
     @property
     def scheduled_count(self) -> int:
-        """Claims still to be made."""
+        """Number of scheduled claims."""
         return len(self._scheduled)
 
     def cancel(self, key: str) -> None:
-        """The key was admitted anew: what was claimed under it is gone, or it would have been found."""
+        """Drop claims of a key that was admitted again; their record is gone, or admission would have found it."""
         self._active.pop(key, None)
         self._scheduled.pop(key, None)
 
     def unschedule(self, key: str) -> None:
-        """The holder of the key was heard."""
+        """Drop the scheduled claim of a key, whose holder has sent a replica."""
         self._scheduled.pop(key, None)
 
     def forget(self, key: str) -> None:
-        """The record of the key expired."""
+        """Drop all state of a key whose record has expired."""
         self.cancel(key)
         self._min_terms.pop(key, None)
 
     def yield_to(self, now: float, key: str, ballot: Ballot) -> None:
-        """Another member's claim was granted: one of ours below it is given up, and made again if that one fails."""
+        """Give up this member's claim if a higher one was granted, and schedule a retry in case that one fails."""
         active = self._active.get(key)
         if active is not None and active.claim.ballot < ballot:
             del self._active[key]
             self._schedule_retry(now + self._state.settings.lease_ms, key)
 
     def reclaim(self, now: float, held: HeldRequest) -> None:
-        """Claim a suspended request anew, whose votes were lost to claims that came to nothing."""
+        """Claim a suspended request again if its votes were lost to claims that failed."""
         if held.reclaim_at_ms <= now and held.key not in self._active:
             if held.reclaim_at_ms:
                 self._scheduled.setdefault(held.key, now)
-            held.reclaim_at_ms = now + RECLAIM_LEASES * self._state.settings.lease_ms
+            held.reclaim_at_ms = now + RECLAIM_INTERVAL_LEASES * self._state.settings.lease_ms
 
     def review(self, now: float) -> None:
-        """Schedule claims of all records whose holder is lost, when members came or went, or after a while."""
+        """Schedule claims of lost holders' records, if the live members changed or the review interval has passed."""
         fleet = self._state.fleet
         if not fleet.changed and now - self._reviewed_at_ms < REVIEW_INTERVAL_MS:
             return
@@ -114,12 +115,12 @@
                 self._scheduled[key] = now + rank * self._state.settings.claim_stagger_ms
 
     def advance(self, now: float) -> None:
-        """Make the claims that are due, hold what was won, and give up what was not won in time."""
+        """Make due claims, take over won records, and give up claims that were not won in time."""
         due = [key for key, at in self._scheduled.items() if at <= now][:MAX_CLAIMS_PER_TICK]
         for key in due:
             del self._scheduled[key]
             self._claim(now, key)
-        timeout_ms = self._state.settings.quorum_timeout_ms * CLAIM_TIMEOUT
+        timeout_ms = self._state.settings.quorum_timeout_ms * CLAIM_QUORUM_TIMEOUTS
         for key, active in list(self._active.items()):
             effective_from = active.claim.effective_from()
             if effective_from is not None and effective_from <= now:
@@ -132,7 +133,7 @@
         self._scheduled[key] = after + self._state.rng.uniform(CLAIM_RETRY_MIN_MS, CLAIM_RETRY_MAX_MS)
 
     def _is_claimable(self, key: str) -> bool:
-        """Whether the holder is lost; of a request held here, whether it is suspended."""
+        """Whether the holder of a key is lost, or the request is held here but suspended."""
         held = self._state.held.get(key)
         if held is not None:
             return held.suspended
@@ -145,7 +146,7 @@
             return
         others = [voter for voter in record.voters if voter != state.member and voter in state.fleet.connected]
         if len(others) + 1 < quorum_of(record, state.settings):
-            # A claim that can't win would only take this member's vote from a holder that may live.
+            # A claim that can't win would only withdraw this member's vote from a holder that may be alive.
             self._schedule_retry(now, key)
             return
         claim = state.table.start_claim(key, state.member, self._min_terms.get(key, 0))
@@ -159,7 +160,7 @@
             state.send(voter, ClaimRequest(key, term))
 
     def _grant_own(self, now: float, key: str, active: _ActiveClaim) -> None:
-        """Grant it ourselves, once nothing else is lacking."""
+        """Add this member's own grant to a claim once no other grant is missing."""
         claim, record = active.claim, self._state.table.get(key)
         if claim.needs_own_grant() and record is not None and self._state.table.ballots.grant(key, claim.ballot):
             if record.holder != self._state.member:
@@ -167,7 +168,7 @@
             claim.add_grant(self._state.member, record, now)
             active.add_body(self._state.table.body(key))
 
-    def _claim_by_answer(self, answer: ClaimGrant | ClaimReject) -> _ActiveClaim | None:
+    def _active_claim_of(self, answer: ClaimGrant | ClaimReject) -> _ActiveClaim | None:
         active = self._active.get(answer.key)
         if active is None or active.claim.ballot != (answer.term, self._state.member):
             return None
@@ -175,7 +176,7 @@
 
     def on_grant(self, now: float, peer: str, message: ClaimGrant) -> None:
         """A voter granted a claim."""
-        active = self._claim_by_answer(message)
+        active = self._active_claim_of(message)
         if active is None:
             return
         newest = None if message.record is None else replace(message.record, deadline_ms=now + message.remaining_ms)
@@ -185,7 +186,7 @@
 
     def on_reject(self, now: float, peer: str, message: ClaimReject) -> None:
         """A voter rejected a claim."""
-        active = self._claim_by_answer(message)
+        active = self._active_claim_of(message)
         if active is None:
             return
         self._state.counters[f"claim-{REJECT_COUNTERS[message.reason]}"] += 1
@@ -193,18 +194,18 @@
         claim.add_rejection(peer)
         if message.reason == RejectReason.TERM_TOO_LOW and claim.is_lost() and claim.won_at_ms is None:
             del self._active[message.key]
-            self._min_terms[message.key] = message.highest_term  # the next one goes above
+            self._min_terms[message.key] = message.highest_term  # the next claim's term must be above this
             self._schedule_retry(now, message.key)
 
     def _take_over(self, now: float, key: str, active: _ActiveClaim) -> None:
-        """The lease of whoever held the record has ended: it is held here from now on."""
+        """Hold the record of a won claim, after the lease of its earlier holder has ended."""
         del self._active[key]
         state, claimed = self._state, active.claim.record
         existing = state.table.get(key)
         if existing is None or _tenure(existing) != _tenure(claimed):
-            return  # its holder released it, and the key may have been admitted anew
+            return  # the holder released it, and the key may have been admitted again
         record = active.claim.claimed_record(state.incarnation)
-        if not state.table.ballots.admits(record):  # a higher claim was granted meanwhile
+        if not state.table.ballots.admits(record):  # a higher claim was granted in the meantime
             return
         state.counters["taken-over"] += 1
         state.log("handoff-taken-over", key, owner=claimed.holder, term=record.term, stage=record.stage.name.lower())
@@ -218,5 +219,5 @@
 
 
 def _tenure(record: Record) -> tuple[str, int, int]:
-    """Whose term a record is of."""
+    """Return the holder, incarnation and term of a record, which identify one period of holding it."""
     return record.holder, record.holder_incarnation, record.term
--- a/decklb/handoff/voting.py
+++ b/decklb/handoff/voting.py
@@ -1,7 +1,7 @@
-"""A voter's answers: to versions that holders replicate, to claims of lost holders' keys, and to released keys.
+"""The voter's side of the protocol: handles replicated versions, claims of keys, and releases.
 
-A voter acknowledges nothing of a key that it may have forgotten, and grants no claim while it sees the holder alive.
-The state is the records and granted ballots of `RecordTable`.
+A voter acknowledges no version of a key that it may have forgotten, and grants no claim while it sees the holder
+alive. The state is the records and granted ballots of `RecordTable`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Voter:
-    """Votes on the records of other members."""
+    """Votes on other members' records."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
                 and existing.holder == record.holder
                 and existing.precedence() > record.precedence()
             ):
-                return  # an older version, late: the newer one was acknowledged
+                return  # a late older version; the newer one has been acknowledged
             reason = RejectReason.OUT_OF_CAPACITY
         if reason is not None:
             self._reject(message, reason, existing)
@@ -65,7 +65,7 @@
         state.send(peer, ReplicateAck(record.key, record.term, record.version, message.sent_at_ms))
 
     def _reject_reason(self, now: float, message: Replicate, existing: Record | None) -> RejectReason | None:
-        """Why a version must not be kept; None where only the capacity may be lacking."""
+        """Return why a version must not be stored; None if nothing but a lack of capacity could prevent it."""
         record = message.record
         if existing is None:
             if not self._memory.covers(now, record.key_generated and not record.admitted, message.age_ms):
@@ -92,7 +92,7 @@
         )
 
     def on_claim(self, now: float, peer: str, message: ClaimRequest) -> None:
-        """A member claims a key, since its holder is lost in its view."""
+        """A member claims a key because it sees the holder as lost."""
         state, key, ballot = self._state, message.key, (message.term, peer)
         existing = state.table.get(key)
         highest_term = state.table.ballots.highest_term(key)
--- a/tests/handoff_clients.py
+++ b/tests/handoff_clients.py
@@ -1,4 +1,4 @@
-"""PostgreSQL clients of real managers that name their statements."""
+"""PostgreSQL clients that send statements with idempotency keys to real managers."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class Session:
-    """A stock client of one manager."""
+    """A standard PostgreSQL client connected to one manager."""
 
-    def __init__(self, fleet, name, lane, key, more=""):
-        self.link = psycopg.connect(
+    def __init__(self, fleet, name, class_name, key, extra_options=""):
+        self.connection = psycopg.connect(
             host="127.0.0.1",
             port=fleet.ports[name],
             user="u",
             autocommit=True,
-            options=f"-c decklb.class={lane} -c decklb.request={key} {more}",
+            options=f"-c decklb.class={class_name} -c decklb.request={key} {extra_options}",
         )
 
     def run(self, sql):
-        """The row; None where the client is to come back, and the text of any other error."""
+        """Return the row; None if the client should retry; the SQLSTATE and text of any other error."""
         try:
-            return self.link.execute(sql).fetchone()[0]
+            return self.connection.execute(sql).fetchone()[0]
         except psycopg.errors.Error as error:
-            state = error.sqlstate or "08006"
-            return None if state in COME_BACK else f"{state} {error}"
+            sqlstate = error.sqlstate or "08006"
+            return None if sqlstate in COME_BACK else f"{sqlstate} {error}"
         finally:
-            self.link.close()
+            self.connection.close()
 
 
-def final(fleet, name, lane, key, sql):
-    """What a client gets that asks one manager until it has a final answer."""
-    end = time.monotonic() + 20.0
-    while time.monotonic() < end:
-        row = Session(fleet, name, lane, key).run(sql)
+def final_answer(fleet, name, class_name, key, sql):
+    """Retry a statement at one manager until there is a final answer, and return that."""
+    deadline = time.monotonic() + 20.0
+    while time.monotonic() < deadline:
+        row = Session(fleet, name, class_name, key).run(sql)
         if row is not None:
             return row
         time.sleep(0.05)
--- a/tests/handoff_samples.py
+++ b/tests/handoff_samples.py
@@ -1,6 +1,6 @@
-"""Builders of the handoff's tests, and messages and records of every kind, whose bytes `tests/golden/handoff/` keeps.
+"""Builders for the handoff's tests, and samples of all messages and records with bytes in `tests/golden/handoff/`.
 
-Messages are built by position, as they are on the wire.
+Messages are built with positional arguments, in the order of the fields on the wire.
 """
 
 from msgspec.structs import replace
@@ -19,16 +19,16 @@
 
 
 def new_record(key="key-1", effect=Effect.SAFE, holder="m9", incarnation=77):
-    """A request as its holder first replicates it."""
+    """A request in the version that its holder replicates first."""
     return Record(
         key, holder, 3, 0, "cusco", "consulta", effect, 5000.25, fingerprint(BODY), MEMBERS, incarnation, True
     )
 
 
 def small_record(key="k", effect=Effect.SAFE, **changes):
-    """A request of the member o, which is no voter of it."""
-    made = Record(key, "o", 1, 0, "cusco", "consulta", effect, 5000.0, fingerprint(key.encode()), voters=VOTERS)
-    return replace(made, **changes)
+    """A request held by member o, which is not one of its voters."""
+    sample = Record(key, "o", 1, 0, "cusco", "consulta", effect, 5000.0, fingerprint(key.encode()), voters=VOTERS)
+    return replace(sample, **changes)
 
 
 def records():
@@ -52,9 +52,9 @@
 
 
 def messages_by_tag():
-    """One or more messages of each tag, in the order of their tags, with every optional field given and left out."""
-    kinds = messages.Message.__args__
-    replicate, ack, reject, beat, beat_ack, fenced, claim, grant, refuse, lookup, found, drop = kinds
+    """Messages of all tags, in the order of the tags, with and without their optional fields."""
+    types = messages.Message.__args__
+    replicate, ack, reject, heartbeat, heartbeat_ack, fenced, claim, grant, claim_reject, lookup, reply, release = types
     record = records()["attempted"]
     return {
         "1-replicate": replicate(record, 4750.5, 20.25, 1000.125, True, BODY),
@@ -62,21 +62,21 @@
         "2-ack": ack("key-1", 3, 2, 1000.125),
         "3-reject": reject("key-1", 3, 1, 1000.125, "m2", 8),
         "3-reject-short": reject("key-1", 3, 8, 1000.125),
-        "4-heartbeat": beat(12.5),
-        "5-heartbeat-ack": beat_ack(12.5),
+        "4-heartbeat": heartbeat(12.5),
+        "5-heartbeat-ack": heartbeat_ack(12.5),
         "6-fenced": fenced("key-1", 9, "m2"),
         "7-claim": claim("key-1", 9),
         "8-grant": grant("key-1", 9, record, 400.75, BODY),
         "8-grant-of-nothing": grant("key-1", 9),
-        "9-refuse": refuse("key-1", 9, 7, 12),
-        "9-refuse-short": refuse("key-1", 9, 4),
+        "9-refuse": claim_reject("key-1", 9, 7, 12),
+        "9-refuse-short": claim_reject("key-1", 9, 4),
         "10-lookup": lookup(41, "key-1", fingerprint(BODY)),
-        "11-found": found(41, 2, Outcome.FAILED, b"rows", "in-doubt"),
-        "11-found-nothing": found(41, 0),
-        "12-release": drop("key-1", 77),
+        "11-found": reply(41, 2, Outcome.FAILED, b"rows", "in-doubt"),
+        "11-found-nothing": reply(41, 0),
+        "12-release": release("key-1", 77),
     }
 
 
 def greeting():
-    """The first frame of each side."""
+    """The first frame that each side sends."""
     return messages.Greeting(1, "m0", 77, 78, 35900.5, bytes(range(16)))
--- a/tests/test_handoff_claims.py
+++ b/tests/test_handoff_claims.py
@@ -18,15 +18,15 @@
             claim.add_grant(voter, record(), 0.0)
         else:
             claim.add_rejection(voter)
-    assert first.rejections == {"s3"}  # which had granted the higher one
-    for claim, me in ((first, "s1"), (second, "s2")):  # a claimer's own grant comes last
-        assert claim.needs_own_grant() and tables[me].ballots.grant("k", claim.ballot)
-        claim.add_grant(me, record(), 0.0)
+    assert first.rejections == {"s3"}  # s3 had already granted the higher claim
+    for claim, claimer in ((first, "s1"), (second, "s2")):  # a claimer's own grant comes last
+        assert claim.needs_own_grant() and tables[claimer].ballots.grant("k", claim.ballot)
+        claim.add_grant(claimer, record(), 0.0)
     admitted = [[v for v in VOTERS if tables[v].ballots.admits(claim.claimed_record())] for claim in (first, second)]
     assert admitted == [["s1"], ["s2", "s3"]]
 
 
-def test_claimer_takes_the_newest_record_among_its_grants():
+def test_claimer_adopts_the_newest_record_among_its_grants():
     claim = Claim.start(record(), "s1", SETTINGS)
     claim.add_grant("s2", record().with_attempt("e1"), now=10.0)
     claim.add_grant("s1", record(), now=10.0)
--- a/tests/test_handoff_message_trace.py
+++ b/tests/test_handoff_message_trace.py
@@ -1,7 +1,7 @@
-"""Seeded runs on the simulated network deliver the same messages, in the same order, as an earlier version did.
+"""Seeded runs on the simulated network deliver the same messages in the same order as an earlier version.
 
-A trace is each message received, with its time, sender, receiver and packed bytes, then each member's counters. It
-depends on the order of random draws and on every float expression of the handoff and of
+A trace consists of all received messages, each with its time, sender, receiver and encoded bytes, and then of each
+member's counters. It depends on the order of random draws and on every float expression of the handoff and of
 `decklb.lab.emulation.simulated_handoff`.
 """
 
@@ -21,7 +21,7 @@
 
 
 class Trace:
-    """Digest of what the members of one simulated run receive."""
+    """Digest of the messages that the members of one simulated run receive."""
 
     def __init__(self):
         self.digest = blake2b(digest_size=16)
@@ -35,7 +35,7 @@
 
 
 def traced_member_class(trace):
-    """A member whose received messages and final counters go into `trace`."""
+    """Return a coordinator class that records received messages in `trace`."""
 
     class TracedMember(HandoffCoordinator):
         def __init__(self, *args):
@@ -51,7 +51,7 @@
 
 
 def traced_run(seed, members, harsh):
-    """The digest and the messages of each tag in one run."""
+    """Play one run; return its digest and its number of messages by tag."""
     trace = Trace()
     verdict = HandoffSimulation(seed, members, coordinator=traced_member_class(trace), harsh=harsh).run()
     for member in trace.members:
@@ -72,5 +72,5 @@
     assert traced_run(expected["seed"], expected["members"], expected["harsh"]) == expected
 
 
-def test_recorded_runs_reach_every_message():
+def test_recorded_runs_include_every_message_type():
     assert {tag for run in GOLDEN for tag in run["messages_by_tag"]} == {str(tag) for tag in range(1, 13)}
--- a/tests/test_handoff_placement.py
+++ b/tests/test_handoff_placement.py
@@ -1,9 +1,9 @@
-"""Placement of keys on their voters."""
+"""Selection of the voters of keys."""
 
 from decklb.handoff.placement import Placement
 
 
-def test_member_that_leaves_moves_only_the_keys_it_voted_on():
+def test_member_leaving_changes_the_voters_of_only_those_keys_it_voted_on():
     placement = Placement(64)
     members = [f"m{i}" for i in range(12)]
     placement.set_members(members)
--- a/tests/test_handoff_record_table.py
+++ b/tests/test_handoff_record_table.py
@@ -1,4 +1,4 @@
-"""The table of records: its limits, deadlines, expiry and lookups."""
+"""Limits, deadlines, expiry and lookups of the record table."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 from tests.handoff_samples import small_record as record
 
 
-def test_key_given_to_another_request_raises_key_reused():
+def test_key_of_a_different_request_raises_key_reused():
     table = RecordTable(SETTINGS)
     table.add(record())
     assert table.add(record()).key == "k"
@@ -39,12 +39,12 @@
     assert not table.lookup("k", record().request_digest).known
 
 
-def test_bytes_retained_are_limited_and_given_back():
+def test_retained_bytes_are_limited_and_released():
     table = RecordTable(replace(SETTINGS, max_bytes=100))
     table.add(record("a"), b"x" * 60)
     with pytest.raises(RecordLimitError):
         table.add(record("b"), b"x" * 60)
-    table.write(record("a").with_attempt("e").with_answer(Outcome.SERVED, b"y" * 10, 100))  # the request itself goes
+    table.write(record("a").with_attempt("e").with_answer(Outcome.SERVED, b"y" * 10, 100))  # the body is dropped
     assert (table.bytes_retained, table.body("a")) == (10, None)
     table.add(record("b"), b"x" * 60)
     table.remove("a")
@@ -62,7 +62,7 @@
     assert table.lookup("k", record().request_digest).holder == "s1"
 
 
-def test_client_that_comes_back_gets_the_retained_answer():
+def test_retrying_client_gets_the_retained_answer():
     table = RecordTable(SETTINGS)
     table.receive_replica(record().with_attempt("e1").with_answer(Outcome.SERVED, b"rows", 100), 1000.0, 0.0)
     found = table.lookup("k", record().request_digest)
--- a/tests/test_handoff_records.py
+++ b/tests/test_handoff_records.py
@@ -1,10 +1,10 @@
-"""Records of in-flight requests: which one stands, and what is replicated of an answer."""
+"""Records of in-flight requests: which version supersedes another, and when an answer is replicated."""
 
 from decklb.handoff.records import Outcome, Stage
 from tests.handoff_samples import small_record as record
 
 
-def test_replica_replaces_only_an_older_one():
+def test_record_supersedes_only_older_ones():
     first = record()
     sent = first.with_attempt("e1")
     assert sent.supersedes(first)
@@ -12,7 +12,7 @@
     assert first.transferred_to("s1", 2).supersedes(sent)
 
 
-def test_only_the_outcome_of_an_answer_too_large_is_replicated():
+def test_only_the_outcome_of_a_too_large_answer_is_replicated():
     large = record().with_attempt("e1").with_answer(Outcome.SERVED, b"x" * 10, max_answer_bytes=9)
     assert (large.stage, large.outcome, large.answer, large.answer_retained) == (
         Stage.ANSWERED,
--- a/tests/test_handoff_restarts.py
+++ b/tests/test_handoff_restarts.py
@@ -1,4 +1,4 @@
-"""Real managers that keep their records on disk: what outlives the loss of one after another, or of all at once."""
+"""Real managers that store their records on disk: requests survive the loss of managers in turn, or of all at once."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from decklb.lab.checks.execution_verdict import judge
 from decklb.lab.fault_runs.handoff_run import Fleet, Setup
-from tests.handoff_clients import Session, final
+from tests.handoff_clients import Session, final_answer
 
 
 class RestartTest(unittest.TestCase):
-    def fleet_of(self, longest, seed, index):
-        """Managers that keep their records on disk, not yet started, and a loop to drive them."""
+    def make_fleet(self, longest, seed, index):
+        """Return a runner, and a fleet that stores its records on disk and is not started yet."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         runner = asyncio.Runner()
@@ -22,15 +22,15 @@
         self.addCleanup(lambda: runner.run(fleet.stop()))
         return runner, fleet
 
-    def in_turn(self, fleet, key, runs):
-        """A read ran that often, never twice at one moment; more often only where a lease ended."""
-        found = sum(x.key == key and x.what == "start" for x in fleet.witnessed())
-        more = fleet.logged(f"handoff-lease-ended key={key}")
-        self.assertTrue(runs <= found <= runs + more, (found, runs, more))
+    def assert_runs_do_not_overlap(self, fleet, key, runs):
+        """A read ran `runs` times without overlap; one more run is allowed for each lease that ended."""
+        started = sum(x.key == key and x.what == "start" for x in fleet.witnessed())
+        leases_ended = fleet.logged(f"handoff-lease-ended key={key}")
+        self.assertTrue(runs <= started <= runs + leases_ended, (started, runs, leases_ended))
         self.assertFalse(judge([], fleet.witnessed(), "load").overlapping)
 
-    def test_another_member_follows_a_successor_that_dies_during_the_takeover(self):
-        runner, fleet = self.fleet_of(12_000.0, seed=6, index=61)
+    def test_request_is_taken_over_again_if_the_new_holder_dies_during_the_takeover(self):
+        runner, fleet = self.make_fleet(12_000.0, seed=6, index=61)
         sql = "select 1 -- run=chain work=1000"
 
         def starts():
@@ -41,7 +41,7 @@
                 if condition():
                     return
                 await asyncio.sleep(0.01)
-            raise AssertionError("it did not come about")
+            raise AssertionError("the condition was not met within 2000 polls")
 
         async def play():
             await fleet.start()
@@ -49,41 +49,41 @@
             first = asyncio.ensure_future(asyncio.to_thread(lambda: Session(fleet, "m0", "read", "chain").run(sql)))
             await until(lambda: len(starts()) == 1)
             await fleet.managers["m0"].kill()
-            await until(lambda: len(starts()) == 2)  # the successor has taken over, and runs it
+            await until(lambda: len(starts()) == 2)  # the successor has taken over and runs the request
             successor = fleet.names[starts()[1].manager]
             await fleet.managers[successor].kill()
             self.assertIsNone(await first)
-            await fleet.up("m0")  # with what it kept it is the second of two voters
+            await fleet.up("m0")  # with its stored records it is the second of two voters
             last = next(n for n in fleet.names if n not in ("m0", successor))
-            return await asyncio.to_thread(final, fleet, last, "read", "chain", sql)
+            return await asyncio.to_thread(final_answer, fleet, last, "read", "chain", sql)
 
         row = runner.run(play())
         self.assertTrue(row.startswith("chain/"))
-        self.in_turn(fleet, "chain", 3)
+        self.assert_runs_do_not_overlap(fleet, "chain", 3)
 
-    def test_answers_and_in_flight_requests_outlive_a_loss_of_all_managers(self):
-        runner, fleet = self.fleet_of(14_000.0, seed=5, index=60)
+    def test_answers_and_in_flight_requests_survive_the_loss_of_all_managers(self):
+        runner, fleet = self.make_fleet(14_000.0, seed=5, index=60)
 
-        def ask(name, lane, key, sql):
-            return runner.run(asyncio.to_thread(final, fleet, name, lane, key, sql))
+        def ask(name, class_name, key, sql):
+            return runner.run(asyncio.to_thread(final_answer, fleet, name, class_name, key, sql))
 
-        async def kill_all_under(key, sql):
+        async def run_and_kill_all(key, sql):
             running = asyncio.ensure_future(asyncio.to_thread(lambda: Session(fleet, "m0", "read", key).run(sql)))
             while not any(x.key == key for x in fleet.witnessed()):
                 await asyncio.sleep(0.01)
             for name in fleet.names:
                 await fleet.managers[name].kill()
-            said = await running
+            answer = await running
             await asyncio.gather(*(fleet.up(n) for n in fleet.names))
-            return said
+            return answer
 
         runner.run(fleet.start())
         runner.run(fleet.remember())
-        done = "select 1 -- run=done work=5"
-        row = ask("m1", "load", "done", done)
-        held = "select 1 -- run=held work=1500"
-        self.assertIsNone(runner.run(kill_all_under("held", held)))
-        self.assertTrue(ask("m2", "read", "held", held).startswith("held/"))
-        self.assertEqual(ask("m2", "load", "done", done), row)
-        self.in_turn(fleet, "held", 2)
+        done_sql = "select 1 -- run=done work=5"
+        row = ask("m1", "load", "done", done_sql)
+        held_sql = "select 1 -- run=held work=1500"
+        self.assertIsNone(runner.run(run_and_kill_all("held", held_sql)))
+        self.assertTrue(ask("m2", "read", "held", held_sql).startswith("held/"))
+        self.assertEqual(ask("m2", "load", "done", done_sql), row)
+        self.assert_runs_do_not_overlap(fleet, "held", 2)
         self.assertEqual(sum(x.key == "done" and x.what == "start" for x in fleet.witnessed()), 1)
--- a/tests/test_handoff_store.py
+++ b/tests/test_handoff_store.py
@@ -1,4 +1,4 @@
-"""The handoff's store: what outlives a process, and what counts as forgotten."""
+"""The handoff's store: which data outlives a process, and when it counts as forgotten."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def reopen(folder, member="m0", boot="b1", memory_id=7, now=1000.0, writes=None):
-    """What one process after another finds in the folder; `writes` is what it leaves there."""
+    """Open the folder as a new process does, return the memory that it reads, and write `writes`."""
     store = Store(folder, 1 << 20)
     try:
         memory = store.open(member, memory_id, now, boot)
@@ -32,18 +32,18 @@
 
 def test_entries_are_read_by_the_next_process(folder):
     kept = StoredEntry("k", record().with_attempt("e1"), b"body", (2, "s1"))
-    gone = StoredEntry("g", record("g"), b"body", None)
-    assert reopen(folder, writes={"k": kept, "g": gone}) == StoredMemory(7, 1000.0, [])
+    deleted = StoredEntry("g", record("g"), b"body", None)
+    assert reopen(folder, writes={"k": kept, "g": deleted}) == StoredMemory(7, 1000.0, [])
     second = reopen(folder, memory_id=8, now=2000.0, writes={"g": None})
     assert (second.memory_id, second.since_ms) == (7, 1000.0)
     assert reopen(folder, memory_id=9, now=3000.0) == StoredMemory(7, 1000.0, [kept])
 
 
-def test_another_member_or_boot_begins_an_empty_memory(folder):
+def test_another_member_or_boot_starts_an_empty_memory(folder):
     reopen(folder, writes={"k": StoredEntry("k", record(), b"body", None)})
     assert reopen(folder, boot="b2", memory_id=8, now=5.0) == StoredMemory(8, 5.0, [])
     assert reopen(folder, member="m1", boot="b2", memory_id=9, now=6.0) == StoredMemory(9, 6.0, [])
-    # Where the kernel tells no boot id, nothing is trusted.
+    # Without a boot id from the kernel, stored data is never trusted.
     assert reopen(folder, member="m1", boot="", memory_id=10, now=7.0) == StoredMemory(10, 7.0, [])
 
 
@@ -67,10 +67,10 @@
     answered = replace(record("a"), deadline_ms=1e4).with_attempt("e").with_answer(Outcome.SERVED, b"rows", 100)
     table.write(answered)
     assert list(table.changed_keys) == ["k", "a"]
-    again = RecordTable(settings)
+    restored = RecordTable(settings)
     for key in table.changed_keys:
-        again.restore(key, table.get(key), table.body(key), table.ballots.granted(key), 0.0)
-    assert not again.grant("k", (3, "s1"), 0.0)
-    assert not again.ballots.admits(record())
-    assert (again.body("k"), again.bytes_retained) == (b"body", table.bytes_retained)
-    assert again.lookup("a", answered.request_digest).answer == b"rows"
+        restored.restore(key, table.get(key), table.body(key), table.ballots.granted(key), 0.0)
+    assert not restored.grant("k", (3, "s1"), 0.0)
+    assert not restored.ballots.admits(record())
+    assert (restored.body("k"), restored.bytes_retained) == (b"body", table.bytes_retained)
+    assert restored.lookup("a", answered.request_digest).answer == b"rows"
--- a/tests/test_handoff_stored_records.py
+++ b/tests/test_handoff_stored_records.py
@@ -1,4 +1,4 @@
-"""A store written by an earlier version: read, taken over from, and written on. See `tests/golden/handoff/`."""
+"""A store written by an earlier version is read, acted on and written again. See `tests/golden/handoff/`."""
 
 import random
 import zipfile
@@ -17,12 +17,12 @@
 
 ARCHIVE = Path(__file__).parent / "golden/handoff/store.zip"  # written as member m0, boot "boot-1", memory 4711
 WRITTEN_AT = 2000.0  # ms on the clock of the member that wrote it
-NOW = 50_000.0  # ms; its memory reaches back for longer than any record lives
-DEADLINE = 70_000.0  # ms, of its records
+NOW = 50_000.0  # ms; the stored memory then reaches back further than any record lives
+DEADLINE = 70_000.0  # ms, of the stored records
 
 
 def written_entries():
-    """What the earlier version wrote: a record of a lost member, one of the member's own, an answer, a bare grant."""
+    """What the earlier version wrote: a record of a lost member, a record of its own, an answer, and a grant alone."""
     lost = replace(records()["attempted"], deadline_ms=DEADLINE)
     own = replace(new_record("key-own", holder="m0", incarnation=5), deadline_ms=DEADLINE).with_attempt(
         "engine-2", b"cancel"
@@ -51,7 +51,7 @@
 
 
 def restored(store):
-    """The member that comes back with what the earlier version kept."""
+    """A restarted member with the memory that the earlier version stored."""
     settings = HandoffSettings()
     memory = store.open("m0", 12, NOW, "boot-1")
     member = HandoffCoordinator(
@@ -75,36 +75,36 @@
     assert {entry.key: entry for entry in memory.entries} == written_entries()
 
 
-def test_restored_member_answers_votes_and_takes_over_by_what_was_stored(store):
+def test_restored_member_votes_and_takes_over_according_to_the_stored_entries(store):
     member = restored(store)
-    kinds = dict(zip([*range(1, 13)], messages.Message.__args__, strict=True))
-    copy, ack, claim, grant, refusal = kinds[1], kinds[2], kinds[7], kinds[8], kinds[9]
+    types = dict(zip([*range(1, 13)], messages.Message.__args__, strict=True))
+    replicate, ack, claim, grant, reject = types[1], types[2], types[7], types[8], types[9]
     member.update_members(NOW, {"m0": 6, "m1": 1}, MEMBERS)
     member.connected(NOW, "m1", 1, 1)
     member.take_outbox()
-    # A claim below the stored grant is refused, one above it granted with nothing.
+    # A claim not above the stored grant is rejected, one above it is granted, without a record.
     member.receive(NOW, "m1", claim("key-granted", 9))
-    assert member.take_outbox() == [("m1", refusal("key-granted", 9, 8, 9))]
+    assert member.take_outbox() == [("m1", reject("key-granted", 9, 8, 9))]
     member.receive(NOW, "m1", claim("key-granted", 10))
     assert member.take_outbox() == [("m1", grant("key-granted", 10))]
-    # The records of the lost member are claimed, also its own of an earlier run, and taken over.
+    # The records of the lost member and its own of an earlier incarnation are claimed and taken over.
     for tick in range(1, 160):
         now = NOW + tick * 25.0
         member.tick(now)
         for peer, message in member.take_outbox():
             if isinstance(message, claim):
                 member.receive(now, peer, grant(message.key, message.term))
-            elif isinstance(message, copy):
+            elif isinstance(message, replicate):
                 record = message.record
                 member.receive(now, peer, ack(record.key, record.term, record.version, now))
-            elif isinstance(message, kinds[4]):
-                member.receive(now, peer, kinds[5](now))
+            elif isinstance(message, types[4]):
+                member.receive(now, peer, types[5](now))
     terms = {key: member.table.get(key).term for key in sorted(member.state.held)}
-    assert terms == {"key-1": 4, "key-answered": 4, "key-own": 5}  # the last above the grant that was stored
+    assert terms == {"key-1": 4, "key-answered": 4, "key-own": 5}  # key-own: above the stored grant
     held = member.table.get("key-1")
     assert (held.holder, held.holder_incarnation, held.term, held.stage) == ("m0", 6, 4, Stage.SENT)
     assert member.table.body("key-1") == BODY
-    # What it knows now is written on, and found again.
+    # Its present state can be written to the store and read again.
     store.write({"key-1": StoredEntry("key-1", held, BODY, (4, "m0")), "key-granted": None})
     memory = store.open("m0", 13, NOW, "boot-1")
     assert {entry.key: entry.record for entry in memory.entries} == {
@@ -114,5 +114,5 @@
     }
 
 
-def test_another_boot_of_the_machine_forgets_what_was_stored(store):
+def test_stored_entries_are_forgotten_after_another_boot_of_the_machine(store):
     assert store.open("m0", 12, NOW, "boot-2") == StoredMemory(12, NOW, [])
--- a/tests/test_handoff_wire_format.py
+++ b/tests/test_handoff_wire_format.py
@@ -1,4 +1,4 @@
-"""Bytes of every message and stored record of the handoff, as an earlier version wrote them, and its settings."""
+"""Messages and stored records of the handoff keep the bytes of an earlier version, and its settings their values."""
 
 import json
 from dataclasses import astuple
@@ -24,10 +24,10 @@
 @pytest.mark.parametrize("name", GOLDEN["messages"])
 def test_message_keeps_its_bytes(name):
     message = messages_by_tag()[name]
-    packed = bytes.fromhex(GOLDEN["messages"][name])
-    assert messages.encode_message(message) == packed
-    found = messages.decode_envelope(messages.encode_envelope(NONCE, 7, [packed]))
-    assert (found.nonce, found.sequence, found.messages) == (NONCE, 7, [message])
+    encoded = bytes.fromhex(GOLDEN["messages"][name])
+    assert messages.encode_message(message) == encoded
+    envelope = messages.decode_envelope(messages.encode_envelope(NONCE, 7, [encoded]))
+    assert (envelope.nonce, envelope.sequence, envelope.messages) == (NONCE, 7, [message])
 
 
 def test_every_message_type_has_golden_bytes():
@@ -36,8 +36,8 @@
 
 
 def test_envelope_keeps_its_bytes():
-    packed = [messages.encode_message(m) for m in messages_by_tag().values()]
-    frame = messages.encode_envelope(NONCE, 3, packed)
+    encoded = [messages.encode_message(m) for m in messages_by_tag().values()]
+    frame = messages.encode_envelope(NONCE, 3, encoded)
     assert frame.hex() == GOLDEN["envelope"]
     assert messages.decode_envelope(frame).messages == list(messages_by_tag().values())
 
@@ -48,22 +48,22 @@
 
 
 @pytest.mark.parametrize("reason, frame", GOLDEN["bad_frames"])
-def test_bad_frame_is_refused_for_the_same_reason(reason, frame):
+def test_bad_frame_is_rejected_for_the_same_reason(reason, frame):
     with pytest.raises(FrameError) as raised:
         messages.decode_envelope(bytes.fromhex(frame))
     assert raised.value.reason == reason
 
 
-def test_frame_of_more_than_a_thousand_messages_is_refused():
-    beat = messages.encode_message(messages_by_tag()["4-heartbeat"])
-    assert len(messages.decode_envelope(messages.encode_envelope(NONCE, 1, [beat] * 1000)).messages) == 1000
+def test_frame_of_more_than_a_thousand_messages_is_rejected():
+    heartbeat = messages.encode_message(messages_by_tag()["4-heartbeat"])
+    assert len(messages.decode_envelope(messages.encode_envelope(NONCE, 1, [heartbeat] * 1000)).messages) == 1000
     with pytest.raises(FrameError) as raised:
-        messages.decode_envelope(messages.encode_envelope(NONCE, 1, [beat] * 1001))
+        messages.decode_envelope(messages.encode_envelope(NONCE, 1, [heartbeat] * 1001))
     assert raised.value.reason == "shape"
 
 
 @pytest.mark.parametrize("reason, frame", GOLDEN["bad_greetings"])
-def test_bad_greeting_is_refused_for_the_same_reason(reason, frame):
+def test_bad_greeting_is_rejected_for_the_same_reason(reason, frame):
     with pytest.raises(FrameError) as raised:
         messages.decode_greeting(bytes.fromhex(frame))
     assert raised.value.reason == reason
@@ -72,17 +72,17 @@
 @pytest.mark.parametrize("name", GOLDEN["records"])
 def test_record_keeps_its_bytes(name):
     record = records()[name]
-    packed = bytes.fromhex(GOLDEN["records"][name])
-    assert ENCODER.encode(record) == packed
-    assert msgspec.msgpack.decode(packed, type=Record) == record
+    encoded = bytes.fromhex(GOLDEN["records"][name])
+    assert ENCODER.encode(record) == encoded
+    assert msgspec.msgpack.decode(encoded, type=Record) == record
 
 
 @pytest.mark.parametrize("name", GOLDEN["stored"])
 def test_stored_entry_keeps_its_bytes(name):
     entry = stored_entries()[name]
-    packed = bytes.fromhex(GOLDEN["stored"][name])
-    assert ENCODER.encode(entry) == packed
-    assert msgspec.msgpack.decode(packed, type=StoredEntry) == entry
+    encoded = bytes.fromhex(GOLDEN["stored"][name])
+    assert ENCODER.encode(entry) == encoded
+    assert msgspec.msgpack.decode(encoded, type=StoredEntry) == entry
 
 
 def stored_entries():
@@ -94,7 +94,7 @@
 
 
 def test_settings_of_the_xml_keep_their_values(tmp_path):
-    """Each attribute of <handoff>, and the values that are reckoned from them."""
+    """Each attribute of <handoff>, and the values that are derived from them."""
     tree = lxml.etree.parse(str(EXAMPLE))
     for given in GOLDEN["settings"]:
         element = tree.find("handoff")
@@ -102,7 +102,7 @@
         element.attrib.update(given["attributes"])
         path = tmp_path / "settings.xml"
         tree.write(path)
-        made = config.load(None, str(path)).handoff
-        *values, folder = astuple(made)
+        settings = config.load(None, str(path)).handoff
+        *values, folder = astuple(settings)
         assert [values, folder.removeprefix(f"{tmp_path}/")] == [given["values"], given["attributes"].get("data", "")]
-        assert [made.quorum, made.record_lifetime_ms] == given["derived"]
+        assert [settings.quorum, settings.record_lifetime_ms] == given["derived"]
