--- a/decklb/handoff/lease_tracker.py
+++ b/decklb/handoff/lease_tracker.py
@@ -51,11 +51,11 @@
         whatever others still acknowledge.
 
         Args:
-           record: A record whose holder may be this member.
-           now: Current time on this member's clock in ms.
-           own_ballots: The ballots that this member granted as a voter.
-           ineligible: Voters that don't count because they granted a higher claim or lost their memory.
-           margin_ms: Time in ms for which the lease must remain valid.
+            record: A record whose holder may be this member.
+            now: Current time on this member's clock in ms.
+            own_ballots: The ballots that this member granted as a voter.
+            ineligible: Voters that don't count because they granted a higher claim or lost their memory.
+            margin_ms: Time in ms for which the lease must remain valid.
         """
         if record.holder != self._member or not own_ballots.admits(record):
             return False
--- a/decklb/handoff/messages.py
+++ b/decklb/handoff/messages.py
@@ -142,7 +142,7 @@
 
 
 class LookupRequest(Struct, array_like=True, tag=10, frozen=True):
-    """To the holder of a key: a client of the sender retried a request with this key."""
+    """To the holder of a key: the sender received a request with this key from a client."""
 
     request_id: Count
     key: Key
--- a/decklb/handoff/peer_connection.py
+++ b/decklb/handoff/peer_connection.py
@@ -48,7 +48,7 @@
 
     @property
     def greeting(self) -> messages.Greeting:
-        """The peer's greeting; only available after it was received."""
+        """The peer's greeting; available once it was received."""
         assert self._greeting is not None
         return self._greeting
 
--- a/decklb/handoff/record_table.py
+++ b/decklb/handoff/record_table.py
@@ -70,7 +70,7 @@
         """Return what is known of a key, for a client that retries a request.
 
         Raises:
-           KeyReusedError: The key belongs to a different request.
+            KeyReusedError: The key belongs to a different request.
         """
         existing = self._records.get(key)
         if existing is None:
@@ -85,8 +85,8 @@
         """Add the record of a request that this member admits, or return the existing record of the same request.
 
         Raises:
-           KeyReusedError: The key belongs to a different request.
-           RecordLimitError: There is no capacity for the record.
+            KeyReusedError: The key belongs to a different request.
+            RecordLimitError: There is no capacity for the record.
         """
         existing = self._records.get(record.key)
         if existing is not None:
@@ -106,8 +106,8 @@
         """Store a version received from its holder, with `remaining_ms` until its deadline.
 
         Returns:
-           Whether to acknowledge the version. False if its term is below a granted claim, if it is older than the
-           stored version, if the key belongs to a different request, or if there is no capacity.
+            Whether to acknowledge the version. False if its term is below a granted claim, if it is older than the
+            stored version, if the key belongs to a different request, or if there is no capacity.
         """
         if not self.ballots.admits(record):
             return False
