--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -54,7 +54,7 @@
         """The engines' events of one kind for a key, in order of time."""
         return sorted((x for x in self.fleet.witnessed() if x.key == key and x.what == what), key=lambda x: x.at)
 
-    def test_after_a_manager_is_killed_its_read_runs_once_more_and_its_load_ends_in_doubt(self):
+    def test_killed_managers_read_runs_once_more_and_its_load_ends_in_doubt(self):
         async def restart():
             await self.fleet.up("m0")
 
@@ -75,7 +75,7 @@
             self.runner.run(restart())
             self.runner.run(self.fleet.remember())
 
-    def test_execution_left_by_a_killed_manager_is_cancelled_before_the_request_runs_again(self):
+    def test_unfinished_execution_of_a_killed_manager_is_cancelled_before_the_request_runs_again(self):
         sql = "select 1 -- run=long work=2000"
         self.assertIsNone(
             self.run_in_thread(lambda: Session(self.fleet, "m0", "read", "long").run(sql), lambda: self._kill("m0"))
@@ -92,7 +92,7 @@
         rows = {self.client_call(final_answer, name, "load", "again", sql) for name in ("m1", "m0", "m2", "m1")}
         self.assertEqual((len(rows), len(self.executions("again"))), (1, 1))
 
-    def test_lookup_without_time_left_does_not_report_a_running_statement_as_failed(self):
+    def test_unfinished_statement_is_not_reported_as_failed_to_a_client_without_time_left(self):
         sql, answers = "select 1 -- run=hasty work=700", []
 
         async def ask():
@@ -105,7 +105,7 @@
         row = self.run_in_thread(lambda: Session(self.fleet, "m0", "read", "hasty").run(sql), ask)
         self.assertEqual((answers, row[:6]), ([None], "hasty/"))  # None: retry, not a final answer
 
-    def test_key_of_another_statement_is_rejected_with_that_reason(self):
+    def test_conflicting_statement_for_a_used_key_is_rejected_with_that_reason(self):
         self.client_call(final_answer, "m0", "read", "mine", "select 1 -- run=mine work=5")
         for name in ("m0", "m1", "m2"):
             answer = self.client_call(final_answer, name, "read", "mine", "select 2 -- run=other work=5")
@@ -143,7 +143,7 @@
         self.assertIn("40003", self.client_call(final_answer, "m1", "load", "unwanted", sql))
         self.assertEqual((len(self.executions("unwanted")), len(self.executions("unwanted", "cancelled"))), (1, 1))
 
-    def test_request_of_a_manager_cut_off_from_its_engines_fails_in_time_at_all_managers(self):
+    def test_manager_cut_off_from_its_engines_fails_a_request_in_time_and_so_do_the_others(self):
         sql = "select 1 -- run=engineless work=300"
 
         async def cut():
@@ -159,7 +159,7 @@
         self.assertIn("40003", self.client_call(final_answer, "m1", "load", "engineless", sql))
         self.assertEqual(len(self.executions("engineless")), 1)
 
-    def test_manager_cut_off_from_the_others_stops_and_gives_no_answer_after_a_takeover(self):
+    def test_manager_partitioned_from_the_others_stops_and_gives_no_answer_after_a_takeover(self):
         sql = "select 1 -- run=parted work=1200"
 
         async def cut():
@@ -177,7 +177,7 @@
         ]
         self.assertTrue(cancelled and cancelled[0].at < second.at)
 
-    def test_manager_resumed_after_a_stop_learns_that_its_request_was_taken_over(self):
+    def test_stopped_manager_learns_when_it_resumes_that_its_request_was_taken_over(self):
         sql = "select 1 -- run=stopped work=400"
 
         async def stop():
@@ -208,7 +208,7 @@
         self.assertGreater(self.executions("stopped")[1].at, first_end)
         self.assertGreater(second_end, first_end)
 
-    def test_answers_of_a_drained_manager_are_available_from_the_others(self):
+    def test_manager_drained_after_an_answer_leaves_it_to_the_others(self):
         sql = "select 1 -- run=drained work=5"
         row = self.client_call(final_answer, "m0", "load", "drained", sql)
 
@@ -223,7 +223,7 @@
         self.runner.run(self.fleet.up("m0"))
         self.runner.run(self.fleet.remember())
 
-    def test_wall_clock_that_jumps_ahead_and_back_delays_no_request(self):
+    def test_time_jumps_of_the_wall_clock_delay_no_request(self):
         """When the reactor's calls followed the wall clock, none was due for an hour after the jump back."""
 
         async def jump():
@@ -248,7 +248,7 @@
             (self.runner.run(handoff_figures())["held"], self.runner.run(handoff_figures())["links"]), (0, 2)
         )
 
-    def test_message_loss_between_managers_doubles_no_request(self):
+    def test_transmission_faults_between_managers_double_no_request(self):
         for a in self.fleet.names:
             for b in self.fleet.names:
                 if a != b:
--- a/tests/test_handoff_restarts.py
+++ b/tests/test_handoff_restarts.py
@@ -29,7 +29,7 @@
         self.assertTrue(runs <= started <= runs + leases_ended, (started, runs, leases_ended))
         self.assertFalse(judge([], fleet.witnessed(), "load").overlapping)
 
-    def test_request_is_taken_over_again_if_the_new_holder_dies_during_the_takeover(self):
+    def test_another_member_takes_over_if_the_new_holder_dies_during_its_takeover(self):
         runner, fleet = self.make_fleet(12_000.0, seed=6, index=61)
         sql = "select 1 -- run=chain work=1000"
 
