--- a/decklb/handoff/admission.py
+++ b/decklb/handoff/admission.py
@@ -1,8 +1,9 @@
 """Admission of requests with an idempotency key: a request is admitted once a quorum of voters has its record.
 
-If the key is already known, the existing request is looked up instead. If no quorum can be reached, the request is
-rejected, which is harmless: the client may retry with the same key at any time. The front calls this module through
-`HandoffCoordinator`. The only state is `on_admission` of each `HeldRequest`.
+If the key is already known, the existing request is looked up instead. A request that can't be protected now (no
+quorum, no capacity, too few known members, or this process is ending) is rejected, which is harmless: the client may
+retry with the same key at any time. The front calls this module through `HandoffCoordinator`. The only state is
+`on_admission` of each `HeldRequest`.
 """
 
 from __future__ import annotations
--- a/decklb/handoff/attempts.py
+++ b/decklb/handoff/attempts.py
@@ -18,7 +18,10 @@
         self._state, self._replicator = state, replicator
 
     def begin(self, now: float, key: str, engine: str, on_quorum: QuorumCallback, cancel_token: bytes) -> None:
-        """Record that an attempt is about to be sent; `on_quorum` reports whether a quorum has this, so it may be."""
+        """Record that an attempt is about to be sent.
+
+        `on_quorum` is called with True once a quorum has the record, and the attempt may be sent; else with False.
+        """
         held = self._state.held.get(key)
         if held is None or held.suspended or self._state.closed:
             on_quorum(False)
@@ -51,7 +54,10 @@
     def complete(
         self, now: float, key: str, outcome: Outcome, answer: bytes, reason: str, on_quorum: QuorumCallback
     ) -> None:
-        """Record the final answer; `on_quorum` reports whether a quorum has it, so the client may receive it."""
+        """Record the final answer.
+
+        `on_quorum` is called with True once a quorum has the answer, and the client may receive it; else with False.
+        """
         held = self._state.held.get(key)
         if held is None or held.record.stage >= Stage.ANSWERED or self._state.closed:
             on_quorum(False)
--- a/decklb/handoff/claims.py
+++ b/decklb/handoff/claims.py
@@ -27,7 +27,7 @@
 
     @classmethod
     def start(cls, record: Record, claimer: str, settings: HandoffSettings, min_term: int = 0) -> Claim:
-        """Start a claim with a term above the record's and above `min_term`, the term named by earlier rejections.
+        """Start a claim with a term above the record's and above `min_term`, the highest term known at any voter.
 
         The claimer's own grant comes last (`needs_own_grant`): a claim that others reject must not withdraw the
         claimer's vote from a holder that is alive.
--- a/decklb/handoff/coordinator.py
+++ b/decklb/handoff/coordinator.py
@@ -32,7 +32,7 @@
 from decklb.handoff.takeover import Takeover
 from decklb.handoff.voting import Voter
 
-ABOVE_ALL_NAMES = "\uffff"  # sorts after every member's name, which makes the highest ballot of a term
+ABOVE_ALL_NAMES = "\uffff"  # sorts after every member's name, so a ballot with it is the highest of its term
 
 
 class HandoffCoordinator:
@@ -84,7 +84,7 @@
     def begin_attempt(
         self, now: float, key: str, engine: str, on_quorum: QuorumCallback, cancel_token: bytes = b""
     ) -> None:
-        """Record that an attempt is about to be sent to an engine; `on_quorum` reports whether it may be."""
+        """Record that an attempt is about to be sent; `on_quorum` is called with whether it may be sent."""
         self._attempts.begin(now, key, engine, on_quorum, cancel_token)
 
     def set_cancel_token(self, now: float, key: str, engine: str, cancel_token: bytes) -> None:
@@ -98,7 +98,7 @@
     def complete(
         self, now: float, key: str, outcome: Outcome, answer: bytes, reason: str, on_quorum: QuorumCallback
     ) -> None:
-        """Record the final answer; `on_quorum` reports whether it may be sent to the client."""
+        """Record the final answer; `on_quorum` is called with whether it may be sent to the client."""
         self._attempts.complete(now, key, outcome, answer, reason, on_quorum)
 
     def release(self, key: str) -> None:
@@ -168,7 +168,9 @@
                 self._replicator.resend_body_to(peer, held)
             case RejectReason.FENCED if awaits_admission:
                 self._admission.raise_term(now, held, message.highest_term)
-            case RejectReason.FENCED:  # a claim of this member's own would not have fenced the record
+            case RejectReason.FENCED:
+                # The message does not name the claimer. In the record's own term it must be another member: the voter
+                # would have admitted the record of a claimer to which it granted that term.
                 self._leases.on_fenced(peer, message.key, (message.highest_term, ABOVE_ALL_NAMES))
             case RejectReason.KEY_HELD | RejectReason.KEY_REUSED if awaits_admission:
                 self._admission.on_key_held(now, held, message)
--- a/decklb/handoff/errors.py
+++ b/decklb/handoff/errors.py
@@ -20,7 +20,7 @@
 
     def __init__(self, max_records: int) -> None:
         super().__init__(
-            f"no capacity for another record, within the limits of {max_records} records and of their size in bytes"
+            f"no capacity for another record: the limit of {max_records} records or of their total size is reached"
         )
         self.max_records = max_records
 
--- a/decklb/handoff/lease_tracker.py
+++ b/decklb/handoff/lease_tracker.py
@@ -1,4 +1,4 @@
-"""A holder's leases: whether enough voters of a record have recently answered it that it may act.
+"""A holder's leases: whether enough voters of a record have answered recently for the holder to act on it.
 
 After Gray and Cheriton, "Leases" (SOSP 1989). A holder acts on a record only while a quorum of the record's voters has
 acknowledged a message that was sent within the last lease; the holder counts itself if it is a voter. A lease starts
@@ -47,8 +47,8 @@
     ) -> bool:
         """Whether this member may act on a record now and for the next `margin_ms`.
 
-        Not if its own ballots no longer admit the record: a holder that granted a higher claim has stepped down,
-        whatever others still acknowledge.
+        It may not if its own ballots no longer admit the record: a holder that granted a higher claim has stepped down,
+        whatever other voters still acknowledge.
 
         Args:
             record: A record whose holder may be this member.
--- a/decklb/handoff/leases.py
+++ b/decklb/handoff/leases.py
@@ -13,7 +13,7 @@
 from decklb.handoff.replication import NOT_ACKED, Replicator
 from decklb.handoff.takeover_policy import TakeoverAction, decide_takeover
 
-STOP_MARGIN_LEASES = 0.2  # part of a lease, at its end, that is left to the engines to cancel running attempts
+STOP_MARGIN_LEASES = 0.2  # a holder stops this part of a lease early, so that engines can cancel running attempts
 
 
 class LeaseSupervisor:
--- a/decklb/handoff/member_state.py
+++ b/decklb/handoff/member_state.py
@@ -67,9 +67,8 @@
         self.leases = LeaseTracker(settings, member)
         self.fleet = FleetView(settings, member, incarnation, self.leases)
         self.held: dict[str, HeldRequest] = {}  # by key
-        self.supervised_keys: dict[
-            str, None
-        ] = {}  # held here, with a waiting caller or without a final answer; checked at each tick
+        # Keys held here for which a caller waits or that have no final answer yet; checked at each tick.
+        self.supervised_keys: dict[str, None] = {}
         self.outbox: list[tuple[str, Message]] = []  # receiver and message, in order
         self.events: list[HandoffEvent] = []
         self.counters: Counter[str] = Counter()
--- a/decklb/handoff/messages.py
+++ b/decklb/handoff/messages.py
@@ -160,7 +160,7 @@
 
 
 class Release(Struct, array_like=True, tag=12, frozen=True):
-    """Holder to voter: the sender holds no record of this key in this incarnation, so the key is free."""
+    """The sender holds no record of this key in this incarnation, so replicas of it are void and the key is free."""
 
     key: Key
     holder_incarnation: Count
--- a/decklb/handoff/protected_attempts.py
+++ b/decklb/handoff/protected_attempts.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from decklb.handoff.protected_dispatcher import ProtectedDispatcher, ProtectedRequest
 
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)  # the attempt provably never ran
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)  # these prove that an attempt never ran
 
 
 class AttemptPhase(Enum):
@@ -30,7 +30,7 @@
 
 
 class ProtectedAttempt:
-    """Wraps the dispatcher's attempt for the engine client; undefined members are those of the wrapped attempt."""
+    """Wraps the dispatcher's attempt for the engine client; all members not defined here are the attempt's."""
 
     __slots__ = ("attempt", "protected", "handle", "phase", "cancel_token")
 
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -2,8 +2,8 @@
 
 All other requests pass through. A protected request runs once a quorum has its record, each attempt is sent once a
 quorum has recorded it, and the final answer is given to the client once a quorum has it. The client may disconnect and
-retry with the key, here or at another member. If no quorum can be reached the request is rejected: a retry with the
-same key is always harmless.
+retry with the key, here or at another member. A request that can't be protected now, for example because no quorum can
+be reached, is rejected: a retry with the same key is always harmless.
 
 This module is independent of the wire protocol. `ProtectedDispatcher` owns the protected requests that this member
 runs. Fronts call it in place of the dispatcher, and `HandoffCoordinator` calls `run` and `stop`. Its only I/O is to log
@@ -27,7 +27,7 @@
 from decklb.handoff.protected_attempts import AttemptPhase, ProtectedAttempt, ProtectedEngineClient
 from decklb.handoff.records import Outcome, Record, Stage, fingerprint
 
-RETRY_AFTER_MS = 200.0  # sent to a client whose request still runs, or for which there is no quorum now
+RETRY_AFTER_MS = 200.0  # sent to a client whose request still runs, or can't be protected now
 GENERATED_KEY = "auto"  # key that asks this member to generate a key
 MIN_BUDGET_MS = 1.0  # budget of a request that is run past its deadline; the dispatcher then ends it
 
@@ -228,7 +228,7 @@
     # Calls from protected requests and their attempts.
 
     def begin_attempt(self, attempt: ProtectedAttempt, on_quorum: QuorumCallback) -> None:
-        """Write an attempt into its request's record; `on_quorum` reports whether it may be sent."""
+        """Write an attempt into its request's record; `on_quorum` is called with whether it may be sent."""
         self.coordinator.begin_attempt(
             self.clock.now(), attempt.protected.key, attempt.engine_id, on_quorum, attempt.cancel_token
         )
--- a/decklb/handoff/runtime.py
+++ b/decklb/handoff/runtime.py
@@ -1,9 +1,10 @@
 """The handoff's I/O: connections to other members, the timer, the store and the log.
 
 `HandoffService` drives one `HandoffCoordinator` and carries out its output. Each pair of members shares one connection,
-because leases rely on messages being delivered in order. The member whose name sorts first opens it, from the address
-that it binds to the other's address in the membership list. If there is a store, changes are written to it before any
-message is sent. Created by `daemon/subsystems/handoff.py`, or by `middleware/members.py` for an application.
+because leases rely on messages being delivered in order. The member whose name sorts first opens it; its local address
+is this member's `bind_address`, its remote address that of the other member in the membership list. If there is a
+store, changes are written to it before any message is sent. Created by `daemon/subsystems/handoff.py`, or by
+`middleware/members.py` for an application.
 """
 
 from __future__ import annotations
--- a/decklb/handoff/settings.py
+++ b/decklb/handoff/settings.py
@@ -24,10 +24,10 @@
     claim_stagger_ms: float = 400.0  # delay between successive voters' claims of a lost member's record
     max_budget_ms: float = 30_000.0  # upper limit for the budgets of protected requests
     max_bytes: int = 64 << 20  # size limit of all bodies and answers, of own records and replicas together
-    bucket_count: int = 4096  # voters are ranked per bucket of keys, so new members cause a reranking of buckets only
+    bucket_count: int = 4096  # voters are ranked per bucket of keys; a change of members reranks buckets, not records
     max_records: int = 200_000  # own records and replicas together
     max_answer_bytes: int = 65_536  # for a larger answer only the outcome is replicated
-    lease_ms: float = 2_000.0  # a holder cut off from its voters stops acting this long after it last heard them
+    lease_ms: float = 2_000.0  # a holder cut off from its voters stops acting this long after it last heard from them
     max_clock_drift: float = 0.01  # fraction by which one member's clock may run faster than another's
     answer_retention_ms: float = 5_000.0  # how long past the deadline a final answer is retained for its client
     deadline_grace_ms: float = 500.0  # time past a deadline within which an answer still counts
--- a/decklb/handoff/takeover.py
+++ b/decklb/handoff/takeover.py
@@ -1,9 +1,9 @@
 """Takes over the records of lost holders: schedules claims, collects grants, and holds the records that were won.
 
-A review checks all replicas for holders that are not alive. It schedules the claims of a record's voters at staggered
-times, so that the voters don't claim the record all at once. A claim that does not win is repeated after a random
-delay. A claim that wins takes effect once any earlier holder's lease has ended (`claims.py`). The state is the
-scheduled claims and the active claims.
+A review checks all replicas for holders that are not alive, and schedules this member's claims of their records. The
+delay of a claim grows with this member's rank among the record's voters, so that they don't all claim it at once. A
+claim that does not win is repeated after a random delay. A claim that wins takes effect once any earlier holder's lease
+has ended (`claims.py`). The state is the scheduled claims and the active claims.
 """
 
 from __future__ import annotations
