--- a/decklb/wire/__init__.py
+++ b/decklb/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What several wires share: the reactor and its clock, dialing, engine pools, health checks, table groups."""
+"""Code shared by all protocols: the reactor and its clock, dialing, engine pools, health checks, table groups."""
--- a/decklb/wire/client_timeouts.py
+++ b/decklb/wire/client_timeouts.py
@@ -1,12 +1,13 @@
-"""Time limits of clients' connections, the same for the frame listener and for PostgreSQL's.
+"""Time-outs of client connections, shared by the frame listener and the PostgreSQL listener.
 
-A client that says nothing readable is owed an end within 3 s of connecting, so both message time-outs are well below.
+A client that sends no readable message must be disconnected within 3 s of connecting, so both message time-outs are
+well below that.
 """
 
 from __future__ import annotations
 
-FIRST_MESSAGE_TIMEOUT_MS = 2200.0  # from connecting to the end of the first whole message
-PARTIAL_MESSAGE_TIMEOUT_MS = 2200.0  # from the first byte of a message to its last
-# After our half is closed, what still comes is read and thrown away for so long: closing with bytes unread sends a
+FIRST_MESSAGE_TIMEOUT_MS = 2200.0  # from connecting to the end of the first complete message
+PARTIAL_MESSAGE_TIMEOUT_MS = 2200.0  # from the first to the last byte of a message
+# After the shutdown of our side, input is read and discarded for this long: closing a socket with unread bytes sends a
 # reset, which can overtake the last answer.
 LINGERING_CLOSE_TIMEOUT_MS = 3000.0
--- a/decklb/wire/clock.py
+++ b/decklb/wire/clock.py
@@ -1,4 +1,4 @@
-"""The reactor as the core's clock, on the system's monotonic clock."""
+"""The core's clock, implemented by the reactor and the system's monotonic clock."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 def use_monotonic_time(reactor: Any) -> Any:
-    """Make the reactor schedule its calls on the monotonic clock, and return it.
+    """Make the reactor schedule its calls on the monotonic clock and return the reactor.
 
     Twisted schedules on the wall clock: if that is set back by an hour, every deadline, heartbeat and time-out of the
-    process is an hour late.
+    process fires an hour late.
     """
     reactor.seconds = time.monotonic
     return reactor
 
 
 class ReactorClock:
-    """See `decklb.core.ports.Clock`. Time from the monotonic clock, timers from the reactor."""
+    """Implements `decklb.core.ports.Clock`: time from the monotonic clock, timers from the reactor."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
 
     def now(self) -> float:
-        """Milliseconds since some moment in the past."""
+        """Return the time in ms since an arbitrary moment."""
         return time.monotonic() * 1000.0
 
-    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Make the call once, after `delay` ms."""
-        timer: Timer = self._reactor.callLater(max(0.0, delay) / 1000.0, call)
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
+        """Schedule one call of `callback` after `delay_ms`."""
+        timer: Timer = self._reactor.callLater(max(0.0, delay_ms) / 1000.0, callback)
         return timer
--- a/decklb/wire/connection_end.py
+++ b/decklb/wire/connection_end.py
@@ -1,6 +1,6 @@
-"""What every wire asks of a TCP connection at its end: whether bytes lie unread, and the reason code of its end.
+"""Helpers for the end of a TCP connection: whether it has unread bytes, and the reason code of its end.
 
-No state. Used by both listeners and by the engine connections.
+Stateless. Used by both listeners and by the engine connections.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 def has_unread_bytes(transport: Any) -> bool:
-    """Whether bytes have arrived that nobody has read yet, as after a stall of the process.
+    """Whether the socket has received bytes that are not read yet, as it may after a stall of the process.
 
-    True also where the machine is too short of resources to say: there may be some.
+    Also true if a shortage of resources on this machine prevents the check, since there may be unread bytes.
     """
     try:
         return bool(transport.getHandle().recv(1, socket.MSG_PEEK))
@@ -27,7 +27,7 @@
 
 
 def end_reason(reason: Failure | None) -> str:
-    """The reason code, for the log, of a connection that the peer or the network has ended."""
+    """Return the reason code, for the log, of a connection that was ended by the peer or the network."""
     if reason is None or reason.type is None or reason.type is ConnectionDone:
         return "peer-closed"
     return "reset" if reason.type is ConnectionLost else reason.type.__name__
--- a/decklb/wire/dialing.py
+++ b/decklb/wire/dialing.py
@@ -1,6 +1,6 @@
-"""Opening one TCP connection to an engine, in spite of passing errors of this machine.
+"""Opens a TCP connection to an engine and retries after transient errors of this machine.
 
-Used by the engine connections and their cancel requests. Owns the time-out and the retries of that one connection.
+Used by the engine connections and for cancel requests. Owns the time-out and the retries of one connection.
 """
 
 from __future__ import annotations
@@ -19,14 +19,16 @@
 from decklb.core.timers import call_after_reading
 from decklb.wire.local_errors import is_local_error
 
-ENDPOINT_TIMEOUT_S = 3600.0  # Twisted's own time-out, longer than any handshake here may take: see _time_out
-REDIAL_DELAY_MS = 20.0  # until a connection that failed for an error of this machine is tried again
+ENDPOINT_TIMEOUT_S = (
+    3600.0  # Twisted's own time-out; longer than any connection attempt, so that `Dial._time_out` comes first
+)
+REDIAL_DELAY_MS = 20.0  # delay before the next try after an error of this machine
 
 
 class Dial:
-    """One connection that comes up, or fails once.
+    """Establishes one connection, or reports once that it could not be established.
 
-    While nothing but this machine's own errors stand in its way it is tried again, until the time-out.
+    After an error of this machine (see `local_errors`) it tries again until the time-out.
     """
 
     def __init__(
@@ -36,28 +38,29 @@
         address: tuple[str, int],
         protocol: Any,
         timeout_ms: float,
-        failed: Callable[[Failure], None],
+        on_failure: Callable[[Failure], None],
     ) -> None:
-        """Begin to connect.
+        """Start connecting.
 
         Args:
             reactor: opens the socket.
             clock: measures the time-out.
             address: host and port of the engine.
-            protocol: gets the connection.
-            timeout_ms: within which the connection has to come up.
-            failed: called once, with the reason, if it does not come up.
+            protocol: protocol instance of the connection.
+            timeout_ms: time within which the connection has to be established.
+            on_failure: called once, with the reason, if it is not established.
         """
         self._reactor, self._clock, self._address, self._protocol = reactor, clock, address, protocol
-        self._failed = failed
+        self._on_failure = on_failure
         self._deadline = clock.now() + timeout_ms
         self._connecting: Deferred[Any] | None = None
         self._redial_timer: Timer | None = None
-        self._last_try_at = 0.0  # ms, when the last try began
+        self._last_try_at = 0.0  # when the last try began, in ms
         self._finished = False
         self._timed_out = False
-        self._local_error: Failure | None = None  # this machine's error that the last try met
-        # Not Twisted's own time-out: after a stall of the process it would fire before what has come up is read.
+        self._local_error: Failure | None = None  # error of this machine that ended the last try
+        # Twisted's own time-out is not used: after a stall of the process it would fire before the reactor has noticed
+        # that the connection was established in the meantime.
         call_after_reading(clock, timeout_ms, self._time_out)
         self._try()
 
@@ -76,13 +79,13 @@
         if not self._finished:
             self._finished = self._timed_out = True
             if self._socket_unwatched():
-                self._local_error = Failure(ConnectError(errno.ENOMEM, "its socket can't be watched"))  # type: ignore[no-untyped-call]
+                self._local_error = Failure(ConnectError(errno.ENOMEM, "the reactor can't watch its socket"))  # type: ignore[no-untyped-call]
             elif self._clock.now() - self._last_try_at > REDIAL_DELAY_MS:
-                self._local_error = None  # the local error is over: it is the engine that is silent
+                self._local_error = None  # the local error is over: now it is the engine that does not answer
             self.cancel()
 
     def _socket_unwatched(self) -> bool:
-        """Whether the reactor can't watch some descriptors just now, this one perhaps among them."""
+        """Whether the reactor currently fails to watch some descriptors, possibly including the one of this socket."""
         has_unwatched = getattr(self._reactor, "has_unwatched_descriptors", None)
         return has_unwatched is not None and has_unwatched()
 
@@ -95,10 +98,10 @@
             self._redial_timer = self._clock.call_later(REDIAL_DELAY_MS, self._try)
         else:
             self._finished = True
-            self._failed(reason)
+            self._on_failure(reason)
 
     def cancel(self) -> None:
-        """Give the connection up; it counts as failed, unless it is up."""
+        """Stop connecting and report a failure, unless the connection is already established."""
         if self._redial_timer is not None:
             self._redial_timer.cancel()
             self._redial_timer = None
--- a/decklb/wire/engine_connection.py
+++ b/decklb/wire/engine_connection.py
@@ -1,7 +1,8 @@
-"""The life of one connection to an engine, the same on every wire: dialing, idle time-out, and its one logged end.
+"""Lifecycle of a connection to an engine, common to all protocols: dialing, idle time-out and logging of its end.
 
-A wire adds how to send and cancel attempts and how to read replies (`net.engine_connection`, `pg.engine_connection`).
-State: why the connection is ending, its idle timer, and the answers that its end would put in doubt.
+The protocols add how attempts are sent and cancelled and how replies are read (`net.engine_connection`,
+`pg.engine_connection`). State: why the connection is ending, its timer, and the recent answers that become uncertain if
+the connection is lost.
 """
 
 from __future__ import annotations
@@ -22,42 +23,42 @@
 if TYPE_CHECKING:
     from decklb.wire.engine_pool import EnginePool
 
-IDLE_TIMEOUT = "idle-timeout"  # reason code: we closed a connection on which nothing was open
-ENDPOINT_REMOVED = "endpoint-removed"  # reason code: the same, since its engine has gone or has moved
-ORDERLY_ENDS = (IDLE_TIMEOUT, ENDPOINT_REMOVED)  # these put no earlier answer in doubt
+IDLE_TIMEOUT = "idle-timeout"  # reason code: closed by us while it had no open attempt
+ENDPOINT_REMOVED = "endpoint-removed"  # reason code: likewise, because its engine was removed or has moved
+ORDERLY_ENDS = (IDLE_TIMEOUT, ENDPOINT_REMOVED)  # ends that make no earlier answer uncertain
 
 
 class EngineConnection(Protocol):
-    """One connection to one engine, owned by a pool."""
+    """A connection to an engine, owned by a pool."""
 
-    transport: Any  # zope's interfaces say nothing to the type checker
+    transport: Any  # the type checker does not understand zope interfaces
 
     def __init__(self, pool: EnginePool[Any]) -> None:
         self.pool = pool
-        self.closed = False  # takes no attempt any more
-        self.end_reason = ""  # why we end it; "" while we don't
+        self.closed = False  # accepts no more attempts
+        self.end_reason = ""  # why it ends; "" while no end is known
         self.recent_answers = RecentAnswers(pool.client.clock)
-        self._timer: Timer | None = None  # of the idle time-out, or of whatever else the wire waits for
-        self._dial: Dial | None = None  # kept so that it can be cancelled while the handshake goes on
+        self._timer: Timer | None = None  # idle time-out, or another time-out of the protocol
+        self._dial: Dial | None = None  # kept so that it can be cancelled while connecting
 
-    # What a wire implements.
+    # Implemented by the protocols.
 
     def _before_close(self) -> None:
-        """The connection is about to be closed by us, with nothing open on it."""
+        """Called before we close the connection while it has no open attempt."""
         raise NotImplementedError
 
     def _outcome_of_loss(self) -> Outcome:
-        """How an attempt ends that the loss of the connection cut off."""
+        """Return the outcome of attempts that were in flight when the connection was lost."""
         raise NotImplementedError
 
     def _ended(self, outcome: Outcome) -> None:
-        """The connection is gone: leave the pool, log it, and end what was open on it with this outcome."""
+        """The connection has ended: leave the pool, log the end, and end the open attempts with this outcome."""
         raise NotImplementedError
 
-    # Coming up.
+    # Connecting.
 
     def dial(self, timeout_ms: float) -> None:
-        """Connect to the pool's address."""
+        """Start connecting to the pool's address."""
         client = self.pool.client
         self._dial = Dial(client.reactor, client.clock, self.pool.address, self, timeout_ms, self.connect_failed)
 
@@ -66,11 +67,11 @@
             self._dial.cancel()
 
     def connect_failed(self, reason: Failure) -> None:
-        """It never came up, so nothing was sent. An error of this machine alone tells nothing of the engine."""
+        """It was not established, so nothing was sent. An error of this machine says nothing about the engine."""
         self.end_reason = f"connect-failed ({end_reason(reason)})"
         self._ended(Outcome.NEVER_SENT if is_local_error(reason.value) else Outcome.UNREACHABLE)
 
-    # Being idle.
+    # Idle close.
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
@@ -78,27 +79,27 @@
             self._timer = None
 
     def _close_idle(self, reason: str) -> None:
-        """Close in an orderly way; nothing is open on the connection."""
+        """Close the connection in an orderly way while it has no open attempt."""
         self._timer = None
         self.closed, self.end_reason = True, reason
         self._before_close()
         self.transport.loseConnection()
 
-    # Its end.
+    # End of the connection.
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """What was out may have run."""
+        """The connection is lost; attempts in flight may have been executed."""
         self.end_reason = self.end_reason or end_reason(reason)
         self._ended(self._outcome_of_loss())
 
     def _leave_pool(self, delay_ms: float = 0.0) -> int:
-        """Be used no more.
+        """Leave the pool, so that the connection gets no further attempts.
 
         Args:
-            delay_ms: time until the engine surely knows of the end.
+            delay_ms: time after which the engine is certain to have noticed the end of the connection.
 
         Returns:
-            The number of earlier answers that this makes uncertain.
+            The number of earlier answers that become uncertain.
         """
         self.closed = True
         self.pool.connections.discard(self)
--- a/decklb/wire/engine_pool.py
+++ b/decklb/wire/engine_pool.py
@@ -1,8 +1,8 @@
-"""Connection pools of an engine client, one for each engine, on whatever wire.
+"""Connection pools of an engine client, one per engine, common to all protocols.
 
-A wire makes its own pools and connections (`net.engines`, `pg.engines`); what they share is here and in
+The protocols have their own pools and connections (`net.engines`, `pg.engines`), based on this module and
 `engine_connection`. State: the pools by engine id and the connections of each. Called by the dispatcher, which starts
-attempts, and by the service, which passes on the endpoint list.
+attempts, and by the service, which passes the endpoint list.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 class EnginePool(Generic[ConnectionT]):
     """The connections to one engine at one address."""
 
-    client: Any  # the engine client of the wire
+    client: Any  # the engine client of the protocol
 
     def __init__(self, client: Any, engine: str, address: tuple[str, int]) -> None:
-        """`engine`: its id in the directory; `address`: host and port."""
+        """`engine` is its id in the directory, `address` its host and port."""
         self.client, self.engine, self.address = client, engine, address
         self.connections: set[ConnectionT] = set()
 
     def make_connection(self) -> ConnectionT:
-        """A connection of this wire that is not dialled yet."""
+        """Return a new connection of this protocol that is not dialed yet."""
         raise NotImplementedError
 
     def start(self, attempt: Attempt) -> None:
@@ -36,11 +36,11 @@
         raise NotImplementedError
 
     def retire(self) -> None:
-        """The engine has gone, or has moved: no new attempt, and an end with what is out."""
+        """The engine was removed or has moved: take no new attempts, and close when the open ones have ended."""
         raise NotImplementedError
 
     def connect(self) -> ConnectionT:
-        """Open a further connection."""
+        """Open another connection."""
         connection = self.make_connection()
         self.connections.add(connection)
         connection.dial(self.client.connect_timeout_ms)
@@ -51,9 +51,9 @@
 
 
 class PooledEngines(Generic[PoolT]):
-    """The pools by engine, following the endpoint list.
+    """Keeps one pool per engine of the endpoint list.
 
-    An engine that has moved gets a new pool: its old address may come to belong to another engine.
+    An engine that has moved gets a new pool, because another engine may get its old address.
     """
 
     def __init__(self, reactor: Any, clock: Clock, connect_timeout_ms: float) -> None:
@@ -62,11 +62,11 @@
         self.pools: dict[str, PoolT] = {}  # by engine id
 
     def make_pool(self, engine: str, address: tuple[str, int]) -> PoolT:
-        """A pool for an engine that is new, or has moved."""
+        """Return a pool for an engine that is new or has moved."""
         raise NotImplementedError
 
     def update_endpoints(self, endpoints: dict[str, tuple[str, int]]) -> None:
-        """The engines by id, and where each listens now."""
+        """Apply a new endpoint list, given as addresses by engine id."""
         for engine, pool in list(self.pools.items()):
             if endpoints.get(engine) != pool.address:
                 pool.retire()
@@ -76,14 +76,14 @@
                 self.pools[engine] = self.make_pool(engine, address)
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt; its end is told by `attempt.end`."""
+        """Send an attempt; its end is reported by `attempt.end`."""
         pool = self.pools.get(attempt.engine_id)
-        if pool is None:  # gone since the decision
+        if pool is None:  # removed since the policy selected it
             attempt.end(Outcome.UNREACHABLE)
         else:
             pool.start(attempt)
 
     def close(self) -> None:
-        """Close every connection once what is out on it has ended."""
+        """Close every connection once its open attempts have ended."""
         for pool in self.pools.values():
             pool.retire()
--- a/decklb/wire/health_check.py
+++ b/decklb/wire/health_check.py
@@ -1,10 +1,10 @@
-"""Active health checks of engines: one connection of its own to each engine, kept between checks.
+"""Active health checks of engines, over one dedicated connection per engine that is kept between checks.
 
-The wires say how to ask (`net.health_check`, `pg.health_check`). A check ends once: by a reply, by the end of its
-connection or by its time-out. A connection that is no longer used closes after a while, so that an engine whose health
-checks moved on to another member keeps none.
+The protocols implement the check itself (`net.health_check`, `pg.health_check`). A check ends exactly once: by a reply,
+by the end of its connection or by its time-out. Unused connections close after an idle time-out, so that none
+remains to an engine whose health checks are now done by another member.
 
-State: the connections by engine. Called by the members that own health checks (`cluster`, `locality`, `maintenance`).
+State: the connections by engine. Called by the members that do health checks (`cluster`, `locality`, `maintenance`).
 """
 
 from __future__ import annotations
@@ -20,39 +20,39 @@
 from decklb.core.ports import Clock, Timer
 
 Address = tuple[str, int]  # host and port of an engine
-CheckCallback = Callable[[bool], None]  # told once whether the engine replied
+CheckCallback = Callable[[bool], None]  # called once, with whether the engine replied
 
-PEER_CLOSED = "peer-closed"  # the reason code of an end that was not ours
+PEER_CLOSED = "peer-closed"  # reason code: the connection was not ended by us
 
 
 class HealthCheckConnection(Protocol):
-    """One connection to one engine, for health checks alone. A wire implements `send_check` and `dataReceived`."""
+    """A connection to an engine for health checks only. The protocols implement `send_check` and `dataReceived`."""
 
-    transport: Any  # zope's interfaces say nothing to the type checker
+    transport: Any  # the type checker does not understand zope interfaces
 
     def __init__(self, checker: HealthChecker, engine: str, address: Address) -> None:
         self.checker, self.engine, self.address = checker, engine, address
         self.ready = False  # checks may be sent
         self.closed = False
-        self._callback: CheckCallback | None = None  # of the check that is out
-        self._timer: Timer | None = None  # of the check that is out, or of the idle time after it
+        self._callback: CheckCallback | None = None  # of the pending check
+        self._timer: Timer | None = None  # time-out of the pending check, or idle time-out after it
         self._end_reason = PEER_CLOSED
 
-    # What a wire implements.
+    # Implemented by the protocols.
 
     def start_session(self) -> None:
-        """The connection is up. By default nothing more is needed before a check."""
+        """Called when the connection is established. By default checks may be sent immediately."""
         self.session_ready()
 
     def send_check(self) -> None:
         """Send one check."""
         raise NotImplementedError
 
-    # What a wire calls.
+    # Called by the protocols.
 
     @property
     def check_pending(self) -> bool:
-        """Whether a check is out."""
+        """Whether a check has not ended yet."""
         return self._callback is not None
 
     def session_ready(self) -> None:
@@ -66,13 +66,13 @@
         self._finish_check(True)
 
     def fail(self, reason: str) -> None:
-        """The engine sent what no engine sends, or turned us away: end the connection and the check."""
+        """The engine sent something invalid or refused the session: end the connection and the check."""
         self._abort(reason)
 
-    # What the health checker calls.
+    # Called by the health checker.
 
     def check(self, timeout_ms: float, callback: CheckCallback) -> None:
-        """Check the engine now, or when the session is ready."""
+        """Check the engine, as soon as the session is ready."""
         self._cancel_timer()
         self._callback = callback
         self._timer = self.checker.clock.call_later(timeout_ms, lambda: self._abort("check-timeout"))
@@ -80,29 +80,29 @@
             self.send_check()
 
     def connect_failed(self, reason: Failure) -> None:
-        """The connection never came up."""
+        """The connection was not established."""
         if self._end_reason == PEER_CLOSED:
             self._end_reason = f"connect-failed ({reason.type.__name__ if reason.type else 'unknown'})"
         self._ended()
 
     def close(self) -> None:
-        """End the connection: the process ends, or the engine has moved."""
+        """End the connection, because the process stops or the engine has moved."""
         if not self.closed:
             self._abort("stopping")
 
-    # What Twisted calls.
+    # Called by Twisted.
 
     def connectionMade(self) -> None:
-        """The handshake is over."""
+        """The connection is established."""
         self.transport.setTcpNoDelay(True)
         self.start_session()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The end, for whatever reason; one line in the log."""
+        """The connection has ended, for whatever reason: log it."""
         self._ended()
 
     def _ended(self) -> None:
-        self.closed = True  # also when it was ended here, and the reactor tells of it now
+        self.closed = True  # already set if it was ended by `_abort`
         self.checker.forget(self)
         logger.info(
             "health check connection ended: {reason} engine={engine} address={address}",
@@ -125,7 +125,7 @@
     def _abort(self, reason: str) -> None:
         self._timer = None
         self.closed, self._end_reason = True, reason
-        self.checker.forget(self)  # the next check takes a new connection
+        self.checker.forget(self)  # the next check opens a new connection
         if self.transport is not None:
             self.transport.abortConnection()
         self._finish_check(False)
@@ -137,7 +137,7 @@
 
 
 class HealthChecker:
-    """Checks the engines that this process is asked to check, over one wire."""
+    """Checks engines on request, over one protocol."""
 
     def __init__(
         self,
@@ -151,8 +151,8 @@
         Args:
             reactor: opens connections.
             clock: measures time-outs.
-            make_connection: a connection of the wire, by checker, engine and address.
-            idle_timeout_ms: without a check, after which a connection closes.
+            make_connection: makes a connection of the protocol from checker, engine and address.
+            idle_timeout_ms: time without a check after which a connection closes.
         """
         self.reactor, self.clock, self.idle_timeout_ms = reactor, clock, idle_timeout_ms
         self._make_connection = make_connection
@@ -179,7 +179,7 @@
         endpoint.connect(factory).addErrback(connection.connect_failed)
 
     def forget(self, connection: HealthCheckConnection) -> None:
-        """Use a connection no more."""
+        """Stop using a connection."""
         if self._connections.get(connection.engine) is connection:
             del self._connections[connection.engine]
 
--- a/decklb/wire/local_errors.py
+++ b/decklb/wire/local_errors.py
@@ -1,7 +1,7 @@
-"""Which errors of system calls are this machine's own and say nothing of the peer.
+"""Classification of system call errors that are caused by this machine and not by the peer.
 
-Constants and one function, no state. Used by the reactor's sockets (`retrying_sockets`), by `dialing` and by the engine
-connections, which must not blame an engine for a local shortage.
+Constants and one function, stateless. Used by the reactor's sockets (`retrying_sockets`), by `dialing` and by the
+engine connections, which must not blame an engine for a local shortage of resources.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from twisted.internet.error import ConnectBindError, ConnectError
 
-# The kernel is short of a resource, or the call was interrupted: the same call may succeed a moment later. (Manual
-# pages of accept(2), connect(2), recv(2), send(2), socket(2).)
+# The kernel is short of a resource, or the call was interrupted: the same call may succeed a moment later. See the
+# manual pages of accept(2), connect(2), recv(2), send(2) and socket(2).
 RETRYABLE_ERRNOS = frozenset(
     {errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC}
 )
-# connect(2) fails with these before anything has left this machine.
+# Errors with which connect(2) fails before it has sent anything.
 LOCAL_CONNECT_ERRNOS = RETRYABLE_ERRNOS | {
     errno.EACCES,
     errno.EADDRINUSE,
@@ -32,7 +32,8 @@
     errno.EPROTONOSUPPORT,
     errno.EPROTOTYPE,
 }
-# accept(2) reports these for the connection that it would have returned: that one is gone, the listener is well.
+# Errors of accept(2) that concern the connection it would have returned: that connection is lost, but the listener
+# keeps working.
 ABORTED_ACCEPT_ERRNOS = frozenset(
     {
         errno.ECONNABORTED,
@@ -51,7 +52,7 @@
 
 
 def is_local_error(error: BaseException | None) -> bool:
-    """Whether a connection failed to come up for a reason of this machine rather than of the peer."""
+    """Whether a connection attempt failed because of this machine and not because of the peer."""
     if isinstance(error, ConnectBindError):  # socket(2) or bind(2) failed
         return True
     return isinstance(error, ConnectError) and error.osError in LOCAL_CONNECT_ERRNOS
--- a/decklb/wire/reactor.py
+++ b/decklb/wire/reactor.py
@@ -1,7 +1,7 @@
-"""The reactor of the daemon: Twisted's epoll reactor, outliving transient errors of its own system calls.
+"""The reactor of the daemon: Twisted's epoll reactor, made to survive transient errors of its system calls.
 
 Owns the stall detector and the set of descriptors that could not be watched yet. Its sockets are those of
-`retrying_sockets`. Installed by `decklb serve`; the dispatcher asks it for how long its input has lain unread.
+`retrying_sockets`. Installed by `decklb serve`; the dispatcher asks it how long its input has been unread.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from decklb.wire.stall_detector import StallDetector
 from decklb.wire.system_call_log import system_calls
 
-LONGEST_WAIT_S = 0.1  # of one wait for events, so that a stall within a wait is noticed
-WAIT_RETRY_LIMIT_S = 5.0  # for which nothing but the wait for events is tried, while that fails
+MAX_WAIT_S = 0.1  # longest wait for events, kept short so that a stall during a wait is detected
+WAIT_RETRY_LIMIT_S = 5.0  # for how long a failing wait for events is retried before timers run
 
 
 class RetryingReactor(EPollReactor):
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self._stalls = StallDetector()
-        # Descriptors still to be watched: (id of the descriptor object, id of the set it belongs in).
+        # Descriptors that could not be watched yet: (id of the descriptor object, id of the set it belongs to).
         self._unwatched: set[tuple[int, int]] = set()
         super().__init__()
 
@@ -52,7 +52,7 @@
         return listener
 
     def _add(self, xer: Any, primary: Any, other: Any, selectables: Any, event: int, antievent: int) -> None:
-        """Watch a descriptor; after a shortage that is retried later."""
+        """Watch a descriptor; retried later if the kernel is short of a resource."""
         key = (id(xer), id(primary))
         try:
             super()._add(xer, primary, other, selectables, event, antievent)
@@ -61,7 +61,7 @@
             system_calls.failed("epoll_ctl", error)
             if error.errno not in RETRYABLE_ERRNOS | {EEXIST, ENOENT}:
                 raise
-            # Where our books and the kernel's differ the kernel's count.
+            # If our record of watched descriptors differs from the kernel's, follow the kernel.
             registered = error.errno == EEXIST
             if error.errno in RETRYABLE_ERRNOS or not self._set_events(
                 xer.fileno(), event, antievent, other, registered
@@ -87,11 +87,11 @@
         return True
 
     def has_unwatched_descriptors(self) -> bool:
-        """Whether there are descriptors that can't be watched at the moment: what happens to them is not seen."""
+        """Whether some descriptors can't be watched at the moment, so that their events go unnoticed."""
         return bool(self._unwatched)
 
     def _remove(self, xer: Any, primary: Any, other: Any, selectables: Any, event: int, antievent: int) -> None:
-        """Watch a descriptor no longer; one that the kernel has forgotten is forgotten here too."""
+        """Stop watching a descriptor; one that the kernel does not know any more is removed here too."""
         self._unwatched.discard((id(xer), id(primary)))
         fd = xer.fileno()
         try:
@@ -103,8 +103,8 @@
                 selectables.pop(fd, None)
 
     def doPoll(self, timeout: float | None) -> None:
-        """Wait for events and handle them; an error of the wait itself must not become a busy loop."""
-        wait = LONGEST_WAIT_S if timeout is None else min(timeout, LONGEST_WAIT_S)
+        """Wait for events and handle them; errors of the wait itself must not cause a busy loop."""
+        wait = MAX_WAIT_S if timeout is None else min(timeout, MAX_WAIT_S)
         self._stalls.wait_begins(time.monotonic(), wait)
         give_up_at = time.monotonic() + WAIT_RETRY_LIMIT_S
         while True:
@@ -116,7 +116,7 @@
                     system_calls.failed("epoll_wait", error)
                 if error.errno == EINTR or time.monotonic() > give_up_at:
                     return
-                time.sleep(RETRY_DELAY_S)  # not on to the timers: what they wait for may lie unread
+                time.sleep(RETRY_DELAY_S)  # retried before the timers run: what they wait for may be unread
         self._stalls.reading_begins(time.monotonic())
         for fd, event in events:
             selectable = self._selectables.get(fd)
@@ -126,12 +126,12 @@
     doIteration = doPoll
 
     def unread_for_s(self) -> float:
-        """Seconds for which what is read in this pass may have lain unread; 0 unless the process was stalled."""
+        """Return for how many seconds the input of this read pass may have been unread; 0 without a stall."""
         return self._stalls.unread_for(time.monotonic())
 
 
 def install() -> Any:
-    """Make this the process' reactor. Raises what Twisted raises where there is one already."""
+    """Install this as the reactor of the process. Raises Twisted's error if one is installed already."""
     reactor = RetryingReactor()
     main.installReactor(reactor)
     return reactor
--- a/decklb/wire/recent_answers.py
+++ b/decklb/wire/recent_answers.py
@@ -1,9 +1,9 @@
-"""Answers of one engine connection that its end would still put in doubt.
+"""Recent answers of an engine connection, which become uncertain if the connection is lost.
 
-A whole answer proves that its bytes came, not that the engine is done with the attempt. The connection may break right
-behind the last byte; the engine then counts the attempt as cut off, while here it was read as an answer. Both happen
-within a millisecond of each other and are read in different passes of the event loop. So each engine connection owns a
-`RecentAnswers` and reports its attempts' ends through it (see docs/incidents/0001).
+A complete answer proves that its bytes arrived, but not that the engine has finished the attempt. If the connection
+breaks right after the last byte, the engine counts the attempt as aborted, although its answer was read here. Both
+happen within a millisecond of each other but are read in different passes of the event loop. Therefore each engine
+connection owns a `RecentAnswers` and reports the ends of its attempts through it (see docs/incidents/0001).
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from decklb.core.timers import call_after_reading
 from decklb.interface import Outcome
 
-# An answer that may lead to a retry is held back for so long, so that the end of its connection is read first.
+# An answer that may lead to a retry is delayed by this time, so that an end of its connection is read first.
 RETRYABLE_ANSWER_DELAY_MS = 20.0
-# So long after an answer the end of its connection still makes the answer uncertain.
+# Time after an answer in which the end of its connection makes the answer uncertain.
 UNCERTAINTY_WINDOW_MS = 1000.0
 
 
 class RecentAnswers:
-    """The attempts that one connection has answered within the last second."""
+    """The attempts that were answered on one connection within the last second."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._delayed: dict[Attempt, Outcome] = {}  # not reported yet
-        self._reported: deque[tuple[float, Attempt]] = deque()  # with the time (ms) of the report, oldest first
+        self._reported: deque[tuple[float, Attempt]] = deque()  # with the time of the report in ms, oldest first
 
     def answered(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
-        """Report how an attempt ended by its engine's answer: a result at once, anything else after the delay."""
+        """Report the outcome that the engine answered: a success at once, any other after the delay."""
         if outcome is Outcome.SUCCESS:
             self._report(attempt, outcome, result)
             return
@@ -40,27 +40,27 @@
         call_after_reading(self._clock, RETRYABLE_ANSWER_DELAY_MS, partial(self._release, attempt))
 
     def connection_lost(self, delay_ms: float = 0.0) -> int:
-        """Turn delayed answers into resets, and doubt those reported of late: the connection has ended.
+        """The connection has ended: turn delayed answers into resets and mark recently reported ones as uncertain.
 
-        Not to be called where we closed it in an orderly way with nothing open on it.
+        Must not be called after an orderly close by us with no open attempt.
 
         Args:
-            delay_ms: time until the engine surely knows of the end; reports come after it.
+            delay_ms: time after which the engine is certain to have noticed the end; reports are delayed by it.
 
         Returns:
-            The number of answers that this makes uncertain.
+            The number of answers that become uncertain.
         """
         delayed, self._delayed = self._delayed, {}
         reported, self._reported = self._reported, deque()
         since = self._clock.now() - UNCERTAINTY_WINDOW_MS
-        calls: list[Callable[[], None]] = [partial(attempt.end, Outcome.CONNECTION_RESET) for attempt in delayed]
-        calls += [attempt.mark_uncertain for when, attempt in reported if when >= since]
-        for call in calls:
+        reports: list[Callable[[], None]] = [partial(attempt.end, Outcome.CONNECTION_RESET) for attempt in delayed]
+        reports += [attempt.mark_uncertain for reported_at, attempt in reported if reported_at >= since]
+        for report in reports:
             if delay_ms:
-                self._clock.call_later(delay_ms, call)
+                self._clock.call_later(delay_ms, report)
             else:
-                call()
-        return len(calls)
+                report()
+        return len(reports)
 
     def _release(self, attempt: Attempt) -> None:
         outcome = self._delayed.pop(attempt, None)
--- a/decklb/wire/retrying_sockets.py
+++ b/decklb/wire/retrying_sockets.py
@@ -1,11 +1,12 @@
-"""Twisted's sockets, made to outlive transient errors of system calls.
+"""Twisted's sockets, made to survive transient errors of system calls.
 
-Twisted ends a connection at any error of recv(2) or send(2), drops a datagram socket at an unknown error of
-recvfrom(2), and closes unread whoever waits for accept(2) when descriptors run out. Here a call that failed for a
-shortage of this machine (`local_errors.RETRYABLE_ERRNOS`) is made again RETRY_DELAY_S later, and meanwhile the socket
-is neither read nor written, so that a failing call is no busy loop. Listeners and datagram sockets go on at any error.
+Twisted ends a connection after any error of recv(2) or send(2), drops a datagram socket after an unknown error of
+recvfrom(2), and closes connections that wait for accept(2), without reading them, when descriptors run out. Here a call
+that failed because of a local shortage (`local_errors.RETRYABLE_ERRNOS`) is repeated RETRY_DELAY_S later; until then
+the socket is not watched for that operation, so that a failing call does not cause a busy loop. Listeners and datagram
+sockets continue after any error.
 
-Made by `wire.reactor` in place of Twisted's own classes, whose names for methods and attributes they keep.
+Made by `wire.reactor` in place of Twisted's own classes, whose method and attribute names they keep.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
 from decklb.wire.local_errors import ABORTED_ACCEPT_ERRNOS, RETRYABLE_ERRNOS
 from decklb.wire.system_call_log import system_calls
 
-RETRY_DELAY_S = 0.01  # until a call that failed for a shortage is made again
+RETRY_DELAY_S = 0.01  # delay before a failed call is repeated
 
 
 class _RetryingConnection:
-    """What both ends' TCP transports share."""
+    """Reading and writing, common to accepted and outgoing TCP connections."""
 
     def doRead(self: Any) -> Any:
-        """Read once; after a shortage reading is retried later."""
+        """Read once; after an error caused by a shortage, reading is retried later."""
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as error:
             if error.errno == EAGAIN:
                 return None
             if error.errno not in RETRYABLE_ERRNOS:
-                return main.CONNECTION_LOST  # told by the line of the connection's end
+                return main.CONNECTION_LOST  # logged by the end of the connection
             system_calls.failed("recv", error)
             self.stopReading()
             self.reactor.callLater(RETRY_DELAY_S, self._resume_reading)
@@ -51,14 +52,14 @@
             self.startReading()
 
     def writeSomeData(self: Any, data: bytes) -> Any:
-        """Write once; after a shortage writing is retried later."""
+        """Write once; after an error caused by a shortage, writing is retried later."""
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as error:
             if error.errno == EAGAIN:
                 return 0
             if error.errno not in RETRYABLE_ERRNOS:
-                return main.CONNECTION_LOST  # told by the line of the connection's end
+                return main.CONNECTION_LOST  # logged by the end of the connection
             system_calls.failed("send", error)
             self.stopWriting()
             self.reactor.callLater(RETRY_DELAY_S, self._resume_writing)
@@ -77,16 +78,16 @@
 
 
 class RetryingServer(_RetryingConnection, tcp.Server):
-    """A connection that was accepted."""
+    """An accepted connection."""
 
 
 class RetryingClient(_RetryingConnection, tcp.Client):
-    """A connection that we open."""
+    """An outgoing connection."""
 
     def doConnect(self) -> None:
-        """Begin the handshake, or go on with it. See tcp.BaseClient, whose hooks these are."""
+        """Start or continue connecting; overrides the hook of tcp.BaseClient."""
         self.doWrite = self.doRead = self.doConnect  # type: ignore[method-assign]
-        if not hasattr(self, "connector"):  # it has failed meanwhile
+        if not hasattr(self, "connector"):  # it has failed in the meantime
             return
         try:
             error = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or self._connect()
@@ -109,29 +110,29 @@
 
 
 class RetryingConnector(tcp.Connector):
-    """Opens RetryingClients."""
+    """Makes outgoing connections of class `RetryingClient`."""
 
     def _makeTransport(self) -> RetryingClient:
         return RetryingClient(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class RetryingPort(tcp.Port):
-    """A listener. What can't be accepted now waits in the kernel's queue."""
+    """A listening socket. Connections that can't be accepted now wait in the kernel's accept queue."""
 
     transport = RetryingServer
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._paused = False  # by whoever owns the listener
+        self._paused = False  # by the owner of the listener
         self._backing_off = False  # after an error of accept(2)
 
     def pauseProducing(self) -> None:
-        """Accept nothing until `resumeProducing`."""
+        """Stop accepting until `resumeProducing`."""
         self._paused = True
         super().pauseProducing()
 
     def resumeProducing(self) -> None:
-        """Accept again."""
+        """Resume accepting, unless it is delayed after an error."""
         self._paused = False
         if not self._backing_off:
             super().resumeProducing()
@@ -141,7 +142,7 @@
         self.accept_up_to(self.numberAccepts)
 
     def accept_up_to(self, limit: int) -> bool:
-        """Accept that many at most; whether some may still wait in the kernel's queue."""
+        """Accept at most `limit` connections; returns whether more may wait in the kernel's accept queue."""
         failed = 0
         for _ in range(limit):
             if self.disconnecting or not self.connected:
@@ -168,7 +169,7 @@
         try:
             transport = self.transport(accepted, protocol, address, self, self.sessionno, self.reactor)
             protocol.makeConnection(transport)
-        except Exception as error:  # an error with one connection must not close the listener
+        except Exception as error:  # an error of one connection must not close the listener
             logger.error("connection setup failed: {error}", event="connection-setup-failed", error=repr(error))
             accepted.close()
 
@@ -184,12 +185,12 @@
             super().resumeProducing()
 
     def drain_accept_queue(self, batch: int, timeout_s: float, done: Callable[[], None]) -> None:
-        """Accept all that waits in the kernel's queue, then call `done`.
+        """Accept all connections in the kernel's accept queue, then call `done`.
 
         Args:
-            batch: connections accepted in one go.
-            timeout_s: for which errors are retried.
-            done: called once.
+            batch: number of connections accepted per reactor pass.
+            timeout_s: time for which accepting goes on at most.
+            done: called once, at the end.
         """
         deadline = time.monotonic() + timeout_s
 
@@ -203,13 +204,13 @@
 
 
 class RetryingDatagramPort(udp.Port):
-    """A datagram socket that no error ends.
+    """A datagram socket that is not closed by any error.
 
-    What it reports are often errors of single datagrams on their way.
+    The errors that it reports often concern a single datagram that was sent earlier.
     """
 
     def doRead(self) -> None:
-        """Read what there is; after an error reading is retried later."""
+        """Read the datagrams that have arrived; after an error, reading is retried later."""
         bytes_read = 0
         while bytes_read < self.maxThroughput:
             try:
@@ -221,7 +222,7 @@
             bytes_read += len(data)
             try:
                 self.protocol.datagramReceived(data, address)
-            except Exception:  # one datagram must not end the socket
+            except Exception:  # an error of one datagram must not close the socket
                 log.err()
 
     def _back_off(self, error: OSError) -> None:
@@ -234,7 +235,7 @@
             self.startReading()
 
     def write(self, datagram: bytes, addr: tuple[str, int] | None = None) -> int | None:  # type: ignore[override]
-        """Send it, or lose it as the network may."""
+        """Send a datagram. It is dropped on an error, as it may be dropped by the network."""
         try:
             return super().write(datagram, addr)
         except MessageLengthError:
--- a/decklb/wire/stall_detector.py
+++ b/decklb/wire/stall_detector.py
@@ -1,7 +1,7 @@
-"""Detects that the process was held up, and for how long what it reads now has lain unread.
+"""Detects stalls of the process and how long the input that is read after them may have been unread.
 
-Owned and fed by the reactor; the dispatcher takes the result off the budget of the requests that it reads. No clock of
-its own, so that it can be tested without a loop.
+Owned by the reactor, which reports its waits and reads; the dispatcher subtracts the result from the budget of the
+requests that it receives. The caller passes the time, so that it can be tested without an event loop.
 """
 
 from __future__ import annotations
@@ -10,31 +10,32 @@
 
 from decklb.core.timers import STALL_THRESHOLD_MS
 
-# Passes of reading after a stall whose input counts as old: a connection is accepted in the first, read in the second.
+# Number of read passes after a stall whose input may be old: a connection made during the stall is accepted in the
+# first pass and read in the second.
 STALE_PASSES = 3
 
 
 class StallDetector:
-    """Notices a stall by the time between two passes of reading and within the wait for the next.
+    """Detects a stall between the start of a read pass and the next wait for events, or during that wait.
 
-    Times are seconds of the monotonic clock. A stall within a wait shows only where it outlasts the wait, so waits have
-    to be short.
+    Times are seconds of the monotonic clock. A stall during a wait is only detected if it outlasts the wait, so waits
+    have to be short.
     """
 
     def __init__(self) -> None:
-        self._last_read_at: float | None = None  # when the last pass of reading began
+        self._last_read_at: float | None = None  # when the last read pass began
         self._wait_began_at = 0.0
-        self._wait_limit = 0.0  # how long the present wait may last
-        # For each of the last passes: since when what it read may have lain unread, None if there was no stall.
+        self._wait_limit = 0.0  # maximum length of the current wait in s
+        # For each of the last read passes: since when its input may have been unread; None if there was no stall.
         self._recent_stalls: deque[float | None] = deque(maxlen=STALE_PASSES)
 
-    def wait_begins(self, now: float, longest: float) -> None:
-        """All that was read has been handled; a wait for events of `longest` seconds at most begins."""
+    def wait_begins(self, now: float, max_wait: float) -> None:
+        """All input has been handled; a wait for events of at most `max_wait` seconds begins."""
         self._wait_began_at = now
-        self._wait_limit = longest
+        self._wait_limit = max_wait
 
     def reading_begins(self, now: float) -> None:
-        """The wait is over and a pass of reading begins."""
+        """The wait is over and a read pass begins."""
         stalled_since = None
         if self._last_read_at is not None and self._wait_began_at - self._last_read_at > STALL_THRESHOLD_MS / 1000:
             stalled_since = self._last_read_at
@@ -44,5 +45,5 @@
         self._last_read_at = now
 
     def unread_for(self, now: float) -> float:
-        """Seconds for which what is read now may have lain unread; 0 without a stall."""
+        """Return for how many seconds the input that is read now may have been unread; 0 if there was no stall."""
         return now - min((since for since in self._recent_stalls if since is not None), default=now)
--- a/decklb/wire/table_group.py
+++ b/decklb/wire/table_group.py
@@ -1,6 +1,7 @@
-"""The group of tables of a statement: the number after the underscore in its schema's name. Scanners, no state.
+"""Finds the table group of a statement: the number after the underscore in the name of its schema. Stateless scanners.
 
-`table_group` runs for every request of both listeners; `tokenize` serves the PostgreSQL listener's look at statements.
+`table_group` runs for every request of both listeners; `tokenize` is used by the PostgreSQL listener to classify
+statements.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 )
 _COMMENT_EDGE = re.compile(rb"/\*|\*/")
 _WORD_BYTE = rb"[\w$\x80-\xff]"
-# Only what a group can stand in or hide in is matched: cutting whole statements into words took two fifths of a busy
-# core.
+# Matches only schema names and the strings and comments that may contain text like one: splitting whole statements into
+# tokens took two fifths of a core under load.
 _SCHEMA = re.compile(
     rb"""--[^\n]*
        | (?P<block>/\*)
@@ -41,58 +42,59 @@
 _GROUP_SUFFIX = re.compile(rb".*_([0-9]{1,9})\Z", re.DOTALL)
 
 
-def _after_comment(text: bytes, at: int) -> int:
-    """Where a block comment that opened just before `at` ends; they nest."""
+def _comment_end(text: bytes, pos: int) -> int:
+    """Return the end of a block comment whose content begins at `pos`; block comments nest."""
     depth = 1
     while depth:
-        match = _COMMENT_EDGE.search(text, at)
+        match = _COMMENT_EDGE.search(text, pos)
         if match is None:
             return len(text)
         depth += 1 if match.group() == b"/*" else -1
-        at = match.end()
-    return at
+        pos = match.end()
+    return pos
 
 
 def tokenize(text: bytes) -> list[tuple[bytes, bytes]]:
-    """Names and signs in order as (kind, text), without strings and comments.
+    """Return names and signs in order as (kind, text), without strings, numbers and comments.
 
-    Kinds are b"name" for words, which are lowered, and quoted identifiers, and b"sign" for any other character.
+    The kind is b"name" for words, which are lower-cased, and for quoted identifiers; it is b"sign" for any other
+    character.
     """
-    found, at = [], 0
-    while (match := _TOKEN.search(text, at)) is not None:
-        at, kind = match.end(), match.lastgroup
+    tokens, pos = [], 0
+    while (match := _TOKEN.search(text, pos)) is not None:
+        pos, kind = match.end(), match.lastgroup
         if match.group("block"):
-            at = _after_comment(text, at)
+            pos = _comment_end(text, pos)
         elif match.group("dollar"):
-            end = text.find(match.group("dollar"), at)
-            at = len(text) if end < 0 else end + len(match.group("dollar"))
+            end = text.find(match.group("dollar"), pos)
+            pos = len(text) if end < 0 else end + len(match.group("dollar"))
         elif match.group("quoted"):
-            found.append((b"name", match.group()[1:-1].replace(b'""', b'"')))
+            tokens.append((b"name", match.group()[1:-1].replace(b'""', b'"')))
         elif match.group("word"):
-            found.append((b"name", match.group().lower()))
+            tokens.append((b"name", match.group().lower()))
         elif kind in ("dot", "other"):
-            found.append((b"sign", match.group()))
-    return found
+            tokens.append((b"sign", match.group()))
+    return tokens
 
 
 def table_group(text: bytes) -> int:
-    """The group that a statement reads or writes, 0 if none shows.
+    """Return the table group that a statement reads or writes, or 0 if none is found.
 
-    A schema stands before a dot. `t_1.column` looks alike, so a name where tables are named is preferred.
-    `staging` has no group.
+    A schema name is followed by a dot. `t_1.column` looks the same, so a name that follows a keyword such as FROM is
+    preferred. The schema `staging` has no group.
     """
-    first, at = 0, 0
-    while (match := _SCHEMA.search(text, at)) is not None:
-        at = match.end()
+    first_group, pos = 0, 0
+    while (match := _SCHEMA.search(text, pos)) is not None:
+        pos = match.end()
         if match["block"]:
-            at = _after_comment(text, at)
+            pos = _comment_end(text, pos)
         elif match["dollar"]:
-            end = text.find(match["dollar"], at)
-            at = len(text) if end < 0 else end + len(match["dollar"])
+            end = text.find(match["dollar"], pos)
+            pos = len(text) if end < 0 else end + len(match["dollar"])
         else:
             quoted = _GROUP_SUFFIX.match(match["quoted"]) if match["quoted"] else None
             number = quoted[1] if quoted else match["group"]
             if number and match["before"]:
                 return int(number)
-            first = first or int(number or 0)
-    return first
+            first_group = first_group or int(number or 0)
+    return first_group
