--- a/decklb/net/__init__.py
+++ b/decklb/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wires: the listener for clients' frames, the engine client over RESP, the directory over DNS."""
+"""The platform's own protocols: the listener for client frames, the engine client over RESP, the directory over DNS."""
--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -1,8 +1,9 @@
-"""One connection of a client that speaks frames: its requests, its answers, its end.
+"""A client connection that speaks the frame protocol: its requests, its answers and its end.
 
-It reads frames (`frames.FrameReader`), submits requests to the dispatcher and writes one answer for each. It ends in a
-lingering close: our half is closed when nothing is open, unsent, unread or sent in part, and what still comes is thrown
-away until the client closes its half. Made by `listener`; `connection_limits` evicts and times out.
+It reads frames (`frames.FrameReader`), submits requests to the dispatcher and writes one answer for each. It ends with
+a lingering close: our side is shut down once there are no open requests, no unsent or unread bytes and no partial
+message; further input is discarded until the client closes its side. Made by `listener`; `connection_limits` evicts
+connections and times them out.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 if TYPE_CHECKING:
     from decklb.net.listener import FrameListener
 
-MAX_STREAMS = 32  # requests open on one connection
-MAX_UNSENT_BYTES = 32 * 52_000  # that one client may leave unread: as much as its open requests can bring
-MAX_INVALID_FRAMES = 8  # whole frames that can't be used, after which a connection ends
+MAX_STREAMS = 32  # open requests on one connection
+MAX_UNSENT_BYTES = 32 * 52_000  # that one client may leave unread: the largest possible answers to its open requests
+MAX_INVALID_FRAMES = 8  # complete but invalid frames that are tolerated on one connection
 
 
 class StreamSink:
-    """The answer sink of one stream. See `decklb.core.ports.AnswerSink`."""
+    """The response sink of one stream. See `decklb.core.ports.ResponseSink`."""
 
     __slots__ = ("client", "stream")
 
@@ -38,65 +39,65 @@
         self.client, self.stream = client, stream
 
     def served(self, result: bytes) -> None:
-        """The whole result, in one write."""
+        """Send the complete result in one write."""
         self.client.answer(self.stream, frames.SERVED, {}, result)
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Rejected: a retry is harmless; it had better come after `retry_after_ms` ms."""
+        """Send a rejection: the request is safe to retry, preferably after `retry_after_ms`."""
         self.client.answer(self.stream, frames.REJECTED, frames.rejection_fields(retry_after_ms))
 
     def failed(self) -> None:
-        """No promise about what was done."""
+        """Send a failure: the request may or may not have been executed."""
         self.client.answer(self.stream, frames.FAILED, {})
 
 
 class ClientConnection(Protocol):
-    """One connection of a client."""
+    """A client connection."""
 
-    transport: Any  # zope's interfaces say nothing to the type checker
+    transport: Any  # the type checker does not understand zope interfaces
 
     def __init__(self, listener: FrameListener) -> None:
         self.listener = listener
-        self.requests: dict[int, Request | None] = {}  # open ones by stream; None while its request is read
-        self.unsent_bytes = 0  # written since the transport last had none left
-        self.buffered_bytes = 0  # what this connection adds to the sum of `connection_limits`
-        self.has_sent_message = False  # a whole message has come that can be used
-        self.input_failed = False  # what it sends can't be read any more
-        self.close_reason = ""  # why it is to end once nothing is pending on it; "" while it is not
-        self.closing = False  # our half is closed, or the connection aborted: what still comes is thrown away
-        self.over_limit = False  # accepted when there were too many, to be rejected
-        self.reader = frames.FrameReader()  # its buffer holds what has come of a message in part
+        self.requests: dict[int, Request | None] = {}  # open ones by stream; None until the request is submitted
+        self.unsent_bytes = 0  # bytes written since the transport last had sent everything
+        self.buffered_bytes = 0  # its contribution to the sum in `connection_limits`
+        self.has_sent_message = False  # a complete, valid message was received
+        self.input_failed = False  # its input can't be parsed any more
+        self.close_reason = ""  # why it is to close once nothing is pending; "" while it is not to close
+        self.closing = False  # our side is shut down or the connection aborted: further input is discarded
+        self.over_limit = False  # accepted beyond the limit: its requests are rejected
+        self.reader = frames.FrameReader()  # its buffer holds the partial message
         self._go_away_sent = False
         self._end_reason = "client-closed"  # for the log
         self._accepted_requests = 0
         self._invalid_frames = 0
 
     def connectionMade(self) -> None:
-        """Count it, and tell it at once if the process is draining."""
+        """Register the connection, and tell the client at once if the process is draining."""
         self.transport.setTcpNoDelay(True)
-        # Not streaming: it is told each time that nothing is left to send.
+        # As a pull producer, it is called each time that the transport has sent everything.
         self.transport.registerProducer(self, False)
         self.listener.limits.add(self)
         if self.listener.draining:
             self.go_away()
 
-    # The transport tells whether the client reads what it is sent. If it reads slowly, what it has sent is taken all
-    # the same, or its requests would be lost.
+    # The transport reports whether the client reads its answers. The input of a client that reads slowly is accepted
+    # all the same, because its requests would be lost otherwise.
 
     def resumeProducing(self) -> None:
-        """All that was written has left."""
+        """Called by the transport when everything written has been sent."""
         if self.unsent_bytes:
             self.unsent_bytes = 0
             self._count_buffered()
             self._request_ended()
 
     def stopProducing(self) -> None:
-        """The connection is ending."""
+        """Called by the transport when the connection ends."""
 
     # Reading.
 
     def dataReceived(self, data: bytes) -> None:
-        """Frames, split anywhere."""
+        """Handle received bytes: frames, split at any position."""
         if self.input_failed or self.closing:
             return
         message_completed = False
@@ -116,7 +117,7 @@
     def _handle(self, frame: frames.Frame) -> None:
         if frame.type == frames.REQUEST:
             if frame.stream == 0 or frame.stream in self.requests:
-                # An answer under a number in use would be a second answer to the first request.
+                # An answer on a stream in use would look like a second answer to its first request.
                 self._ignore_invalid("stream-in-use")
                 return
             self._submit(frame)
@@ -132,7 +133,7 @@
         self.has_sent_message = True
 
     def _ignore_invalid(self, reason: str) -> None:
-        """A whole frame that can't be used: it is ignored, and what else is open here goes on."""
+        """Ignore a complete but invalid frame; the open requests of the connection continue."""
         self._invalid_frames += 1
         if self._invalid_frames > MAX_INVALID_FRAMES:
             self.fail(reason)
@@ -146,10 +147,11 @@
         stream, listener = frame.stream, self.listener
         self.requests[stream] = None
         try:
-            work = frames.read_request(frame.payload, listener.dispatcher.settings)
-            other = listener.requests.get(work.client_request_id)
-            if other is not None and other.incoming.statement != work.statement:
-                raise InvalidRequestError("rid is open with another statement")  # engines know requests by their ids
+            incoming = frames.read_request(frame.payload, listener.dispatcher.settings)
+            other = listener.requests.get(incoming.client_request_id)
+            if other is not None and other.incoming.statement != incoming.statement:
+                # Engines identify requests by these ids.
+                raise InvalidRequestError("rid is open with another statement")
         except InvalidRequestError as error:
             self.answer(stream, frames.FAILED, frames.error_fields(str(error)))
             return
@@ -157,24 +159,24 @@
             self.answer(stream, frames.REJECTED, listener.overload_fields)
             return
         self._accepted_requests += 1
-        request = listener.dispatcher.submit(work, StreamSink(self, stream))
-        self.requests[stream] = listener.requests[work.client_request_id] = request
+        request = listener.dispatcher.submit(incoming, StreamSink(self, stream))
+        self.requests[stream] = listener.requests[incoming.client_request_id] = request
 
     def _release(self, stream: int) -> Request | None:
-        """Free the stream; returns its request, if one was accepted on it."""
+        """Free the stream; returns its request if it was submitted."""
         request = self.requests.pop(stream, None)
         if request is not None and self.listener.requests.get(request.incoming.client_request_id) is request:
             del self.listener.requests[request.incoming.client_request_id]
         return request
 
     def has_unread_input(self) -> bool:
-        """Whether something that it sent lies unread in its socket."""
+        """Whether the socket has unread bytes from the client."""
         return has_unread_bytes(self.transport)
 
     # Writing.
 
     def answer(self, stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> None:
-        """The one answer on a stream, whole; nothing if the client has gone."""
+        """Send the only answer on a stream, complete; does nothing if the client has cancelled the request or left."""
         if stream in self.requests:
             self._release(stream)
             self._write(frames.pack_answer(stream, code, fields, body))
@@ -186,7 +188,7 @@
         self._count_buffered()
 
     def _count_buffered(self) -> None:
-        """Guards the memory limit: what clients leave unread or send in part is bounded, each and in sum."""
+        """Enforce the memory limits on unsent answers and partial messages, of this client and of all."""
         limits = self.listener.limits
         buffered_bytes = self.unsent_bytes + len(self.reader.buffer)
         limits.buffered_bytes += buffered_bytes - self.buffered_bytes
@@ -201,15 +203,15 @@
             self._close_if_done()
             self.listener.limits.update(self)
 
-    # Its end.
+    # End of the connection.
 
     @property
     def has_work_pending(self) -> bool:
-        """Whether it waits for an answer, or is in the middle of a message."""
+        """Whether it has an open request, unsent bytes or a partial message."""
         return not self.closing and bool(self.requests or self.unsent_bytes or self.reader.buffer)
 
     def fail(self, reason: str) -> None:
-        """Nothing more can be read: say why, under no request, and end once what is open has its answer."""
+        """Input can't be parsed any more: send the reason on stream 0, and close once open requests are answered."""
         if self.input_failed or self.closing:
             return
         self.input_failed, self.close_reason = True, reason
@@ -218,7 +220,7 @@
         self.close_when_done(reason)
 
     def go_away(self) -> None:
-        """Tell it to send no new request; once the process drains, it ends when what is open has its answer."""
+        """Tell the client to send no new requests; if the process drains, close once open requests are answered."""
         if not self._go_away_sent and not self.closing:
             self._go_away_sent = True
             self._write(frames.pack(frames.GO_AWAY, 0))
@@ -226,7 +228,7 @@
             self.close_when_done("drained")
 
     def close_when_done(self, reason: str) -> None:
-        """End as soon as nothing is pending here. What comes before that is answered."""
+        """Close as soon as nothing is pending. Requests that arrive before that are answered."""
         self.close_reason = self.close_reason or reason
         self.listener.limits.update(self)
         self._close_if_done()
@@ -236,19 +238,19 @@
             self.close(self.close_reason)
 
     def close(self, reason: str) -> bool:
-        """Close our half now if nothing is pending; what comes later is thrown away until the client closes its own.
+        """Shut down our side now if nothing is pending; later input is discarded until the client closes its side.
 
-        Looking whether something lies unread and closing have to be one: the transport closes a pass later, and what
-        is read in between would never be answered. The other half stays open, since a reset over unread bytes can
-        overtake the last answer.
+        The check for unread bytes and the shutdown have to happen together: the transport closes one reactor pass
+        later, and a request read in between would never be answered. The receiving side stays open, because the reset
+        that follows a close with unread bytes can overtake the last answer.
 
         Returns:
-            Whether it was closed.
+            Whether our side was shut down.
         """
         if self.closing or self.requests or self.unsent_bytes or (not self.input_failed and self.has_unread_input()):
             return False
         self._end_reason, self.closing = reason, True
-        with suppress(OSError):  # the client was quicker
+        with suppress(OSError):  # the client has closed already
             self.transport.getHandle().shutdown(socket.SHUT_WR)
         self.reader = frames.FrameReader()
         self._count_buffered()
@@ -256,18 +258,18 @@
         return True
 
     def close_socket(self) -> None:
-        """Give its descriptor back; the kernel still delivers what was sent."""
+        """Free the descriptor; the kernel still delivers what was sent."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
     def abort(self, reason: str) -> None:
-        """End it with what was not read or written."""
+        """End the connection at once; unread and unsent bytes are lost."""
         if not self.closing:
             self._end_reason, self.closing = reason, True
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Free all that this client waited for."""
+        """Unregister the connection and abandon its open requests."""
         self.listener.limits.remove(self)
         abandoned = [request for request in map(self._release, list(self.requests)) if request is not None]
         for request in abandoned:
--- a/decklb/net/connection_limits.py
+++ b/decklb/net/connection_limits.py
@@ -1,9 +1,9 @@
-"""Limits on clients' connections: how many there are, for how long each may wait, how much they buffer.
+"""Limits on client connections: their number, how long each may wait, and how many bytes they buffer.
 
-A client that asked once and stays is welcome while there is room; one that never said anything is not. Where there are
-too many, in this order: those in a lingering close go, then those silent for a while, then, for newcomers that have
-said something, the longest idle. Where nobody can go, newcomers wait in the kernel's queue for a while, and are then
-accepted to be rejected.
+Idle connections of clients that have sent a message stay open while there is room. When there are too many connections,
+they are closed in this order: those in a lingering close, then those that have been silent for a while, and then, if
+new clients have sent a message, the longest idle ones. If none can be closed, new connections wait in the kernel's
+accept queue for a while; after that they are accepted and their requests rejected.
 
 State: all connections, those without an open request by what they wait for, and whether accepting is paused. Owned by
 `listener`; connections report their changes.
@@ -23,80 +23,81 @@
 if TYPE_CHECKING:
     from decklb.net.client_connection import ClientConnection
 
-EVICTION_GRACE_MS = 30.0  # in which a new connection says something if it ever does soon
-SWEEP_INTERVAL_MS = 100.0  # between looks for overdue connections
-PAUSE_RETRY_MS = 10.0  # between tries to make room while accepting is paused
-PAUSE_LIMIT_MS = 200.0  # without room, after which newcomers are accepted to be rejected
-ACCEPT_BATCH = 10  # connections accepted in one go
+# Time for which no silent or lingering connection is evicted; prompt clients send a message within it.
+EVICTION_GRACE_MS = 30.0
+SWEEP_INTERVAL_MS = 100.0  # between two checks for overdue connections
+PAUSE_RETRY_MS = 10.0  # between two tries to make room while accepting is paused
+PAUSE_LIMIT_MS = 200.0  # pause after which new connections are accepted and their requests rejected
+ACCEPT_BATCH = 10  # maximum number of connections accepted per reactor pass
 
 
 class ConnectionLimits:
-    """The connections of one listener and which of them may be evicted."""
+    """Tracks the connections of one listener and evicts some of them when there are too many."""
 
     def __init__(self, clock: Clock, max_clients: int, spare_clients: int, max_buffered_bytes: int) -> None:
         self._clock = clock
         self.max_clients, self.spare_clients = max_clients, spare_clients
         self.max_buffered_bytes = max_buffered_bytes
-        self.buffered_bytes = 0  # of all clients: left unread by them, or sent in part
+        self.buffered_bytes = 0  # of all clients: unsent answers and partial messages
         self.clients: set[ClientConnection] = set()
-        # Connections by what they wait for, with the time (ms) since when, oldest first. Each is in one of these or in
-        # none, and none has an open request but one whose message is sent in part.
-        self._silent: dict[ClientConnection, float] = {}  # no whole message yet
-        self._partial: dict[ClientConnection, float] = {}  # in the middle of a message
+        # Connections by what they wait for, with the time in ms since when, oldest first. A connection is in at most
+        # one of these; only those in `_partial` may have an open request.
+        self._silent: dict[ClientConnection, float] = {}  # no complete message yet
+        self._partial: dict[ClientConnection, float] = {}  # a partial message
         self._idle: dict[ClientConnection, float] = {}
-        self._lingering: dict[ClientConnection, float] = {}  # our half is closed
+        self._lingering: dict[ClientConnection, float] = {}  # our side is shut down
         self._port: Any = None
         self._accept_paused = False
-        self._reject_newcomers = False  # the pause was too long: newcomers are accepted to be rejected
+        self._reject_new = False  # the pause was too long: requests of new connections are rejected
         self._sweeping = False
 
     def attach_port(self, port: Any) -> None:
-        """Where connections come in."""
+        """Set the listening port."""
         self._port = port
         port.numberAccepts = ACCEPT_BATCH
 
     def detach_port(self) -> None:
-        """The port closes: accepting is neither paused nor resumed any more."""
+        """Forget the listening port, which is closing: accepting is neither paused nor resumed any more."""
         self._port = None
 
-    # What connections report.
+    # Reports of the connections.
 
     def add(self, client: ClientConnection) -> None:
-        """A new connection. Guards the descriptors, and usual clients against those that only hold places."""
+        """Add a new connection. Protects the descriptors and active clients against connections that send nothing."""
         self.clients.add(client)
         self._silent[client] = self._clock.now()
         self._start_sweeping()
         if len(self.clients) > self.max_clients:
-            client.over_limit = self._reject_newcomers
+            client.over_limit = self._reject_new
             self._make_room()
 
     def remove(self, client: ClientConnection) -> None:
-        """A connection has ended."""
+        """Remove a connection that has ended."""
         self.clients.discard(client)
-        self._forget(client)
+        self._unclassify(client)
         self.buffered_bytes -= client.buffered_bytes
         client.buffered_bytes = 0
         if self._accept_paused:
             self._make_room()
 
     def update(self, client: ClientConnection, message_completed: bool = False) -> None:
-        """Something came or went on a connection: file it anew by what it waits for."""
+        """Reclassify a connection on which something was received or sent, by what it waits for now."""
         now = self._clock.now()
         if client.closing or client.input_failed:
             since = self._lingering.get(client, now)
-            self._forget(client)
+            self._unclassify(client)
             if client.closing or not client.requests:
                 self._lingering[client] = since
             self._start_sweeping()
             return
         if not client.has_sent_message:
             return
-        if client.reader.buffer:  # in the middle of a message
+        if client.reader.buffer:  # a partial message
             if message_completed or client not in self._partial:
-                self._forget(client)
+                self._unclassify(client)
                 self._partial[client] = now
         else:
-            self._forget(client)
+            self._unclassify(client)
             if not client.requests:
                 self._idle[client] = now
         if len(self.clients) > self.max_clients:
@@ -104,58 +105,58 @@
         self._start_sweeping()
 
     def abort_largest(self) -> None:
-        """Clients buffer too much in sum: end whoever buffers most."""
+        """End the connection that buffers most, because all together buffer too much."""
         max(self.clients, key=lambda client: client.buffered_bytes).abort("buffer-limit")
 
-    def _forget(self, client: ClientConnection) -> None:
+    def _unclassify(self, client: ClientConnection) -> None:
         for group in (self._silent, self._partial, self._idle, self._lingering):
             group.pop(client, None)
 
     # Eviction.
 
     def _make_room(self) -> None:
-        """Close what waits for nothing: the lingering, the silent after a while, the longest idle.
+        """Close lingering connections, then those silent for a while, then the longest idle.
 
-        Those that have said something make room for others that have, not for the silent. What is closed counts until
-        its descriptor is free.
+        Idle connections are closed only for new ones that have sent a message, not for silent ones. A closed
+        connection counts until its descriptor is free.
         """
         now = self._clock.now()
-        settled_before = now - EVICTION_GRACE_MS
-        while self._excess() and (client := _oldest(self._lingering, settled_before)) is not None:
+        grace_ended_before = now - EVICTION_GRACE_MS
+        while self._excess() and (client := _oldest(self._lingering, grace_ended_before)) is not None:
             self._end_lingering(client)
         while self._excess() > len(self._lingering):
-            if (client := _oldest(self._silent, settled_before)) is not None:
+            if (client := _oldest(self._silent, grace_ended_before)) is not None:
                 self._evict_silent(client, now)
             elif self._excess() > len(self._silent) + len(self._lingering) and self._idle:
                 self._evict_idle(next(iter(self._idle)))
             else:
                 break
-        # What comes when no place is left waits in the kernel's queue: somebody may go soon.
+        # New connections beyond the spare places wait in the kernel's accept queue: others may end soon.
         full = len(self.clients) >= self.max_clients + self.spare_clients
-        self._reject_newcomers = self._reject_newcomers and full
+        self._reject_new = self._reject_new and full
         self._set_accept_paused(full)
 
     def _excess(self) -> int:
-        """How many connections there are beyond those that may stay."""
+        """Return the number of connections above `max_clients`."""
         return max(0, len(self.clients) - self.max_clients)
 
     def _evict_silent(self, client: ClientConnection, now: float) -> None:
-        if not client.close("evicted-silent"):  # its message lies unread: it is we who were stalled
+        if not client.close("evicted-silent"):  # its message is unread because this process was stalled
             del self._silent[client]
             self._silent[client] = now
 
     def _evict_idle(self, client: ClientConnection) -> None:
         if not client.close("evicted-idle"):
-            # A request that was written long before we close would be lost; it has only not been read yet.
-            self._forget(client)
+            # It has an unread request, which would be lost: no longer idle.
+            self._unclassify(client)
 
     def _end_lingering(self, client: ClientConnection) -> None:
-        """Its time to close from its own side is over."""
+        """End a connection whose client did not close its side in time."""
         self.clients.discard(client)
-        self._forget(client)
+        self._unclassify(client)
         if client.closing:
             client.close_socket()
-        else:  # it doesn't read what it is told
+        else:  # it does not read its answers
             client.abort(client.close_reason)
 
     # Accepting.
@@ -163,7 +164,7 @@
     def _set_accept_paused(self, paused: bool) -> None:
         if self._port is None:
             return
-        self._port.numberAccepts = ACCEPT_BATCH  # the reactor raises it under a flood, and accepts the lot in one go
+        self._port.numberAccepts = ACCEPT_BATCH  # the reactor raises it under a flood, and then accepts many at once
         if paused != self._accept_paused:
             self._accept_paused = paused
             if paused:
@@ -175,8 +176,8 @@
     def _retry_accepting(self, tries: int) -> None:
         if self._accept_paused:
             self._make_room()
-        if self._accept_paused and tries * PAUSE_RETRY_MS >= PAUSE_LIMIT_MS:  # everybody has a request open
-            self._reject_newcomers = True
+        if self._accept_paused and tries * PAUSE_RETRY_MS >= PAUSE_LIMIT_MS:  # no connection can be evicted
+            self._reject_new = True
             self._set_accept_paused(False)
         elif self._accept_paused:
             self._clock.call_later(PAUSE_RETRY_MS, lambda: self._retry_accepting(tries + 1))
@@ -189,7 +190,7 @@
             self._clock.call_later(SWEEP_INTERVAL_MS, self._sweep)
 
     def _sweep(self) -> None:
-        """End what is overdue."""
+        """End overdue connections."""
         now = self._clock.now()
         for group, timeout_ms, reason in (
             (self._silent, FIRST_MESSAGE_TIMEOUT_MS, "no-message"),
@@ -209,5 +210,5 @@
 
 
 def _oldest(group: dict[ClientConnection, float], before: float) -> ClientConnection | None:
-    """The first of a group if it is in it since before then (ms)."""
+    """Return the first connection of a group if it joined the group before that time in ms."""
     return next((client for client, since in group.items() if since < before), None)
