--- a/decklb/net/dns.py
+++ b/decklb/net/dns.py
@@ -1,6 +1,6 @@
-"""DNS (RFC 1035), as much as the directory needs: one question, SRV, A, TXT and SOA in answers. A codec without I/O.
+"""Codec for the part of DNS (RFC 1035) that the directory needs: one question for SRV records, and the answer to it.
 
-Used by `directory_client`; the laboratory's directory uses the constants.
+Reads SRV, A, TXT and SOA records. No I/O. Used by `directory_client`; the laboratory's directory uses the constants.
 """
 
 from __future__ import annotations
@@ -8,29 +8,29 @@
 import struct
 from dataclasses import dataclass, field
 
-# Types of records (RFC 1035, RFC 2782).
+# Record types (RFC 1035, RFC 2782).
 A = 1
 SOA = 6
 TXT = 16
 SRV = 33
 CLASS_IN = 1
 
-HEADER = struct.Struct(">HHHHHH")  # id, flags, counts of questions, answers, authorities and additional records
-RECORD_HEADER = struct.Struct(">HHIH")  # type, class, time to live, size of the data
-QUESTION_SIZE = 4  # bytes of type and class behind a question's name
-SRV_HEADER = struct.Struct(">HHH")  # priority, weight, port; the target's name follows
+HEADER = struct.Struct(">HHHHHH")  # id, flags, numbers of questions, answers, authority and additional records
+RECORD_HEADER = struct.Struct(">HHIH")  # type, class, time to live, data length
+QUESTION_SIZE = 4  # bytes of type and class after the name of a question
+SRV_HEADER = struct.Struct(">HHH")  # priority, weight, port; followed by the target name
 UINT32 = struct.Struct(">I")
 
 FLAG_RESPONSE = 0x8000
 FLAG_TRUNCATED = 0x0200
 RESPONSE_CODE_MASK = 0x000F
-POINTER_MARK = 0xC0  # a label's first byte from which on it is a pointer
+POINTER_MARK = 0xC0  # smallest first byte of a label that marks a compression pointer
 MAX_LABEL_BYTES = 63
 MAX_LABELS = 127
 
 
 class DnsError(Exception):
-    """What came is no answer that can be read whole."""
+    """The datagram is not a complete, valid answer."""
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What an answer says, whichever section said it."""
+    """The records of an answer, from all its sections."""
 
     query_id: int
     serial: int | None = None  # of the SOA record
@@ -55,86 +55,89 @@
 
 
 def pack_query(query_id: int, name: str) -> bytes:
-    """A question for the SRV records of a name."""
+    """Return a query for the SRV records of a name."""
     labels = b"".join(bytes([len(label)]) + label.encode() for label in name.split("."))
     return HEADER.pack(query_id, 0, 1, 0, 0, 0) + labels + b"\0" + struct.pack(">HH", SRV, CLASS_IN)
 
 
-def read_name(data: bytes, at: int) -> tuple[str, int]:
-    """A name, perhaps compressed, and where it ends. Pointers go backwards only, so there is no loop."""
+def read_name(data: bytes, offset: int) -> tuple[str, int]:
+    """Return the name at `offset`, possibly compressed, and the offset of its end.
+
+    Pointers may only point backwards, so there is no endless loop.
+    """
     labels: list[str] = []
-    end = None  # where the name ends in the record, once a pointer has led elsewhere
-    pointers_below = at
+    end = None  # end of the name in the record, set when the first pointer is followed
+    pointer_limit = offset
     while True:
-        if at >= len(data):
+        if offset >= len(data):
             raise DnsError("name runs over the end")
-        size = data[at]
+        size = data[offset]
         if size >= POINTER_MARK:
-            if at + 1 >= len(data):
-                raise DnsError("pointer runs over the end")
-            end = at + 2 if end is None else end
-            at = (size & ~POINTER_MARK) << 8 | data[at + 1]
-            if at >= pointers_below:
+            if offset + 1 >= len(data):
+                raise DnsError("compression pointer is truncated")
+            end = offset + 2 if end is None else end
+            offset = (size & ~POINTER_MARK) << 8 | data[offset + 1]
+            if offset >= pointer_limit:
                 raise DnsError("pointer does not go back")
-            pointers_below = at
+            pointer_limit = offset
         elif size > MAX_LABEL_BYTES:
             raise DnsError("bad label")
         elif size == 0:
-            return ".".join(labels), at + 1 if end is None else end
+            return ".".join(labels), offset + 1 if end is None else end
         else:
-            label = data[at + 1 : at + 1 + size]
+            label = data[offset + 1 : offset + 1 + size]
             if len(label) < size or len(labels) > MAX_LABELS:
                 raise DnsError("bad label")
             labels.append(label.decode("latin-1").lower())
-            at += 1 + size
+            offset += 1 + size
 
 
 def read_reply(data: bytes) -> Reply:
-    """A whole answer. Raises DnsError for anything less."""
+    """Return the records of an answer. Raises DnsError if it is invalid or incomplete."""
     if len(data) < HEADER.size:
         raise DnsError("too short")
     query_id, flags, question_count, *record_counts = HEADER.unpack_from(data)
     if not flags & FLAG_RESPONSE or flags & FLAG_TRUNCATED or flags & RESPONSE_CODE_MASK:
         raise DnsError("not a whole and good answer")
-    at, reply = HEADER.size, Reply(query_id)
+    offset, reply = HEADER.size, Reply(query_id)
     for _ in range(question_count):
-        _, at = read_name(data, at)
-        at += QUESTION_SIZE
+        _, offset = read_name(data, offset)
+        offset += QUESTION_SIZE
     for _ in range(sum(record_counts)):
-        at = _read_record(reply, data, at)
+        offset = _read_record(reply, data, offset)
     return reply
 
 
-def _read_record(reply: Reply, data: bytes, at: int) -> int:
-    """Add the record that begins there to the reply; returns where it ends."""
-    name, at = read_name(data, at)
-    if at + RECORD_HEADER.size > len(data):
+def _read_record(reply: Reply, data: bytes, offset: int) -> int:
+    """Add the record at `offset` to the reply; returns the offset of its end."""
+    name, offset = read_name(data, offset)
+    if offset + RECORD_HEADER.size > len(data):
         raise DnsError("record runs over the end")
-    kind, _, _, size = RECORD_HEADER.unpack_from(data, at)
-    at += RECORD_HEADER.size
-    if at + size > len(data):
+    record_type, _, _, size = RECORD_HEADER.unpack_from(data, offset)
+    offset += RECORD_HEADER.size
+    if offset + size > len(data):
         raise DnsError("record runs over the end")
     try:
-        _read_record_data(reply, name, kind, data, at, size)
+        _read_record_data(reply, name, record_type, data, offset, size)
     except struct.error:
-        raise DnsError("record is too short") from None
-    return at + int(size)
-
-
-def _read_record_data(reply: Reply, name: str, kind: int, data: bytes, at: int, size: int) -> None:
-    end = at + size
-    if kind == SRV:
-        priority, weight, port = SRV_HEADER.unpack_from(data[:end], at)
-        reply.targets.append(SrvRecord(priority, weight, port, read_name(data, at + SRV_HEADER.size)[0]))
-    elif kind == A:
-        reply.addresses[name] = ".".join(map(str, struct.unpack_from("4B", data[:end], at)))
-    elif kind == TXT:
+        raise DnsError("record data is too short for its type") from None
+    return offset + int(size)
+
+
+def _read_record_data(reply: Reply, name: str, record_type: int, data: bytes, offset: int, size: int) -> None:
+    end = offset + size
+    if record_type == SRV:
+        priority, weight, port = SRV_HEADER.unpack_from(data[:end], offset)
+        reply.targets.append(SrvRecord(priority, weight, port, read_name(data, offset + SRV_HEADER.size)[0]))
+    elif record_type == A:
+        reply.addresses[name] = ".".join(map(str, struct.unpack_from("4B", data[:end], offset)))
+    elif record_type == TXT:
         texts = []
-        while at < end:
-            texts.append(data[at + 1 : min(end, at + 1 + data[at])].decode("latin-1"))
-            at += 1 + data[at]
+        while offset < end:
+            texts.append(data[offset + 1 : min(end, offset + 1 + data[offset])].decode("latin-1"))
+            offset += 1 + data[offset]
         reply.texts[name] = texts
-    elif kind == SOA:
-        _, at = read_name(data, at)  # primary server
-        _, at = read_name(data, at)  # mailbox
-        (reply.serial,) = UINT32.unpack_from(data, at)
+    elif record_type == SOA:
+        _, offset = read_name(data, offset)  # primary name server
+        _, offset = read_name(data, offset)  # mailbox of the administrator
+        (reply.serial,) = UINT32.unpack_from(data, offset)
--- a/decklb/net/endpoints.py
+++ b/decklb/net/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the engines that the directory names, from its watch events or from a DNS answer. No I/O.
+"""Decodes the endpoint list, the engines that the directory lists, from watch events or from a DNS answer. No I/O.
 
 Used by `directory_client`, which keeps the list.
 """
@@ -12,12 +12,12 @@
 from decklb.net import dns
 
 LIFECYCLES = {"Ready": Phase.UP, "Terminating": Phase.DRAINING, "Gone": Phase.REMOVED}
-WEIGHT_SCALE = 10  # SRV weights are tenths
+WEIGHT_SCALE = 10  # SRV weights are in tenths
 
 
 @dataclass(slots=True)
 class DirectoryInstance:
-    """One engine as the directory gives it."""
+    """An engine as listed by the directory."""
 
     engine_id: str
     address: tuple[str, int]
@@ -25,14 +25,14 @@
     machine_type: str
     cell: int
     phase: Phase
-    weight: float  # the operators' hint of its size
-    started_at_ms: int  # Unix time; 0 for long ago
+    weight: float  # relative capacity as set by the operators
+    started_at_ms: int  # Unix time in ms; 0: long ago
 
 
 def apply_updates(
     endpoints: dict[str, DirectoryInstance], updates: list[dict[str, Any]]
 ) -> dict[str, DirectoryInstance]:
-    """The list after some watch events, in their order. Raises KeyError or ValueError for what can't be read."""
+    """Return the list after watch events, applied in order. Raises KeyError or ValueError for invalid events."""
     endpoints = dict(endpoints)
     for update in updates:
         event = update["endpoints"]
@@ -41,12 +41,12 @@
         for instance in event["instances"]:
             host, _, port = instance["hostPort"].rpartition(":")
             phase = LIFECYCLES[instance["lifecycle"]]
-            engine = instance["instanceId"]
+            engine_id = instance["instanceId"]
             if phase is Phase.REMOVED:
-                endpoints.pop(engine, None)
+                endpoints.pop(engine_id, None)
             else:
-                endpoints[engine] = DirectoryInstance(
-                    engine,
+                endpoints[engine_id] = DirectoryInstance(
+                    engine_id,
                     (host, int(port)),
                     instance.get("zone", ""),
                     instance.get("machineType", ""),
@@ -59,22 +59,22 @@
 
 
 def from_reply(reply: dns.Reply) -> dict[str, DirectoryInstance]:
-    """The list in a DNS answer, by engine id.
+    """Return the list in a DNS answer, by engine id.
 
     Raises:
-        DnsError: a record that a target needs is missing.
-        ValueError: a number in a TXT record can't be read.
+        DnsError: The serial, or the A or TXT record of a target, is missing.
+        ValueError: A number in a TXT record is invalid.
     """
     endpoints = {}
     if reply.serial is None:
         raise dns.DnsError("no serial")
     for target in reply.targets:
         if target.name not in reply.addresses or target.name not in reply.texts:
-            raise dns.DnsError("a target lacks its records")
-        engine, _, domain = target.name.partition(".")
+            raise dns.DnsError("a target has no A or TXT record")
+        engine_id, _, domain = target.name.partition(".")
         text = dict(pair.partition("=")[::2] for pair in reply.texts[target.name])
-        endpoints[engine] = DirectoryInstance(
-            engine,
+        endpoints[engine_id] = DirectoryInstance(
+            engine_id,
             (reply.addresses[target.name], target.port),
             domain.partition(".")[0],
             text.get("kind", ""),
--- a/decklb/net/engine_connection.py
+++ b/decklb/net/engine_connection.py
@@ -1,9 +1,9 @@
-"""One connection to a RESP engine, which carries many attempts at a time.
+"""A connection to a RESP engine, which carries many attempts at a time.
 
-Commands and replies are those of `engine_protocol`, their bytes those of `resp`. Dialing, idling and the logged end are
-those of `wire.engine_connection`.
+`engine_protocol` defines the commands and replies, `resp` their encoding. Dialing, the idle time-out and the log of its
+end are inherited from `wire.engine_connection`.
 
-State: the attempts open on the connection. Owned by a pool of `net.engines`.
+State: the open attempts of the connection. Owned by a pool of `net.engines`.
 """
 
 from __future__ import annotations
@@ -22,16 +22,17 @@
 if TYPE_CHECKING:
     from decklb.net.engines import RespPool
 
-MAX_ABANDONED_IDS = 500  # request ids given up on a connection, before it takes no more attempts
-# What ends an attempt at its engine is the arrival of the `undo`, and an attempt on another connection could overtake
-# it; so long is waited where another may follow. 5 ms were too few once in some 10,000 (bd00dba5), 25 once in 65,000
-# requests at a thousand a second with the machine too busy (88e438e8).
+MAX_ABANDONED_IDS = 500  # abandoned request ids above which a connection accepts no more attempts
+# Delay before another attempt of a request may start after a cancellation: the engine ends the attempt only when the
+# `undo` arrives, which an attempt on another connection could overtake. 5 ms were too short once in about 10,000
+# requests (bd00dba5), 25 ms once in 65,000 at 1,000 requests a second on an overloaded machine (88e438e8).
 CANCEL_SETTLE_MS = 40.0
-# A reply whose rest stays away, or a page that does, is not waited for until the request's own end: what follows on
-# that connection never comes either. Counted in sweeps, so that a stall of our own is not taken for it: 6 sweeps of
-# 100 ms. Whole replies came within 5 ms of their first byte and pages within 20 ms when measured (0656a3b9).
+# Number of sweeps without progress after which an incomplete reply or a missing page ends the connection, well before
+# the deadline of the request: nothing behind it on the connection would arrive either. Counted in sweeps (6 sweeps of
+# 100 ms) so that a stall of this process does not count. In measurements complete replies arrived within 5 ms of their
+# first byte and pages within 20 ms (0656a3b9).
 MAX_STALLED_SWEEPS = 6
-WRITE_BLOCKED_LIMIT_MS = 20.0  # that bytes may lie in our transport before no further request joins them
+WRITE_BLOCKED_LIMIT_MS = 20.0  # time that bytes may wait in the transport before no further request is sent
 
 
 class RespConnection(EngineConnection):
@@ -41,19 +42,20 @@
 
     def __init__(self, pool: RespPool) -> None:
         super().__init__(pool)
-        self.calls: dict[bytes, RespCall] = {}  # open attempts by request id, in the order in which they were added
-        # Request ids that ended here without a result: a late reply must not end another attempt of the request.
+        self.calls: dict[bytes, RespCall] = {}  # open attempts by request id, in the order they were added
+        # Ids of requests whose attempt ended here without a result. They are not used again on this connection, since a
+        # late reply would be taken for the reply to the new attempt.
         self.abandoned_ids: set[bytes] = set()
-        self.retired = False  # its engine has gone or has moved
-        self.quarantined = False  # an attempt timed out here, and nothing has come since
-        self._stalled_sweeps = 0  # sweeps since the reply began that has come in part
-        self._write_blocked_since: float | None = None  # ms, since when the transport has had bytes that are not sent
+        self.retired = False  # its engine was removed or has moved
+        self.quarantined = False  # an attempt timed out here and nothing was received since
+        self._stalled_sweeps = 0  # sweeps since the current incomplete reply began
+        self._write_blocked_since: float | None = None  # since when the transport has had unsent bytes, in ms
         self._reader = resp.RespReader()
 
     # Attempts.
 
     def accepts(self, request_id: bytes) -> bool:
-        """Whether an attempt of this request may go on this connection."""
+        """Whether an attempt of this request may be sent on this connection."""
         return not (
             self.closed
             or self.retired
@@ -65,14 +67,14 @@
         )
 
     def add(self, call: RespCall) -> None:
-        """Send the attempt, now or when the connection is up."""
+        """Send the attempt, now or when the connection is ready."""
         self.calls[call.request_id] = call
         self._schedule_idle_close()
         if self.connected and not self.write_blocked:
             self._send(call)
 
     def cancel(self, call: RespCall) -> None:
-        """Nobody waits for this attempt any more."""
+        """Cancel an attempt, because nobody waits for its result any more."""
         if self.calls.pop(call.request_id, None) is None:
             return
         if call.sent:
@@ -83,26 +85,26 @@
 
     def _send(self, call: RespCall) -> None:
         attempt, now = call.attempt, self.pool.client.clock.now()
-        if now > attempt.start_deadline_ms:  # it waited too long: its engine drains, or it may not be repeated now
+        if now > attempt.start_deadline_ms:  # it waited too long: its engine drains, or a repetition is not allowed now
             del self.calls[call.request_id]
             self._schedule_idle_close()
             attempt.end(Outcome.NEVER_SENT)
             return
-        work = attempt.request.incoming
+        request = attempt.request.incoming
         fields = {
-            protocol.CLASS_FIELD: work.request_class,
+            protocol.CLASS_FIELD: request.request_class,
             protocol.BUDGET_FIELD: str(max(1, int(attempt.deadline_ms - now))),
         }
-        if work.deduplication_token:
-            fields[protocol.TOKEN_FIELD] = work.deduplication_token
+        if request.deduplication_token:
+            fields[protocol.TOKEN_FIELD] = request.deduplication_token
         call.sent = attempt.sent = True
-        self._write(resp.pack(protocol.START, call.request_id, resp.pack_fields(fields), work.statement))
+        self._write(resp.pack(protocol.START, call.request_id, resp.pack_fields(fields), request.statement))
 
-    # Writing. The transport tells each time that nothing is left to send.
+    # Writing. The transport calls `resumeProducing` each time that it has sent everything.
 
     @property
     def write_blocked(self) -> bool:
-        """Whether the engine does not take what it is sent. A request behind that would begin when nobody knows."""
+        """Whether the engine does not read its input; a request sent now would start at an unknown time."""
         since = self._write_blocked_since
         return since is not None and self.pool.client.clock.now() - since > WRITE_BLOCKED_LIMIT_MS
 
@@ -112,45 +114,45 @@
         self.transport.write(data)
 
     def connectionMade(self) -> None:
-        """The handshake is over."""
+        """The connection is established."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, False)
         self._schedule_idle_close()
-        # Who waited may have left, and that may lie unread: this pass of reading comes to its end first.
+        # Clients of waiting requests may have left, which may still be unread: finish this read pass first.
         self.pool.client.clock.call_later(0.0, self._send_waiting)
 
     def resumeProducing(self) -> None:
-        """All that was written has left."""
+        """Called by the transport when everything written has been sent."""
         if self._write_blocked_since is not None:
             self._write_blocked_since = None
             self._send_waiting()
 
     def _send_waiting(self) -> None:
-        """Send what waited for the connection, or for the engine to read on."""
+        """Send the attempts that waited for the connection or for the engine to resume reading."""
         for call in [call for call in self.calls.values() if not call.sent]:
             self._send(call)
 
     def stopProducing(self) -> None:
-        """The connection is ending."""
+        """Called by the transport when the connection ends."""
 
     # Reading.
 
     def dataReceived(self, data: bytes) -> None:
-        """Replies, split anywhere."""
+        """Handle received bytes: replies, split at any position."""
         if self.closed:
             return
         self.quarantined = False
         try:
-            for array in self._reader.feed(data):
+            for reply in self._reader.feed(data):
                 self._stalled_sweeps = 0
-                if len(array) != 4:
-                    raise resp.RespError("an answer has an id, a word, fields and a body")
-                self._handle_reply(array[0], array[1], resp.read_fields(array[2]), array[3])
+                if len(reply) != 4:
+                    raise resp.RespError("a reply must have an id, a type, fields and a body")
+                self._handle_reply(reply[0], reply[1], resp.read_fields(reply[2]), reply[3])
         except resp.RespError as error:
             self._abort(f"protocol: {error}")
 
     def sweep(self) -> None:
-        """Called at a steady pace: end the connection if the rest of a reply stays away."""
+        """Called periodically: end the connection if the rest of a reply or a page does not arrive."""
         self._stalled_sweeps = self._stalled_sweeps + 1 if self._reader.buffer else 0
         page_stalled = False
         for call in self.calls.values():
@@ -160,29 +162,30 @@
         if page_stalled or self._stalled_sweeps > MAX_STALLED_SWEEPS:
             self._abort("page-timeout" if page_stalled else "incomplete-reply-timeout")
 
-    def _handle_reply(self, request_id: bytes, word: bytes, fields: dict[str, str], body: bytes) -> None:
+    def _handle_reply(self, request_id: bytes, reply_type: bytes, fields: dict[str, str], body: bytes) -> None:
         call = self.calls.get(request_id)
-        if call is None or not call.sent:  # given up before, answered before, or nobody's
+        if call is None or not call.sent:  # cancelled, already answered, or an unknown id
             return
-        if word == protocol.PROGRESS:
+        if reply_type == protocol.PROGRESS:
             self._report_progress(call, fields)
-        elif word == protocol.FIRST_PAGE and not call.pages:
+        elif reply_type == protocol.FIRST_PAGE and not call.pages:
             count = _parse_count(fields.get(protocol.PAGE_COUNT_FIELD, "1"), 1, MAX_PAGES)
             if count is None:
-                raise resp.RespError("no number of pages")
+                raise resp.RespError("invalid number of pages")
             call.begin_result(count, body)
             self._write(b"".join(resp.pack(protocol.GET_PAGE, request_id, b"%d" % page) for page in range(1, count)))
             self._end_if_complete(call)
-        elif word == protocol.PAGE and call.pages:
+        elif reply_type == protocol.PAGE and call.pages:
             number = _parse_count(fields.get(protocol.PAGE_NUMBER_FIELD, ""), 1, len(call.pages) - 1)
             if number is None:
-                raise resp.RespError("no such page")
+                raise resp.RespError("invalid page number")
             call.add_page(number, body)
             self._end_if_complete(call)
-        elif word in protocol.OUTCOMES:  # who has begun a result, or told of progress, can't say that it never ran
-            self._end_call(call, Outcome.ERROR if call.has_run else protocol.OUTCOMES[word])
-        elif word not in (protocol.FIRST_PAGE, protocol.PAGE):  # of these, a second copy
-            raise resp.RespError("unknown word")
+        elif reply_type in protocol.OUTCOMES:
+            # After a page or progress the engine can't claim that the request was not executed.
+            self._end_call(call, Outcome.ERROR if call.has_run else protocol.OUTCOMES[reply_type])
+        elif reply_type not in (protocol.FIRST_PAGE, protocol.PAGE):  # otherwise a repeated page, which is ignored
+            raise resp.RespError("unknown type of reply")
 
     def _end_if_complete(self, call: RespCall) -> None:
         result = call.complete_result()
@@ -191,7 +194,7 @@
 
     def _end_call(self, call: RespCall, outcome: Outcome, result: bytes = b"") -> None:
         del self.calls[call.request_id]
-        if call.pages:  # the engine keeps them until it is told
+        if call.pages:  # the engine keeps them until they are released
             self._write(resp.pack(protocol.RELEASE, call.request_id))
         if outcome is not Outcome.SUCCESS:
             self.abandoned_ids.add(call.request_id)
@@ -207,15 +210,15 @@
                 call.attempt.report_progress(kind, level)
             except ValueError:
                 logger.debug(
-                    "progress note without a number from {engine}",
+                    "progress report without a valid number from {engine}",
                     event="progress-note-invalid",
                     engine=self.pool.engine,
                 )
 
-    # Its end.
+    # End of the connection.
 
     def _schedule_idle_close(self) -> None:
-        """An unused connection closes before the engine closes it, at once if it is retired."""
+        """Close an unused connection before the engine does; at once if it is retired."""
         if self._timer is not None:
             self._cancel_timer()
         if self.connected and not self.closed and not self.calls:
@@ -229,9 +232,9 @@
         self.transport.unregisterProducer()
 
     def retire(self) -> None:
-        """No new attempt; close once what is out has ended.
+        """Accept no new attempts, and close once the open ones have ended.
 
-        What is not up yet never comes up: its address may be another engine's by then.
+        A connection that is not established yet is given up: its address may belong to another engine by then.
         """
         self.retired = True
         if not self.connected:
@@ -239,7 +242,7 @@
         self._schedule_idle_close()
 
     def _abort(self, reason: str) -> None:
-        """Break off. What was out may have run; it is out until the engine has learnt of the end."""
+        """Abort the connection. Sent attempts may have run; they end here once the engine must have noticed."""
         self.end_reason = reason
         self.transport.abortConnection()
         self._leave_pool(CANCEL_SETTLE_MS)
@@ -259,7 +262,12 @@
         return super()._leave_pool(delay_ms)
 
     def _end_calls(self, outcome: Outcome, delay_ms: float = 0.0) -> None:
-        """End what was open; `delay_ms`: until the engine surely knows of the connection's end."""
+        """End the open attempts.
+
+        Args:
+            outcome: outcome of the attempts that were sent.
+            delay_ms: delay for these, after which the engine is certain to have noticed the end of the connection.
+        """
         calls, self.calls = list(self.calls.values()), {}
         for call in calls:
             if not call.sent:
@@ -270,5 +278,5 @@
                 call.attempt.end(outcome)
 
 
-def _parse_count(text: str, least: int, most: int) -> int | None:
-    return int(text) if text.isascii() and text.isdigit() and least <= int(text) <= most else None
+def _parse_count(text: str, minimum: int, maximum: int) -> int | None:
+    return int(text) if text.isascii() and text.isdigit() and minimum <= int(text) <= maximum else None
--- a/decklb/net/engine_protocol.py
+++ b/decklb/net/engine_protocol.py
@@ -1,6 +1,6 @@
-"""The words and field names of the engines' RESP protocol, and what they mean to the core. Constants alone.
+"""Constants of the engines' RESP protocol: commands, types of replies, fields, and the outcomes that replies stand for.
 
-A command is `WORD ID ...`, a reply `ID WORD FIELDS BODY`; ids are the clients' request ids.
+A command is `COMMAND ID ...`, a reply `ID TYPE FIELDS BODY`; ids are the request ids of the clients.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 
 # Commands.
 START = b"do"  # ID FIELDS STATEMENT: start an attempt
-GET_PAGE = b"page"  # ID N: send a page of its result
-CANCEL = b"undo"  # ID: nobody waits for it any more
-RELEASE = b"forget"  # ID: its pages are no longer needed
+GET_PAGE = b"page"  # ID NUMBER: send a page of the result
+CANCEL = b"undo"  # ID: cancel the attempt
+RELEASE = b"forget"  # ID: the pages of its result may be discarded
 PING = b"ping"  # TAG
 
-# Replies.
-FIRST_PAGE = b"data"  # of a result; names the number of pages
-PAGE = b"page"  # a further page that was asked for
+# Types of replies.
+FIRST_PAGE = b"data"  # first page of a result; states the number of pages
+PAGE = b"page"  # a further page, on request
 PROGRESS = b"news"
-PONG = b"well"  # under the tag of a ping
-OUTCOMES = {b"full": Outcome.OVERLOADED, b"failed": Outcome.ERROR, b"moot": Outcome.NEVER_SENT}  # ends without a result
+PONG = b"well"  # with the tag of the ping
+OUTCOMES = {b"full": Outcome.OVERLOADED, b"failed": Outcome.ERROR, b"moot": Outcome.NEVER_SENT}  # no result
 
 # Fields of a start command.
 CLASS_FIELD = "queue"  # request class
-BUDGET_FIELD = "budget"  # ms that are left
-TOKEN_FIELD = "uniq"  # the client's token, unchanged
+BUDGET_FIELD = "budget"  # remaining ms
+TOKEN_FIELD = "uniq"  # the client's deduplication token, unchanged
 
 # Fields of replies.
 PAGE_COUNT_FIELD = "parts"
@@ -32,7 +32,7 @@
 PROGRESS_KIND_FIELD = "detail"
 PROGRESS_LEVEL_FIELD = "value"
 
-# Kinds of progress, see `decklb.interface.Progress`.
+# Kinds of progress, see `decklb.interface.AttemptProgress`.
 PROGRESS_DONE = 1
 PROGRESS_SPILLED = 2
 PROGRESS_WAITING = 3
--- a/decklb/net/engines.py
+++ b/decklb/net/engines.py
@@ -1,7 +1,7 @@
-"""The engine client over RESP: a connection pool for each engine, many attempts on each connection.
+"""The engine client over RESP: one connection pool per engine, many attempts at a time on each connection.
 
-See `decklb.core.ports.EngineClient` for who calls it and `decklb.wire.engine_pool` for the pools. A connection's
-life is in `net.engine_connection`.
+Implements `decklb.core.engine_client.EngineClient` with the pools of `decklb.wire.engine_pool` and the connections of
+`net.engine_connection`.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from decklb.net.resp_call import RespCall
 from decklb.wire.engine_pool import EnginePool, PooledEngines
 
-# Where the settings say nothing.
+# Used where the settings do not specify a value.
 DEFAULT_STREAMS_PER_CONNECTION = 100
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_ENGINE_IDLE_TIMEOUT_MS = 15_000.0
 
-IDLE_FRACTION = 0.7  # of the time after which the engine closes: our close comes first, so no send crosses it
-SWEEP_INTERVAL_MS = 100.0  # between looks for replies that stay away; see `engine_connection.MAX_STALLED_SWEEPS`
-FINAL_CANCEL_SETTLE_MS = 5.0  # as CANCEL_SETTLE_MS, at the request's own deadline or end, when no retry can follow
+IDLE_FRACTION = 0.7  # of the engine's idle time-out: we close first, so that no request crosses its close
+SWEEP_INTERVAL_MS = 100.0  # between two checks for stalled replies, see `engine_connection.MAX_STALLED_SWEEPS`
+FINAL_CANCEL_SETTLE_MS = 5.0  # instead of CANCEL_SETTLE_MS when the request is over and no retry can follow
 
 
 class RespPool(EnginePool[RespConnection]):
@@ -31,38 +31,38 @@
     client: RespEngines
 
     def make_connection(self) -> RespConnection:
-        """A connection that the client sweeps until its end."""
+        """Return a new connection, which the client sweeps until its end."""
         connection = RespConnection(self)
         self.client.watch(connection)
         return connection
 
     def start(self, attempt: Attempt) -> None:
-        """Send on a connection that can take it, else on a new one."""
+        """Send on a connection that accepts the attempt, or on a new one."""
         request_id = attempt.request.incoming.client_request_id.encode()
-        connection = next((one for one in self.connections if one.accepts(request_id)), None) or self.connect()
+        connection = next((c for c in self.connections if c.accepts(request_id)), None) or self.connect()
         attempt.sent = False
         attempt.handle = call = RespCall(attempt, connection)
         connection.add(call)
 
     def retire(self) -> None:
-        """The engine has gone, or has moved."""
+        """The engine was removed or has moved: retire all its connections."""
         for connection in list(self.connections):
             connection.retire()
 
 
 class RespEngines(PooledEngines[RespPool]):
-    """The core's engine client on the platform."""
+    """The engine client for RESP engines."""
 
     def __init__(self, reactor: Any, clock: Clock, limits: dict[str, Any]) -> None:
-        """`limits`: the section of that name in the platform's settings."""
+        """`limits` is the section of that name in the settings."""
         super().__init__(reactor, clock, float(limits.get("connect_timeout", DEFAULT_CONNECT_TIMEOUT_MS)))
         self.streams_per_connection = int(limits.get("streams_per_conn", DEFAULT_STREAMS_PER_CONNECTION))
         self.idle_timeout_ms = IDLE_FRACTION * float(limits.get("conn_idle", DEFAULT_ENGINE_IDLE_TIMEOUT_MS))
-        self.connections: set[RespConnection] = set()  # of all pools, also of those that have gone
+        self.connections: set[RespConnection] = set()  # of all pools, including those of removed engines
         self._sweeping = False
 
     def watch(self, connection: RespConnection) -> None:
-        """Sweep a connection until its end."""
+        """Call `sweep` of a connection periodically until its end."""
         self.connections.add(connection)
         if not self._sweeping:
             self._sweeping = True
@@ -76,11 +76,11 @@
             self.clock.call_later(SWEEP_INTERVAL_MS, self._sweep)
 
     def make_pool(self, engine: str, address: tuple[str, int]) -> RespPool:
-        """A pool for an engine that is new, or has moved."""
+        """Return a pool for an engine that is new or has moved."""
         return RespPool(self, engine, address)
 
     def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel an attempt; `freed` is called when its engine surely knows."""
+        """Cancel an attempt; `freed` is called when its engine must have received the cancellation."""
         if isinstance(attempt.handle, RespCall):
             attempt.handle.connection.cancel(attempt.handle)
         if not attempt.sent:
--- a/decklb/net/listener.py
+++ b/decklb/net/listener.py
@@ -1,7 +1,7 @@
-"""The listener of the client protocol: takes connections, and shuts down gracefully. It decides nothing.
+"""The listener of the client protocol: accepts connections and drains them at shutdown.
 
-A connection's life is in `client_connection`, the bounds on all of them in `connection_limits`, the bytes in `frames`.
-State: the open requests by their clients' ids, and whether the process is draining. Called by the daemon's service.
+`client_connection` handles a single connection, `connection_limits` limits them all, and `frames` is the codec. State:
+the open requests by the clients' request ids, and whether the process is draining. Called by the daemon's service.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from decklb.net.client_connection import ClientConnection
 from decklb.net.connection_limits import ConnectionLimits
 
-# ms after which a client that the listener itself rejects had better retry, where the settings allow as much.
+# Retry delay in rejections by the listener itself, limited by the settings.
 OVERLOAD_RETRY_AFTER_MS = 500.0
 
 
 class FrameListener(ServerFactory):
-    """Makes a ClientConnection for each connection that comes in."""
+    """Makes a ClientConnection for each accepted connection."""
 
     noisy = False
 
@@ -34,39 +34,39 @@
         spare_clients: int,
         max_buffered_bytes: int,
     ) -> None:
-        """A listener without a port.
+        """Create a listener without a port.
 
         Args:
-            dispatcher: takes the requests.
-            ready: whether the process is ready, for clients that ask.
-            max_clients: connections that may stay open.
-            spare_clients: further connections while room is made.
-            max_buffered_bytes: of what all clients leave unread or have sent in part.
+            dispatcher: receives the requests.
+            ready: returns whether the process is ready, for readiness queries of clients.
+            max_clients: number of connections that may stay open.
+            spare_clients: number of further connections that are accepted while others are evicted.
+            max_buffered_bytes: limit on unsent answers and partial messages of all clients together.
         """
         self.dispatcher, self.ready = dispatcher, ready
         self.limits = ConnectionLimits(dispatcher.clock, max_clients, spare_clients, max_buffered_bytes)
         settings = dispatcher.settings
         retry_after_ms = min(OVERLOAD_RETRY_AFTER_MS, settings.max_retry_after_ms) if settings.retry_after else 0.0
-        # Fields of the answer to a request that the listener itself rejects.
+        # Fields of the answer to a request that a connection rejects itself.
         self.overload_fields = frames.rejection_fields(retry_after_ms)
-        self.requests: dict[str, Request] = {}  # open ones by their clients' ids
+        self.requests: dict[str, Request] = {}  # open requests by the clients' request ids
         self.draining = False
 
     def attach_port(self, port: Any) -> None:
-        """Where connections come in."""
+        """Set the listening port."""
         self.limits.attach_port(port)
 
     def buildProtocol(self, addr: object) -> ClientConnection:
-        """One object for a connection."""
+        """Return the protocol instance for an accepted connection."""
         return ClientConnection(self)
 
     def announce_drain(self) -> None:
-        """Tell every client to send nothing new, and still take what comes."""
+        """Tell every client to send no new requests, but still accept those that arrive."""
         for client in list(self.limits.clients):
             client.go_away()
 
     def drain(self) -> None:
-        """Take nothing new; connections end with their last answer."""
+        """Accept nothing new; connections close once their open requests are answered."""
         self.draining = True
         self.limits.detach_port()
         for client in list(self.limits.clients):
@@ -74,5 +74,5 @@
 
     @property
     def has_pending_clients(self) -> bool:
-        """Whether some client still waits for something."""
+        """Whether any client still waits for an answer or is sending a message."""
         return any(client.has_work_pending for client in self.limits.clients)
--- a/decklb/net/resp_call.py
+++ b/decklb/net/resp_call.py
@@ -1,6 +1,6 @@
-"""One attempt on a RESP connection and the pages of its result that have come. No I/O.
+"""An attempt on a RESP connection and the received pages of its result. No I/O.
 
-A result comes as a first page (`data`, which names how many there are) and further pages that are asked for. Owned by
+A result consists of a first page (`data`, which states the number of pages) and further pages sent on request. Owned by
 the engine connection that carries the attempt.
 """
 
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from decklb.net.engine_connection import RespConnection
 
-MAX_RESULT_BYTES = 48_000  # of a whole result, a bound of the platform's protocol
-MAX_PAGES = 64  # of one result, likewise
+MAX_RESULT_BYTES = 48_000  # of a complete result, a limit of the platform's protocol
+MAX_PAGES = 64  # of a result, likewise
 
 
 class RespCall:
@@ -25,39 +25,39 @@
 
     def __init__(self, attempt: Attempt, connection: RespConnection) -> None:
         self.attempt, self.connection = attempt, connection
-        self.sent = False  # given to the transport
-        self.has_run = False  # the engine has shown that it ran
-        self.pages: list[bytes | None] = []  # None where a page lacks; empty before the first
-        self.size = 0  # bytes of the pages that have come
-        self.stalled_sweeps = 0  # sweeps since the last page came
+        self.sent = False  # passed to the transport
+        self.has_run = False  # progress or a page has shown that it was executed
+        self.pages: list[bytes | None] = []  # None for missing pages; empty before the first page
+        self.size = 0  # bytes in the received pages
+        self.stalled_sweeps = 0  # sweeps since the last page was received
 
     @property
     def request_id(self) -> bytes:
-        """The client's own id, which goes to the engine unchanged."""
+        """The request id of the client, which is sent to the engine unchanged."""
         return self.attempt.request.incoming.client_request_id.encode()
 
     def begin_result(self, page_count: int, first_page: bytes) -> None:
-        """Take the first page. Raises RespError as `add_page`."""
+        """Add the first page. Raises RespError as `add_page` does."""
         self.pages = [None] * page_count
         self.has_run = True
         self.add_page(0, first_page)
 
     def add_page(self, number: int, body: bytes) -> None:
-        """Take one page; a second copy is ignored.
+        """Add one page; a repeated page is ignored.
 
         Raises:
-            RespError: the page is not made of rows of three columns, or the result is too large.
+            RespError: The page does not consist of rows of three columns, or the result is too large.
         """
         if body and (body[-1:] != b"\n" or body.count(b"\t") != 2 * body.count(b"\n")):
-            raise RespError("a page is not made of rows")
+            raise RespError("a page does not consist of rows of three columns")
         if self.pages[number] is None:
             self.pages[number] = body
             self.size += len(body)
             self.stalled_sweeps = 0
         if self.size > MAX_RESULT_BYTES:
-            raise RespError("a result is too large")
+            raise RespError("the result is too large")
 
     def complete_result(self) -> bytes | None:
-        """The result if no page lacks."""
+        """Return the result, or None if a page is missing."""
         pages = [page for page in self.pages if page is not None]
         return b"".join(pages) if len(pages) == len(self.pages) else None
--- a/decklb/net/start_times.py
+++ b/decklb/net/start_times.py
@@ -1,50 +1,51 @@
-"""When engines started, on the monotonic clock, from what the directory says in wall-clock time.
+"""Converts the start times of engines from the directory's wall-clock time to the monotonic clock.
 
-The wall clock may be set at any moment, and a start that is placed too early makes a cold engine look warm. What the
-list's changes prove does not depend on it: an engine that the last list lacked can't have run for longer than since
-that list, and what the directory took to tell of it. No I/O: both clocks are passed in.
+The wall clock may be set at any time, and a start time that is converted to a too early one makes a cold engine look
+warm. A bound that does not depend on the wall clock comes from the list itself: an engine that the previous list did
+not contain has not been running for longer than the time since that list plus the directory's propagation delay. No
+I/O: the caller passes the time on both clocks.
 
-State: the starts that were placed, and the offset between the clocks. Owned by `directory_client`.
+State: the converted start times, and the offset between the clocks. Owned by `directory_client`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-# After which whatever the directory has to tell counts as told (protocol page, 'Figures').
+# Upper limit of the directory's propagation delay (protocol page, 'Figures').
 PROPAGATION_LIMIT_MS = 7000.0
-# Between two readings, by which the wall clock may leave the monotonic one before it counts as set.
+# Change of the offset between the clocks, from one reading to the next, above which the wall clock counts as set.
 CLOCK_STEP_MS = 250.0
 
 
 class StartTimes:
-    """The starts of the engines that the list names; each is placed once. All times in ms."""
+    """The start times of the listed engines; each is converted once. All times are in ms."""
 
     def __init__(self) -> None:
-        # Monotonic time of the start, by engine and its start in Unix time.
+        # Start time on the monotonic clock, by engine id and start in Unix time.
         self._starts: dict[tuple[str, int], float] = {}
-        self._offset: float | None = None  # wall minus monotonic clock, before the wall clock was last set
-        self._list_at: float | None = None  # when the last list was confirmed
+        self._offset: float | None = None  # wall clock minus monotonic clock, from before the wall clock was set
+        self._list_at: float | None = None  # when the list was last confirmed
 
     def list_confirmed(self, now: float, wall: float) -> None:
-        """The directory's list is the one known. `now` and `wall`: both clocks, read together."""
+        """The directory has confirmed the known list. `now` and `wall` are the two clocks, read together."""
         if self._offset is None or abs(wall - now - self._offset) <= CLOCK_STEP_MS:
-            self._offset = wall - now  # they drift
+            self._offset = wall - now  # follows the drift between the clocks
         self._list_at = now
 
-    def place(
+    def convert(
         self, engines: Collection[tuple[str, int]], now: float, wall: float, is_current: bool
     ) -> dict[str, float]:
-        """Place the starts of a new list on the monotonic clock.
+        """Convert the start times of a new list to the monotonic clock.
 
         Args:
-            engines: id and start of each engine, in Unix ms or 0 for long ago.
+            engines: id and start of each engine, in Unix ms; 0: long ago.
             now: the monotonic clock.
             wall: the wall clock, read together with it.
-            is_current: the list is what the directory says now, and was not kept from before.
+            is_current: the list is the one that the directory has now, not one kept from before.
 
         Returns:
-            The start of each engine by its id, 0 where it is long past.
+            The start of each engine by its id; 0: long ago.
         """
         listed = set(engines)
         starts = {engine: at for engine, at in self._starts.items() if engine in listed}
@@ -58,14 +59,14 @@
         return {engine[0]: starts.get(engine, 0.0) for engine in listed}
 
     def _to_monotonic(self, started_at: int, now: float, offset: float) -> float:
-        """The later of the starts by the old offset and by the present one; `now` if neither is possible."""
+        """Convert by the old and by the current offset and return the later result, or `now` if it is not plausible."""
         earliest = -float("inf") if self._list_at is None else self._list_at - PROPAGATION_LIMIT_MS
         by_old_offset = started_at - (offset if self._offset is None else self._offset)
-        by_new_offset = started_at - offset
-        if abs(by_old_offset - by_new_offset) <= CLOCK_STEP_MS:
-            return by_new_offset if earliest <= by_new_offset <= now else now
-        if not earliest <= by_old_offset <= now and earliest <= by_new_offset <= now:
-            self._offset = offset  # it was wrong before and is right now
-            return by_new_offset
-        latest = max(by_old_offset, by_new_offset)
+        by_current_offset = started_at - offset
+        if abs(by_old_offset - by_current_offset) <= CLOCK_STEP_MS:
+            return by_current_offset if earliest <= by_current_offset <= now else now
+        if not earliest <= by_old_offset <= now and earliest <= by_current_offset <= now:
+            self._offset = offset  # the wall clock was wrong before and is right now
+            return by_current_offset
+        latest = max(by_old_offset, by_current_offset)
         return latest if earliest <= latest <= now else now
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -31,7 +31,7 @@
     def told(self, name, ago, current=True):
         """An engine that started that long ago is listed; the age that is reckoned, in ms."""
         self.rows.append((name, round(WALL + self.now - BEGIN - ago)))
-        at = self.starts.place(self.rows, self.now, self.wall(), current)[name]
+        at = self.starts.convert(self.rows, self.now, self.wall(), current)[name]
         return self.now - at
 
 
@@ -46,7 +46,7 @@
 
 def test_starts_of_long_ago_stay_zero():
     machine = Machine()
-    assert machine.starts.place([("a", 0)], machine.now, machine.wall(), True) == {"a": 0.0}
+    assert machine.starts.convert([("a", 0)], machine.now, machine.wall(), True) == {"a": 0.0}
 
 
 @pytest.mark.parametrize("step", [1000.0, 5000.0, 60_000.0, HOUR, -1000.0, -5000.0, -60_000.0, -HOUR])
