--- a/tests/frame_standins.py
+++ b/tests/frame_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of both sides of the platform's wires: an engine that speaks RESP and a client that speaks frames."""
+"""Stand-ins for both peers of the program: an engine that speaks RESP and a client that speaks the frame protocol."""
 
 from __future__ import annotations
 
@@ -15,12 +15,14 @@
 
 
 class RespEngine:
-    """Answers by the statement: 'rows N' in N pages, 'hang' never, 'die' by a reset, a word of the protocol by it.
+    """An engine whose reply depends on the statement.
 
-    Spoilt: 'lose N' and 'mute N' without their pages, those in SPOILT with what stands there. 'more' brings too much.
+    'rows N' gets a result of N pages, 'hang' no reply, 'die' a reset, and 'full', 'failed' or 'moot' that reply. Faulty
+    replies: 'lose N' and 'mute N' get only the first of N pages, then an error or nothing; the statements in
+    INVALID_REPLIES get the bytes listed there; 'more N' gets an additional reply with an unknown id and a repeated one.
     """
 
-    SPOILT = {
+    INVALID_REPLIES = {
         b"rubbish": b"HTTP/1.1 400\r\n\r\n",
         b"half": b"*4\r\n$16\r\n0123",
         b"huge": b"*4\r\n$3000000000\r\n",
@@ -37,71 +39,71 @@
     def close(self):
         self.loop.loop.call_soon_threadsafe(self.server.close)
 
-    def said(self, word):
-        return [parts for parts in list(self.log) if parts[0] == word]
+    def said(self, name):
+        return [command for command in list(self.log) if command[0] == name]
 
     async def _serve(self, reader, writer):
         self.connections += 1
         parser, statements = resp.RespReader(), {}
         while data := await reader.read(65536):
-            for parts in parser.feed(data):
-                self.log.append(parts)
-                word, ident = parts[:2]
-                if word == b"do":
-                    statements[ident] = parts[3].split()
-                    self._do(writer, ident, statements[ident])
-                elif word == b"page" and statements[ident][0] in (b"rows", b"more"):
-                    writer.write(resp.pack(ident, b"page", b"part_no=" + parts[2], b"page%b\t\t\n" % parts[2]))
-                elif word == b"page" and statements[ident][0] == b"lose":
-                    writer.write(resp.pack(ident, b"failed", b"-", b""))
-
-    def _do(self, writer, ident, words):
+            for command in parser.feed(data):
+                self.log.append(command)
+                name, request_id = command[:2]
+                if name == b"do":
+                    statements[request_id] = command[3].split()
+                    self._do(writer, request_id, statements[request_id])
+                elif name == b"page" and statements[request_id][0] in (b"rows", b"more"):
+                    writer.write(resp.pack(request_id, b"page", b"part_no=" + command[2], b"page%b\t\t\n" % command[2]))
+                elif name == b"page" and statements[request_id][0] == b"lose":
+                    writer.write(resp.pack(request_id, b"failed", b"-", b""))
+
+    def _do(self, writer, request_id, words):
         if words[0] in (b"rows", b"lose", b"mute", b"more"):
-            whole = resp.pack(ident, b"data", b"parts=" + words[1], b"page0\t\t\n")
-            writer.write(resp.pack(ident, b"news", b"detail=p,value=0.5", b""))
-            if words[0] == b"more":  # under an id that nobody has given, and a second copy
-                writer.write(resp.pack(b"f" * 16, b"data", b"-", b"\xff") + whole)
-            writer.write(whole)
+            first_page = resp.pack(request_id, b"data", b"parts=" + words[1], b"page0\t\t\n")
+            writer.write(resp.pack(request_id, b"news", b"detail=p,value=0.5", b""))
+            if words[0] == b"more":  # a reply with an unknown id, and a repeated one
+                writer.write(resp.pack(b"f" * 16, b"data", b"-", b"\xff") + first_page)
+            writer.write(first_page)
         elif words[0] in (b"full", b"failed", b"moot"):
-            writer.write(resp.pack(ident, words[0], b"-", b""))
+            writer.write(resp.pack(request_id, words[0], b"-", b""))
         elif words[0] == b"die":
             writer.transport.abort()
-        elif words[0] in self.SPOILT:
-            writer.write(self.SPOILT[words[0]].replace(b"%b", ident))
+        elif words[0] in self.INVALID_REPLIES:
+            writer.write(self.INVALID_REPLIES[words[0]].replace(b"%b", request_id))
 
 
 class Client:
-    """A client of the platform that says exactly what a test wants it to say."""
+    """A client that sends exactly the bytes that a test passes."""
 
     def __init__(self, port):
         self.socket = socket.create_connection(("127.0.0.1", port), DEADLINE)
-        self.reader, self.found = frames.FrameReader(), []
+        self.reader, self.unread_frames = frames.FrameReader(), []
 
     def send(self, *data):
         self.socket.sendall(b"".join(data))
 
     def next(self):
-        while not self.found:
+        while not self.unread_frames:
             data = self.socket.recv(65536)
             if not data:
                 return None
-            self.found += self.reader.feed(data)
-        return self.found.pop(0)
+            self.unread_frames += self.reader.feed(data)
+        return self.unread_frames.pop(0)
 
     def answer(self):
-        """(stream, code, fields, body) of the next answer."""
+        """Return stream, code, fields and body of the next answer."""
         frame = self.next()
         fields, body = frames.read_fields(frame.payload[1:])
         return frame.stream, frame.payload[0], fields, body
 
 
 def request(stream, statement, **fields):
-    given = {"method": "read", "rid": f"{next(_rids):016x}", "budget": "5000", "acct": "cusco"} | fields
-    return frames.pack(frames.REQUEST, stream, frames.pack_fields(given) + statement)
+    all_fields = {"method": "read", "rid": f"{next(_rids):016x}", "budget": "5000", "acct": "cusco"} | fields
+    return frames.pack(frames.REQUEST, stream, frames.pack_fields(all_fields) + statement)
 
 
 class OneEngineTest(unittest.TestCase):
-    """Programs of their own beside one engine: those that end, and those without engines."""
+    """Base of tests that start their own program, beside one engine stand-in."""
 
     def setUp(self):
         self.loop = Loop()
--- a/tests/test_client_connection_close.py
+++ b/tests/test_client_connection_close.py
@@ -1,4 +1,4 @@
-"""What comes in the moment in which a client's connection closes."""
+"""Input that arrives at the moment at which a client connection is closed."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class ClientTransport(StringTransport):
-    """A client's side is a real socket pair; what is written leaves when the test says so."""
+    """A client connection's transport on a socket pair; written bytes count as sent when the test calls `flush`."""
 
     def __init__(self):
         super().__init__()
-        self.ours, self.theirs = socket.socketpair()
-        self.ours.setblocking(False)
-        self.theirs.settimeout(20)
+        self.server_side, self.client_side = socket.socketpair()
+        self.server_side.setblocking(False)
+        self.client_side.settimeout(20)
         self.aborted = self.closed = False
 
     def getHandle(self):
-        return self.ours
+        return self.server_side
 
-    def setTcpNoDelay(self, on):
+    def setTcpNoDelay(self, enabled):
         pass
 
     def flush(self):
@@ -45,68 +45,68 @@
         self.aborted = True
 
     def half_closed(self):
-        self.theirs.setblocking(False)
+        self.client_side.setblocking(False)
         try:
-            return self.theirs.recv(1) == b""
+            return self.client_side.recv(1) == b""
         except BlockingIOError:
             return False
 
 
 class ClientConnectionClose(unittest.TestCase):
-    """What comes in the moment in which a connection closes."""
+    """Requests are neither lost nor left without an answer when their connection is closed."""
 
     def setUp(self):
         self.clock = TestClock()
-        self.taken = []
-        core = Dispatcher(parse_settings(SETTINGS), 1, self.clock, self)
-        self.front = FrameListener(core, lambda: True, 1, 4, 1 << 20)
+        self.attempts = []
+        dispatcher = Dispatcher(parse_settings(SETTINGS), 1, self.clock, self)
+        self.listener = FrameListener(dispatcher, lambda: True, 1, 4, 1 << 20)
 
     def start(self, attempt):
-        self.taken.append(attempt)
+        self.attempts.append(attempt)
 
     def abandon(self, attempt, freed):
         freed()
 
-    def connect(self):
-        client, transport = ClientConnection(self.front), ClientTransport()
+    def connect_client(self):
+        client, transport = ClientConnection(self.listener), ClientTransport()
         client.makeConnection(transport)
-        self.addCleanup(transport.ours.close)
-        self.addCleanup(transport.theirs.close)
+        self.addCleanup(transport.server_side.close)
+        self.addCleanup(transport.client_side.close)
         return client, transport
 
-    def idle(self):
-        client, transport = self.connect()
+    def connect_idle_client(self):
+        client, transport = self.connect_client()
         client.dataReceived(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
         transport.flush()
         return client, transport
 
     def test_an_idle_connection_is_evicted_at_once_with_nothing_read_in_between(self):
-        client, transport = self.idle()
-        self.idle()  # another has spoken, and there is one place
+        client, transport = self.connect_idle_client()
+        self.connect_idle_client()  # another client has sent a message, and only one may stay
         self.assertTrue(client.closing and transport.half_closed())
-        client.dataReceived(request(1, b"rows 1"))  # it crossed: its client sends it once more elsewhere
-        self.assertEqual((self.taken, client.requests), ([], {}))
+        client.dataReceived(request(1, b"rows 1"))  # sent before the client saw the close: it retries elsewhere
+        self.assertEqual((self.attempts, client.requests), ([], {}))
 
     def test_a_connection_with_unread_bytes_is_not_evicted(self):
-        client, transport = self.idle()
-        transport.theirs.sendall(request(1, b"rows 1"))
-        self.idle()  # another has spoken, and there is one place
+        client, transport = self.connect_idle_client()
+        transport.client_side.sendall(request(1, b"rows 1"))
+        self.connect_idle_client()  # another client has sent a message, and only one may stay
         self.assertFalse(client.closing or transport.half_closed())
 
     def test_a_connection_whose_unread_bytes_are_unknown_is_not_evicted(self):
-        client, transport = self.idle()
+        client, transport = self.connect_idle_client()
 
-        class Short:
+        class SocketOutOfMemory:
             def recv(self, size, flags):
                 raise OSError(errno.ENOMEM, "no memory")
 
-        transport.getHandle = Short
-        self.idle()  # another has spoken, and there is one place
+        transport.getHandle = SocketOutOfMemory
+        self.connect_idle_client()  # another client has sent a message, and only one may stay
         self.assertFalse(client.closing or transport.half_closed())
 
     def test_the_last_answer_is_sent_before_the_connection_closes(self):
-        client, transport = self.idle()
-        self.front.drain()
+        client, transport = self.connect_idle_client()
+        self.listener.drain()
         client.dataReceived(request(1, b"rows 1"))
         self.assertIn(b"backoff", transport.value())
         self.assertFalse(transport.half_closed())
@@ -114,29 +114,29 @@
         self.assertTrue(transport.half_closed())
 
     def test_requests_that_come_before_the_close_are_answered(self):
-        client, transport = self.idle()
-        transport.theirs.sendall(b"x")  # something lies unread
-        self.front.drain()
+        client, transport = self.connect_idle_client()
+        transport.client_side.sendall(b"x")  # unread input
+        self.listener.drain()
         transport.flush()
         self.assertFalse(client.closing)
-        transport.ours.recv(1)
-        whole = request(1, b"rows 1")
-        client.dataReceived(whole[:-1])  # in the middle of a message
+        transport.server_side.recv(1)
+        message = request(1, b"rows 1")
+        client.dataReceived(message[:-1])  # a partial message
         transport.flush()
-        self.assertTrue(self.front.has_pending_clients and not client.closing)
-        client.dataReceived(whole[-1:])
+        self.assertTrue(self.listener.has_pending_clients and not client.closing)
+        client.dataReceived(message[-1:])
         transport.flush()
-        self.assertTrue(client.closing and not self.front.has_pending_clients)
+        self.assertTrue(client.closing and not self.listener.has_pending_clients)
 
-    def test_a_lingering_close_ends_without_a_reset_where_the_client_does_not_close(self):
-        client, transport = self.idle()
-        self.front.drain()
+    def test_a_lingering_close_ends_without_a_reset_if_the_client_does_not_close(self):
+        client, transport = self.connect_idle_client()
+        self.listener.drain()
         transport.flush()
         self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertEqual((transport.closed, transport.aborted), (True, False))
 
     def test_a_client_that_reads_nothing_after_an_error_is_aborted(self):
-        client, transport = self.idle()
+        client, transport = self.connect_idle_client()
         client.dataReceived(b"\xff" * 9)
         self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertTrue(transport.aborted)
--- a/tests/test_client_protocol.py
+++ b/tests/test_client_protocol.py
@@ -1,4 +1,4 @@
-"""The program on the platform's wires: started as a process, spoken to over real sockets; one test a rule."""
+"""The program as a process that speaks the platform's own protocols over real sockets; one test per rule."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
     def said(self, word):
         return [p for e in self.engines for p in e.said(word)]
 
-    def both_serve(self):
-        """Return once each engine has answered: those that died rest for a while, and need not come back at once."""
+    def wait_until_both_engines_serve(self):
+        """Send requests until each engine has served one: an engine that failed gets no requests for a while."""
         for engine in self.engines:
             engine.log.clear()
         while not all(e.said(b"do") for e in self.engines):
@@ -52,41 +52,43 @@
         self.assertEqual(self.client.answer(), (1, frames.SERVED, {}, b"".join(b"page%d\t\t\n" % n for n in range(4))))
         wait_for(lambda: self.said(b"forget"), "forget")
         _, ident, fields, body = self.said(b"do")[0]
-        told = resp.read_fields(fields)
-        self.assertEqual((ident.decode(), body, told["queue"], told["uniq"]), (RID, b"rows 4", "read", "t1"))
-        self.assertTrue(0 < int(told["budget"]) <= 5000)
+        start_fields = resp.read_fields(fields)
+        self.assertEqual(
+            (ident.decode(), body, start_fields["queue"], start_fields["uniq"]), (RID, b"rows 4", "read", "t1")
+        )
+        self.assertTrue(0 < int(start_fields["budget"]) <= 5000)
 
     def test_a_frame_may_come_byte_by_byte(self):
         for byte in request(1, b"rows 1"):
             self.client.send(bytes([byte]))
         self.assertEqual(self.client.answer()[1], frames.SERVED)
 
-    def test_answers_find_their_streams(self):
+    def test_answers_are_sent_on_the_streams_of_their_requests(self):
         self.client.send(*[request(n, b"rows %d" % n, rid=f"{n:016x}") for n in (1, 2, 3)])
-        found = {stream: body.count(b"\n") for stream, _, _, body in (self.client.answer() for _ in range(3))}
-        self.assertEqual(found, {1: 1, 2: 2, 3: 3})
+        answers = {stream: body.count(b"\n") for stream, _, _, body in (self.client.answer() for _ in range(3))}
+        self.assertEqual(answers, {1: 1, 2: 2, 3: 3})
 
     def test_failed_attempts_are_retried_elsewhere_and_end_in_a_rejection_with_backoff(self):
-        """What can't be read, stops short or never comes ends its connection long before the request's time is over."""
-        for word in (b"failed", b"die", b"lose 3", b"mute 3", *RespEngine.SPOILT):
-            self.both_serve()
+        """Invalid, truncated or missing replies end their connection long before the request's deadline."""
+        for word in (b"failed", b"die", b"lose 3", b"mute 3", *RespEngine.INVALID_REPLIES):
+            self.wait_until_both_engines_serve()
             self.client.send(request(1, word))
             _, code, fields, _ = self.client.answer()
             self.assertEqual(code, frames.REJECTED, word)
             self.assertGreater(int(fields["backoff"]), 0)
             self.assertTrue(all(e.said(b"do") for e in self.engines), word)
 
-    def test_replies_under_unknown_ids_and_second_copies_are_ignored(self):
+    def test_replies_with_unknown_ids_and_repeated_replies_are_ignored(self):
         for stream in (1, 2):
             self.client.send(request(stream, b"more 2"))
             self.assertEqual(self.client.answer(), (stream, frames.SERVED, {}, b"page0\t\t\npage1\t\t\n"))
 
-    def test_a_malformed_reply_fails_what_else_is_open_on_its_connection(self):
+    def test_a_malformed_reply_fails_the_other_open_requests_of_its_connection(self):
         self.client.send(*[request(n, b"hang", method="load") for n in range(1, 5)])
         wait_for(lambda: len(self.said(b"do")) == 4, "do")
         self.client.send(*[request(n, b"huge", method="load") for n in range(5, 9)])
-        found = {self.client.answer()[:2] for _ in range(8)}
-        self.assertEqual(found, {(n, frames.FAILED) for n in range(1, 9)})
+        answers = {self.client.answer()[:2] for _ in range(8)}
+        self.assertEqual(answers, {(n, frames.FAILED) for n in range(1, 9)})
 
     def test_a_reset_fails_a_request_that_may_not_be_retried(self):
         self.client.send(request(1, b"die", method="load"))
@@ -112,10 +114,10 @@
         wait_for(lambda: self.said(b"undo"), "undo")
         wait_for(lambda: self.program.logged("abandoned=1"), "the log line")
 
-    def test_bad_requests_get_an_error_and_the_connection_goes_on(self):
+    def test_invalid_requests_get_an_error_and_the_connection_continues(self):
         self.client.send(request(1, b"rows 1", budget="soon"), frames.pack(1, 2, b"\xff"), request(3, b"rows 1"))
-        found = {stream: code for stream, code, _, _ in (self.client.answer() for _ in range(3))}
-        self.assertEqual(found, {1: frames.FAILED, 2: frames.FAILED, 3: frames.SERVED})
+        answers = {stream: code for stream, code, _, _ in (self.client.answer() for _ in range(3))}
+        self.assertEqual(answers, {1: frames.FAILED, 2: frames.FAILED, 3: frames.SERVED})
 
     def test_broken_framing_ends_the_connection_with_a_reason(self):
         for raw, reason in (
@@ -130,8 +132,8 @@
                 self.assertEqual((frame.stream, fields), (0, {"reason": reason}))
             wait_for(lambda reason=reason: self.program.logged("client connection ended: " + reason), reason)
 
-    def test_an_invalid_frame_is_ignored_and_nothing_else_is_lost(self):
-        """Once it ended the connection, and failed all that was open there."""
+    def test_an_invalid_frame_is_ignored_and_open_requests_continue(self):
+        """Guards against an invalid frame that ended the connection and failed all requests open on it."""
         for raw, reason in (
             (frames.pack(9, 1), "unknown-type"),
             (request(0, b"x"), "stream-in-use"),
@@ -139,42 +141,42 @@
         ):
             client = Client(self.program.port)
             client.send(request(1, b"hang", budget="1500"), raw, request(2, b"rows 1"))
-            found = [client.answer() for _ in range(3)]
-            self.assertEqual(found[0][::2], (0, {"reason": reason}))
-            self.assertEqual([a[:2] for a in found[1:]], [(2, frames.SERVED), (1, frames.REJECTED)])
+            answers = [client.answer() for _ in range(3)]
+            self.assertEqual(answers[0][::2], (0, {"reason": reason}))
+            self.assertEqual([a[:2] for a in answers[1:]], [(2, frames.SERVED), (1, frames.REJECTED)])
             client.socket.close()
 
     def test_a_connection_without_a_whole_message_is_timed_out_with_a_reason(self):
-        spoke = Client(self.program.port)
-        spoke.send(request(1, b"rows 1"), request(2, b"hang")[:-1])
-        self.assertEqual(spoke.answer()[:2], (1, frames.SERVED))
-        silent, half = Client(self.program.port), Client(self.program.port)
-        half.send(request(1, b"rows 1")[:-1])
-        for client, reason in ((silent, "no-message"), (half, "no-message"), (spoke, "half-message")):
+        partial = Client(self.program.port)
+        partial.send(request(1, b"rows 1"), request(2, b"hang")[:-1])
+        self.assertEqual(partial.answer()[:2], (1, frames.SERVED))
+        silent, half_sent = Client(self.program.port), Client(self.program.port)
+        half_sent.send(request(1, b"rows 1")[:-1])
+        for client, reason in ((silent, "no-message"), (half_sent, "no-message"), (partial, "half-message")):
             self.assertEqual(client.answer()[::2], (0, {"reason": reason}))
             self.assertIsNone(client.next())
 
     def test_an_oversized_frame_is_rejected_at_its_header_and_the_error_arrives(self):
         self.client.send((60 << 20).to_bytes(4, "big") + b"\1\0\0\0\1")
-        for _ in range(60):  # all of it is sent before anything is read: a reset would end this
+        for _ in range(60):  # everything is sent before the answer is read; a reset would fail the sending
             self.client.send(bytes(1 << 20))
         self.assertEqual(self.client.answer()[::2], (0, {"reason": "bad-length"}))
         self.assertIsNone(self.client.next())
 
     def test_open_requests_are_answered_before_an_error_ends_the_connection(self):
-        """A request before a fault in one read was taken and never answered; later it was failed at once."""
+        """Guards against requests that get no answer, or fail at once, if an invalid frame follows in the same read."""
         self.client.send(request(1, b"hang", budget="1500") + request(2, b"rows 3") + b"\xff\xff\xff\xff")
         self.assertEqual(self.client.answer()[::2], (0, {"reason": "bad-length"}))
         self.assertEqual([self.client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
         self.assertIsNone(self.client.next())
 
-    def test_a_request_id_that_is_open_with_another_statement_fails_alone(self):
+    def test_only_the_second_of_two_requests_with_one_id_and_different_statements_fails(self):
         self.client.send(request(1, b"hang", rid=RID), request(2, b"rows 1", rid=RID), request(3, b"rows 1"))
-        found = {stream: (code, fields) for stream, code, fields, _ in (self.client.answer() for _ in range(2))}
+        answers = {stream: (code, fields) for stream, code, fields, _ in (self.client.answer() for _ in range(2))}
         self.assertEqual(
-            found, {2: (frames.FAILED, {"reason": "rid is open with another statement"}), 3: (frames.SERVED, {})}
+            answers, {2: (frames.FAILED, {"reason": "rid is open with another statement"}), 3: (frames.SERVED, {})}
         )
-        self.client.send(frames.pack(frames.CANCEL, 1), request(4, b"rows 1", rid=RID))  # the id is free
+        self.client.send(frames.pack(frames.CANCEL, 1), request(4, b"rows 1", rid=RID))  # the id is free again
         self.assertEqual(self.client.answer()[:2], (4, frames.SERVED))
 
     def test_more_than_32_streams_are_rejected(self):
@@ -188,7 +190,7 @@
 
 
 class EngineConnections(OneEngineTest):
-    """What the engines see of the program's connections."""
+    """Connections of the program as seen by an engine."""
 
     def test_an_engine_connection_is_quarantined_after_a_time_out(self):
         client = Client(self.program(known=known(self.engine.port)).port)
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Too many connections of clients: who is evicted, and who is rejected."""
+"""Which client connections are evicted, and which requests rejected, when there are too many connections."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class ConnectionLimits(OneEngineTest):
-    def crowd(self, sockets=25):  # (25 - 16) // 2 = 4 places, one to spare
+    def start_program_with_few_connections(self, sockets=25):  # (25 - 16) // 2 = 4 connections and one spare
         return self.program(known=known(self.engine.port), limits={"sockets": sockets})
 
-    def test_the_longest_idle_connection_is_evicted_for_a_newcomer(self):
-        """Those that ask once and stay took every place, and newcomers were closed with their requests (21e68ef7)."""
-        program = self.crowd()
+    def test_the_longest_idle_connection_is_evicted_for_a_new_one(self):
+        """Guards against idle connections that keep all places while new ones are closed with requests (21e68ef7)."""
+        program = self.start_program_with_few_connections()
         clients = [Client(program.port) for _ in range(4)]
         for client in clients:
             client.send(request(1, b"rows 1"))
             self.assertEqual(client.answer()[1], frames.SERVED)
-        clients[0].send(request(2, b"rows 1"))  # now the second is the longest idle
+        clients[0].send(request(2, b"rows 1"))  # now the second client is the longest idle
         self.assertEqual(clients[0].answer()[1], frames.SERVED)
         new = Client(program.port)
         new.send(request(1, b"rows 1"))
@@ -30,11 +30,11 @@
             self.assertEqual(client.answer()[1], frames.SERVED)
 
     def test_silent_connections_are_evicted_before_idle_ones(self):
-        program = self.crowd()
+        program = self.start_program_with_few_connections()
         idle = Client(program.port)
         idle.send(request(1, b"rows 1"))
         self.assertEqual(idle.answer()[1], frames.SERVED)
-        silent = [Client(program.port) for _ in range(12)]  # more than there are places
+        silent = [Client(program.port) for _ in range(12)]  # more than may stay
         new = Client(program.port)
         new.send(request(1, b"rows 1"))
         self.assertEqual(new.answer()[1], frames.SERVED)
@@ -43,8 +43,8 @@
         self.assertEqual(idle.answer()[1], frames.SERVED)
         self.assertFalse(program.logged("evicted-idle"))
 
-    def test_newcomers_are_rejected_where_every_connection_has_a_request(self):
-        program = self.crowd()
+    def test_new_requests_are_rejected_if_every_connection_has_an_open_request(self):
+        program = self.start_program_with_few_connections()
         busy = [Client(program.port) for _ in range(6)]
         for client in busy:
             client.send(request(1, b"hang"))
--- a/tests/test_directory_client.py
+++ b/tests/test_directory_client.py
@@ -1,4 +1,4 @@
-"""The directory client on a clock of its own: what it keeps, how often it asks, what it logs."""
+"""The directory client on a simulated clock: which lists it keeps, how often it polls, what it logs."""
 
 import random
 import struct
@@ -12,21 +12,21 @@
 from decklb.net.poll_schedule import MAX_WAIT_MS, POLL_INTERVAL_MS, QUERY_TIMEOUT_MS, PollSchedule
 from tests.dns_answers import name, record, reply
 
-NEWS_BINDS = 1500.0  # ms after which news counts as told, heard or not (the platform's protocol)
+CHANGE_BINDING_MS = 1500.0  # ms after which a change is binding, whether heard of or not (the platform's protocol)
 
 
-def empty(ident, serial):
-    """A whole answer with no engine."""
+def empty_answer(query_id, serial):
+    """Return a complete answer without engines."""
     soa = record(b"\xc0\x0c", dns.SOA, name("ns") + name("me") + struct.pack(">5I", serial, 0, 0, 0, 0))
     question = name("_api._tcp.svc.local") + struct.pack(">HH", dns.SRV, 1)
-    return dns.HEADER.pack(ident, 0x8400, 1, 1, 0, 0) + question + soa
+    return dns.HEADER.pack(query_id, 0x8400, 1, 1, 0, 0) + question + soa
 
 
 class PolledDirectory:
-    """A directory client whose questions are kept with the time they were asked."""
+    """A directory client whose queries are recorded with the time of their sending."""
 
-    def __init__(self, seed=1, known=40):
-        self.clock, self.lists, self.asked = TestClock(), [], []
+    def __init__(self, seed=1, serial=40):
+        self.clock, self.lists, self.queries = TestClock(), [], []
         self.directory = DirectoryClient(
             self.clock,
             ("127.0.0.1", 53),
@@ -40,18 +40,18 @@
             "machineType": "k",
             "lifecycle": "Ready",
         }
-        self.directory.load_updates(known, [{"endpoints": {"instances": [instance]}}])
+        self.directory.load_updates(serial, [{"endpoints": {"instances": [instance]}}])
         self.directory.transport = self
         self.directory.startProtocol()
 
     def write(self, data, _):
-        self.asked.append((self.clock.now(), struct.unpack_from(">H", data)[0]))
+        self.queries.append((self.clock.now(), struct.unpack_from(">H", data)[0]))
 
     def answer(self, make=reply):
-        self.directory.datagramReceived(make(ident=self.asked[-1][1]), None)
+        self.directory.datagramReceived(make(query_id=self.queries[-1][1]), None)
 
-    def gaps(self):
-        times = [at for at, _ in self.asked]
+    def intervals(self):
+        times = [at for at, _ in self.queries]
         return [b - a for a, b in zip(times, times[1:], strict=False)]
 
 
@@ -70,44 +70,47 @@
             if polled.directory.query_id is not None:
                 polled.answer()
             polled.clock.go(10)
-        assert max(polled.gaps()) <= 1.2 * POLL_INTERVAL_MS + 11 and min(polled.gaps()) >= 0.8 * POLL_INTERVAL_MS - 1
-    assert len({round(polled.asked[10][0]) for polled in clients}) > 10
+        assert (
+            max(polled.intervals()) <= 1.2 * POLL_INTERVAL_MS + 11
+            and min(polled.intervals()) >= 0.8 * POLL_INTERVAL_MS - 1
+        )
+    assert len({round(polled.queries[10][0]) for polled in clients}) > 10
 
 
 def test_a_silent_directory_is_polled_with_bounded_backoff_and_steadily_after_recovery(log):
     polled = PolledDirectory()
     polled.clock.go(60_000)
-    gaps = polled.gaps()
-    assert gaps[0] < gaps[1] < gaps[2] and max(gaps) <= MAX_WAIT_MS + 1 < NEWS_BINDS
-    assert len(polled.asked) < 80  # it was 150 a minute
+    intervals = polled.intervals()
+    assert intervals[0] < intervals[1] < intervals[2] and max(intervals) <= MAX_WAIT_MS + 1 < CHANGE_BINDING_MS
+    assert len(polled.queries) < 80  # 150 a minute without backoff
     assert log.count("directory-timeout") == 1 and polled.lists == [["s-0"]]
-    questions = len(polled.asked)
+    query_count = len(polled.queries)
     polled.answer()
     assert polled.lists[-1] == ["s-1"] and log.count("directory-recovered") == 1
     polled.clock.go(1.2 * POLL_INTERVAL_MS + 2)
-    assert len(polled.asked) == questions + 1
+    assert len(polled.queries) == query_count + 1
 
 
 def test_a_query_waits_no_longer_than_a_fraction_of_the_drain_grace():
-    """A directory that is back after an outage may have news whose grace is nearly over."""
-    for grace in (0.0, 1000.0, 2000.0, 60_000.0):
-        schedule = PollSchedule(random.Random(1).randrange, grace)
+    """A directory that is back after an outage may list drains whose grace is nearly over."""
+    for grace_ms in (0.0, 1000.0, 2000.0, 60_000.0):
+        schedule = PollSchedule(random.Random(1).randrange, grace_ms)
         waits = []
         for _ in range(30):
             waits.append(schedule.query_timeout())
             schedule.query_failed()
-        assert max(waits) <= (min(MAX_WAIT_MS, max(QUERY_TIMEOUT_MS, grace / 4)) if grace else MAX_WAIT_MS)
+        assert max(waits) <= (min(MAX_WAIT_MS, max(QUERY_TIMEOUT_MS, grace_ms / 4)) if grace_ms else MAX_WAIT_MS)
 
 
 @pytest.mark.parametrize(
     ("event", "make"),
     [
-        ("directory-answer-invalid", lambda ident: reply(ident=ident)[:-3]),
-        ("directory-answer-invalid", lambda ident: reply(ident=ident, flags=0x8600)),
-        ("directory-answer-invalid", lambda ident: reply(ident=ident, flags=0x8402)),
-        ("directory-answer-invalid", lambda ident: reply(ident=ident, records=2)),
-        ("directory-answer-invalid", lambda ident: b""),
-        ("directory-answer-stale", lambda ident: empty(ident, 39)),
+        ("directory-answer-invalid", lambda query_id: reply(query_id=query_id)[:-3]),
+        ("directory-answer-invalid", lambda query_id: reply(query_id=query_id, flags=0x8600)),
+        ("directory-answer-invalid", lambda query_id: reply(query_id=query_id, flags=0x8402)),
+        ("directory-answer-invalid", lambda query_id: reply(query_id=query_id, records=2)),
+        ("directory-answer-invalid", lambda query_id: b""),
+        ("directory-answer-stale", lambda query_id: empty_answer(query_id, 39)),
     ],
 )
 def test_an_invalid_or_stale_answer_changes_nothing_and_is_logged_once(log, event, make):
@@ -115,36 +118,36 @@
     for _ in range(10):
         polled.answer(make)
         polled.clock.go(MAX_WAIT_MS)
-    assert polled.lists == [["s-0"]] and log.count(event) == 1 and len(polled.asked) > 8
+    assert polled.lists == [["s-0"]] and log.count(event) == 1 and len(polled.queries) > 8
     polled.answer()
-    polled.answer()  # a second copy
+    polled.answer()  # a repeated answer
     assert polled.lists == [["s-0"], ["s-1"]]
 
 
 def test_an_answer_to_another_query_is_ignored(log):
     polled = PolledDirectory()
-    late = polled.asked[-1][1]
+    earlier_id = polled.queries[-1][1]
     polled.clock.go(700)
-    assert polled.asked[-1][1] != late
-    polled.directory.datagramReceived(reply(ident=late), None)
+    assert polled.queries[-1][1] != earlier_id
+    polled.directory.datagramReceived(reply(query_id=earlier_id), None)
     assert polled.lists == [["s-0"]]
 
 
 def test_after_a_change_of_resolver_answers_of_the_old_one_are_ignored():
     polled = PolledDirectory()
-    _, old = polled.asked[-1]
+    _, old_id = polled.queries[-1]
     polled.directory.change_resolver(("127.0.0.1", 54))
-    assert len(polled.asked) == 2  # at once
-    polled.directory.datagramReceived(reply(ident=old), None)
+    assert len(polled.queries) == 2  # queried at once
+    polled.directory.datagramReceived(reply(query_id=old_id), None)
     assert polled.lists == [["s-0"]]
     polled.answer()
     assert polled.lists[-1] == ["s-1"]
 
 
-def test_a_newer_empty_list_is_taken():
-    """No engine may be sent to after it was told to be gone, however odd the list."""
+def test_a_newer_empty_list_is_applied():
+    """Guards against attempts at removed engines, even if all engines were removed."""
     polled = PolledDirectory()
-    polled.answer(lambda ident: empty(ident, 41))
+    polled.answer(lambda query_id: empty_answer(query_id, 41))
     assert polled.lists[-1] == []
 
 
@@ -153,4 +156,4 @@
     for _ in range(5):
         polled.directory.connectionRefused()
         polled.clock.go(MAX_WAIT_MS)
-    assert log.count("directory-refused") == 1 and len(polled.asked) > 4
+    assert log.count("directory-refused") == 1 and len(polled.queries) > 4
--- a/tests/test_engine_connection.py
+++ b/tests/test_engine_connection.py
@@ -1,4 +1,4 @@
-"""Attempts on connections to RESP engines that come up, block or break when the test says so."""
+"""Attempts on connections to RESP engines that are established, block or break when the test says so."""
 
 from __future__ import annotations
 
@@ -21,53 +21,53 @@
 
 
 class GatedTransport(StringTransport):
-    """A transport that sends when the test says so, as the kernel does when the peer's window opens."""
+    """A transport that sends when the test calls `flush`, as the kernel does when the peer's window opens."""
 
     def registerProducer(self, producer, streaming):
         super().registerProducer(producer, streaming)
         producer.resumeProducing()
 
-    def setTcpNoDelay(self, on):
+    def setTcpNoDelay(self, enabled):
         pass
 
     def flush(self):
-        found = resp.RespReader().feed(self.value())
+        commands = resp.RespReader().feed(self.value())
         self.clear()
         self.producer.resumeProducing()
-        return found
+        return commands
 
 
 class EngineConnections(unittest.TestCase):
-    """Attempts on connections to engines that come up, get stuck or break when the test says so."""
+    """The outcome of attempts when their connection is established, blocks or breaks."""
 
     def setUp(self):
         self.reactor, self.clock = MemoryReactorClock(), TestClock()
         self.engines = RespEngines(self.reactor, self.clock, {"streams_per_conn": 100})
         self.engines.update_endpoints({"e1": ("127.0.0.1", 1)})
-        self.ends, self.doubted = [], []
+        self.ended, self.uncertain = [], []
         self.count = 0
 
     def attempt_ended(self, a, outcome, result):
-        self.ends.append((a, outcome))
+        self.ended.append((a, outcome))
 
     def attempt_uncertain(self, a):
-        self.doubted.append(a)
+        self.uncertain.append(a)
 
     def attempt_progressed(self, a, kind, level):
         pass
 
     def start(self):
         self.count += 1
-        r = Request(
+        request = Request(
             f"r{self.count}", IncomingRequest(f"{self.count:016x}", "read", "cusco", 5000.0, b"x"), Sink(), 5000.0
         )
-        a = Attempt(self, r, "e1", self.clock.now(), 5000.0)
-        r.attempts.append(a)
+        a = Attempt(self, request, "e1", self.clock.now(), 5000.0)
+        request.attempts.append(a)
         self.engines.start(a)
         return a
 
     def connect(self, same_pass=lambda: None):
-        """The oldest connection comes up; what is read in the same pass."""
+        """Establish the oldest pending connection; `same_pass` acts on input that is read in the same pass."""
         factory = self.reactor.tcpClients.pop(0)[2]
         connection, transport = factory.buildProtocol(None), GatedTransport()
         connection.makeConnection(transport)
@@ -75,14 +75,14 @@
         self.clock.go(1)
         return connection._wrappedProtocol, transport
 
-    def give_up(self, a):
+    def abandon(self, a):
         a.abandoned = True
         self.engines.abandon(a, lambda: None)
 
-    def test_a_request_cancelled_while_its_connection_comes_up_is_never_sent(self):
+    def test_a_request_cancelled_while_its_connection_is_established_is_never_sent(self):
         a, b, c = self.start(), self.start(), self.start()
-        self.give_up(a)
-        _, transport = self.connect(same_pass=lambda: self.give_up(b))
+        self.abandon(a)
+        _, transport = self.connect(same_pass=lambda: self.abandon(b))
         self.assertEqual([p[:2] for p in transport.flush()], [[b"do", c.request.incoming.client_request_id.encode()]])
 
     def test_an_attempt_that_waited_too_long_for_its_connection_is_never_sent(self):
@@ -91,42 +91,42 @@
         self.clock.go(150)
         _, transport = self.connect()
         self.assertEqual([p[1] for p in transport.flush()], [b.request.incoming.client_request_id.encode()])
-        self.assertEqual(self.ends, [(a, Outcome.NEVER_SENT)])
+        self.assertEqual(self.ended, [(a, Outcome.NEVER_SENT)])
 
     def test_an_attempt_that_waits_for_a_removed_engine_ends_at_once_and_its_dial_is_cancelled(self):
         a = self.start()
         self.engines.update_endpoints({"e2": ("127.0.0.1", 1)})
-        self.assertEqual(self.ends, [(a, Outcome.UNREACHABLE)])
+        self.assertEqual(self.ended, [(a, Outcome.UNREACHABLE)])
         self.assertTrue(self.reactor.connectors[0].stoppedConnecting)
 
     def test_no_attempt_is_sent_behind_bytes_that_the_engine_does_not_read(self):
         first = self.start()
         connection, transport = self.connect()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
-        left, stays = self.start(), self.start()
-        self.give_up(left)
+        cancelled, waiting = self.start(), self.start()
+        self.abandon(cancelled)
         self.assertEqual([p[1] for p in transport.flush()], [first.request.incoming.client_request_id.encode()])
         self.assertEqual(
-            [p[:2] for p in transport.flush()], [[b"do", stays.request.incoming.client_request_id.encode()]]
+            [p[:2] for p in transport.flush()], [[b"do", waiting.request.incoming.client_request_id.encode()]]
         )
 
-    def test_a_reset_ends_attempts_that_were_not_sent_as_no_connection(self):
+    def test_a_reset_ends_attempts_that_were_not_sent_as_unreachable(self):
         sent = self.start()
         connection, _ = self.connect()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
-        waits = self.start()
+        waiting = self.start()
         connection.connectionLost(Failure(ConnectionLost()))
-        self.assertEqual(self.ends, [(sent, Outcome.CONNECTION_RESET), (waits, Outcome.UNREACHABLE)])
+        self.assertEqual(self.ended, [(sent, Outcome.CONNECTION_RESET), (waiting, Outcome.UNREACHABLE)])
 
-    def test_an_attempt_on_a_connection_that_we_abort_ends_once_its_engine_knows(self):
-        """Another attempt of it elsewhere could overtake our reset."""
+    def test_an_attempt_on_a_connection_that_we_abort_ends_once_its_engine_has_noticed(self):
+        """Another attempt of its request at another engine could overtake our reset."""
         sent = self.start()
         connection, _ = self.connect()
         connection.dataReceived(b"rubbish\r\n")
         self.clock.go(CANCEL_SETTLE_MS - 2)
-        self.assertEqual(self.ends, [])
+        self.assertEqual(self.ended, [])
         self.clock.go(3)
-        self.assertEqual(self.ends, [(sent, Outcome.CONNECTION_RESET)])
+        self.assertEqual(self.ended, [(sent, Outcome.CONNECTION_RESET)])
 
     def test_a_reset_before_during_and_after_a_request(self):
         a = self.start()
@@ -138,43 +138,43 @@
         connection, _ = self.connect()
         connection.dataReceived(resp.pack(c.request.incoming.client_request_id.encode(), b"data", b"-", b"a\tb\tc\n"))
         connection.connectionLost(Failure(ConnectionLost()))
-        self.assertEqual(self.ends, [(a, Outcome.UNREACHABLE), (b, Outcome.CONNECTION_RESET), (c, Outcome.SUCCESS)])
-        self.assertEqual(self.doubted, [c])
+        self.assertEqual(self.ended, [(a, Outcome.UNREACHABLE), (b, Outcome.CONNECTION_RESET), (c, Outcome.SUCCESS)])
+        self.assertEqual(self.uncertain, [c])
 
     def answer(self, a, connection, word=b"data", body=b"a\tb\tc\n"):
         connection.dataReceived(
             resp.pack(a.request.incoming.client_request_id.encode(), word, b"-", body if word == b"data" else b"")
         )
 
-    def test_a_retryable_answer_counts_as_a_reset_if_one_comes_right_behind_it(self):
-        """Whether in the same pass of reading or, after a standstill, with the timer that lets the answer go."""
+    def test_a_retryable_answer_counts_as_a_reset_if_a_reset_follows_at_once(self):
+        """Holds for a reset in the same read pass and, after a stall, in the pass in which the answer's delay ends."""
         for word, outcome in ((b"failed", Outcome.ERROR), (b"full", Outcome.OVERLOADED), (b"moot", Outcome.NEVER_SENT)):
-            for crossing in ("reset", "nothing", "standstill"):
+            for event in ("reset", "nothing", "standstill"):
                 self.setUp()
                 a = self.start()
                 connection, _ = self.connect()
                 self.answer(a, connection, word)
                 lost = partial(connection.connectionLost, Failure(ConnectionLost()))
-                if crossing == "standstill":
+                if event == "standstill":
                     self.clock.call_later(RETRYABLE_ANSWER_DELAY_MS + STALL_THRESHOLD_MS + 1, lost)
                     self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + STALL_THRESHOLD_MS + 1) / 1000)
-                elif crossing == "reset":
+                elif event == "reset":
                     lost()
                 self.clock.go(RETRYABLE_ANSWER_DELAY_MS - 1)
                 self.assertEqual(
-                    self.ends, [] if crossing == "nothing" else [(a, Outcome.CONNECTION_RESET)], (word, crossing)
+                    self.ended, [] if event == "nothing" else [(a, Outcome.CONNECTION_RESET)], (word, event)
                 )
                 self.clock.go(2)
-                self.assertEqual(self.ends, [(a, outcome if crossing == "nothing" else Outcome.CONNECTION_RESET)])
+                self.assertEqual(self.ended, [(a, outcome if event == "nothing" else Outcome.CONNECTION_RESET)])
 
     def test_our_own_orderly_close_makes_no_answer_uncertain(self):
         a = self.start()
         connection, transport = self.connect()
         self.answer(a, connection)
-        self.engines.update_endpoints({})  # its engine has gone: unused connections close at once
+        self.engines.update_endpoints({})  # its engine was removed: unused connections close at once
         self.clock.go(1)
         connection.connectionLost(Failure(ConnectionDone()))
-        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.SUCCESS)], []))
+        self.assertEqual((self.ended, self.uncertain), ([(a, Outcome.SUCCESS)], []))
 
     def test_a_connection_that_we_abort_makes_its_earlier_answers_uncertain(self):
         a, b = self.start(), self.start()
@@ -183,43 +183,46 @@
         self.answer(b, connection, b"failed")
         connection.dataReceived(b"rubbish\r\n")
         self.clock.go(CANCEL_SETTLE_MS + 1)
-        self.assertEqual((self.ends, self.doubted), ([(a, Outcome.SUCCESS), (b, Outcome.CONNECTION_RESET)], [a]))
+        self.assertEqual((self.ended, self.uncertain), ([(a, Outcome.SUCCESS), (b, Outcome.CONNECTION_RESET)], [a]))
 
     def test_a_late_answer_is_ignored_and_its_request_id_is_not_used_again_on_that_connection(self):
         a = self.start()
         connection, _ = self.connect()
-        self.give_up(a)
-        ident = a.request.incoming.client_request_id.encode()
-        connection.dataReceived(resp.pack(ident, b"data", b"-", b"a\tb\tc\n") * 2)
-        self.assertEqual((self.ends, connection.accepts(ident), connection.accepts(b"0" * 16)), ([], False, True))
+        self.abandon(a)
+        request_id = a.request.incoming.client_request_id.encode()
+        connection.dataReceived(resp.pack(request_id, b"data", b"-", b"a\tb\tc\n") * 2)
+        self.assertEqual((self.ended, connection.accepts(request_id), connection.accepts(b"0" * 16)), ([], False, True))
 
     def test_an_answer_to_an_attempt_that_was_not_sent_is_ignored(self):
         self.start()
         connection, _ = self.connect()
         self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
-        waits = self.start()
+        waiting = self.start()
         connection.dataReceived(
-            resp.pack(waits.request.incoming.client_request_id.encode(), b"data", b"-", b"a\tb\tc\n")
+            resp.pack(waiting.request.incoming.client_request_id.encode(), b"data", b"-", b"a\tb\tc\n")
         )
-        self.assertEqual(self.ends, [])
+        self.assertEqual(self.ended, [])
 
-    def test_an_engine_that_has_shown_that_a_request_ran_cannot_say_that_it_did_not(self):
-        ran = (
+    def test_after_signs_of_execution_an_engine_cannot_report_that_a_request_did_not_run(self):
+        signs_of_execution = (
             resp.pack(b"ID", b"data", b"parts=2", b"a\tb\tc\n"),
-            *[resp.pack(b"ID", b"news", b"detail=" + note, b"") for note in (b"p,value=0.2", b"s,value=40")],
+            *[
+                resp.pack(b"ID", b"news", b"detail=" + progress_fields, b"")
+                for progress_fields in (b"p,value=0.2", b"s,value=40")
+            ],
         )
-        waits = resp.pack(b"ID", b"news", b"detail=w,value=1", b"")
-        for before, word, outcome in [(x, b"full", Outcome.ERROR) for x in ran] + [
-            (ran[0], b"moot", Outcome.ERROR),
-            (waits, b"full", Outcome.OVERLOADED),
+        waiting = resp.pack(b"ID", b"news", b"detail=w,value=1", b"")
+        for preceding, word, outcome in [(sign, b"full", Outcome.ERROR) for sign in signs_of_execution] + [
+            (signs_of_execution[0], b"moot", Outcome.ERROR),
+            (waiting, b"full", Outcome.OVERLOADED),
             (b"", b"moot", Outcome.NEVER_SENT),
         ]:
             self.setUp()
             a = self.start()
             connection, _ = self.connect()
-            both = before + resp.pack(b"ID", word, b"-", b"")
+            replies = preceding + resp.pack(b"ID", word, b"-", b"")
             connection.dataReceived(
-                both.replace(b"$2\r\nID", b"$16\r\n" + a.request.incoming.client_request_id.encode())
+                replies.replace(b"$2\r\nID", b"$16\r\n" + a.request.incoming.client_request_id.encode())
             )
             self.clock.go(RETRYABLE_ANSWER_DELAY_MS + 1)
-            self.assertEqual(self.ends, [(a, outcome)], (before, word))
+            self.assertEqual(self.ended, [(a, outcome)], (preceding, word))
--- a/tests/test_program_directory.py
+++ b/tests/test_program_directory.py
@@ -1,4 +1,4 @@
-"""The program and its directory: where its endpoint list comes from, and when it is ready."""
+"""Where the program gets its endpoint list from, and when it is ready."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         return server, f"127.0.0.1:{server.getsockname()[1]}"
 
     def test_sighup_changes_the_resolver_and_keeps_list_requests_and_connections(self):
-        """The default of SIGHUP ended the process with all it had taken (032f0109)."""
+        """Guards against the default action of SIGHUP, which ended the process with all open requests (032f0109)."""
         (old, first), (new, second) = self.resolver(), self.resolver()
         config = {"known": known(self.engine.port, index=7)}
         program = self.program(**config, resolver=first)
@@ -28,7 +28,7 @@
         client = Client(program.port)
         client.send(request(1, b"hang", budget="1500"))
         wait_for(lambda: self.engine.said(b"do"), "do")
-        program.path.write_text('{"resolver": ')  # half a file
+        program.path.write_text('{"resolver": ')  # an incomplete file
         program.process.send_signal(signal.SIGHUP)
         wait_for(lambda: program.logged("configuration kept"), "the log line")
         program.reload(config | {"resolver": second})
@@ -58,32 +58,32 @@
         client.send(request(1, b"rows 1"))
         self.assertEqual(client.answer()[1], frames.SERVED)
 
-    def test_not_ready_without_engines(self):
+    def test_without_engines_the_program_is_not_ready(self):
         client = Client(self.program(known=known()).port)
         client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
         self.assertEqual(client.next().payload[0], 0)
 
-    def test_engines_come_from_whole_answers_to_the_query_that_is_out(self):
+    def test_engines_come_from_complete_answers_to_the_pending_query(self):
         server, resolver = self.resolver()
         program = self.program(known=known(), resolver=resolver)
-        client, seen = Client(program.port), set()
+        client, query_ids = Client(program.port), set()
 
         def ready():
             client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
             return client.next().payload[0]
 
-        for whole in (False, False, True):
+        for complete in (False, False, True):
             data, peer = server.recvfrom(4096)
-            ident = int.from_bytes(data[:2], "big")
-            seen.add(ident)
-            answer = reply(ident=ident, port=self.engine.port, priority=0)
-            if not whole:  # to another question, cut short, and no answer at all
-                server.sendto(reply(ident=ident ^ 1, port=self.engine.port, priority=0), peer)
+            query_id = int.from_bytes(data[:2], "big")
+            query_ids.add(query_id)
+            answer = reply(query_id=query_id, port=self.engine.port, priority=0)
+            if not complete:  # an answer to another query and a truncated one
+                server.sendto(reply(query_id=query_id ^ 1, port=self.engine.port, priority=0), peer)
                 server.sendto(answer[:-30], peer)
                 self.assertEqual(ready(), 0)
             else:
                 server.sendto(answer, peer)
         wait_for(ready, "readiness")
-        self.assertGreater(len(seen), 1)  # drawn anew for each question
+        self.assertGreater(len(query_ids), 1)  # a new id for each query
         client.send(request(1, b"rows 1"))
         self.assertEqual(client.answer()[1], frames.SERVED)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The codec of the engines' RESP."""
+"""The RESP codec."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class Resp(unittest.TestCase):
-    def test_split_anywhere(self):
-        raw = resp.pack(b"id", b"data", b"parts=2", b"a\tb\r\n\n") + resp.pack(b"x", b"moot")
-        for size in (1, 2, 3, len(raw)):
-            reader, found = resp.RespReader(), []
-            for at in range(0, len(raw), size):
-                found += reader.feed(raw[at : at + size])
-            self.assertEqual(found, [[b"id", b"data", b"parts=2", b"a\tb\r\n\n"], [b"x", b"moot"]])
+    def test_arrays_may_be_split_at_any_position(self):
+        encoded = resp.pack(b"id", b"data", b"parts=2", b"a\tb\r\n\n") + resp.pack(b"x", b"moot")
+        for size in (1, 2, 3, len(encoded)):
+            reader, arrays = resp.RespReader(), []
+            for start in range(0, len(encoded), size):
+                arrays += reader.feed(encoded[start : start + size])
+            self.assertEqual(arrays, [[b"id", b"data", b"parts=2", b"a\tb\r\n\n"], [b"x", b"moot"]])
 
     def test_malformed_arrays_are_rejected(self):
-        for raw in (
+        for encoded in (
             b"+OK\r\n",
             b"*99\r\n",
             b"*-1\r\n",
@@ -28,10 +28,10 @@
             b"*1\r\n$-1\r\n",
             b"*x\r\n",
         ):
-            with self.assertRaises(resp.RespError, msg=raw):
-                resp.RespReader().feed(raw)
+            with self.assertRaises(resp.RespError, msg=encoded):
+                resp.RespReader().feed(encoded)
 
-    def test_fields(self):
+    def test_fields_are_encoded_and_decoded(self):
         self.assertEqual(resp.pack_fields({}), b"-")
         for text, fields in ((b"-", {}), (b"a=1,b=x=y", {"a": "1", "b": "x=y"}), (b"", {}), (b"\xff", {})):
             self.assertEqual(resp.read_fields(text), fields)
--- a/tests/test_table_group.py
+++ b/tests/test_table_group.py
@@ -1,12 +1,12 @@
-"""The scanner for a statement's group of tables."""
+"""The scanner that finds the table group of a statement."""
 
 import unittest
 
 from decklb.wire.table_group import table_group
 
 
-class Groups(unittest.TestCase):
-    def test_cases(self):
+class TableGroup(unittest.TestCase):
+    def test_the_group_of_a_statement_is_found(self):
         for text, group in (
             ("select a from sales_17.orders", 17),
             ("SELECT a FROM Sales_17 . Orders", 17),
@@ -44,7 +44,7 @@
         ):
             self.assertEqual(table_group(text.encode()), group, text)
 
-    def test_bytes_that_are_no_text_are_scanned(self):
+    def test_bytes_that_are_not_text_are_scanned(self):
         for text in (b"\xff\xfe\0", b"\xc3", b"select '\xff' from a_2.b", b"$" * 999, b"'" * 999, b"/*" * 999):
             self.assertIn(table_group(text), (0, 2))
 
