--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -1,8 +1,8 @@
-"""Scripted exchanges with engines and clients: connecting, sending, replies and ends, on a clock of their own.
+"""Scripted exchanges with engines and clients (connects, requests, replies and connection ends) on a simulated clock.
 
-A script is a list of steps. Each step returns what the code under test did on it: bytes written, connections opened,
-closed or aborted, and what the owner of the attempts was told. Bytes are latin-1 text towards engines and hex towards
-clients, so that a script and its record can be kept as JSON.
+A script is a list of steps. Each step returns its effects, i.e. what the code under test did: bytes written,
+connections opened, closed or aborted, and calls of the attempt listener. Bytes are latin-1 text in exchanges with
+engines and hex in exchanges with clients, so that a script and its effects can be stored as JSON.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from decklb.wire.health_check import HealthChecker
 from tests.standins import SETTINGS
 
-POSTGRES = {"user": "u", "database": "db", "connections": 2, "most_result": 200}
-# Outcomes as the records name them.
+POSTGRES_SETTINGS = {"user": "u", "database": "db", "connections": 2, "most_result": 200}
+# Names of the outcomes in the recorded exchanges.
 RECORDED_OUTCOMES = {
     Outcome.SUCCESS: "GOOD",
     Outcome.ERROR: "BAD",
@@ -45,12 +45,12 @@
     Outcome.CANCELLED: "CXL",
     Outcome.NEVER_SENT: "NOP",
 }
-LONGEST_SHOWN = 100  # bytes of one write that are kept as they are; of longer ones the beginning and a checksum
-BUDGET = 5000.0  # ms that each request of a script may take
+MAX_RECORDED = 100  # bytes of a write; of a longer one the beginning and a checksum are recorded
+BUDGET_MS = 5000.0  # time budget of each request of a script, in ms
 
 
 class EngineTransport(StringTransport):
-    """A connection to an engine that records what is done on it; its peer acts when the script says so."""
+    """The transport of a connection to an engine; it records the calls, and the script acts as the peer."""
 
     def __init__(self, record, number):
         super().__init__()
@@ -74,101 +74,105 @@
 
 
 class EngineExchange:
-    """Plays a script against one engine client and keeps what it did."""
+    """Plays a script against an engine client and records the effects."""
 
     def __init__(self, front):
         self.reactor, self.clock = MemoryReactorClock(), TestClock()
         if front == "postgres":
-            settings = PgSettings.from_raw(POSTGRES, parse_settings(SETTINGS))
+            settings = PgSettings.from_raw(POSTGRES_SETTINGS, parse_settings(SETTINGS))
             self.engines = PgEngines(self.reactor, self.clock, settings)
         else:
             self.engines = RespEngines(self.reactor, self.clock, {"streams_per_conn": 3})
-        self.front, self.attempts, self.connections, self.done = front, {}, [], []
+        self.front, self.attempts, self.connections, self.effects = front, {}, [], []
 
     def play(self, script):
-        """The steps, each with what it led to."""
-        sink = logger.add(self._logged, level="INFO", format="{message}")
+        """Return the steps, each with its effects."""
+        sink = logger.add(self._on_log_message, level="INFO", format="{message}")
         try:
             return [[step, self._step(*step)] for step in script]
         finally:
             logger.remove(sink)
 
-    def _logged(self, message):
+    def _on_log_message(self, message):
         extra = message.record["extra"]
         if "aborted_attempts" in extra:
-            self.done.append(["ended", extra["aborted_attempts"], extra["uncertain_answers"]])
+            self.effects.append(["ended", extra["aborted_attempts"], extra["uncertain_answers"]])
 
     def _step(self, name, *arguments):
-        self.done = []
-        dialed = len(self.reactor.tcpClients)
+        self.effects = []
+        dialed_before = len(self.reactor.tcpClients)
         getattr(self, "step_" + name)(*arguments)
-        self.done += [["dial", number] for number in range(dialed, len(self.reactor.tcpClients))]
-        return self.done
+        self.effects += [["dial", number] for number in range(dialed_before, len(self.reactor.tcpClients))]
+        return self.effects
 
-    # What the owner of the attempts is told.
+    # The attempt listener.
 
     def attempt_ended(self, attempt, outcome, result):
-        self.done.append(["end", self._name(attempt), RECORDED_OUTCOMES[outcome], result.decode("latin-1")])
+        self.effects.append(["end", self._name(attempt), RECORDED_OUTCOMES[outcome], result.decode("latin-1")])
 
     def attempt_uncertain(self, attempt):
-        self.done.append(["doubt", self._name(attempt)])
+        self.effects.append(["doubt", self._name(attempt)])
 
     def attempt_progressed(self, attempt, kind, level):
-        self.done.append(["note", self._name(attempt), kind, level])
+        self.effects.append(["note", self._name(attempt), kind, level])
 
     def _name(self, attempt):
-        return next(name for name, known in self.attempts.items() if known is attempt)
+        return next(name for name, candidate in self.attempts.items() if candidate is attempt)
 
     # Steps.
 
     def step_endpoints(self, engines):
         self.engines.update_endpoints({engine: ("127.0.0.1", port) for engine, port in engines.items()})
 
-    def _attempt(self, name, statement, more):
+    def _attempt(self, name, statement, options):
         rid = f"{len(self.attempts) + 1:016x}"
         if self.front == "postgres":
-            bind = more.pop("bind", None)
+            bind = options.pop("bind", None)
             bind = None if bind is None else bind.encode("latin-1")
-            work = PgWork(rid, "read", "cusco", BUDGET, statement.encode(), bind=bind, **more)
+            incoming = PgWork(rid, "read", "cusco", BUDGET_MS, statement.encode(), bind=bind, **options)
         else:
-            token = more.get("token", "")
-            work = IncomingRequest(rid, "read", "cusco", BUDGET, statement.encode(), deduplication_token=token)
+            token = options.get("token", "")
+            incoming = IncomingRequest(rid, "read", "cusco", BUDGET_MS, statement.encode(), deduplication_token=token)
         now = self.clock.now()
-        request = Request(name, work, Sink(), now + BUDGET)
-        attempt = self.attempts[name] = Attempt(self, request, "e1", now, BUDGET)
+        request = Request(name, incoming, Sink(), now + BUDGET_MS)
+        attempt = self.attempts[name] = Attempt(self, request, "e1", now, BUDGET_MS)
         request.attempts.append(attempt)
         return attempt
 
-    def step_start(self, name, statement, more):
-        self.engines.start(self.attempts.get(name) or self._attempt(name, statement, dict(more)))
+    def step_start(self, name, statement, options):
+        self.engines.start(self.attempts.get(name) or self._attempt(name, statement, dict(options)))
 
-    def step_reserve(self, name, statement, more):
-        self.done.append(["trace", self.engines.reserve(self._attempt(name, statement, dict(more))).decode("latin-1")])
+    def step_reserve(self, name, statement, options):
+        self.effects.append(
+            ["trace", self.engines.reserve(self._attempt(name, statement, dict(options))).decode("latin-1")]
+        )
 
     def step_latest(self, name, ms):
         self.attempts[name].start_deadline_ms = ms
 
-    def step_give_up(self, name, overdue):
+    def step_give_up(self, name, timed_out):
         attempt = self.attempts[name]
-        attempt.abandoned, attempt.timed_out = True, overdue
-        self.engines.abandon(attempt, lambda: self.done.append(["freed", name]))
+        attempt.abandoned, attempt.timed_out = True, timed_out
+        self.engines.abandon(attempt, lambda: self.effects.append(["freed", name]))
 
-    def step_call_off(self, engine, trace):
-        self.engines.cancel_by_token(engine, trace.encode("latin-1"), lambda: self.done.append(["called-off", trace]))
+    def step_call_off(self, engine, cancel_token):
+        self.engines.cancel_by_token(
+            engine, cancel_token.encode("latin-1"), lambda: self.effects.append(["called-off", cancel_token])
+        )
 
     def step_connect(self, number):
-        """The connection comes up."""
+        """The connection is established."""
         protocol = self.reactor.tcpClients[number][2].buildProtocol(None)
         self.connections += [None] * (number + 1 - len(self.connections))
         self.connections[number] = protocol
-        protocol.makeConnection(EngineTransport(lambda what: self.done.append(what), number))
+        protocol.makeConnection(EngineTransport(lambda effect: self.effects.append(effect), number))
 
     def step_refuse(self, number, error):
         reason = getConnectError((getattr(errno, error), error))
         self.reactor.tcpClients[number][2].clientConnectionFailed(None, Failure(reason))
 
     def step_receive(self, number, text):
-        """Bytes from the engine; "{a}" stands for the request id of attempt a."""
+        """Receive bytes from the engine; "{a}" stands for the request id of attempt a."""
         for name, attempt in self.attempts.items():
             text = text.replace("{" + name + "}", attempt.request.incoming.client_request_id)
         self.connections[number].dataReceived(text.encode("latin-1"))
@@ -178,7 +182,7 @@
         self.connections[number].connectionLost(Failure(reason))
 
     def step_drained(self, number):
-        """All that was written has left."""
+        """The transport has sent everything written."""
         self.connections[number].transport.producer.resumeProducing()
 
     def step_wait(self, ms):
@@ -189,7 +193,7 @@
 
 
 class ClientHandle:
-    """The socket of a client's connection, as far as the frame listener looks at it."""
+    """The part of a client connection's socket that the frame listener uses."""
 
     def __init__(self, record, number):
         self.record, self.number, self.unread = record, number, False
@@ -204,7 +208,7 @@
 
 
 class ClientTransport(EngineTransport):
-    """A connection of a client; what is written leaves when the script says so."""
+    """The transport of a client connection; written bytes count as sent when the script says so."""
 
     def __init__(self, record, number):
         super().__init__(record, number)
@@ -214,12 +218,12 @@
         return self.handle
 
     def write(self, data):
-        shown = data.hex() if len(data) <= LONGEST_SHOWN else f"{data[:LONGEST_SHOWN].hex()}... {zlib.crc32(data)}"
-        self.record(["write", self.number, len(data), shown])
+        recorded = data.hex() if len(data) <= MAX_RECORDED else f"{data[:MAX_RECORDED].hex()}... {zlib.crc32(data)}"
+        self.record(["write", self.number, len(data), recorded])
 
 
 class ListeningPort:
-    """Where clients come in."""
+    """The listening port of the frame listener."""
 
     def __init__(self, record):
         self.record, self.numberAccepts = record, 0
@@ -232,45 +236,45 @@
 
 
 class ClientExchange:
-    """Plays a script of clients' bytes and engines' results against one frame listener and keeps what it did."""
+    """Plays a script of client input and attempt results against a frame listener and records the effects."""
 
-    PLACES, SPARE = 2, 1
+    MAX_CLIENTS, SPARE_CLIENTS = 2, 1
 
-    def __init__(self, most_buffered):
-        self.clock, self.done, self.connections, self.attempts = TestClock(), [], [], []
-        core = Dispatcher(parse_settings(SETTINGS), 1, self.clock, self)
-        core.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.UP)])
-        self.front = FrameListener(core, lambda: True, self.PLACES, self.SPARE, most_buffered)
-        self.front.attach_port(ListeningPort(lambda what: self.done.append(what)))
+    def __init__(self, max_buffered_bytes):
+        self.clock, self.effects, self.connections, self.attempts = TestClock(), [], [], []
+        dispatcher = Dispatcher(parse_settings(SETTINGS), 1, self.clock, self)
+        dispatcher.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.UP)])
+        self.front = FrameListener(dispatcher, lambda: True, self.MAX_CLIENTS, self.SPARE_CLIENTS, max_buffered_bytes)
+        self.front.attach_port(ListeningPort(lambda effect: self.effects.append(effect)))
 
     def play(self, script):
-        """The steps, each with what it led to."""
-        sink = logger.add(self._logged, level="INFO", format="{message}")
+        """Return the steps, each with its effects."""
+        sink = logger.add(self._on_log_message, level="INFO", format="{message}")
         try:
             return [[step, self._step(*step)] for step in script]
         finally:
             logger.remove(sink)
 
-    def _logged(self, message):
+    def _on_log_message(self, message):
         extra = message.record["extra"]
         if "abandoned" in extra:
-            self.done.append(["ended", extra["requests"], extra["abandoned"]])
+            self.effects.append(["ended", extra["requests"], extra["abandoned"]])
 
     def _step(self, name, *arguments):
-        self.done = []
+        self.effects = []
         getattr(self, "step_" + name)(*arguments)
-        return self.done
+        return self.effects
 
     # The engine client.
 
     def start(self, attempt):
         self.attempts.append(attempt)
-        self.done.append(
+        self.effects.append(
             ["start", attempt.request.incoming.client_request_id, attempt.request.incoming.statement.decode()]
         )
 
     def abandon(self, attempt, freed):
-        self.done.append(["give-up", attempt.request.incoming.client_request_id])
+        self.effects.append(["give-up", attempt.request.incoming.client_request_id])
         freed()
 
     # Steps.
@@ -279,17 +283,17 @@
         number = len(self.connections)
         client = self.front.buildProtocol(None)
         self.connections.append(client)
-        client.makeConnection(ClientTransport(lambda what: self.done.append(what), number))
+        client.makeConnection(ClientTransport(lambda effect: self.effects.append(effect), number))
 
     def step_receive(self, number, data):
         self.connections[number].dataReceived(bytes.fromhex(data))
 
     def step_unread(self, number, unread):
-        """Whether bytes of the client lie unread in its socket."""
+        """Set whether the client's socket has unread bytes."""
         self.connections[number].transport.handle.unread = unread
 
     def step_drained(self, number):
-        """All that was written has left."""
+        """The transport has sent everything written."""
         self.connections[number].transport.producer.resumeProducing()
 
     def step_lose(self, number, how):
@@ -297,7 +301,7 @@
         self.connections[number].connectionLost(Failure(reason))
 
     def step_end(self, number, outcome, size):
-        outcomes = {text: known for known, text in RECORDED_OUTCOMES.items()}
+        outcomes = {name: value for value, name in RECORDED_OUTCOMES.items()}
         self.attempts[number].end(outcomes[outcome], b"x" * size)
 
     def step_wait(self, ms):
@@ -305,21 +309,21 @@
 
     def step_announce(self):
         self.front.announce_drain()
-        self.done.sort()  # clients are told in no certain order
+        self.effects.sort()  # the order of clients is not defined
 
     def step_close(self):
         self.front.drain()
-        self.done.sort()
+        self.effects.sort()
 
     def step_owing(self):
-        self.done.append(self.front.has_pending_clients)
+        self.effects.append(self.front.has_pending_clients)
 
 
-class ProbeExchange(EngineExchange):
-    """Plays a script of probes of one engine over one wire."""
+class HealthCheckExchange(EngineExchange):
+    """Plays a script of health checks of one engine over one protocol."""
 
     def __init__(self, front):
-        self.reactor, self.clock, self.connections, self.done, self.attempts = (
+        self.reactor, self.clock, self.connections, self.effects, self.attempts = (
             MemoryReactorClock(),
             TestClock(),
             [],
@@ -330,12 +334,12 @@
         connection = postgres if front == "postgres" else RespHealthCheckConnection
         self.checker = HealthChecker(self.reactor, self.clock, connection, 1000.0)
 
-    def _logged(self, message):
+    def _on_log_message(self, message):
         if "address" in message.record["extra"]:
-            self.done.append(["ended"])
+            self.effects.append(["ended"])
 
     def step_probe(self, name, port):
-        self.checker.check("e1", ("127.0.0.1", port), 100.0, lambda ok: self.done.append(["probed", name, ok]))
+        self.checker.check("e1", ("127.0.0.1", port), 100.0, lambda ok: self.effects.append(["probed", name, ok]))
 
     def step_close(self):
         self.checker.close()
