--- a/tests/frame_standins.py
+++ b/tests/frame_standins.py
@@ -31,7 +31,7 @@
     }
 
     def __init__(self, loop):
-        self.log, self.connections = [], 0
+        self.log, self.connections = [], 0  # received commands, number of connections
         self.server = loop.run(asyncio.start_server(self._serve, "127.0.0.1", 0))
         self.port = self.server.sockets[0].getsockname()[1]
         self.loop = loop
@@ -39,7 +39,8 @@
     def close(self):
         self.loop.loop.call_soon_threadsafe(self.server.close)
 
-    def said(self, name):
+    def received(self, name):
+        """Return the received commands with this name."""
         return [command for command in list(self.log) if command[0] == name]
 
     async def _serve(self, reader, writer):
--- a/tests/test_client_protocol.py
+++ b/tests/test_client_protocol.py
@@ -34,14 +34,14 @@
         self.client.socket.close()
         self.assertEqual(self.program.logged("Traceback"), "")
 
-    def said(self, word):
-        return [p for e in self.engines for p in e.said(word)]
+    def received(self, word):
+        return [p for e in self.engines for p in e.received(word)]
 
     def wait_until_both_engines_serve(self):
         """Send requests until each engine has served one: an engine that failed gets no requests for a while."""
         for engine in self.engines:
             engine.log.clear()
-        while not all(e.said(b"do") for e in self.engines):
+        while not all(e.received(b"do") for e in self.engines):
             self.client.send(*[request(n, b"rows 1") for n in range(1, 9)])
             self.assertEqual({self.client.answer()[1] for _ in range(8)}, {frames.SERVED})
         for engine in self.engines:
@@ -50,8 +50,8 @@
     def test_all_pages_arrive_in_order_and_are_released(self):
         self.client.send(request(1, b"rows 4", token="t1", rid=RID))
         self.assertEqual(self.client.answer(), (1, frames.SERVED, {}, b"".join(b"page%d\t\t\n" % n for n in range(4))))
-        wait_for(lambda: self.said(b"forget"), "forget")
-        _, ident, fields, body = self.said(b"do")[0]
+        wait_for(lambda: self.received(b"forget"), "forget")
+        _, ident, fields, body = self.received(b"do")[0]
         start_fields = resp.read_fields(fields)
         self.assertEqual(
             (ident.decode(), body, start_fields["queue"], start_fields["uniq"]), (RID, b"rows 4", "read", "t1")
@@ -76,7 +76,7 @@
             _, code, fields, _ = self.client.answer()
             self.assertEqual(code, frames.REJECTED, word)
             self.assertGreater(int(fields["backoff"]), 0)
-            self.assertTrue(all(e.said(b"do") for e in self.engines), word)
+            self.assertTrue(all(e.received(b"do") for e in self.engines), word)
 
     def test_replies_with_unknown_ids_and_repeated_replies_are_ignored(self):
         for stream in (1, 2):
@@ -85,7 +85,7 @@
 
     def test_a_malformed_reply_fails_the_other_open_requests_of_its_connection(self):
         self.client.send(*[request(n, b"hang", method="load") for n in range(1, 5)])
-        wait_for(lambda: len(self.said(b"do")) == 4, "do")
+        wait_for(lambda: len(self.received(b"do")) == 4, "do")
         self.client.send(*[request(n, b"huge", method="load") for n in range(5, 9)])
         answers = {self.client.answer()[:2] for _ in range(8)}
         self.assertEqual(answers, {(n, frames.FAILED) for n in range(1, 9)})
@@ -93,25 +93,25 @@
     def test_a_reset_fails_a_request_that_may_not_be_retried(self):
         self.client.send(request(1, b"die", method="load"))
         self.assertEqual(self.client.answer()[1], frames.FAILED)
-        self.assertEqual(len(self.said(b"do")), 1)
+        self.assertEqual(len(self.received(b"do")), 1)
 
     def test_a_timed_out_request_is_cancelled_at_the_engine_and_answered(self):
         self.client.send(request(1, b"hang", budget="1500"))
         self.assertEqual(self.client.answer()[1], frames.REJECTED)
-        self.assertEqual(len(self.said(b"undo")), 1)
+        self.assertEqual(len(self.received(b"undo")), 1)
 
     def test_a_cancelled_request_is_cancelled_at_the_engine(self):
         self.client.send(request(1, b"hang"))
-        wait_for(lambda: self.said(b"do"), "do")
+        wait_for(lambda: self.received(b"do"), "do")
         self.client.send(frames.pack(frames.CANCEL, 1), request(2, b"rows 1"))
         self.assertEqual(self.client.answer()[:2], (2, frames.SERVED))
-        wait_for(lambda: self.said(b"undo"), "undo")
+        wait_for(lambda: self.received(b"undo"), "undo")
 
     def test_requests_of_a_client_that_disconnects_are_cancelled_at_the_engine(self):
         self.client.send(request(1, b"hang"))
-        wait_for(lambda: self.said(b"do"), "do")
+        wait_for(lambda: self.received(b"do"), "do")
         self.client.socket.close()
-        wait_for(lambda: self.said(b"undo"), "undo")
+        wait_for(lambda: self.received(b"undo"), "undo")
         wait_for(lambda: self.program.logged("abandoned=1"), "the log line")
 
     def test_invalid_requests_get_an_error_and_the_connection_continues(self):
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -48,7 +48,7 @@
         busy = [Client(program.port) for _ in range(6)]
         for client in busy:
             client.send(request(1, b"hang"))
-        wait_for(lambda: len(self.engine.said(b"do")) >= 5, "do")
+        wait_for(lambda: len(self.engine.received(b"do")) >= 5, "do")
         new = Client(program.port)
         new.send(request(1, b"rows 1"))
         _, code, fields, _ = new.answer()
--- a/tests/test_program_directory.py
+++ b/tests/test_program_directory.py
@@ -27,7 +27,7 @@
         old.recvfrom(4096)
         client = Client(program.port)
         client.send(request(1, b"hang", budget="1500"))
-        wait_for(lambda: self.engine.said(b"do"), "do")
+        wait_for(lambda: self.engine.received(b"do"), "do")
         program.path.write_text('{"resolver": ')  # an incomplete file
         program.process.send_signal(signal.SIGHUP)
         wait_for(lambda: program.logged("configuration kept"), "the log line")
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -49,7 +49,7 @@
         program = self.program(known=known(self.engine.port))
         old = Client(program.port)
         old.send(request(1, b"hang", budget="2500"))
-        wait_for(lambda: self.engine.said(b"do"), "do")
+        wait_for(lambda: self.engine.received(b"do"), "do")
         program.process.terminate()
         self.assertEqual(old.next().type, frames.GO_AWAY)
         new = Client(program.port)  # the front layer does not know yet
@@ -64,14 +64,14 @@
         program = self.program(known=known(self.engine.port))
         client = Client(program.port)
         client.send(request(1, b"hang", budget="8000"), request(2, b"hang", budget="8000", method="load"))
-        wait_for(lambda: len(self.engine.said(b"do")) == 2, "do")
+        wait_for(lambda: len(self.engine.received(b"do")) == 2, "do")
         program.process.terminate()
         found = {}
         while (frame := client.next()) is not None:
             if frame.type == frames.ANSWER:
                 found[frame.stream] = frame.payload[0]
         self.assertEqual(found, {1: frames.REJECTED, 2: frames.FAILED})
-        wait_for(lambda: len(self.engine.said(b"undo")) == 2, "undo")  # the engine reads at its own pace
+        wait_for(lambda: len(self.engine.received(b"undo")) == 2, "undo")  # the engine reads at its own pace
         self.assertEqual(program.process.wait(DEADLINE), 0)
 
 
@@ -110,7 +110,7 @@
     program = start_program(engine.port)
     client = Client(program.port)
     client.send(request(1, b"hang", budget="2000"))
-    wait_for(lambda: engine.said(b"do"), "do")
+    wait_for(lambda: engine.received(b"do"), "do")
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         program.process.send_signal(number)
         wait_for(lambda: program.logged("SIGTERM: draining"), "the drain")
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -41,8 +41,8 @@
         time.sleep(HELD_UP)
         program.process.send_signal(signal.SIGCONT)
         assert client.answer()[:2] == (2, frames.SERVED)
-        wait_for(lambda: len(engine.said(b"do")) == 2, "the attempt")
-        told = int(resp.read_fields(engine.said(b"do")[1][2])["budget"]) / 1000
+        wait_for(lambda: len(engine.received(b"do")) == 2, "the attempt")
+        told = int(resp.read_fields(engine.received(b"do")[1][2])["budget"]) / 1000
         assert told <= sent + BUDGET - engine.read + SLACK
     finally:
         program.stop()
