--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -62,7 +62,7 @@
         self.unsent_bytes = 0  # bytes written since the transport last had sent everything
         self.buffered_bytes = 0  # its contribution to the sum in `connection_limits`
         self.has_sent_message = False  # a complete, valid message was received
-        self.input_failed = False  # its input can't be parsed any more
+        self.input_failed = False  # its input is invalid or overdue, and no longer read
         self.close_reason = ""  # why it is to close once nothing is pending; "" while it is not to close
         self.closing = False  # our side is shut down or the connection aborted: further input is discarded
         self.over_limit = False  # accepted beyond the limit: its requests are rejected
@@ -211,7 +211,7 @@
         return not self.closing and bool(self.requests or self.unsent_bytes or self.reader.buffer)
 
     def fail(self, reason: str) -> None:
-        """Input can't be parsed any more: send the reason on stream 0, and close once open requests are answered."""
+        """Stop reading: send the reason on stream 0, and close once open requests are answered."""
         if self.input_failed or self.closing:
             return
         self.input_failed, self.close_reason = True, reason
--- a/decklb/net/directory_client.py
+++ b/decklb/net/directory_client.py
@@ -45,7 +45,7 @@
             resolver: host and port of the directory; None: no polling.
             random_below: `random_below(n)` returns a random integer from 0 to n - 1.
             on_change: called with the entries and the addresses by engine id each time the list changes.
-            drain_grace_ms: time within which a drain has to be applied by the settings; 0: unspecified.
+            drain_grace_ms: ms after a drain notice in which an attempt may still start; 0: unspecified.
         """
         self._clock, self._random_below, self._on_change, self.resolver = clock, random_below, on_change, resolver
         self.endpoints: dict[str, DirectoryInstance] = {}  # by engine id
@@ -60,7 +60,7 @@
         self._start_times = StartTimes()
 
     def load_updates(self, serial: int, updates: list[dict[str, Any]]) -> None:
-        """Apply watch events in order. Raises KeyError or ValueError for invalid ones, without any change."""
+        """Apply watch events in order. If one is invalid, raises KeyError or ValueError and changes nothing."""
         self.endpoints, self.serial = apply_updates(self.endpoints, updates), serial
         self._notify()
 
--- a/decklb/net/frames.py
+++ b/decklb/net/frames.py
@@ -29,7 +29,7 @@
 FAILED = 9  # may or may not have been executed
 
 MIN_LENGTH = 5  # smallest value of a frame's length: type and stream
-MAX_LENGTH = 262_144
+MAX_LENGTH = 262_144  # largest value of a frame's length
 HEADER = struct.Struct(">IBI")  # length, type, stream
 LENGTH_SIZE = 4  # size of the length itself, which it does not include
 MAX_BUDGET_MS = 3_600_000
--- a/decklb/net/poll_schedule.py
+++ b/decklb/net/poll_schedule.py
@@ -16,8 +16,8 @@
 QUERY_TIMEOUT_MS = 400.0  # time-out of a query when the one before was answered
 BACKOFF_FACTOR = 1.5  # growth of the time-out with each consecutive failure
 MAX_BACKOFF_STEPS = 10  # bound of the exponent, since a directory may be down for days
-MAX_WAIT_MS = 1000.0  # longest time-out, including jitter
-# Longest time-out as a fraction of the drain grace: a directory that is back after an outage may list drains that began
+MAX_WAIT_MS = 1000.0  # longest wait, including jitter
+# Longest wait as a fraction of the drain grace: a directory that is back after an outage may list drains that began
 # some time ago.
 DRAIN_GRACE_FRACTION = 0.25
 JITTER_FRACTION = 0.2  # largest deviation from a wait, as a fraction of it
@@ -32,7 +32,7 @@
 
         Args:
             random_below: `random_below(n)` returns a random integer from 0 to n - 1.
-            drain_grace_ms: time within which a drain has to be applied by the settings; 0: unspecified.
+            drain_grace_ms: ms after a drain notice in which an attempt may still start; 0: unspecified.
         """
         self._random_below = random_below
         self._max_wait_ms = MAX_WAIT_MS
--- a/decklb/wire/health_check.py
+++ b/decklb/wire/health_check.py
@@ -103,7 +103,7 @@
 
     def _ended(self) -> None:
         self.closed = True  # already set if it was ended by `_abort`
-        self.checker.forget(self)
+        self.checker.discard(self)
         logger.info(
             "health check connection ended: {reason} engine={engine} address={address}",
             event="health-check-connection-ended",
@@ -125,7 +125,7 @@
     def _abort(self, reason: str) -> None:
         self._timer = None
         self.closed, self._end_reason = True, reason
-        self.checker.forget(self)  # the next check opens a new connection
+        self.checker.discard(self)  # the next check opens a new connection
         if self.transport is not None:
             self.transport.abortConnection()
         self._finish_check(False)
@@ -178,7 +178,7 @@
         endpoint = TCP4ClientEndpoint(self.reactor, host, port, timeout_ms / 1000)
         endpoint.connect(factory).addErrback(connection.connect_failed)
 
-    def forget(self, connection: HealthCheckConnection) -> None:
+    def discard(self, connection: HealthCheckConnection) -> None:
         """Stop using a connection."""
         if self._connections.get(connection.engine) is connection:
             del self._connections[connection.engine]
