--- a/decklb/wire/dialing.py
+++ b/decklb/wire/dialing.py
@@ -19,9 +19,8 @@
 from decklb.core.timers import call_after_reading
 from decklb.wire.local_errors import is_local_error
 
-ENDPOINT_TIMEOUT_S = (
-    3600.0  # Twisted's own time-out; longer than any connection attempt, so that `Dial._time_out` comes first
-)
+# Twisted's own time-out; longer than any connection attempt, so that `Dial._time_out` always comes first.
+ENDPOINT_TIMEOUT_S = 3600.0
 REDIAL_DELAY_MS = 20.0  # delay before the next try after an error of this machine
 
 
