--- a/decklb/net/connection_limits.py
+++ b/decklb/net/connection_limits.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from decklb.net.client_connection import ClientConnection
 
-# Time for which no silent or lingering connection is evicted; prompt clients send a message within it.
+# A silent or lingering connection is not evicted until this time has passed; prompt clients send a message within it.
 EVICTION_GRACE_MS = 30.0
 SWEEP_INTERVAL_MS = 100.0  # between two checks for overdue connections
 PAUSE_RETRY_MS = 10.0  # between two tries to make room while accepting is paused
--- a/decklb/net/engine_connection.py
+++ b/decklb/net/engine_connection.py
@@ -32,7 +32,7 @@
 # 100 ms) so that a stall of this process does not count. In measurements complete replies arrived within 5 ms of their
 # first byte and pages within 20 ms (0656a3b9).
 MAX_STALLED_SWEEPS = 6
-WRITE_BLOCKED_LIMIT_MS = 20.0  # time that bytes may wait in the transport before no further request is sent
+WRITE_BLOCKED_LIMIT_MS = 20.0  # time for which bytes may stay unsent before further requests are held back
 
 
 class RespConnection(EngineConnection):
@@ -85,7 +85,7 @@
 
     def _send(self, call: RespCall) -> None:
         attempt, now = call.attempt, self.pool.client.clock.now()
-        if now > attempt.start_deadline_ms:  # it waited too long: its engine drains, or a repetition is not allowed now
+        if now > attempt.start_deadline_ms:  # it waited too long: its engine drains, or it may no longer be repeated
             del self.calls[call.request_id]
             self._schedule_idle_close()
             attempt.end(Outcome.NEVER_SENT)
@@ -242,7 +242,7 @@
         self._schedule_idle_close()
 
     def _abort(self, reason: str) -> None:
-        """Abort the connection. Sent attempts may have run; they end here once the engine must have noticed."""
+        """Abort the connection. Sent attempts may have run; their end is reported once the engine must have noticed."""
         self.end_reason = reason
         self.transport.abortConnection()
         self._leave_pool(CANCEL_SETTLE_MS)
--- a/decklb/net/engine_protocol.py
+++ b/decklb/net/engine_protocol.py
@@ -19,7 +19,7 @@
 PAGE = b"page"  # a further page, on request
 PROGRESS = b"news"
 PONG = b"well"  # with the tag of the ping
-OUTCOMES = {b"full": Outcome.OVERLOADED, b"failed": Outcome.ERROR, b"moot": Outcome.NEVER_SENT}  # no result
+OUTCOMES = {b"full": Outcome.OVERLOADED, b"failed": Outcome.ERROR, b"moot": Outcome.NEVER_SENT}  # ends without a result
 
 # Fields of a start command.
 CLASS_FIELD = "queue"  # request class
--- a/decklb/net/frames.py
+++ b/decklb/net/frames.py
@@ -31,10 +31,10 @@
 MIN_LENGTH = 5  # smallest value of a frame's length: type and stream
 MAX_LENGTH = 262_144  # largest value of a frame's length
 HEADER = struct.Struct(">IBI")  # length, type, stream
-LENGTH_SIZE = 4  # size of the length itself, which it does not include
+LENGTH_SIZE = 4  # bytes of the length itself, which are not counted in it
 MAX_BUDGET_MS = 3_600_000
 REQUEST_ID = re.compile(r"[0-9a-f]{16}")
-TOKEN = re.compile(r"[0-9A-Za-z_.:-]{1,64}")  # it is sent to engines in a list `name=value,name=value`
+TOKEN = re.compile(r"[0-9A-Za-z_.:-]{1,64}")  # sent to engines in a list `name=value,name=value`, so no `,` or `=`
 
 
 class FrameError(Exception):
--- a/decklb/net/resp.py
+++ b/decklb/net/resp.py
@@ -7,7 +7,7 @@
 
 MAX_ELEMENTS = 16  # per array
 MAX_ELEMENT_BYTES = 8192  # per bulk string; the longest are pages, with at most 6,000 bytes
-MAX_NUMBER_BYTES = 16  # length of a count or size, including its mark
+MAX_NUMBER_BYTES = 16  # length of a count or size, including its type byte
 
 
 class RespError(Exception):
@@ -58,12 +58,12 @@
             offset = end + 2
         return elements, offset
 
-    def _read_number(self, offset: int, mark: bytes, maximum: int) -> tuple[int, int] | None:
-        """Return the number after a mark and the offset of its line's end; None if it is incomplete."""
+    def _read_number(self, offset: int, type_byte: bytes, maximum: int) -> tuple[int, int] | None:
+        """Return the number after a type byte and the offset of its line's end; None if it is incomplete."""
         if offset >= len(self.buffer):
             return None
-        if self.buffer[offset : offset + 1] != mark:
-            raise RespError(f"no {mark.decode()} where one belongs")
+        if self.buffer[offset : offset + 1] != type_byte:
+            raise RespError(f"no {type_byte.decode()} where one belongs")
         end = self.buffer.find(b"\r\n", offset, offset + MAX_NUMBER_BYTES)
         if end < 0:
             if len(self.buffer) - offset >= MAX_NUMBER_BYTES:
--- a/decklb/net/start_times.py
+++ b/decklb/net/start_times.py
@@ -1,9 +1,9 @@
 """Converts the start times of engines from the directory's wall-clock time to the monotonic clock.
 
-The wall clock may be set at any time, and a start time that is converted to a too early one makes a cold engine look
-warm. A bound that does not depend on the wall clock comes from the list itself: an engine that the previous list did
-not contain has not been running for longer than the time since that list plus the directory's propagation delay. No
-I/O: the caller passes the time on both clocks.
+The wall clock may be set at any time, and a converted start time that is too early makes a cold engine look warm. A
+bound that does not depend on the wall clock comes from the list itself: an engine that the previous list did not
+contain has not been running for longer than the time since that list plus the directory's propagation delay. No I/O:
+the caller passes the time on both clocks.
 
 State: the converted start times, and the offset between the clocks. Owned by `directory_client`.
 """
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         # Start time on the monotonic clock, by engine id and start in Unix time.
         self._starts: dict[tuple[str, int], float] = {}
-        self._offset: float | None = None  # wall clock minus monotonic clock, from before the wall clock was set
+        self._offset: float | None = None  # wall clock minus monotonic clock, from before the wall clock was last set
         self._list_at: float | None = None  # when the list was last confirmed
 
     def list_confirmed(self, now: float, wall: float) -> None:
@@ -59,7 +59,10 @@
         return {engine[0]: starts.get(engine, 0.0) for engine in listed}
 
     def _to_monotonic(self, started_at: int, now: float, offset: float) -> float:
-        """Convert by the old and by the current offset and return the later result, or `now` if it is not plausible."""
+        """Return the later of the start times by the old and by the current offset, or `now` if that is not plausible.
+
+        If the wall clock was wrong before and is right now, the start time by the current offset is returned.
+        """
         earliest = -float("inf") if self._list_at is None else self._list_at - PROPAGATION_LIMIT_MS
         by_old_offset = started_at - (offset if self._offset is None else self._offset)
         by_current_offset = started_at - offset
--- a/decklb/wire/connection_end.py
+++ b/decklb/wire/connection_end.py
@@ -16,7 +16,7 @@
 
 
 def has_unread_bytes(transport: Any) -> bool:
-    """Whether the socket has received bytes that are not read yet, as it may after a stall of the process.
+    """Whether the socket has received bytes that are not read yet, for example after a stall of the process.
 
     Also true if a shortage of resources on this machine prevents the check, since there may be unread bytes.
     """
--- a/decklb/wire/recent_answers.py
+++ b/decklb/wire/recent_answers.py
@@ -32,7 +32,7 @@
         self._reported: deque[tuple[float, Attempt]] = deque()  # with the time of the report in ms, oldest first
 
     def answered(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
-        """Report the outcome that the engine answered: a success at once, any other after the delay."""
+        """Report the outcome in the engine's answer: a success at once, any other after the delay."""
         if outcome is Outcome.SUCCESS:
             self._report(attempt, outcome, result)
             return
--- a/decklb/wire/retrying_sockets.py
+++ b/decklb/wire/retrying_sockets.py
@@ -40,7 +40,7 @@
             if error.errno == EAGAIN:
                 return None
             if error.errno not in RETRYABLE_ERRNOS:
-                return main.CONNECTION_LOST  # logged by the end of the connection
+                return main.CONNECTION_LOST  # logged when the connection ends
             system_calls.failed("recv", error)
             self.stopReading()
             self.reactor.callLater(RETRY_DELAY_S, self._resume_reading)
@@ -59,7 +59,7 @@
             if error.errno == EAGAIN:
                 return 0
             if error.errno not in RETRYABLE_ERRNOS:
-                return main.CONNECTION_LOST  # logged by the end of the connection
+                return main.CONNECTION_LOST  # logged when the connection ends
             system_calls.failed("send", error)
             self.stopWriting()
             self.reactor.callLater(RETRY_DELAY_S, self._resume_writing)
@@ -189,7 +189,7 @@
 
         Args:
             batch: number of connections accepted per reactor pass.
-            timeout_s: time for which accepting goes on at most.
+            timeout_s: maximum time for which connections are accepted.
             done: called once, at the end.
         """
         deadline = time.monotonic() + timeout_s
--- a/tests/test_client_protocol.py
+++ b/tests/test_client_protocol.py
@@ -34,8 +34,8 @@
         self.client.socket.close()
         self.assertEqual(self.program.logged("Traceback"), "")
 
-    def received(self, word):
-        return [p for e in self.engines for p in e.received(word)]
+    def received(self, name):
+        return [command for engine in self.engines for command in engine.received(name)]
 
     def wait_until_both_engines_serve(self):
         """Send requests until each engine has served one: an engine that failed gets no requests for a while."""
@@ -51,10 +51,10 @@
         self.client.send(request(1, b"rows 4", token="t1", rid=RID))
         self.assertEqual(self.client.answer(), (1, frames.SERVED, {}, b"".join(b"page%d\t\t\n" % n for n in range(4))))
         wait_for(lambda: self.received(b"forget"), "forget")
-        _, ident, fields, body = self.received(b"do")[0]
+        _, request_id, fields, body = self.received(b"do")[0]
         start_fields = resp.read_fields(fields)
         self.assertEqual(
-            (ident.decode(), body, start_fields["queue"], start_fields["uniq"]), (RID, b"rows 4", "read", "t1")
+            (request_id.decode(), body, start_fields["queue"], start_fields["uniq"]), (RID, b"rows 4", "read", "t1")
         )
         self.assertTrue(0 < int(start_fields["budget"]) <= 5000)
 
@@ -70,13 +70,13 @@
 
     def test_failed_attempts_are_retried_elsewhere_and_end_in_a_rejection_with_backoff(self):
         """Invalid, truncated or missing replies end their connection long before the request's deadline."""
-        for word in (b"failed", b"die", b"lose 3", b"mute 3", *RespEngine.INVALID_REPLIES):
+        for statement in (b"failed", b"die", b"lose 3", b"mute 3", *RespEngine.INVALID_REPLIES):
             self.wait_until_both_engines_serve()
-            self.client.send(request(1, word))
+            self.client.send(request(1, statement))
             _, code, fields, _ = self.client.answer()
-            self.assertEqual(code, frames.REJECTED, word)
+            self.assertEqual(code, frames.REJECTED, statement)
             self.assertGreater(int(fields["backoff"]), 0)
-            self.assertTrue(all(e.received(b"do") for e in self.engines), word)
+            self.assertTrue(all(e.received(b"do") for e in self.engines), statement)
 
     def test_replies_with_unknown_ids_and_repeated_replies_are_ignored(self):
         for stream in (1, 2):
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -12,7 +12,7 @@
         return self.program(known=known(self.engine.port), limits={"sockets": sockets})
 
     def test_the_longest_idle_connection_is_evicted_for_a_new_one(self):
-        """Guards against idle connections that keep all places while new ones are closed with requests (21e68ef7)."""
+        """Guards against idle connections that keep all places: new ones were closed with their requests (21e68ef7)."""
         program = self.start_program_with_few_connections()
         clients = [Client(program.port) for _ in range(4)]
         for client in clients:
--- a/tests/test_engine_connection.py
+++ b/tests/test_engine_connection.py
@@ -47,13 +47,13 @@
         self.ended, self.uncertain = [], []
         self.count = 0
 
-    def attempt_ended(self, a, outcome, result):
-        self.ended.append((a, outcome))
+    def attempt_ended(self, attempt, outcome, result):
+        self.ended.append((attempt, outcome))
 
-    def attempt_uncertain(self, a):
-        self.uncertain.append(a)
+    def attempt_uncertain(self, attempt):
+        self.uncertain.append(attempt)
 
-    def attempt_progressed(self, a, kind, level):
+    def attempt_progressed(self, attempt, kind, level):
         pass
 
     def start(self):
@@ -61,10 +61,10 @@
         request = Request(
             f"r{self.count}", IncomingRequest(f"{self.count:016x}", "read", "cusco", 5000.0, b"x"), Sink(), 5000.0
         )
-        a = Attempt(self, request, "e1", self.clock.now(), 5000.0)
-        request.attempts.append(a)
-        self.engines.start(a)
-        return a
+        attempt = Attempt(self, request, "e1", self.clock.now(), 5000.0)
+        request.attempts.append(attempt)
+        self.engines.start(attempt)
+        return attempt
 
     def connect(self, same_pass=lambda: None):
         """Establish the oldest pending connection; `same_pass` acts on input that is read in the same pass."""
@@ -75,9 +75,9 @@
         self.clock.go(1)
         return connection._wrappedProtocol, transport
 
-    def abandon(self, a):
-        a.abandoned = True
-        self.engines.abandon(a, lambda: None)
+    def abandon(self, attempt):
+        attempt.abandoned = True
+        self.engines.abandon(attempt, lambda: None)
 
     def test_a_request_cancelled_while_its_connection_is_established_is_never_sent(self):
         a, b, c = self.start(), self.start(), self.start()
@@ -141,28 +141,37 @@
         self.assertEqual(self.ended, [(a, Outcome.UNREACHABLE), (b, Outcome.CONNECTION_RESET), (c, Outcome.SUCCESS)])
         self.assertEqual(self.uncertain, [c])
 
-    def answer(self, a, connection, word=b"data", body=b"a\tb\tc\n"):
+    def answer(self, attempt, connection, reply_type=b"data", body=b"a\tb\tc\n"):
         connection.dataReceived(
-            resp.pack(a.request.incoming.client_request_id.encode(), word, b"-", body if word == b"data" else b"")
+            resp.pack(
+                attempt.request.incoming.client_request_id.encode(),
+                reply_type,
+                b"-",
+                body if reply_type == b"data" else b"",
+            )
         )
 
     def test_a_retryable_answer_counts_as_a_reset_if_a_reset_follows_at_once(self):
         """Holds for a reset in the same read pass and, after a stall, in the pass in which the answer's delay ends."""
-        for word, outcome in ((b"failed", Outcome.ERROR), (b"full", Outcome.OVERLOADED), (b"moot", Outcome.NEVER_SENT)):
-            for event in ("reset", "nothing", "standstill"):
+        for reply_type, outcome in (
+            (b"failed", Outcome.ERROR),
+            (b"full", Outcome.OVERLOADED),
+            (b"moot", Outcome.NEVER_SENT),
+        ):
+            for event in ("reset", "nothing", "stall"):
                 self.setUp()
                 a = self.start()
                 connection, _ = self.connect()
-                self.answer(a, connection, word)
+                self.answer(a, connection, reply_type)
                 lost = partial(connection.connectionLost, Failure(ConnectionLost()))
-                if event == "standstill":
+                if event == "stall":
                     self.clock.call_later(RETRYABLE_ANSWER_DELAY_MS + STALL_THRESHOLD_MS + 1, lost)
                     self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + STALL_THRESHOLD_MS + 1) / 1000)
                 elif event == "reset":
                     lost()
                 self.clock.go(RETRYABLE_ANSWER_DELAY_MS - 1)
                 self.assertEqual(
-                    self.ended, [] if event == "nothing" else [(a, Outcome.CONNECTION_RESET)], (word, event)
+                    self.ended, [] if event == "nothing" else [(a, Outcome.CONNECTION_RESET)], (reply_type, event)
                 )
                 self.clock.go(2)
                 self.assertEqual(self.ended, [(a, outcome if event == "nothing" else Outcome.CONNECTION_RESET)])
@@ -212,7 +221,7 @@
             ],
         )
         waiting = resp.pack(b"ID", b"news", b"detail=w,value=1", b"")
-        for preceding, word, outcome in [(sign, b"full", Outcome.ERROR) for sign in signs_of_execution] + [
+        for preceding, reply_type, outcome in [(sign, b"full", Outcome.ERROR) for sign in signs_of_execution] + [
             (signs_of_execution[0], b"moot", Outcome.ERROR),
             (waiting, b"full", Outcome.OVERLOADED),
             (b"", b"moot", Outcome.NEVER_SENT),
@@ -220,9 +229,9 @@
             self.setUp()
             a = self.start()
             connection, _ = self.connect()
-            replies = preceding + resp.pack(b"ID", word, b"-", b"")
+            replies = preceding + resp.pack(b"ID", reply_type, b"-", b"")
             connection.dataReceived(
                 replies.replace(b"$2\r\nID", b"$16\r\n" + a.request.incoming.client_request_id.encode())
             )
             self.clock.go(RETRYABLE_ANSWER_DELAY_MS + 1)
-            self.assertEqual(self.ended, [(a, outcome)], (preceding, word))
+            self.assertEqual(self.ended, [(a, outcome)], (preceding, reply_type))
