--- a/decklb/pg/__init__.py
+++ b/decklb/pg/__init__.py
@@ -7,6 +7,6 @@
 Engines' side: `engines` keeps a pool of connections to each engine, `engine_connection` is one of them (with
 `engine_prepared_statements`), `cancel_request` carries a CancelRequest, `health_check` asks whether an engine runs.
 
-Both sides share the codec (`messages`), the error codes (`errors`, `sqlstate`), the request (`work`) and the
+Both sides share the codec (`messages`), the error codes (`errors`, `sqlstate`), the request (`request`) and the
 `settings`; `codec` is the form of statements in the handoff.
 """
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from decklb.core.ports import IncomingRequest
-from decklb.pg.work import PgWork
+from decklb.pg.request import PgRequest
 
 
 class _StatementRecord(msgspec.Struct, array_like=True, frozen=True):
-    """See `PgWork` for the fields. Its id and budget are left out: they are not the same at another manager."""
+    """See `PgRequest` for the fields. Its id and budget are left out: they are not the same at another manager."""
 
     request_class: str
     tenant: str
@@ -38,7 +38,7 @@
 
     def encode(self, work: IncomingRequest) -> bytes:
         """The same bytes for the same statement, parameters and session settings that matter."""
-        assert isinstance(work, PgWork)
+        assert isinstance(work, PgRequest)
         record = _StatementRecord(
             request_class=work.request_class,
             tenant=work.tenant,
@@ -53,10 +53,10 @@
         )
         return msgspec.msgpack.encode(record)
 
-    def decode(self, body: bytes, budget: float) -> PgWork:
+    def decode(self, body: bytes, budget: float) -> PgRequest:
         """The statement again, with `budget` ms to run. Raises msgspec.DecodeError for other bytes."""
         record = msgspec.msgpack.decode(body, type=_StatementRecord)
-        return PgWork(
+        return PgRequest(
             self._new_request_id(),
             record.request_class,
             record.tenant,
--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -24,6 +24,7 @@
 from decklb.pg.errors import PgError, Severity
 from decklb.pg.messages import BackendKey
 from decklb.pg.parameters import IDEMPOTENCY_KEY_PARAMETER
+from decklb.pg.request import PgRequest
 from decklb.pg.running_statement import RunningStatement
 from decklb.pg.session import Session, SessionContext
 from decklb.pg.startup import (
@@ -35,7 +36,6 @@
     read_startup,
     startup_reply,
 )
-from decklb.pg.work import PgWork
 from decklb.wire.client_timeouts import FIRST_MESSAGE_TIMEOUT_MS, LINGERING_CLOSE_TIMEOUT_MS, PARTIAL_MESSAGE_TIMEOUT_MS
 
 MAX_PENDING_BYTES = 1 << 20  # of messages that wait while a statement runs
@@ -160,7 +160,7 @@
                 self._closed, self._end_reason = True, "slow-reader"
                 self.transport.abortConnection()
 
-    def submit(self, work: PgWork, on_result: Callable[[bytes], None]) -> None:
+    def submit(self, work: PgRequest, on_result: Callable[[bytes], None]) -> None:
         """Run a statement."""
         self._submitted_count += 1
         idempotency_key = work.idempotency_key
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -22,7 +22,7 @@
 from decklb.pg.engine_prepared_statements import PreparedStatements
 from decklb.pg.errors import PgError
 from decklb.pg.messages import BackendKey, BackendType, FrontendType
-from decklb.pg.work import PgWork
+from decklb.pg.request import PgRequest
 from decklb.wire.engine_connection import IDLE_TIMEOUT, EngineConnection
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
     def _send(self) -> None:
         assert self.attempt is not None
         work = self.attempt.request.incoming
-        assert isinstance(work, PgWork)
+        assert isinstance(work, PgRequest)
         self.ready, self.sent = False, True
         self.attempt.sent = True
         set_cancel_token = getattr(self.attempt, "set_cancel_token", None)
--- a/decklb/pg/engine_prepared_statements.py
+++ b/decklb/pg/engine_prepared_statements.py
@@ -8,7 +8,7 @@
 
 from decklb.pg import messages as pg
 from decklb.pg.messages import FrontendType
-from decklb.pg.work import PgWork
+from decklb.pg.request import PgRequest
 
 STATEMENT = b"S"  # what Describe and Close mean by a name
 PORTAL = b"P"
@@ -26,7 +26,7 @@
         self._unconfirmed: tuple[bytes, bytes] | None = None  # its ParseComplete has not come
         self._count = 0  # names given so far
 
-    def encode(self, work: PgWork) -> bytes:
+    def encode(self, work: PgRequest) -> bytes:
         """The messages that run a statement, with a Parse if it is new to this connection."""
         self._unconfirmed = None
         if work.simple:
@@ -40,7 +40,7 @@
             out += pg.EXECUTE_ALL if work.execute else b""
         return out + pg.SYNC
 
-    def _prepare(self, work: PgWork) -> tuple[bytes, bytes]:
+    def _prepare(self, work: PgRequest) -> tuple[bytes, bytes]:
         """The messages that prepare a statement, none if it is, and its name."""
         statement = (work.statement, work.types)
         name = self._names.get(statement)
--- a/decklb/pg/work.py
+++ b/decklb/pg/request.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class PgWork(IncomingRequest):
+class PgRequest(IncomingRequest):
     """A statement as a session has it."""
 
     simple: bool = False  # sent by Query; otherwise by Parse, Bind and Execute
--- a/decklb/pg/session.py
+++ b/decklb/pg/session.py
@@ -24,9 +24,9 @@
 from decklb.pg.messages import BackendType, FrontendType, Message, PayloadReader
 from decklb.pg.parameters import SessionParameters
 from decklb.pg.prepared_statements import NamedObjects, Portal, PreparedStatement
+from decklb.pg.request import PgRequest
 from decklb.pg.settings import PgSettings
 from decklb.pg.statements import Classification, LocalCommand, classify
-from decklb.pg.work import PgWork
 from decklb.wire.table_group import table_group
 
 DESCRIBE_STATEMENT, DESCRIBE_PORTAL = ord("S"), ord("P")  # kinds of object in Describe and Close
@@ -57,7 +57,7 @@
     def write(self, data: bytes) -> None:
         """Send to the client."""
 
-    def submit(self, work: PgWork, on_result: Callable[[bytes], None]) -> None:
+    def submit(self, work: PgRequest, on_result: Callable[[bytes], None]) -> None:
         """Run a statement. No message is given to the session until it has its final answer.
 
         `on_result` takes the messages of an engine's whole answer, which may be an ErrorResponse.
@@ -286,7 +286,7 @@
         bind: bytes | None = None,
         describe: bool = False,
         execute: bool = True,
-    ) -> PgWork:
+    ) -> PgRequest:
         """The request for an engine, under the session's parameters. An idempotency key is used up by what runs."""
         parameters = self.parameters
         idempotency_key = ""
@@ -299,7 +299,7 @@
             self.parameters = replace(parameters, idempotency_key="")
         request_class = self._request_class(classification)
         text_bytes = sql.encode()
-        return PgWork(
+        return PgRequest(
             self._context.new_request_id(),
             request_class,
             parameters.tenant,
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -27,8 +27,8 @@
 from decklb.net.listener import FrameListener
 from decklb.pg.engines import PgEngines
 from decklb.pg.health_check import PgHealthCheckConnection
+from decklb.pg.request import PgRequest
 from decklb.pg.settings import PgSettings
-from decklb.pg.work import PgWork
 from decklb.settings import parse_settings
 from decklb.wire.health_check import HealthChecker
 from tests.standins import SETTINGS
@@ -129,7 +129,7 @@
         if self.front == "postgres":
             bind = more.pop("bind", None)
             bind = None if bind is None else bind.encode("latin-1")
-            work = PgWork(rid, "read", "cusco", BUDGET, statement.encode(), bind=bind, **more)
+            work = PgRequest(rid, "read", "cusco", BUDGET, statement.encode(), bind=bind, **more)
         else:
             token = more.get("token", "")
             work = IncomingRequest(rid, "read", "cusco", BUDGET, statement.encode(), deduplication_token=token)
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -13,9 +13,9 @@
 from decklb.pg.errors import PgError
 from decklb.pg.listener import PgListener
 from decklb.pg.parameters import SessionParameters
+from decklb.pg.request import PgRequest
 from decklb.pg.settings import PgSettings
 from decklb.pg.statements import classify
-from decklb.pg.work import PgWork
 from decklb.settings import parse_settings
 from tests.standins import ROOT, SETTINGS
 
@@ -129,11 +129,11 @@
 
 
 WORKS = {
-    "simple query": PgWork("id", "read", "cusco", 5.0, b"select 1", simple=True),
-    "extended query": PgWork(
+    "simple query": PgRequest("id", "read", "cusco", 5.0, b"select 1", simple=True),
+    "extended query": PgRequest(
         "id", "load", "", 5.0, b"x", 3, "k", types=b"\0\1\0\0\0\x17", bind=b"\0\0\0\0\0\0", describe=True
     ),
-    "description": PgWork("id", "load", "", 5.0, "ñ".encode(), execute=False),
+    "description": PgRequest("id", "load", "", 5.0, "ñ".encode(), execute=False),
 }
 
 
