--- a/decklb/bgp/__init__.py
+++ b/decklb/bgp/__init__.py
@@ -1,5 +1,5 @@
-"""A small BGP-4 speaker (RFC 4271) that announces the service's address while the program is ready.
+"""A minimal BGP-4 speaker (RFC 4271) that announces the service's address while the program is ready.
 
-`speaker` keeps a connection to each peer, `connection` is the TCP connection, `session` the state machine without I/O,
-`messages` the codec, `errors` the codes of NOTIFICATION, `settings` the `bgp` section of the configuration.
+`speaker` maintains a connection to each peer, `connection` is the TCP connection, `session` the state machine without
+I/O, `messages` the codec, `errors` the NOTIFICATION codes, and `settings` the `bgp` section of the configuration.
 """
--- a/decklb/bgp/connection.py
+++ b/decklb/bgp/connection.py
@@ -1,6 +1,6 @@
-"""The TCP connection of a BGP session: feeds the session with messages, and reports its end to the peer's owner.
+"""The TCP connection of a BGP session: passes messages to the session and reports the end of the connection.
 
-Made by `decklb.bgp.speaker.Peer` for each attempt to connect. All decisions are `decklb.bgp.session.Session`'s.
+Created by `decklb.bgp.speaker.Peer` for each attempt to connect. `decklb.bgp.session.Session` makes all decisions.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class PeerConnection(Protocol):
-    """One connection to a peer."""
+    """A connection to a peer."""
 
-    transport: Any  # Zope's interfaces say nothing to the type checker
+    transport: Any  # the type checker can't read zope's interfaces
 
     def __init__(self, session: Session, on_ended: Callable[[str], None]) -> None:
-        """`on_ended` is called with the reason once the connection has ended."""
+        """`on_ended` is called with the reason when the connection has ended."""
         self.session = session
         self._on_ended = on_ended
         self._reader = MessageReader()
@@ -32,7 +32,7 @@
         self.session.start(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
-        """Messages, split anywhere. What comes after the end of the session is discarded."""
+        """Handle a chunk of the byte stream. Messages after the end of the session are discarded."""
         try:
             for message in self._reader.feed(data):
                 if self.session.open:
--- a/decklb/bgp/errors.py
+++ b/decklb/bgp/errors.py
@@ -1,6 +1,6 @@
-"""Errors of a BGP session, as RFC 4271 (section 4.5) and RFC 4486 number them.
+"""Errors of a BGP session with the codes of RFC 4271 (section 4.5) and RFC 4486.
 
-The codec and the session raise `BgpError`; the connection answers it with a NOTIFICATION of the same numbers.
+The codec and the session raise `BgpError`; the connection responds with a NOTIFICATION with the same codes.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class ErrorCode(IntEnum):
-    """The error code of a NOTIFICATION (RFC 4271, section 4.5)."""
+    """Error codes of a NOTIFICATION (RFC 4271, section 4.5)."""
 
     MESSAGE_HEADER = 1
     OPEN_MESSAGE = 2
@@ -43,16 +43,16 @@
     ADMINISTRATIVE_SHUTDOWN = 2
 
 
-UNSPECIFIC = 0  # the subcode of an error code that defines none
+UNSPECIFIC = 0  # subcode of error codes without defined subcodes
 
 
 class BgpError(Exception):
     """An error that ends the session with a NOTIFICATION.
 
     Attributes:
-        code: What kind of error it is.
-        subcode: Its subcode, 0 where the code has none.
-        data: Data field of the NOTIFICATION; what it holds depends on code and subcode.
+        code: The error code.
+        subcode: The subcode; 0 if the code has none.
+        data: Data field of the NOTIFICATION; its content depends on code and subcode.
     """
 
     def __init__(self, code: ErrorCode, subcode: int, data: bytes = b"", text: str = "") -> None:
--- a/decklb/bgp/messages.py
+++ b/decklb/bgp/messages.py
@@ -1,7 +1,7 @@
 """Codec of BGP-4 messages (RFC 4271, section 4) with the capability of four-octet AS numbers (RFC 6793).
 
-Bytes in, typed messages out, and the other way round; no state but that of `MessageReader`, which holds the bytes of
-a message that is not complete yet. Used by `decklb.bgp.session` and, to validate them, by `decklb.bgp.settings`.
+Decodes bytes into typed messages and encodes messages. Only `MessageReader` has state: the bytes of an incomplete
+message. Used by `decklb.bgp.session`, and by `decklb.bgp.settings` for validation.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class MessageType(IntEnum):
-    """The type octet of a message header (RFC 4271, section 4.1)."""
+    """Type octets of message headers (RFC 4271, section 4.1)."""
 
     OPEN = 1
     UPDATE = 2
@@ -26,7 +26,7 @@
 
 
 VERSION = 4
-MARKER = b"\xff" * 16  # starts every message (RFC 4271, section 4.1)
+MARKER = b"\xff" * 16  # start of every message (RFC 4271, section 4.1)
 HEADER_SIZE = 19  # bytes: marker, length, type
 MAX_MESSAGE_SIZE = 4096  # bytes, header included
 MIN_MESSAGE_SIZE = {  # bytes, header included
@@ -35,12 +35,12 @@
     MessageType.NOTIFICATION: 21,
     MessageType.KEEPALIVE: 19,
 }
-OPEN_FIXED_SIZE = 10  # bytes of an OPEN's body before its optional parameters
+OPEN_FIXED_SIZE = 10  # size in bytes of an OPEN's body without its optional parameters
 CAPABILITIES_PARAMETER = 2  # type of the optional parameter that lists capabilities (RFC 5492)
 FOUR_OCTET_ASN_CAPABILITY = 65  # RFC 6793, section 3
-AS_TRANS = 23456  # stands for an AS number that does not fit in two octets (RFC 6793, section 9)
+AS_TRANS = 23456  # placeholder for an AS number that does not fit in two octets (RFC 6793, section 9)
 MAX_TWO_OCTET_ASN = (1 << 16) - 1
-MIN_HOLD_TIME_S = 3  # a hold time is 0, which means none, or at least this (RFC 4271, section 4.2)
+MIN_HOLD_TIME_S = 3  # a hold time is either 0 (none) or at least this (RFC 4271, section 4.2)
 
 # Path attributes: flags and type code (RFC 4271, section 4.3; AS4_PATH: RFC 6793, section 3).
 ORIGIN = b"\x40\x01"
@@ -49,12 +49,12 @@
 LOCAL_PREF = b"\x40\x05"
 AS4_PATH = b"\xc0\x11"
 ORIGIN_IGP = b"\x00"
-AS_SEQUENCE = 2  # type of a path segment
+AS_SEQUENCE = 2  # type of an AS_PATH segment
 DEFAULT_LOCAL_PREF = 100
 
 
 class Message(NamedTuple):
-    """One message: its type, and its body without the header."""
+    """A message: its type and its body without the header."""
 
     type: MessageType
     body: bytes
@@ -65,10 +65,10 @@
     """A peer's OPEN (RFC 4271, section 4.2).
 
     Attributes:
-        asn: Its AS number; that of the four-octet capability if there is one.
-        hold_time_s: The hold time it proposes, in seconds; 0 is none.
-        bgp_identifier: Its BGP Identifier, a dotted quad.
-        four_octet_asn: Whether it has the capability of four-octet AS numbers.
+        asn: Its AS number, taken from the four-octet capability if present.
+        hold_time_s: The proposed hold time in seconds; 0: none.
+        bgp_identifier: Its BGP Identifier in dotted-quad notation.
+        four_octet_asn: Whether it supports four-octet AS numbers.
     """
 
     asn: int
@@ -78,25 +78,25 @@
 
 
 class MessageReader:
-    """Cuts a byte stream, split anywhere, into messages."""
+    """Splits a byte stream, which arrives in arbitrary chunks, into messages."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are complete now. Raises BgpError for a header that RFC 4271 (6.1) does not accept."""
+        """Return the messages that are now complete. Raises BgpError for an invalid header (RFC 4271, 6.1)."""
         self.buffer += data
-        found = []
+        messages = []
         while len(self.buffer) >= HEADER_SIZE:
             message_type, size = self._read_header()
             if len(self.buffer) < size:
                 break
-            found.append(Message(message_type, bytes(self.buffer[HEADER_SIZE:size])))
+            messages.append(Message(message_type, bytes(self.buffer[HEADER_SIZE:size])))
             del self.buffer[:size]
-        return found
+        return messages
 
     def _read_header(self) -> tuple[MessageType, int]:
-        """Type and size of the first message in the buffer."""
+        """Return type and size of the first message in the buffer."""
         if self.buffer[: len(MARKER)] != MARKER:
             raise BgpError(ErrorCode.MESSAGE_HEADER, HeaderSubcode.CONNECTION_NOT_SYNCHRONIZED, text="bad marker")
         size, type_code = struct.unpack_from(">HB", self.buffer, len(MARKER))
@@ -113,12 +113,12 @@
 
 
 def pack(message_type: MessageType, body: bytes = b"") -> bytes:
-    """One message with its header."""
+    """Encode a message with its header."""
     return MARKER + struct.pack(">HB", HEADER_SIZE + len(body), message_type) + body
 
 
 def pack_open(asn: int, hold_time_s: int, bgp_identifier: str) -> bytes:
-    """An OPEN that offers the capability of four-octet AS numbers."""
+    """Encode an OPEN that offers four-octet AS numbers."""
     capability = struct.pack(">BBI", FOUR_OCTET_ASN_CAPABILITY, 4, asn)
     parameter = struct.pack(">BB", CAPABILITIES_PARAMETER, len(capability)) + capability
     body = struct.pack(">BHH", VERSION, _two_octet_asn(asn), hold_time_s)
@@ -131,7 +131,7 @@
 
 
 def read_open(body: bytes) -> Open:
-    """The fields of an OPEN. Raises BgpError for what RFC 4271 (6.2) does not accept."""
+    """Decode an OPEN. Raises BgpError for an invalid one (RFC 4271, 6.2)."""
     version, asn, hold_time_s, identifier, parameters_size = struct.unpack_from(">BHH4sB", body)
     if version != VERSION:
         data = VERSION.to_bytes(2, "big")
@@ -155,7 +155,10 @@
 
 
 def _type_length_values(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """Entries of one octet of type, one of length, and a value; so are parameters and capabilities coded (RFC 5492)."""
+    """Yield type and value of each entry; parameters and capabilities share this format (RFC 5492).
+
+    An entry is one octet of type, one octet of length, and the value.
+    """
     while data:
         if len(data) < 2 or len(data) < 2 + data[1]:
             raise _bad_parameters()
@@ -169,25 +172,25 @@
 
 
 def pack_notification(error: BgpError) -> bytes:
-    """A NOTIFICATION (RFC 4271, section 4.5)."""
+    """Encode a NOTIFICATION (RFC 4271, section 4.5)."""
     return pack(MessageType.NOTIFICATION, bytes([error.code, error.subcode]) + error.data)
 
 
 def pack_prefix(prefix: str) -> bytes:
-    """A prefix as in an UPDATE: its length in bits, and as many octets as hold these (RFC 4271, section 4.3)."""
+    """Encode a prefix for an UPDATE: its length in bits and the octets that contain them (RFC 4271, section 4.3)."""
     network = ipaddress.IPv4Network(prefix)
     return bytes([network.prefixlen]) + network.network_address.packed[: (network.prefixlen + 7) // 8]
 
 
 def pack_announcement(prefixes: list[str], next_hop: str, asn: int, internal: bool, four_octet_asn: bool) -> bytes:
-    """An UPDATE that announces routes.
+    """Encode an UPDATE that announces routes.
 
     Args:
         prefixes: The routes, such as "10.0.0.0/8".
-        next_hop: Address to which their traffic goes.
+        next_hop: Address to which their traffic is sent.
         asn: Our AS number.
-        internal: Whether the peer is of our AS (IBGP): the path is empty then, and a local preference is sent.
-        four_octet_asn: Whether the peer has the capability of four-octet AS numbers.
+        internal: Whether the peer is in our AS (IBGP): if so, the AS path is empty and a local preference is sent.
+        four_octet_asn: Whether the peer supports four-octet AS numbers.
     """
     attributes = _attribute(ORIGIN, ORIGIN_IGP)
     attributes += _attribute(AS_PATH, b"" if internal else _as_path(asn, four_octet_asn))
@@ -195,7 +198,7 @@
     if internal:
         attributes += _attribute(LOCAL_PREF, struct.pack(">I", DEFAULT_LOCAL_PREF))
     elif not four_octet_asn and asn > MAX_TWO_OCTET_ASN:
-        # The peer passes it on unread, to speakers that have the capability (RFC 6793, section 4.2.2).
+        # The peer forwards it unchanged to speakers that support four-octet AS numbers (RFC 6793, section 4.2.2).
         attributes += _attribute(AS4_PATH, _as_path(asn, four_octet_asn=True))
     no_withdrawn_routes = b"\0\0"
     body = no_withdrawn_routes + struct.pack(">H", len(attributes)) + attributes
@@ -207,14 +210,14 @@
 
 
 def _as_path(asn: int, four_octet_asn: bool) -> bytes:
-    """A path of one segment that holds our AS alone."""
+    """Encode an AS path of one segment that contains only our AS."""
     if four_octet_asn:
         return struct.pack(">BBI", AS_SEQUENCE, 1, asn)
     return struct.pack(">BBH", AS_SEQUENCE, 1, _two_octet_asn(asn))
 
 
 def pack_withdrawal(prefixes: list[str]) -> bytes:
-    """An UPDATE that withdraws routes."""
+    """Encode an UPDATE that withdraws routes."""
     routes = b"".join(map(pack_prefix, prefixes))
     no_attributes = b"\0\0"
     return pack(MessageType.UPDATE, struct.pack(">H", len(routes)) + routes + no_attributes)
--- a/decklb/bgp/session.py
+++ b/decklb/bgp/session.py
@@ -1,10 +1,10 @@
-"""State machine of one BGP connection (RFC 4271, section 8), without its socket.
+"""State machine of one BGP connection (RFC 4271, section 8), without I/O.
 
-`decklb.bgp.connection` feeds it with messages and carries out what it asks of its `Transport`. It owns the state of
-the session, the hold timer, the keepalive timer and whether the routes are announced on it.
+`decklb.bgp.connection` passes it messages; it sends through its `Transport`. It owns the state of the session, the
+hold timer, the keepalive timer and whether the routes are announced to the peer.
 
-Of the RFC's states, Connect belongs to `decklb.bgp.speaker.Peer`, which opens connections; Active is left out, since
-peers are connected to and never listened for.
+The RFC's state Connect is implemented by `decklb.bgp.speaker.Peer`, which opens connections. The state Active does not
+exist, since the speaker never listens for peers.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from decklb.bgp.settings import BgpSettings, PeerSettings
 from decklb.core.ports import Clock, Timer
 
-OPEN_HOLD_TIME_MS = 240_000.0  # in which the peer must send its OPEN: four minutes (RFC 4271, section 8.2.2)
+OPEN_HOLD_TIME_MS = 240_000.0  # limit for the peer's OPEN: four minutes (RFC 4271, section 8.2.2)
 KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271, section 4.4
 MS_PER_S = 1000.0
 
 
 class State(Enum):
-    """States of the session (RFC 4271, section 8.2.2). IDLE: it is over, and its connection is closing."""
+    """States of the session (RFC 4271, section 8.2.2). IDLE: not started, or ended with its connection closing."""
 
     IDLE = auto()
     OPEN_SENT = auto()
@@ -34,33 +34,33 @@
 
 
 class Transport(Protocol):
-    """The session's connection; Twisted's transports are such."""
+    """The methods of Twisted's transports that the session uses."""
 
     def write(self, data: bytes, /) -> None:
-        """Send."""
+        """Send data."""
 
     def loseConnection(self) -> None:
-        """Close once everything was sent."""
+        """Close the connection after all data has been sent."""
 
 
 class Session:
-    """One session with a peer, from our OPEN to the end of its connection."""
+    """A session with a peer, from our OPEN to the end of the connection."""
 
     def __init__(
         self,
         settings: BgpSettings,
         peer: PeerSettings,
         clock: Clock,
-        routes_wanted: bool,
+        should_announce: bool,
         on_established: Callable[[], None],
     ) -> None:
-        """`on_established` is called on the change to that state, before the routes are announced."""
+        """`on_established` is called when the session is established, before the routes are announced."""
         self.settings, self.peer, self.clock = settings, peer, clock
-        self.routes_wanted = routes_wanted  # whether the peer should have our routes
-        self.routes_announced = False  # whether it has them
+        self.should_announce = should_announce  # whether our routes should be announced to the peer
+        self.routes_announced = False  # whether they are announced
         self.on_established = on_established
         self.state = State.IDLE
-        self.end_reason = "peer-closed"  # for the log
+        self.end_reason = "peer-closed"  # as logged
         self.peer_open: bgp.Open | None = None
         self.hold_time_ms = OPEN_HOLD_TIME_MS  # 0: no hold timer
         self._transport: Transport | None = None
@@ -68,7 +68,7 @@
         self._keepalive_timer: Timer | None = None
 
     def start(self, transport: Transport) -> None:
-        """The connection is up: send our OPEN."""
+        """The connection is established: send our OPEN."""
         self._transport = transport
         self.state = State.OPEN_SENT
         self._send(bgp.pack_open(self.settings.asn, self.settings.hold_time_s, self.settings.bgp_identifier))
@@ -76,11 +76,11 @@
 
     @property
     def open(self) -> bool:
-        """Whether the connection is up and nothing has ended the session."""
+        """Whether the session has started and not ended."""
         return self.state is not State.IDLE
 
     def receive(self, message: Message) -> None:
-        """Take one message of the peer. Raises BgpError for what it must not send in this state."""
+        """Handle a message of the peer. Raises BgpError if it is not allowed in this state."""
         match message.type, self.state:
             case (MessageType.NOTIFICATION, _):
                 self._end(f"notification-{message.body[0]}/{message.body[1]}")
@@ -92,7 +92,7 @@
                 self.on_established()
                 self._update_routes()
             case (MessageType.KEEPALIVE | MessageType.UPDATE, State.ESTABLISHED):
-                self._restart_hold_timer()  # the peer's own routes are of no use here
+                self._restart_hold_timer()  # routes of the peer are ignored
             case _:
                 raise BgpError(ErrorCode.FINITE_STATE_MACHINE, UNSPECIFIC, text="message out of turn")
 
@@ -107,16 +107,16 @@
         self._restart_hold_timer()
         self._send_keepalive()
 
-    def want_routes(self, wanted: bool) -> None:
-        """Announce or withdraw the routes, now or once the session is established."""
-        self.routes_wanted = wanted
+    def set_announcement(self, enabled: bool) -> None:
+        """Announce or withdraw the routes, now or as soon as the session is established."""
+        self.should_announce = enabled
         self._update_routes()
 
     def _update_routes(self) -> None:
-        if self.state is not State.ESTABLISHED or self.routes_announced == self.routes_wanted:
+        if self.state is not State.ESTABLISHED or self.routes_announced == self.should_announce:
             return
-        self.routes_announced = self.routes_wanted
-        self._send(self._announcement() if self.routes_wanted else bgp.pack_withdrawal(self.settings.prefixes))
+        self.routes_announced = self.should_announce
+        self._send(self._announcement() if self.should_announce else bgp.pack_withdrawal(self.settings.prefixes))
 
     def _announcement(self) -> bytes:
         assert self.peer_open is not None
@@ -147,16 +147,16 @@
         self.fail(BgpError(ErrorCode.HOLD_TIMER_EXPIRED, UNSPECIFIC, text="hold timer"))
 
     def shut_down(self) -> None:
-        """End with a Cease, for administrative shutdown (RFC 4486)."""
+        """End the session with a Cease for administrative shutdown (RFC 4486)."""
         self.fail(BgpError(ErrorCode.CEASE, CeaseSubcode.ADMINISTRATIVE_SHUTDOWN, text="shutdown"))
 
     def fail(self, error: BgpError) -> None:
-        """End with a NOTIFICATION of this error."""
+        """Send a NOTIFICATION of this error and end the session."""
         self._send(bgp.pack_notification(error))
         self._end(f"{error.code}/{error.subcode} {error}")
 
     def _end(self, reason: str) -> None:
-        """The timers run on until the connection has ended."""
+        """End the session; the timers keep running until the connection has ended."""
         assert self._transport is not None
         self.state, self.end_reason = State.IDLE, reason
         self._transport.loseConnection()
--- a/decklb/bgp/settings.py
+++ b/decklb/bgp/settings.py
@@ -8,18 +8,18 @@
 
 from decklb.bgp import messages as bgp
 
-DEFAULT_HOLD_TIME_S = 90  # as RFC 4271, section 10, suggests
+DEFAULT_HOLD_TIME_S = 90  # suggested by RFC 4271, section 10
 MAX_HOLD_TIME_S = (1 << 16) - 1  # two octets on the wire
 MAX_ASN = (1 << 32) - 1  # four octets on the wire
 
 
 @dataclass(slots=True)
 class PeerSettings:
-    """One peer.
+    """Settings of one peer.
 
     Attributes:
         address: Host and port to connect to.
-        asn: The AS number that the peer must open with.
+        asn: The AS number that the peer must send in its OPEN.
     """
 
     address: tuple[str, int]
@@ -32,11 +32,11 @@
 
     Attributes:
         asn: Our AS number.
-        bgp_identifier: Our BGP Identifier, a dotted quad.
+        bgp_identifier: Our BGP Identifier in dotted-quad notation.
         next_hop: The next hop of the announced routes.
         prefixes: The routes to announce while the program is ready.
-        hold_time_s: The hold time we propose; 0 is none. The lesser of both sides' counts.
-        peers: Whom to connect to.
+        hold_time_s: The hold time that we propose; 0: none. The lower of both sides' proposals applies.
+        peers: The peers to connect to.
     """
 
     asn: int
@@ -47,9 +47,9 @@
     peers: list[PeerSettings] = field(default_factory=list)
 
     @classmethod
-    def from_raw(cls, raw: dict[str, Any], address: Callable[[str], tuple[str, int]]) -> BgpSettings:
-        """Check and translate the section; `address` reads "host:port". Raises ValueError or KeyError."""
-        peers = [PeerSettings(address(peer["address"]), int(peer["asn"])) for peer in raw["peers"]]
+    def from_raw(cls, raw: dict[str, Any], parse_address: Callable[[str], tuple[str, int]]) -> BgpSettings:
+        """Parse and validate the section; `parse_address` parses "host:port". Raises ValueError or KeyError."""
+        peers = [PeerSettings(parse_address(peer["address"]), int(peer["asn"])) for peer in raw["peers"]]
         settings = cls(
             asn=int(raw["asn"]),
             bgp_identifier=raw["router"],
@@ -62,7 +62,7 @@
         return settings
 
     def check(self) -> None:
-        """Raises ValueError for what can't be sent in a message."""
+        """Raise ValueError for values that can't be encoded in a message."""
         hold_time_valid = self.hold_time_s == 0 or bgp.MIN_HOLD_TIME_S <= self.hold_time_s <= MAX_HOLD_TIME_S
         if not hold_time_valid or not 0 < self.asn <= MAX_ASN:
             raise ValueError("bgp: hold is 0 or 3 to 65535 s, asn 1 to 4294967295")
--- a/decklb/bgp/speaker.py
+++ b/decklb/bgp/speaker.py
@@ -1,7 +1,7 @@
-"""The BGP speaker: keeps a connection to each configured peer and announces one set of routes to all of them.
+"""The BGP speaker: maintains a connection to each configured peer and announces the same routes to all of them.
 
 The routes are announced while the program is ready and withdrawn when it drains. Owns the list of peers and whether
-the routes are wanted. `decklb.daemon.service` starts it, tells it of readiness and closes it.
+the routes should be announced. `decklb.daemon.service` starts it, notifies it of readiness changes and closes it.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
     def __init__(self, speaker: Speaker, settings: PeerSettings) -> None:
         self.speaker, self.settings = speaker, settings
-        self.connection: PeerConnection | None = None  # also while it is being opened
+        self.connection: PeerConnection | None = None  # also while it is being established
 
     def connect(self) -> None:
-        """Open a connection: from Idle to Connect (RFC 4271, section 8.2.2)."""
+        """Open a connection: the transition from Idle to Connect (RFC 4271, section 8.2.2)."""
         if self.speaker.closed:
             return
         connection = self.connection = self.new_connection()
@@ -41,20 +41,20 @@
         endpoint.connect(factory).addErrback(self._connect_failed)
 
     def new_connection(self) -> PeerConnection:
-        """A connection that is yet to be opened."""
+        """Return a connection that has not been opened yet."""
         speaker = self.speaker
         session = Session(
-            speaker.settings, self.settings, speaker.clock, speaker.routes_wanted, self._session_established
+            speaker.settings, self.settings, speaker.clock, speaker.should_announce, self._session_established
         )
         return PeerConnection(session, self._connection_ended)
 
-    def want_routes(self, wanted: bool) -> None:
-        """Announce the routes to the peer, or withdraw them, if it is connected; a later session asks the speaker."""
+    def set_announcement(self, enabled: bool) -> None:
+        """Announce or withdraw the routes in the current session, if any; later sessions read `should_announce`."""
         if self.connection is not None:
-            self.connection.session.want_routes(wanted)
+            self.connection.session.set_announcement(enabled)
 
     def shut_down(self) -> None:
-        """End the session, if there is one."""
+        """End the current session, if any."""
         if self.connection is not None and self.connection.session.open:
             self.connection.session.shut_down()
 
@@ -65,7 +65,7 @@
         logger.info("bgp peer {peer} established", event="bgp-established", peer=self._address())
 
     def _connection_ended(self, reason: str) -> None:
-        """Back to Idle; connect again after a while."""
+        """Return to Idle and schedule the next attempt to connect."""
         logger.info(
             "bgp connection ended: {reason} peer={peer}",
             event="bgp-connection-ended",
@@ -82,11 +82,11 @@
 
 
 class Speaker:
-    """All peers, and whether the routes are wanted now."""
+    """All peers, and whether the routes should be announced now."""
 
     def __init__(self, reactor: Any, clock: Clock, settings: BgpSettings) -> None:
         self.reactor, self.clock, self.settings = reactor, clock, settings
-        self.routes_wanted = False
+        self.should_announce = False
         self.closed = False
         self.peers = [Peer(self, peer_settings) for peer_settings in settings.peers]
 
@@ -95,14 +95,14 @@
         for peer in self.peers:
             peer.connect()
 
-    def announce(self, wanted: bool) -> None:
-        """Announce the routes, or withdraw them."""
-        self.routes_wanted = wanted
+    def announce(self, enabled: bool) -> None:
+        """Announce or withdraw the routes at all peers."""
+        self.should_announce = enabled
         for peer in self.peers:
-            peer.want_routes(wanted)
+            peer.set_announcement(enabled)
 
     def close(self) -> None:
-        """Withdraw the routes and end every session; none is opened any more."""
+        """Withdraw the routes, end all sessions and open no new ones."""
         self.announce(False)
         self.closed = True
         for peer in self.peers:
--- a/tests/bgp_peer.py
+++ b/tests/bgp_peer.py
@@ -1,4 +1,4 @@
-"""Stand-ins for BGP tests: a peer on a real socket, and a transport that notes what a connection does."""
+"""Stand-ins for BGP tests: a peer on a real socket, and a transport that records what is written."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PeerStandin:
-    """Accepts one connection and speaks BGP as a test says."""
+    """A peer that accepts one connection and is controlled by the test."""
 
     def __init__(self):
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -24,7 +24,7 @@
         self.reader, self.received = bgp.MessageReader(), []
 
     def next_message(self, *ignored_types):
-        """The next message that is not of these types; None at the end of the connection."""
+        """Return the next message that is not of these types; None if the connection has ended."""
         while True:
             while not self.received:
                 data = self.socket.recv(4096)
@@ -36,7 +36,7 @@
                 return message
 
     def establish(self, asn=64513, hold_time_s=30):
-        """Open the session from the peer's side; returns the speaker's OPEN."""
+        """Open the session as the peer and return the speaker's OPEN."""
         self.accept()
         message = self.next_message()
         assert message.type is MessageType.OPEN
@@ -50,7 +50,7 @@
 
 
 class RecordingTransport:
-    """Notes what a connection does on it."""
+    """Records written data and whether the connection was closed."""
 
     def __init__(self):
         self.data, self.closed = b"", False
@@ -62,6 +62,6 @@
         self.closed = True
 
     def take_messages(self):
-        """What was written since the last call."""
+        """Return the messages written since the last call."""
         data, self.data = self.data, b""
         return bgp.MessageReader().feed(data)
--- a/tests/test_bgp_messages.py
+++ b/tests/test_bgp_messages.py
@@ -1,4 +1,4 @@
-"""BGP messages: what is read and built, and the error codes of what RFC 4271 does not accept."""
+"""Encoding and decoding of BGP messages, and the error codes of invalid ones (RFC 4271)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("asn", [64512, 4_200_000_001])
-def test_an_open_is_read_as_it_was_built(asn):
+def test_an_encoded_open_is_decoded_to_the_same_fields(asn):
     ((message_type, body),) = bgp.MessageReader().feed(bgp.pack_open(asn, 90, "127.0.0.1"))
     assert message_type is MessageType.OPEN
     assert bgp.read_open(body) == bgp.Open(asn, 90, "127.0.0.1", four_octet_asn=True)
@@ -33,7 +33,7 @@
         (open_body(parameters=b"\3\2\6\x41"), (2, 0)),
     ],
 )
-def test_faults_of_an_open_and_their_codes(body, code):
+def test_invalid_opens_are_rejected_with_their_error_codes(body, code):
     with pytest.raises(BgpError) as caught:
         bgp.read_open(body)
     assert (caught.value.code, caught.value.subcode) == code
@@ -49,16 +49,16 @@
         (bgp.MARKER + b"\0\x14\x04", (1, 2)),
     ],
 )
-def test_faults_of_a_header_and_their_codes(raw, code):
+def test_invalid_headers_are_rejected_with_their_error_codes(raw, code):
     with pytest.raises(BgpError) as caught:
         bgp.MessageReader().feed(raw)
     assert (caught.value.code, caught.value.subcode) == code
 
 
-def test_updates():
-    inside = bgp.pack_announcement(["10.1.2.0/23"], "127.0.0.1", 64512, internal=True, four_octet_asn=True)
+def test_announcements_and_withdrawals_are_encoded():
+    internal = bgp.pack_announcement(["10.1.2.0/23"], "127.0.0.1", 64512, internal=True, four_octet_asn=True)
     attributes = "40010100" + "400200" + "4003047f000001" + "40050400000064"
-    assert inside[bgp.HEADER_SIZE :].hex() == "00000015" + attributes + "170a0102"
-    outside = bgp.pack_announcement(["10.1.2.3/32"], "127.0.0.1", 64512, internal=False, four_octet_asn=True)
-    assert bytes.fromhex("4002060201" + "0000fc00") in outside
+    assert internal[bgp.HEADER_SIZE :].hex() == "00000015" + attributes + "170a0102"
+    external = bgp.pack_announcement(["10.1.2.3/32"], "127.0.0.1", 64512, internal=False, four_octet_asn=True)
+    assert bytes.fromhex("4002060201" + "0000fc00") in external
     assert bgp.pack_withdrawal(["10.1.2.3/32"])[bgp.HEADER_SIZE :].hex() == "0005200a0102030000"
--- a/tests/test_bgp_session.py
+++ b/tests/test_bgp_session.py
@@ -1,4 +1,4 @@
-"""The state machine of a BGP session, on a clock of its own."""
+"""The state machine of a BGP session, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 @pytest.fixture
 def session(clock, transport):
-    session = Session(SETTINGS, PEER, ReactorClock(clock), routes_wanted=False, on_established=lambda: None)
+    session = Session(SETTINGS, PEER, ReactorClock(clock), should_announce=False, on_established=lambda: None)
     session.start(transport)
     transport.take_messages()
     return session
 
 
-def test_the_states_up_to_established(session):
+def test_the_session_passes_through_the_states_up_to_established(session):
     assert session.state is State.OPEN_SENT
     session.receive(PEER_OPEN)
     assert session.state is State.OPEN_CONFIRM
@@ -46,11 +46,11 @@
     assert session.state is State.ESTABLISHED
 
 
-def test_the_lesser_hold_time_counts_and_its_expiry_is_notified(session, clock, transport):
+def test_the_lower_hold_time_applies_and_its_expiry_is_notified(session, clock, transport):
     session.receive(PEER_OPEN)
     session.receive(KEEPALIVE)
     transport.take_messages()
-    for _ in range(5):  # received in time: nothing but keepalives, each third of the hold time
+    for _ in range(5):  # received in time: only keepalives, sent every third of the hold time
         clock.advance(10)
         session.receive(KEEPALIVE)
         assert transport.take_messages() == [KEEPALIVE]
@@ -61,13 +61,13 @@
     assert session.state is State.IDLE
 
 
-def test_a_message_that_the_state_does_not_allow_is_an_error_of_the_state_machine(session):
+def test_a_message_not_allowed_in_the_state_is_a_finite_state_machine_error(session):
     with pytest.raises(BgpError) as caught:
         session.receive(KEEPALIVE)
     assert (caught.value.code, caught.value.subcode) == (5, 0)
 
 
-def test_a_connection_notifies_the_error_of_a_message_out_of_turn(clock, transport):
+def test_a_connection_sends_a_notification_for_an_unexpected_message(clock, transport):
     connection = Speaker(None, ReactorClock(clock), SETTINGS).peers[0].new_connection()
     connection.transport = transport
     connection.connectionMade()
--- a/tests/test_bgp_speaker.py
+++ b/tests/test_bgp_speaker.py
@@ -1,4 +1,4 @@
-"""The BGP speaker in the program, with a stand-in peer on a real socket."""
+"""The BGP speaker in the running program, with a stand-in peer on a real socket."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @pytest.fixture
 def engine_port():
-    """A port on which connections come up: enough for the program to be ready."""
+    """A port that accepts connections, which suffices for the program to become ready."""
     with socket.create_server(("127.0.0.1", 0)) as engine:
         yield engine.getsockname()[1]
 
 
 @pytest.fixture
 def start_program(peer):
-    """Starts the program before engines on these ports, with the peer configured."""
+    """A function that starts the program with engines on the given ports and the peer configured."""
     with contextlib.ExitStack() as started:
 
         def start(*engine_ports):
@@ -58,14 +58,14 @@
 def test_routes_are_not_announced_while_not_ready(peer, start_program):
     program = start_program()
     peer.establish()
-    wait_for(lambda: program.logged("established"), "established")
+    wait_for(lambda: program.logged("established"), "establishment of the session")
     program.process.terminate()
     assert peer.next_message(MessageType.KEEPALIVE) == (MessageType.NOTIFICATION, b"\6\2")
 
 
-def test_a_peer_of_another_as_is_notified_and_disconnected(peer, engine_port, start_program):
+def test_a_peer_with_an_unexpected_as_number_is_notified_and_disconnected(peer, engine_port, start_program):
     program = start_program(engine_port)
     peer.establish(asn=65000)
     assert peer.next_message(MessageType.KEEPALIVE) == (MessageType.NOTIFICATION, b"\2\2")
     assert peer.next_message() is None
-    wait_for(lambda: program.logged("bgp connection ended: 2/2"), "the log line")
+    wait_for(lambda: program.logged("bgp connection ended: 2/2"), "log line of the connection")
--- a/tests/test_bgp_wire_format.py
+++ b/tests/test_bgp_wire_format.py
@@ -1,4 +1,4 @@
-"""Golden tests of the BGP speaker: messages (RFC 4271) and whole sessions with a peer keep their bytes."""
+"""Golden tests of the BGP speaker: the bytes of messages (RFC 4271) and of sessions with a peer do not change."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def build_messages():
-    """Every message that is built here, by its name in RFC 4271."""
+    """Every message that the speaker encodes, by its name in RFC 4271."""
     return {
         "OPEN": bgp.pack_open(SHORT_ASN, 90, "127.0.0.1"),
         "OPEN with a four-octet AS number": bgp.pack_open(LONG_ASN, 0, "1.2.3.4"),
@@ -44,32 +44,32 @@
     return {"code": error.code, "subcode": error.subcode, "data": error.data.hex(), "text": str(error)}
 
 
-def read_stream(raw, piece_size):
-    """The messages of a byte stream that comes in pieces, and the error that ends it."""
-    reader, found = bgp.MessageReader(), []
+def read_stream(raw, chunk_size):
+    """The messages of a byte stream that arrives in chunks, and the error that ends it."""
+    reader, messages = bgp.MessageReader(), []
     try:
-        for at in range(0, len(raw), piece_size):
-            found += [[kind, body.hex()] for kind, body in reader.feed(raw[at : at + piece_size])]
+        for start in range(0, len(raw), chunk_size):
+            messages += [[kind, body.hex()] for kind, body in reader.feed(raw[start : start + chunk_size])]
     except BgpError as error:
         return {"error": error_fields(error)}
-    return {"messages": found, "rest": reader.buffer.hex()}
+    return {"messages": messages, "rest": reader.buffer.hex()}
 
 
 def read_open(body):
     try:
-        found = bgp.read_open(body)
+        peer_open = bgp.read_open(body)
     except BgpError as error:
         return {"error": error_fields(error)}
     return {
-        "asn": found.asn,
-        "hold_time_s": found.hold_time_s,
-        "bgp_identifier": found.bgp_identifier,
-        "four_octet_asn": found.four_octet_asn,
+        "asn": peer_open.asn,
+        "hold_time_s": peer_open.hold_time_s,
+        "bgp_identifier": peer_open.bgp_identifier,
+        "four_octet_asn": peer_open.four_octet_asn,
     }
 
 
 class FakeTransport:
-    """Notes what a connection does, in order."""
+    """Records the calls of a connection in order."""
 
     def __init__(self, events):
         self.events = events
@@ -82,7 +82,7 @@
 
 
 class FakeReactor(Clock):
-    """A reactor whose connections come up when the test says."""
+    """A simulated reactor that records attempts to connect; the test establishes connections itself."""
 
     def __init__(self, events):
         super().__init__()
@@ -92,8 +92,8 @@
         self.events.append(["connect", host, port, timeout])
 
 
-def play(script):
-    """A scripted session: what the speaker writes and does to its transport, step by step."""
+def run_script(script):
+    """Run a scripted session; return what the speaker writes and does to its transport in each step."""
     events = []
     reactor = FakeReactor(events)
     peer_settings = PeerSettings(("127.0.0.2", 179), 64513)
@@ -135,16 +135,16 @@
 
 
 @pytest.mark.parametrize("case", GOLDEN["streams"], ids=lambda case: case["name"])
-@pytest.mark.parametrize("piece_size", [1, 7, 5000])
-def test_streams_are_cut_into_the_same_messages(case, piece_size):
-    assert read_stream(bytes.fromhex(case["raw"]), piece_size) == case["expected"]
+@pytest.mark.parametrize("chunk_size", [1, 7, 5000])
+def test_streams_are_split_into_the_recorded_messages(case, chunk_size):
+    assert read_stream(bytes.fromhex(case["raw"]), chunk_size) == case["expected"]
 
 
 @pytest.mark.parametrize("case", GOLDEN["opens"], ids=lambda case: case["name"])
-def test_opens_are_read_as_the_same_fields(case):
+def test_opens_are_read_as_the_recorded_fields(case):
     assert read_open(bytes.fromhex(case["body"])) == case["expected"]
 
 
 @pytest.mark.parametrize("case", GOLDEN["sessions"], ids=lambda case: case["name"])
-def test_sessions_write_and_end_alike(case):
-    assert play(case["script"]) == case["expected"]
+def test_sessions_write_and_end_as_recorded(case):
+    assert run_script(case["script"]) == case["expected"]
