--- a/decklb/middleware/__init__.py
+++ b/decklb/middleware/__init__.py
@@ -1,7 +1,7 @@
-"""The dispatcher embedded in an ASGI application, on the application's own event loop.
+"""The dispatcher embedded in an ASGI application, running on the application's event loop.
 
-Public: `WorkloadMiddleware` wraps an application, `RequestSpec` says how to manage a request, `Members` joins the
-processes of an application into a fleet. `Ask` is the deprecated former name of `RequestSpec`.
+Public API: `WorkloadMiddleware` wraps an application, `RequestSpec` specifies how to manage a request, and `Members`
+joins the processes of an application into a fleet. `Ask` is the deprecated former name of `RequestSpec`.
 """
 
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """`Members` brings in the cluster and its libraries, so it is imported by those that name it."""
+    """Import `Members` on first use, since it imports the cluster and its libraries."""
     if name == "Members":
         from decklb.middleware.members import Members
 
--- a/decklb/middleware/answers.py
+++ b/decklb/middleware/answers.py
@@ -1,4 +1,4 @@
-"""The final answer of a request, from the dispatcher or the handoff to the coroutine that awaits it."""
+"""Passes the final answer of a request from the dispatcher or the handoff to the coroutine that awaits it."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class AnswerKind(Enum):
-    """How a request ended."""
+    """Kind of final answer."""
 
     SERVED = auto()
-    REJECTED = auto()  # it never ran, or may run again: a retry is harmless
-    FAILED = auto()  # its time is over, or it may have run and can't be sent again
-    CONFLICT = auto()  # its idempotency key was given to another request
+    REJECTED = auto()  # it did not run, or may run again: safe to retry
+    FAILED = auto()  # it timed out, or it may have run and must not be sent again
+    CONFLICT = auto()  # its idempotency key belongs to another request
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one final answer.
+    """The final answer of a request.
 
     Attributes:
-        kind: How the request ended.
-        response_record: Of SERVED in a fleet, the response as `AsgiCodec` encodes it; b"" if this process has it.
-        retry_after_ms: Of REJECTED, after how many ms to retry.
+        kind: The kind of answer.
+        response_record: For SERVED in a fleet, the response encoded by `AsgiCodec`; b"" if `AsgiRequest` has it.
+        retry_after_ms: For REJECTED, the delay in ms after which to retry.
     """
 
     kind: AnswerKind
@@ -32,7 +32,7 @@
 
 
 class AnswerFuture:
-    """Takes the final answer (`decklb.core.ports.ResponseSink`) and sets a future to it."""
+    """A sink (`decklb.core.ports.ResponseSink`) that sets the final answer as the result of a future."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.future: asyncio.Future[Answer] = loop.create_future()
@@ -42,15 +42,15 @@
         self._set(Answer(AnswerKind.SERVED, response_record=result))
 
     def rejected(self, retry_after_ms: float) -> None:
-        """A retry is harmless, after that many ms."""
+        """The request is safe to retry, after `retry_after_ms`."""
         self._set(Answer(AnswerKind.REJECTED, retry_after_ms=retry_after_ms))
 
     def failed(self) -> None:
-        """Over, or unknown."""
+        """The request timed out, or it may have run and must not be sent again."""
         self._set(Answer(AnswerKind.FAILED))
 
     def conflict(self) -> None:
-        """The idempotency key was given to another request."""
+        """The idempotency key belongs to another request."""
         self._set(Answer(AnswerKind.CONFLICT))
 
     def _set(self, answer: Answer) -> None:
--- a/decklb/middleware/asgi.py
+++ b/decklb/middleware/asgi.py
@@ -1,6 +1,6 @@
-"""The ASGI interface as it is used here: its types, and reading requests and sending responses.
+"""Types of the ASGI interface, and functions that read requests and send responses.
 
-Source: ASGI specification, "HTTP & WebSocket ASGI Message Format". Knows nothing of the dispatcher.
+Source: ASGI specification, "HTTP & WebSocket ASGI Message Format". Independent of the dispatcher.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 async def read_body(receive: Receive, max_bytes: int) -> bytes | None:
-    """The request's body; if it is over the bound, only as much as was read then. None if the client has left."""
+    """Read the body of a request. Returns None if the client has disconnected.
+
+    Reading stops when the body exceeds `max_bytes`; the result is then longer than that.
+    """
     body = b""
     while len(body) <= max_bytes:
         message = await receive()
@@ -29,13 +32,13 @@
 
 
 async def wait_for_disconnect(receive: Receive) -> None:
-    """Return once the client has left."""
+    """Return when the client has disconnected."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
 async def send_empty_response(send: Send, status: int, retry_after_s: int | None = None) -> None:
-    """A response without a body, with Retry-After where that is given."""
+    """Send a response without a body, with Retry-After unless `retry_after_s` is None."""
     headers = [(b"content-length", b"0")]
     if retry_after_s is not None:
         headers.append((b"retry-after", str(retry_after_s).encode()))
@@ -44,5 +47,5 @@
 
 
 def is_complete(response: list[Message]) -> bool:
-    """Whether these messages are a response from its start to its last part."""
+    """Whether these messages form a complete response."""
     return len(response) > 1 and not response[-1].get("more_body", False)
--- a/decklb/middleware/codec.py
+++ b/decklb/middleware/codec.py
@@ -1,7 +1,7 @@
-"""Requests and responses in the form in which another process of the application takes them over.
+"""Encoding of requests and responses for a takeover by another process of the application.
 
-MessagePack arrays, whose order of fields is part of the wire form. Used by the handoff
-(as its `RequestCodec`) and by `decklb.middleware.middleware`.
+The encodings are MessagePack arrays; the order of their fields is part of the wire format. Used by the handoff (as its
+`RequestCodec`) and by `decklb.middleware.middleware`.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 from decklb.core.ports import IncomingRequest
 from decklb.middleware.asgi import Message, Scope
-from decklb.middleware.requests import AsgiWork
+from decklb.middleware.requests import AsgiRequest
 
-# What of a scope means the same in another process. The rest (state, extensions, sockets) is its own process's.
+# The parts of a scope that are valid in another process. The others (state, extensions, sockets) are local.
 TEXT_SCOPE_KEYS = ("http_version", "method", "scheme", "path", "root_path")
 BYTES_SCOPE_KEYS = ("raw_path", "query_string")
 ASGI_VERSION = "3.0"
-REQUEST_ID = "taken-over"  # in the log, of what another process has taken
+TAKEOVER_REQUEST_ID = "taken-over"  # request id in the log for requests received from another process
 
 
 class _RequestRecord(msgspec.Struct, array_like=True, frozen=True):
@@ -40,18 +40,18 @@
     """Encodes and decodes requests and responses."""
 
     def __init__(self, ignored_headers: frozenset[bytes]) -> None:
-        """`ignored_headers`: names, in lower case, of headers that may differ between retries of one request."""
+        """`ignored_headers`: lower-case names of headers that may differ between retries of a request."""
         self._ignored_headers = ignored_headers
 
-    def encode(self, work: IncomingRequest) -> bytes:
-        """The same bytes for the same request."""
-        assert isinstance(work, AsgiWork)
-        scope = work.scope
+    def encode(self, request: IncomingRequest) -> bytes:
+        """Encode a request. Equal requests give equal bytes."""
+        assert isinstance(request, AsgiRequest)
+        scope = request.scope
         record = _RequestRecord(
-            request_class=work.request_class,
-            tenant=work.tenant,
-            table_group=work.table_group,
-            ordering_key=work.ordering_key,
+            request_class=request.request_class,
+            tenant=request.tenant,
+            table_group=request.table_group,
+            ordering_key=request.ordering_key,
             text_scope={key: str(scope[key]) for key in TEXT_SCOPE_KEYS if scope.get(key) is not None},
             bytes_scope={key: bytes(scope[key]) for key in BYTES_SCOPE_KEYS if scope.get(key) is not None},
             headers=[
@@ -59,12 +59,12 @@
                 for name, value in scope.get("headers", ())
                 if bytes(name).lower() not in self._ignored_headers
             ],
-            body=work.statement,
+            body=request.statement,
         )
         return msgspec.msgpack.encode(record)
 
-    def decode(self, body: bytes, budget: float) -> AsgiWork:
-        """The request again, with `budget` ms to run; its scope names no client and no server."""
+    def decode(self, body: bytes, budget_ms: float) -> AsgiRequest:
+        """Decode a request and give it a budget of `budget_ms`; its scope has no client and no server."""
         record = msgspec.msgpack.decode(body, type=_RequestRecord)
         scope: Scope = {
             "type": "http",
@@ -75,11 +75,11 @@
             **record.text_scope,
             **record.bytes_scope,
         }
-        return AsgiWork(
-            REQUEST_ID,
+        return AsgiRequest(
+            TAKEOVER_REQUEST_ID,
             record.request_class,
             record.tenant,
-            budget,
+            budget_ms,
             record.body,
             record.table_group,
             record.ordering_key,
@@ -87,7 +87,7 @@
         )
 
     def encode_response(self, messages: list[Message]) -> bytes:
-        """The record of a complete response."""
+        """Encode a complete response."""
         start, *parts = messages
         record = _ResponseRecord(
             status=int(start["status"]),
@@ -97,7 +97,7 @@
         return msgspec.msgpack.encode(record)
 
     def decode_response(self, encoded: bytes) -> list[Message]:
-        """The messages of a response, its body in one part."""
+        """Decode a response into its messages, with the body in one message."""
         record = msgspec.msgpack.decode(encoded, type=_ResponseRecord)
         return [
             {"type": "http.response.start", "status": record.status, "headers": record.headers},
--- a/decklb/middleware/event_loop_clock.py
+++ b/decklb/middleware/event_loop_clock.py
@@ -1,4 +1,4 @@
-"""The application's event loop as the clock of the dispatcher (`decklb.core.ports.Clock`)."""
+"""The application's event loop as the dispatcher's clock (`decklb.core.ports.Clock`)."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
         self._loop = loop
 
     def now(self) -> float:
-        """Milliseconds."""
+        """Return the current time of the loop in ms."""
         return self._loop.time() * MS_PER_S
 
-    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Make the call once, after that many milliseconds."""
-        return self._loop.call_later(max(0.0, delay) / MS_PER_S, call)
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
+        """Schedule one call of `callback` after `delay_ms`."""
+        return self._loop.call_later(max(0.0, delay_ms) / MS_PER_S, callback)
--- a/decklb/middleware/members.py
+++ b/decklb/middleware/members.py
@@ -1,7 +1,7 @@
-"""A process of an application as a member of a fleet: what one process took, another can take over.
+"""Membership of an application process in a fleet, whose processes can take over each other's requests.
 
-`Members` joins the cluster and puts the handoff before the dispatcher; `WorkloadMiddleware` attaches and closes it. The
-cluster and the handoff are Twisted's; they run on the application's own event loop, beside it.
+`Members` joins the cluster and puts the handoff in front of the dispatcher; `WorkloadMiddleware` attaches and closes
+it. Cluster and handoff use Twisted; they run on the application's event loop.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from decklb.wire.clock import use_monotonic_time
 from decklb.wire.health_check import HealthChecker
 
-# Headers that proxies, tracing and clients' retries set anew each time: they don't make another request of it.
+# Headers that proxies, tracing and retries may change: a request that differs only in them is still the same request.
 PASSING = frozenset(
     (
         b"host",
@@ -40,24 +40,24 @@
 
 
 class Members:
-    """One process's membership in the fleet.
+    """Membership of this process in the fleet.
 
     Attributes:
-        codec: The form in which requests and responses go to other processes.
-        cluster: Who is alive; None before `attach`.
-        handoff: Copies of requests at other members; None before `attach`.
+        codec: Encodes requests and responses for other processes.
+        cluster: Tracks which members are alive; None before `attach`.
+        handoff: Copies requests to other members; None before `attach`.
     """
 
     def __init__(self, settings: str, member: str, passing: frozenset[bytes] = PASSING) -> None:
         """Read the settings.
 
         Args:
-            settings: Path of the operators' XML, with its <cluster> and <handoff>.
+            settings: Path of the operators' XML file, which contains <cluster> and <handoff>.
             member: Name of this process in the cluster.
-            passing: Names, in lower case, of headers that may differ between retries of one request.
+            passing: Lower-case names of headers that may differ between retries of a request.
 
         Raises:
-            SettingsError: The settings can't be used.
+            SettingsError: The settings are invalid.
         """
         self.cluster_settings, self.handoff_settings = read_member_settings(settings, member)
         self.codec = AsgiCodec(passing)
@@ -65,28 +65,28 @@
         self.handoff: HandoffService | None = None
 
     def attach(self, dispatcher: Dispatcher, clock: Clock, loop: asyncio.AbstractEventLoop) -> ProtectedDispatcher:
-        """Open the sockets on the running loop; returns the request handler that stands before the dispatcher."""
+        """Open the sockets on the running loop and return the request handler to use in front of the dispatcher."""
         reactor: Any = use_monotonic_time(AsyncioSelectorReactor(loop))
-        protected = ProtectedDispatcher(dispatcher, clock, self.codec, self.cluster_settings.member)
+        protected_dispatcher = ProtectedDispatcher(dispatcher, clock, self.codec, self.cluster_settings.member)
         self.cluster = ClusterService(
             reactor,
             clock,
             self.cluster_settings,
-            HealthChecker(reactor, clock, _no_probes, 0.0),
+            HealthChecker(reactor, clock, _reject_health_check, 0.0),
             lambda _engine, _up: None,
         )
-        self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, protected)
+        self.handoff = HandoffService(reactor, clock, self.handoff_settings, self.cluster, protected_dispatcher)
         self.cluster.start()
         self.handoff.start()
-        return protected
+        return protected_dispatcher
 
     def close(self) -> None:
-        """Leave: other members take over at once what is held here."""
+        """Leave the fleet: other members take over the requests of this process at once."""
         if self.handoff is not None:
             self.handoff.close()
         if self.cluster is not None:
             self.cluster.close()
 
 
-def _no_probes(*_: Any) -> Any:
-    raise AssertionError("an application's members check no engines")
+def _reject_health_check(*_: Any) -> Any:
+    raise AssertionError("members of an application do not run health checks of engines")
--- a/decklb/middleware/middleware.py
+++ b/decklb/middleware/middleware.py
@@ -1,8 +1,8 @@
-"""ASGI middleware: calls the application once the dispatcher says when and for which engine.
+"""ASGI middleware: the dispatcher decides when the application is called, and for which engine.
 
-`WorkloadMiddleware` wraps an application; the ASGI server calls it. It owns the dispatcher of this process, which it
-makes on the first call, when there is an event loop. The watch for the client's end is a task, since ASGI hands out
-disconnects as awaitables only.
+`WorkloadMiddleware` wraps an application and is called by the ASGI server. It owns the dispatcher of this process,
+which it creates on the first call, when an event loop exists. A task watches for the client's disconnect, since ASGI
+reports it only through an awaitable.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from decklb.middleware.application_client import ApplicationClient
 from decklb.middleware.asgi import App, Receive, Scope, Send, read_body, send_empty_response, wait_for_disconnect
 from decklb.middleware.event_loop_clock import EventLoopClock
-from decklb.middleware.requests import AsgiWork, RequestSpec
+from decklb.middleware.requests import AsgiRequest, RequestSpec
 
 if TYPE_CHECKING:
     from decklb.middleware.members import Members
@@ -29,11 +29,11 @@
 DEFAULT_MAX_BODY_BYTES = 1 << 20
 DEFAULT_MAX_RESPONSE_BYTES = 4 << 20
 MS_PER_S = 1000
-# In seconds before its deadline, from which a failure counts as a timeout: the dispatcher ends requests
-# ANSWER_MARGIN_MS ahead.
+# A failure less than this before the deadline counts as a timeout: the dispatcher ends requests ANSWER_MARGIN_MS
+# before their deadline.
 TIMEOUT_MARGIN_S = (ANSWER_MARGIN_MS + 5.0) / MS_PER_S
 
-# HTTP statuses of final answers that are not the application's own.
+# HTTP status codes of final answers that the application did not produce.
 CONTENT_TOO_LARGE = 413
 UNPROCESSABLE_CONTENT = 422
 BAD_GATEWAY = 502
@@ -42,7 +42,7 @@
 
 
 class WorkloadMiddleware:
-    """An ASGI application that manages the requests of another."""
+    """An ASGI application that manages the requests of the application that it wraps."""
 
     def __init__(
         self,
@@ -59,16 +59,16 @@
 
         Args:
             app: The application. It finds the id of the chosen engine in `scope["decklb.engine"]`.
-            settings: Request classes, tenants and the settings of the decisions.
+            settings: Request classes, tenants and settings of the policy.
             engines: The list of engines; see `update_engines`.
-            classify: Says how to manage a request, or None for one that is passed on unmanaged.
-            seed: Of the random decisions.
-            most_body: Bound on a request's body, in bytes.
-            most_response: Bound on the application's response, in bytes.
-            fleet: Makes this process one of several that take over one another's requests; see docs/operations.
+            classify: Returns how to manage a request, or None to pass it to the application unmanaged.
+            seed: Seed of the random decisions.
+            most_body: Maximum size of a request body in bytes.
+            most_response: Maximum size of a response of the application in bytes.
+            fleet: Joins this process to a fleet whose processes take over each other's requests; see docs/operations.
         """
         self.dispatcher: Dispatcher | None = None
-        self.request_handler: RequestHandler | None = None  # the dispatcher, or the handoff before it
+        self.request_handler: RequestHandler | None = None  # the dispatcher, or the handoff in front of it
         self.app, self.settings, self.fleet = app, settings, fleet
         self._classify, self._seed = classify, seed
         self._max_body_bytes, self._max_response_bytes = most_body, most_response
@@ -76,15 +76,15 @@
         self._request_count = 0
 
     def update_engines(self, engines: list[Endpoint]) -> None:
-        """Take the complete list of engines, when it has changed."""
+        """Replace the list of engines; call it when the list has changed."""
         self._engines = engines
         if self.dispatcher is not None:
             self.dispatcher.update_endpoints(engines)
 
-    members = update_engines  # deprecated: its former name
+    members = update_engines  # deprecated former name
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """One ASGI call."""
+        """Handle one ASGI call."""
         if scope["type"] == "lifespan" and self.fleet is not None:
             return await self._lifespan(self.fleet, scope, receive, send)
         spec = self._classify(scope) if scope["type"] == "http" else None
@@ -98,7 +98,7 @@
         await self._manage(spec, scope, body, receive, send)
 
     async def _lifespan(self, fleet: Members, scope: Scope, receive: Receive, send: Send) -> None:
-        """Be a member of the fleet from the start, not from the first request on, and leave at the end."""
+        """Join the fleet at startup instead of at the first request, and leave it at shutdown."""
         self._start(asyncio.get_running_loop())
         try:
             await self.app(scope, receive, send)
@@ -106,21 +106,21 @@
             fleet.close()
 
     async def _manage(self, spec: RequestSpec, scope: Scope, body: bytes, receive: Receive, send: Send) -> None:
-        """Submit a request, and respond with its final answer unless its client leaves first."""
+        """Submit a request and respond with its final answer unless the client disconnects first."""
         loop = asyncio.get_running_loop()
         request_handler = self._start(loop)
-        work = self._new_work(spec, scope, body)
+        request = self._new_request(spec, scope, body)
         answer_future = AnswerFuture(loop)
         started_s = loop.time()
-        handle = request_handler.submit(work, answer_future)
+        handle = request_handler.submit(request, answer_future)
         disconnect = asyncio.ensure_future(wait_for_disconnect(receive))
-        waits: set[asyncio.Future[Any]] = {answer_future.future, disconnect}
+        pending: set[asyncio.Future[Any]] = {answer_future.future, disconnect}
         try:
-            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
             if answer_future.future.done():
-                deadline_s = started_s + work.budget_ms / MS_PER_S
+                deadline_s = started_s + request.budget_ms / MS_PER_S
                 timed_out = loop.time() >= deadline_s - TIMEOUT_MARGIN_S
-                await self._respond(answer_future.future.result(), work, timed_out, send)
+                await self._respond(answer_future.future.result(), request, timed_out, send)
             else:
                 logger.info(
                     "request ended: client-closed class={request_class}",
@@ -130,11 +130,11 @@
                 )
         finally:
             disconnect.cancel()
-            request_handler.abandon(handle)  # has no effect if it has been answered
+            request_handler.abandon(handle)  # has no effect after the answer
 
-    def _new_work(self, spec: RequestSpec, scope: Scope, body: bytes) -> AsgiWork:
+    def _new_request(self, spec: RequestSpec, scope: Scope, body: bytes) -> AsgiRequest:
         self._request_count += 1
-        return AsgiWork(
+        return AsgiRequest(
             f"{self._request_count:016x}",
             spec.request_class,
             spec.tenant,
@@ -146,10 +146,10 @@
             idempotency_key=spec.idempotency_key if self.fleet is not None else "",
         )
 
-    async def _respond(self, answer: Answer, work: AsgiWork, timed_out: bool, send: Send) -> None:
-        """`timed_out`: a failure now counts as running out of time."""
+    async def _respond(self, answer: Answer, request: AsgiRequest, timed_out: bool, send: Send) -> None:
+        """Send the response for a final answer; `timed_out`: report a failure as a timeout."""
         if answer.kind is AnswerKind.SERVED:
-            response = work.response
+            response = request.response
             if self.fleet is not None and answer.response_record:
                 response = self.fleet.codec.decode_response(answer.response_record)
             for message in response:
@@ -165,7 +165,7 @@
             await send_empty_response(send, BAD_GATEWAY)
 
     def _start(self, loop: asyncio.AbstractEventLoop) -> RequestHandler:
-        """Make the dispatcher and join the fleet, on the first call; returns where requests go."""
+        """Return the request handler; the first call creates the dispatcher and joins the fleet."""
         if self.request_handler is None:
             clock, fleet = EventLoopClock(loop), self.fleet
             encode_response = fleet.codec.encode_response if fleet is not None else None
--- a/decklb/middleware/requests.py
+++ b/decklb/middleware/requests.py
@@ -1,4 +1,4 @@
-"""What the application's owner says of a request, and the request as the dispatcher takes it."""
+"""The specification of a request by the application's `classify`, and the request for the dispatcher."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
     Attributes:
         request_class: Its class, one of the settings' classes.
-        tenant: Whose it is; "" where the settings name no tenants.
-        budget_ms: How long it may take, in ms; 0 is the deadline of its class.
-        table_group: The group of tables that it works on; 0 is none.
-        ordering_key: Requests of one key run in order; None is no key.
-        idempotency_key: Names the request, so that its client may come back for the answer to any process of the
-            fleet; "" is none, and it has no effect without a fleet.
+        tenant: Its tenant; "" if the settings define no tenants.
+        budget_ms: Its time budget in ms; 0: the deadline of its class.
+        table_group: The table group that it uses; 0: none.
+        ordering_key: Requests with the same key run in order; None: no key.
+        idempotency_key: Identifies the request, so that the client can ask any process of the fleet for its answer
+            again; "": no key. Without a fleet it has no effect.
     """
 
     request_class: str
@@ -31,7 +31,7 @@
     idempotency_key: str = ""
 
 
-def _former_name(field_name: str) -> Any:
+def _alias(field_name: str) -> Any:
     return property(lambda spec: getattr(spec, field_name), lambda spec, value: setattr(spec, field_name, value))
 
 
@@ -39,11 +39,11 @@
     """Deprecated: the former name of `RequestSpec`, with the former names of its fields."""
 
     __slots__ = ()
-    lane = _former_name("request_class")
-    budget = _former_name("budget_ms")
-    tables = _former_name("table_group")
-    key = _former_name("ordering_key")
-    once = _former_name("idempotency_key")
+    lane = _alias("request_class")
+    budget = _alias("budget_ms")
+    tables = _alias("table_group")
+    key = _alias("ordering_key")
+    once = _alias("idempotency_key")
 
     def __init__(
         self,
@@ -58,12 +58,12 @@
 
 
 @dataclass(slots=True)
-class AsgiWork(IncomingRequest):
-    """A request with what the application needs to answer it.
+class AsgiRequest(IncomingRequest):
+    """A request with its ASGI scope and response.
 
     Attributes:
-        scope: Its ASGI scope.
-        response: The complete response, once an attempt has succeeded.
+        scope: The ASGI scope.
+        response: The complete response after a successful attempt.
     """
 
     scope: Scope = field(default_factory=dict)
--- a/tests/standin_app.py
+++ b/tests/standin_app.py
@@ -1,4 +1,4 @@
-"""An application in several processes: each run of a request is written down, one line at its start and its end."""
+"""An application for several processes, which records the start and the end of each run of a request in a file."""
 
 import asyncio
 import os
@@ -16,16 +16,16 @@
 NAME = os.environ["MEMBER"]
 
 
-def note(what, run):
+def record(event, run):
     with open(os.environ["RUNS"], "a") as log:
-        log.write(f"{what} {run} {NAME} {time.monotonic()}\n")
+        log.write(f"{event} {run} {NAME} {time.monotonic()}\n")
 
 
 async def handle(request):
     run, work_ms = request.query_params["run"], int(request.query_params["work"])
-    note("start", run)
+    record("start", run)
     await asyncio.sleep(work_ms / 1000)
-    note("end", run)
+    record("end", run)
     return PlainTextResponse(f"{run} by {NAME}", status_code=201, headers={"x-run": run})
 
 
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -1,4 +1,4 @@
-"""The ASGI middleware, driven as a server drives it, and as one for a Starlette application."""
+"""The ASGI middleware around a Starlette application, called as an ASGI server calls it."""
 
 from __future__ import annotations
 
@@ -32,35 +32,35 @@
         transport = httpx.ASGITransport(app=self.wrapped)
         return httpx.AsyncClient(transport=transport, base_url="http://local", timeout=DEADLINE)
 
-    async def test_a_response_is_served_complete_with_the_engine_in_scope(self):
+    async def test_a_response_is_sent_completely_and_the_engine_is_in_the_scope(self):
         async def echo(request):
             return PlainTextResponse(request.scope["decklb.engine"] + " " + (await request.body()).decode())
 
         async with self.wrap(echo) as client:
-            answer = await client.post("/x", content="hola")
-        assert answer.status_code == 200
-        assert re.search("e[01] hola", answer.text)
+            response = await client.post("/x", content="hola")
+        assert response.status_code == 200
+        assert re.search("e[01] hola", response.text)
 
     async def test_a_failed_attempt_is_retried_on_another_engine(self):
-        seen = []
+        engines = []
 
         async def flaky(request):
-            seen.append(request.scope["decklb.engine"])
-            if len(seen) == 1:
+            engines.append(request.scope["decklb.engine"])
+            if len(engines) == 1:
                 raise RuntimeError("engine down")
             return PlainTextResponse("ok")
 
         async with self.wrap(flaky) as client:
             assert (await client.get("/x")).text == "ok"
-        assert len(set(seen)) == 2
+        assert len(set(engines)) == 2
 
     async def test_rejections_are_503_with_retry_after(self):
         async def broken(request):
             return PlainTextResponse("no", 500)
 
         async with self.wrap(broken) as client:
-            answer = await client.get("/x")
-        assert (answer.status_code, answer.headers["retry-after"]) == (503, "1")
+            response = await client.get("/x")
+        assert (response.status_code, response.headers["retry-after"]) == (503, "1")
 
     async def test_timeouts_are_504_and_end_the_call(self):
         ended = []
@@ -103,7 +103,7 @@
         await asyncio.wait_for(ended.wait(), DEADLINE)
         assert (sent, self.wrapped.dispatcher.open_requests) == ([], 0)
 
-    async def test_bodies_are_bounded_and_unmanaged_paths_are_passed_on(self):
+    async def test_bodies_are_limited_and_unmanaged_requests_are_passed_on(self):
         async def plain(request):
             return PlainTextResponse(request.scope.get("decklb.engine", "none"))
 
@@ -111,7 +111,7 @@
             assert (await client.post("/x", content="x" * 11)).status_code == 413
             assert (await client.get("/health")).text == "none"
 
-    def test_deprecated_names_mean_the_same(self):
+    def test_deprecated_names_are_equivalent(self):
         ask = Ask("read", "cusco", budget=5.0, tables=3, key="k", once="o")
         spec = RequestSpec("read", "cusco", budget_ms=5.0, table_group=3, ordering_key="k", idempotency_key="o")
         assert isinstance(ask, RequestSpec)
--- a/tests/test_middleware_fleet.py
+++ b/tests/test_middleware_fleet.py
@@ -1,4 +1,4 @@
-"""An application in three processes, one of which is killed: clients come back to another with their keys."""
+"""An application in three processes, one of which is killed: clients send their request again to another process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 NAMES = ["w0", "w1", "w2"]
 RECORD_LIFETIME_S = (8000 + 500 + 1000) * 1.01 / 1000  # deadline, slack, linger
-WORK_MS = 700  # of a request whose process is killed meanwhile
+WORK_MS = 700  # duration of a request whose process is killed
 SETTINGS = (
     '<decklb version="1"><cluster name="app" bind="127.0.0.1:{port}" keys="keys.json" interval="100ms" '
     'timeout="45ms" gossip="20ms" exchange="500ms" settle="300ms">{seeds}</cluster><handoff members="3" '
@@ -28,7 +28,7 @@
 
 
 class Worker:
-    """One process of the application under a stock server."""
+    """One process of the application, run by uvicorn."""
 
     def __init__(self, name, environment):
         self.lines = []
@@ -40,16 +40,16 @@
             text=True,
         )
         threading.Thread(target=lambda: self.lines.extend(self.process.stderr), daemon=True).start()
-        wait_for(lambda: self.port() or self.process.poll() is not None, f"{name} up")
+        wait_for(lambda: self.port() or self.process.poll() is not None, f"start of {name}")
         assert self.port(), "".join(self.lines)
         self.up_since = time.monotonic()
 
     def port(self):
-        found = re.search(r"running on http://127.0.0.1:(\d+)", "".join(list(self.lines)))
-        return int(found[1]) if found else 0
+        match = re.search(r"running on http://127.0.0.1:(\d+)", "".join(list(self.lines)))
+        return int(match[1]) if match else 0
 
     def request(self, method, key, run, work_ms):
-        """Status, body and a header; None where the connection broke."""
+        """Send a request; return status, body and the x-run header, or None if the connection broke."""
         try:
             response = httpx.request(
                 method,
@@ -62,11 +62,11 @@
         return response.status_code, response.text, response.headers.get("x-run", "")
 
     def final_response(self, *request):
-        """Sends the request until its response does not ask to come back."""
+        """Send the request until the response is not 503."""
         end = time.monotonic() + DEADLINE
         while time.monotonic() < end:
             if (response := self.request(*request)) is not None and response[0] != 503:
-                assert response[0] != 500, "".join(self.lines[-30:])  # the application's own fault
+                assert response[0] != 500, "".join(self.lines[-30:])  # the application failed
                 return response
             time.sleep(0.05)
         raise AssertionError(f"no final response: {response}")
@@ -77,7 +77,7 @@
 
 
 class Fleet:
-    """The processes of the application, and the record of its runs."""
+    """The processes of the application, and the file that records the runs of requests."""
 
     def __init__(self, folder, stack):
         self.folder, self.stack, self.workers = folder, stack, {}
@@ -88,7 +88,7 @@
         for name, port in zip(NAMES, member_ports, strict=True):
             (folder / f"{name}.xml").write_text(SETTINGS.format(port=port, seeds=seeds))
             self.start(name)
-        self.wait_for_memory()
+        self.wait_for_record_expiry()
 
     def start(self, name):
         environment = {
@@ -99,22 +99,22 @@
         worker = self.workers[name] = Worker(name, environment)
         self.stack.callback(worker.stop)
 
-    def wait_for_memory(self):
-        """Until the youngest process has been up for as long as a record of an earlier life could be about."""
-        youngest = max(worker.up_since for worker in self.workers.values())
-        time.sleep(max(0.0, youngest + RECORD_LIFETIME_S + 0.3 - time.monotonic()))
+    def wait_for_record_expiry(self):
+        """Wait until no record from before the latest start of a process can still be held by another process."""
+        last_start = max(worker.up_since for worker in self.workers.values())
+        time.sleep(max(0.0, last_start + RECORD_LIFETIME_S + 0.3 - time.monotonic()))
 
-    def runs(self, key, what="start"):
-        """The processes that noted a start or an end of a run."""
+    def runs(self, run, event="start"):
+        """Return the processes that recorded the start or the end of a run."""
         lines = [line.split() for line in (self.folder / "runs").read_text().splitlines()]
-        return [name for noted, run, name, _ in lines if (noted, run) == (what, key)]
+        return [name for logged_event, logged_run, name, _ in lines if (logged_event, logged_run) == (event, run)]
 
     def responses_after_kill(self, method, key):
-        """Kills the process that runs a request; then the request is sent to the others."""
+        """Kill the process that runs a request, then send the request to the others and return their responses."""
         worker, responses = self.workers["w0"], []
         client = threading.Thread(target=lambda: responses.append(worker.request(method, key, key, WORK_MS)))
         client.start()
-        wait_for(lambda: self.runs(key), "the run's start")
+        wait_for(lambda: self.runs(key), "start of the run")
         worker.process.kill()
         client.join()
         assert responses == [None]
@@ -127,13 +127,13 @@
         yield Fleet(tmp_path, stack)
 
 
-def test_requests_outlive_the_process_that_took_them(fleet):
+def test_requests_survive_the_process_that_accepted_them(fleet):
     w0, w1, w2 = (fleet.workers[name] for name in NAMES)
     first = w0.final_response("POST", "k1", "plain", 5)
     assert first == (201, "plain by w0", "plain")
     assert [worker.final_response("POST", "k1", "plain", 5) for worker in (w1, w2)] == [first, first]
     assert fleet.runs("plain") == ["w0"]
-    assert w2.final_response("POST", "k1", "another", 5)[0] == 422  # the key is the first request's
+    assert w2.final_response("POST", "k1", "another", 5)[0] == 422  # the key belongs to the first request
     assert fleet.runs("another") == []
     assert w1.final_response("POST", "", "keyless", 5)[0] == 201
 
@@ -141,7 +141,7 @@
     assert (len(set(responses)), responses[0][0]) == (1, 201)
     assert (len(fleet.runs("read")), len(fleet.runs("read", "end"))) == (2, 1)
     fleet.start("w0")
-    fleet.wait_for_memory()
-    responses = fleet.responses_after_kill("POST", "load")  # it may have run, and may not run twice
+    fleet.wait_for_record_expiry()
+    responses = fleet.responses_after_kill("POST", "load")  # it may have run and must not run twice
     assert (len(set(responses)), responses[0][0] in (502, 504)) == (1, True)
     assert fleet.runs("load") == ["w0"]
--- a/tests/test_middleware_wire_format.py
+++ b/tests/test_middleware_wire_format.py
@@ -1,4 +1,4 @@
-"""Golden tests of the middleware: handoff records of requests and responses, and ASGI answers, stay as recorded."""
+"""Golden tests of the middleware: handoff records of requests and responses, and ASGI answers, do not change."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from decklb.middleware import RequestSpec, WorkloadMiddleware
 from decklb.middleware.codec import AsgiCodec
-from decklb.middleware.requests import AsgiWork
+from decklb.middleware.requests import AsgiRequest
 from decklb.settings import parse_settings
 from tests.standins import ROOT, SETTINGS
 
@@ -27,9 +27,9 @@
     "state": {"connection": object()},
     "headers": [(b"X-A", b"1"), (b"Date", b"now"), (b"accept", b"*/*")],
 }
-WORKS = {
-    "all parts": AsgiWork("id", "load", "cusco", 5.0, b"body", 3, "k", scope=SCOPE),
-    "least parts": AsgiWork("id", "read", "", 5.0, b"", scope={"type": "http"}),
+REQUESTS = {
+    "all parts": AsgiRequest("id", "load", "cusco", 5.0, b"body", 3, "k", scope=SCOPE),
+    "least parts": AsgiRequest("id", "read", "", 5.0, b"", scope={"type": "http"}),
 }
 RESPONSES = {
     "in one part": [
@@ -43,16 +43,16 @@
     ],
 }
 OUTCOMES = {
-    "refused": lambda sink, work: sink.rejected(1200.0),
-    "refused for a short while": lambda sink, work: sink.rejected(3.0),
-    "failed": lambda sink, work: sink.failed(),
-    "conflict": lambda sink, work: sink.conflict(),
+    "refused": lambda sink, request: sink.rejected(1200.0),
+    "refused for a short while": lambda sink, request: sink.rejected(3.0),
+    "failed": lambda sink, request: sink.failed(),
+    "conflict": lambda sink, request: sink.conflict(),
 }
 CODEC = AsgiCodec(frozenset((b"date",)))
 
 
 def plain(value):
-    """A value for JSON: bytes as hex, tuples as lists."""
+    """Convert a value for JSON: bytes to hex, tuples to lists."""
     if isinstance(value, bytes):
         return value.hex()
     if isinstance(value, dict):
@@ -61,20 +61,20 @@
 
 
 def answer(respond, budget_ms=0.0):
-    """The ASGI messages of one request whose intake answers like this."""
+    """Return the ASGI messages of one request whose request handler calls `respond`."""
 
-    class FakeIntake:
-        def submit(self, work, sink):
-            respond(sink, work)
+    class FakeRequestHandler:
+        def submit(self, request, sink):
+            respond(sink, request)
 
-        def abandon(self, taken):
+        def abandon(self, handle):
             pass
 
     async def call():
         middleware = WorkloadMiddleware(
             None, parse_settings(SETTINGS), [], lambda scope: RequestSpec("read", "", budget_ms)
         )
-        middleware.request_handler = FakeIntake()
+        middleware.request_handler = FakeRequestHandler()
         sent, received = [], [{"type": "http.request", "body": b"", "more_body": False}]
 
         async def receive():
@@ -89,14 +89,14 @@
     return plain(asyncio.run(call()))
 
 
-@pytest.mark.parametrize("name", WORKS)
+@pytest.mark.parametrize("name", REQUESTS)
 def test_records_of_requests_keep_their_bytes(name):
-    assert CODEC.encode(WORKS[name]).hex() == GOLDEN["requests"][name]["record"]
-    work = CODEC.decode(bytes.fromhex(GOLDEN["requests"][name]["record"]), 9.0)
-    assert plain(work.scope) == GOLDEN["requests"][name]["scope"]
-    original = WORKS[name]
-    assert (work.request_class, work.tenant, work.budget_ms) == (original.request_class, original.tenant, 9.0)
-    assert (work.statement, work.table_group, work.ordering_key) == (
+    assert CODEC.encode(REQUESTS[name]).hex() == GOLDEN["requests"][name]["record"]
+    request = CODEC.decode(bytes.fromhex(GOLDEN["requests"][name]["record"]), 9.0)
+    assert plain(request.scope) == GOLDEN["requests"][name]["scope"]
+    original = REQUESTS[name]
+    assert (request.request_class, request.tenant, request.budget_ms) == (original.request_class, original.tenant, 9.0)
+    assert (request.statement, request.table_group, request.ordering_key) == (
         original.statement,
         original.table_group,
         original.ordering_key,
