--- a/decklb/pg/cancel_request.py
+++ b/decklb/pg/cancel_request.py
@@ -1,6 +1,6 @@
-"""The connection that carries one CancelRequest to an engine (PostgreSQL protocol 3.0, 'Canceling Requests').
+"""The connection that sends one CancelRequest to an engine (PostgreSQL protocol 3.0, 'Canceling Requests').
 
-Made by a pool of `pg.engines`. The engine reads the request and closes without a reply.
+Created by a pool of `pg.engines`. The engine reads the request and closes the connection without a reply.
 """
 
 from __future__ import annotations
@@ -16,23 +16,26 @@
 from decklb.pg import messages as pg
 from decklb.pg.messages import BackendKey
 
-CANCEL_TIMEOUT_MS = 500.0  # for the engine to read a cancel request, and to be ready again after one
+CANCEL_TIMEOUT_MS = 500.0  # for the engine to read a cancel request, and to become ready again after it
 
 
-class CancelRequest(Protocol):
-    """A connection that carries one CancelRequest."""
+class CancelRequestConnection(Protocol):
+    """A connection that sends one CancelRequest."""
 
-    transport: Any  # zope's interfaces say nothing to the type checker
+    transport: Any  # the type checker can't read zope's interfaces
 
-    def __init__(self, key: BackendKey, clock: Clock, done: Callable[[], None] | None) -> None:
-        """`done` is called once the engine has read the request, or has not within CANCEL_TIMEOUT_MS."""
-        self._key, self._clock, self._done = key, clock, done
+    def __init__(self, key: BackendKey, clock: Clock, on_done: Callable[[], None] | None) -> None:
+        """`on_done` is called once, when the connection has ended: at the latest after CANCEL_TIMEOUT_MS.
+
+        With None, nobody waits for the engine to read the request.
+        """
+        self._key, self._clock, self._on_done = key, clock, on_done
         self._timer: Timer | None = None
 
     def connectionMade(self) -> None:
-        """Send the request and close; where somebody waits, let the engine close: it does when it has read it."""
+        """Send the request and close; if `on_done` is set, wait for the engine to close after reading the request."""
         self.transport.write(pg.pack_cancel(*self._key))
-        if self._done is None:
+        if self._on_done is None:
             self.transport.loseConnection()
         else:
             self._timer = self._clock.call_later(CANCEL_TIMEOUT_MS, self._time_out)
@@ -42,12 +45,12 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The request has been read, or won't be."""
+        """The engine has read the request or the attempt to send it has failed."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._done is not None:
-            self._done()
+        if self._on_done is not None:
+            self._on_done()
         logger.info(
             "cancel connection ended: {reason} pid={pid}",
             event="cancel-connection-ended",
--- a/decklb/pg/codec.py
+++ b/decklb/pg/codec.py
@@ -1,7 +1,7 @@
-"""Statements in the form in which another manager of this wire takes them over.
+"""Encoding of statements for a takeover by another manager with a PostgreSQL front.
 
-A MessagePack array, whose order of fields is part of the wire form. Used by the handoff
-(as its `RequestCodec`).
+The encoding is a MessagePack array; the order of its fields is part of the wire format. The handoff uses it as its
+`RequestCodec`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class _StatementRecord(msgspec.Struct, array_like=True, frozen=True):
-    """See `PgRequest` for the fields. Its id and budget are left out: they are not the same at another manager."""
+    """See `PgRequest` for the fields. Its id and budget are omitted, since they differ at another manager."""
 
     request_class: str
     tenant: str
@@ -33,34 +33,34 @@
     """Encodes and decodes statements."""
 
     def __init__(self, new_request_id: Callable[[], str]) -> None:
-        """`new_request_id` draws ids for the log."""
+        """`new_request_id` generates the request ids that appear in the log."""
         self._new_request_id = new_request_id
 
-    def encode(self, work: IncomingRequest) -> bytes:
-        """The same bytes for the same statement, parameters and session settings that matter."""
-        assert isinstance(work, PgRequest)
+    def encode(self, request: IncomingRequest) -> bytes:
+        """Encode a statement. Equal statements, parameters and relevant session settings give equal bytes."""
+        assert isinstance(request, PgRequest)
         record = _StatementRecord(
-            request_class=work.request_class,
-            tenant=work.tenant,
-            statement=work.statement,
-            table_group=work.table_group,
-            ordering_key=work.ordering_key,
-            simple=work.simple,
-            parameter_types=work.types,
-            bind=work.bind,
-            describe=work.describe,
-            execute=work.execute,
+            request_class=request.request_class,
+            tenant=request.tenant,
+            statement=request.statement,
+            table_group=request.table_group,
+            ordering_key=request.ordering_key,
+            simple=request.simple,
+            parameter_types=request.types,
+            bind=request.bind,
+            describe=request.describe,
+            execute=request.execute,
         )
         return msgspec.msgpack.encode(record)
 
-    def decode(self, body: bytes, budget: float) -> PgRequest:
-        """The statement again, with `budget` ms to run. Raises msgspec.DecodeError for other bytes."""
+    def decode(self, body: bytes, budget_ms: float) -> PgRequest:
+        """Decode a statement and give it a budget of `budget_ms`. Raises msgspec.DecodeError for invalid bytes."""
         record = msgspec.msgpack.decode(body, type=_StatementRecord)
         return PgRequest(
             self._new_request_id(),
             record.request_class,
             record.tenant,
-            budget,
+            budget_ms,
             record.statement,
             record.table_group,
             record.ordering_key,
--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -1,8 +1,8 @@
-"""One client's TCP connection: bytes in and out, startup, timeouts, backpressure and how it ends.
+"""One client's TCP connection: reading and writing, startup, timeouts, backpressure and closing.
 
-Feeds the session's state machine (`decklb.pg.session`) with one message at a time and submits its statements to the
-dispatcher. Made by `decklb.pg.listener.PgListener` for each client. Owns the messages that wait while a statement
-runs, the running statement, the timer and the reason of the end.
+Passes messages one at a time to the session's state machine (`decklb.pg.session`) and submits its statements to the
+dispatcher. Created by `decklb.pg.listener.PgListener` for each client. Owns the messages that wait while a statement
+runs, the running statement, the timer and the reason for closing.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 )
 from decklb.wire.client_timeouts import FIRST_MESSAGE_TIMEOUT_MS, LINGERING_CLOSE_TIMEOUT_MS, PARTIAL_MESSAGE_TIMEOUT_MS
 
-MAX_PENDING_BYTES = 1 << 20  # of messages that wait while a statement runs
-MAX_UNREAD_RESULTS = 2  # largest results that a client may leave unread before it is disconnected
+MAX_PENDING_BYTES = 1 << 20  # total size of the messages that wait while a statement runs
+MAX_UNREAD_RESULTS = 2  # limit on the bytes that a client leaves unread, as a multiple of `max_result_bytes`
 
 
 @dataclass(slots=True)
 class ConnectionContext:
-    """What all connections of a listener share.
+    """State shared by all connections of a listener.
 
     Attributes:
-        session_context: What their sessions share.
-        registry: Where connections enter and leave.
+        session_context: State shared by their sessions.
+        registry: The open connections.
         clock: Monotonic time and timers.
-        request_handler: Where statements go: the dispatcher, or the handoff before it.
+        request_handler: Receives statements: the dispatcher, or the handoff in front of it.
     """
 
     session_context: SessionContext
@@ -60,38 +60,38 @@
 
 
 class ClientConnection(Protocol):
-    """One connection of a client."""
+    """One client connection."""
 
-    transport: Any  # Zope's interfaces say nothing to the type checker
+    transport: Any  # the type checker can't read zope's interfaces
 
     def __init__(self, context: ConnectionContext) -> None:
         self._context, self._registry = context, context.registry
         self._session: Session | None = None  # None until startup is complete
         self._backend_key: BackendKey | None = None
         self._running: RunningStatement | None = None
-        self.write_paused = False  # the client does not read what it was sent
+        self.write_paused = False  # the client is not reading its data
         self._reader = pg.MessageReader(context.session_context.postgres.max_message_bytes, startup=True)
         self._pending: deque[pg.Message] = deque()
         self._pending_bytes = 0
         self._unread_bytes = 0  # written since the client stopped reading
         self._closed = False
-        self._end_reason = "client-closed"  # for the log
+        self._end_reason = "client-closed"  # as logged
         self._submitted_count = 0
         self._abandoned_count = 0
-        self._timer: Timer | None = None  # of startup, of a message that is not complete, or of the end
+        self._timer: Timer | None = None  # for startup, an incomplete message, or the lingering close
 
-    # Bytes in.
+    # Incoming data.
 
     def connectionMade(self) -> None:
-        """Nothing is sent before the client's first message."""
+        """Start the timeout for the client's first message; nothing is sent before it."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self._start_timer(FIRST_MESSAGE_TIMEOUT_MS, self._message_timed_out)
         self._registry.add(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Messages, split anywhere."""
-        if self._closed:  # read and discarded: closing with bytes unread would send a reset
+        """Handle a chunk of the byte stream, which may contain any part of a message."""
+        if self._closed:  # read and discarded: closing with unread bytes would send a reset
             return
         any_complete = False
         try:
@@ -134,7 +134,7 @@
         self.write(startup_reply(startup, self._backend_key))
 
     def _handle_pending(self) -> None:
-        """Handle messages one after another; the next waits while an engine works on a statement."""
+        """Handle messages one at a time; further messages wait while an engine runs a statement."""
         while self._pending and self._running is None and not (self.write_paused or self._closed):
             message = self._pending.popleft()
             self._pending_bytes -= len(message.raw)
@@ -145,14 +145,14 @@
                 if error.fatal:
                     return self._end_with_error(error)
                 self._session.report_error(error)
-        # The connection is read on as long as that is safe, since only reading tells that a client has left.
+        # Reading continues up to this limit, since a disconnect is only noticed by reading.
         if self._pending_bytes > MAX_PENDING_BYTES:
-            self._end_with_error(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many messages at once", fatal=True))
+            self._end_with_error(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many waiting messages", fatal=True))
 
-    # What the session asks for: see `SessionOutput`.
+    # Implementation of `SessionOutput`, which the session calls.
 
     def write(self, data: bytes) -> None:
-        """Send; a client that leaves too much unread is disconnected."""
+        """Send data; a client that leaves too much of it unread is disconnected."""
         self.transport.write(data)
         if self.write_paused:
             self._unread_bytes += len(data)
@@ -160,24 +160,24 @@
                 self._closed, self._end_reason = True, "slow-reader"
                 self.transport.abortConnection()
 
-    def submit(self, work: PgRequest, on_result: Callable[[bytes], None]) -> None:
-        """Run a statement."""
+    def submit(self, request: PgRequest, on_result: Callable[[bytes], None]) -> None:
+        """Submit a statement to the request handler."""
         self._submitted_count += 1
-        idempotency_key = work.idempotency_key
-        deadline_ms = self.now_ms() + work.budget_ms
+        idempotency_key = request.idempotency_key
+        deadline_ms = self.now_ms() + request.budget_ms
         statement = RunningStatement(self, deadline_ms, on_result, has_idempotency_key=bool(idempotency_key))
         self._running = statement
-        statement.handle = self._context.request_handler.submit(work, statement)
-        if work.idempotency_key != idempotency_key:  # the key that was made for it
-            self.write(pg.pack_parameter_status(IDEMPOTENCY_KEY_PARAMETER, work.idempotency_key))
+        statement.handle = self._context.request_handler.submit(request, statement)
+        if request.idempotency_key != idempotency_key:  # the handoff has generated a key: tell the client
+            self.write(pg.pack_parameter_status(IDEMPOTENCY_KEY_PARAMETER, request.idempotency_key))
 
-    def put_back(self, message: pg.Message) -> None:
-        """Handle this message again, next."""
+    def requeue(self, message: pg.Message) -> None:
+        """Handle this message again before any other."""
         self._pending.appendleft(message)
         self._pending_bytes += len(message.raw)
 
     def close(self, reason: str) -> None:
-        """End the connection once what was written has been sent."""
+        """Close the connection after all written data has been sent."""
         self._closed, self._end_reason = True, reason
         self._registry.startup_ended(self)
         self._abandon_running()
@@ -185,57 +185,57 @@
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
-    # The running statement's answer: see `AnswerReceiver`.
+    # Implementation of `AnswerReceiver`, which the running statement calls.
 
     def now_ms(self) -> float:
-        """Monotonic time in ms."""
+        """Return the monotonic time in ms."""
         return self._context.clock.now()
 
-    def complete(self, tell: Callable[[], None]) -> None:
-        """The running statement has its final answer: tell the client and handle what waits."""
+    def complete(self, send_answer: Callable[[], None]) -> None:
+        """The running statement has its final answer: send it to the client and handle the messages that wait."""
         self._running = None
         if not self._closed:
-            tell()
+            send_answer()
             self.end_if_draining()
             self._handle_pending()
 
     def report_error(self, error: PgError) -> None:
-        """Send an error that leaves the session open."""
+        """Send a non-fatal error."""
         assert self._session is not None
         self._session.report_error(error)
 
     def cancel_running(self) -> None:
-        """A CancelRequest came: the running statement is answered now, and its work is freed."""
+        """Carry out a CancelRequest: cancel the running statement and answer it now."""
         statement, self._running = self._running, None
         if statement is not None and statement.handle is not None:
             self._context.request_handler.cancel(statement.handle)
             error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to user request")
             self.complete(lambda: self.report_error(error))
 
-    # Backpressure: Twisted's interface of a push producer.
+    # Backpressure: Twisted's push producer interface.
 
     def pauseProducing(self) -> None:
-        """The client reads too slowly: handle nothing more."""
+        """The client reads too slowly: stop handling its messages."""
         self.write_paused = True
 
     def resumeProducing(self) -> None:
-        """All that was written has been sent."""
+        """All written data has been sent: continue."""
         self.write_paused, self._unread_bytes = False, 0
         self._handle_pending()
 
     def stopProducing(self) -> None:
-        """The connection is ending."""
+        """The connection is closing; `connectionLost` does the cleanup."""
 
-    # The end.
+    # Closing.
 
     def end_if_draining(self) -> None:
-        """While the program drains, a session ends as soon as nothing is under way."""
+        """While the program drains, end the session as soon as no statement runs or waits."""
         if self._registry.draining and self._running is None and not self._pending and not self._closed:
             text = "the workload manager is shutting down"
             self._end_with_error(PgError(sqlstate.ADMIN_SHUTDOWN, text, fatal=True))
 
     def _end_with_error(self, error: PgError) -> None:
-        """Send a fatal error; what still comes is discarded until the client closes, or for a while."""
+        """Send a fatal error, then discard incoming data until the client closes or the lingering close times out."""
         self.write(pg.pack_error(error.sqlstate, error.message, error.hint, Severity.FATAL))
         self._closed, self._end_reason = True, error.sqlstate
         self._abandon_running()
@@ -252,7 +252,7 @@
             self._context.request_handler.abandon(statement.handle)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Free what this client waited for."""
+        """Abandon the running statement, remove the connection from the registry and log its end."""
         self._closed = True
         self._cancel_timer()
         self._abandon_running()
@@ -271,9 +271,9 @@
 
     # The timer.
 
-    def _start_timer(self, delay_ms: float, call: Callable[[], None]) -> None:
+    def _start_timer(self, delay_ms: float, callback: Callable[[], None]) -> None:
         self._cancel_timer()
-        self._timer = self._context.clock.call_later(delay_ms, call)
+        self._timer = self._context.clock.call_later(delay_ms, callback)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -1,11 +1,11 @@
 """One session at a PostgreSQL engine, which runs one attempt at a time.
 
-An attempt is out until the engine's ReadyForQuery or until its connection is gone, also when it was given up: until
-then nothing else goes on the connection, and the core is not told that it is free. Dialing, idling and the logged end
-are those of `wire.engine_connection`.
+An attempt is in flight until the engine sends ReadyForQuery or the connection is lost, even after its cancellation.
+Until then the connection sends no other statement, and the core is not notified that the attempt has ended. Dialing,
+idle timeouts and the log line at the end are those of `wire.engine_connection`.
 
-State: the attempt that the connection carries, waits for or is reserved for, and the result so far. Owned by a pool of
-`pg.engines`.
+State: the attempt that runs on the connection, waits for it or has reserved it, and the result received so far. Owned
+by a pool of `pg.engines`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from decklb.pg import messages as pg
 from decklb.pg import sqlstate
 from decklb.pg.cancel_request import CANCEL_TIMEOUT_MS
-from decklb.pg.engine_prepared_statements import PreparedStatements
+from decklb.pg.engine_prepared_statements import EnginePreparedStatements
 from decklb.pg.errors import PgError
 from decklb.pg.messages import BackendKey, BackendType, FrontendType
 from decklb.pg.request import PgRequest
@@ -28,14 +28,14 @@
 if TYPE_CHECKING:
     from decklb.pg.engines import PgPool
 
-IDLE_TIMEOUT_MS = 60_000.0  # after which an unused connection closes
-MESSAGE_OVERHEAD = 1 << 20  # bytes by which one message may be larger than the largest result
-# Classes of SQLSTATE that are the engine's own errors, not the statement's: another engine may do better.
-ENGINE_ERRORS = ("53", "57P", "58", "XX", "08")
-NO_KEY = BackendKey(0, 0)
-KEY_FORMAT = struct.Struct(">II")  # process id and secret
-TRANSACTION_IDLE = b"I"  # status in ReadyForQuery: in no transaction block
-RESULT_MESSAGES = frozenset(  # passed to the client
+IDLE_TIMEOUT_MS = 60_000.0  # an unused connection closes after this time
+MESSAGE_OVERHEAD = 1 << 20  # bytes by which one message may exceed the largest result
+# SQLSTATE classes of errors of the engine, not of the statement: another engine may succeed.
+ENGINE_ERROR_CLASSES = ("53", "57P", "58", "XX", "08")
+NO_BACKEND_KEY = BackendKey(0, 0)
+BACKEND_KEY_FORMAT = struct.Struct(">II")  # process id and secret key
+TRANSACTION_IDLE = b"I"  # status in ReadyForQuery: not in a transaction block
+RESULT_MESSAGES = frozenset(  # forwarded to the client
     (
         BackendType.PARAMETER_DESCRIPTION,
         BackendType.ROW_DESCRIPTION,
@@ -57,56 +57,56 @@
     def __init__(self, pool: PgPool) -> None:
         super().__init__(pool)
         self.ready = False  # the last message was ReadyForQuery: a statement may be sent
-        self.sent = False  # a statement is out
-        self.reserved = False  # kept for the attempt, which may not go out yet
-        self.attempt: Attempt | None = None  # told of the end
-        self._freed: Callable[[], None] | None = None  # told of it in its stead once the attempt was given up
-        self._backend_key = NO_KEY
-        self._statements = PreparedStatements()
-        self._result = list[bytes]()  # messages for the client
-        self._result_size = 0  # bytes of them
-        self._error: dict[str, str] | None = None  # the last ErrorResponse, by its fields' letters
+        self.sent = False  # a statement is in flight
+        self.reserved = False  # reserved for the attempt, which may not be sent yet
+        self.attempt: Attempt | None = None  # notified when the statement ends
+        self._on_freed: Callable[[], None] | None = None  # called instead of the attempt after its cancellation
+        self._backend_key = NO_BACKEND_KEY
+        self._statements = EnginePreparedStatements()
+        self._result = list[bytes]()  # messages to forward to the client
+        self._result_size = 0  # total size of these messages in bytes
+        self._error: dict[str, str] | None = None  # fields of the last ErrorResponse, by their codes
         self._reader = pg.MessageReader(pool.client.settings.max_result_bytes + MESSAGE_OVERHEAD, startup=False)
 
     # Attempts.
 
     @property
     def available(self) -> bool:
-        """Whether it may be given an attempt."""
-        return not (self.attempt or self._freed or self.closed)
+        """Whether the connection can take an attempt."""
+        return not (self.attempt or self._on_freed or self.closed)
 
     @property
     def cancel_key(self) -> bytes:
-        """By which another manager can cancel what runs here; "" where the engine named no key."""
-        return KEY_FORMAT.pack(*self._backend_key) if self._backend_key != NO_KEY else b""
+        """Key with which another manager can cancel the statement that runs here; empty if the engine sent no key."""
+        return BACKEND_KEY_FORMAT.pack(*self._backend_key) if self._backend_key != NO_BACKEND_KEY else b""
 
     def run(self, attempt: Attempt) -> None:
-        """Run an attempt, now or when the session is ready."""
+        """Run an attempt, now or as soon as the session is ready."""
         self.attempt = attempt
         self._cancel_timer()
         if self.ready:
             self._send()
 
     def reserve(self, attempt: Attempt) -> None:
-        """Keep the connection, which is ready, for an attempt."""
+        """Reserve the connection, which is ready, for an attempt."""
         self.attempt, self.reserved = attempt, True
         self._cancel_timer()
 
     def run_reserved(self) -> None:
-        """Run the attempt that it was kept for."""
+        """Run the attempt that has reserved the connection."""
         self.reserved = False
         self._send()
 
-    def give_up(self, freed: Callable[[], None]) -> None:
-        """Cancel what runs; `freed` is called when the engine is ready again or the connection is gone."""
-        if not self.sent:  # the connection is still coming up, or was kept: nothing is out
+    def cancel_attempt(self, freed: Callable[[], None]) -> None:
+        """Cancel the attempt; `freed` is called once the engine is ready again or the connection is lost."""
+        if not self.sent:  # the connection is being established or was reserved: nothing was sent
             self.attempt = None
             if self.reserved:
                 self.reserved = False
                 self._schedule_idle_close()
             self.pool.client.clock.call_later(0, freed)
             return
-        self.attempt, self._freed = None, freed
+        self.attempt, self._on_freed = None, freed
         self.pool.cancel(self._backend_key)
         self._timer = self.pool.client.clock.call_later(CANCEL_TIMEOUT_MS, self._cancel_timed_out)
 
@@ -116,26 +116,26 @@
 
     def _send(self) -> None:
         assert self.attempt is not None
-        work = self.attempt.request.incoming
-        assert isinstance(work, PgRequest)
+        pg_request = self.attempt.request.incoming
+        assert isinstance(pg_request, PgRequest)
         self.ready, self.sent = False, True
         self.attempt.sent = True
         set_cancel_token = getattr(self.attempt, "set_cancel_token", None)
-        if set_cancel_token is not None and self.cancel_key:  # another manager may take it over
+        if set_cancel_token is not None and self.cancel_key:  # for other managers, which may take over
             set_cancel_token(self.cancel_key)
         self._result, self._result_size, self._error = [], 0, None
-        self.transport.write(self._statements.encode(work))
+        self.transport.write(self._statements.encode(pg_request))
 
     # Messages.
 
     def connectionMade(self) -> None:
         """Send the startup message."""
         self.transport.setTcpNoDelay(True)
-        ours = {"client_encoding": "UTF8", "application_name": "decklb"}
-        self.transport.write(pg.pack_startup(self.pool.client.settings.startup | ours))
+        session_parameters = {"client_encoding": "UTF8", "application_name": "decklb"}
+        self.transport.write(pg.pack_startup(self.pool.client.settings.startup | session_parameters))
 
     def dataReceived(self, data: bytes) -> None:
-        """The engine's messages, split anywhere."""
+        """Handle a chunk of the byte stream, which may contain any part of a message."""
         try:
             for message in self._reader.feed(data):
                 if not self.closed:
@@ -145,23 +145,23 @@
 
     def _handle(self, message: pg.Message) -> None:
         if message.type in RESULT_MESSAGES:
-            self._keep(message.raw)
+            self._add_to_result(message.raw)
         elif message.type == BackendType.READY_FOR_QUERY:
             self._ready_for_query(message.payload)
         elif message.type == BackendType.ERROR_RESPONSE:
             self._error = pg.read_error(message.payload)
-            self._keep(message.raw)
-        elif message.type == BackendType.BACKEND_KEY_DATA and len(message.payload) == KEY_FORMAT.size:
-            self._backend_key = BackendKey(*KEY_FORMAT.unpack(message.payload))
+            self._add_to_result(message.raw)
+        elif message.type == BackendType.BACKEND_KEY_DATA and len(message.payload) == BACKEND_KEY_FORMAT.size:
+            self._backend_key = BackendKey(*BACKEND_KEY_FORMAT.unpack(message.payload))
         elif message.type == BackendType.AUTHENTICATION and message.payload != pg.AUTHENTICATION_OK_PAYLOAD:
             self._abort("authentication-requested")
         elif message.type in COPY_RESPONSES:
-            self._abort("copy-refused")  # the front lets none through; whatever began it is not let run on
+            self._abort("copy-refused")  # the front rejects COPY, so whatever started this one is aborted
         elif message.type == BackendType.PARSE_COMPLETE:
             self._statements.parse_complete()
 
-    def _keep(self, raw: bytes) -> None:
-        if not self.sent or self._freed is not None:
+    def _add_to_result(self, raw: bytes) -> None:
+        if not self.sent or self._on_freed is not None:
             return
         self._result.append(raw)
         self._result_size += len(raw)
@@ -176,38 +176,38 @@
             self._abort("left-in-transaction")
             return
         self.ready = True
-        if self.attempt is not None and not self.sent:  # it waited for the connection
-            self._start_waiting(self.attempt)
+        if self.attempt is not None and not self.sent:  # the attempt was waiting for the connection
+            self._start_pending_attempt(self.attempt)
             return
-        attempt, freed = self.attempt, self._freed
-        self.attempt, self._freed, self.sent = None, None, False
+        attempt, freed = self.attempt, self._on_freed
+        self.attempt, self._on_freed, self.sent = None, None, False
         self._schedule_idle_close()
         if freed is not None:
             freed()
         elif attempt is not None:
-            self._answer(attempt)
+            self._complete_attempt(attempt)
 
-    def _start_waiting(self, attempt: Attempt) -> None:
+    def _start_pending_attempt(self, attempt: Attempt) -> None:
         if self.reserved:
             return
         if self.pool.client.clock.now() <= attempt.start_deadline_ms:
             self._send()
             return
-        self.attempt = None  # it waited too long: its engine drains, or it may not be repeated now
+        self.attempt = None  # too late to start: the engine is draining, or the attempt may not be repeated now
         self._schedule_idle_close()
         attempt.end(Outcome.NEVER_SENT)
 
-    def _answer(self, attempt: Attempt) -> None:
-        state = (self._error or {}).get("C", "")
-        if state.startswith(ENGINE_ERRORS):
+    def _complete_attempt(self, attempt: Attempt) -> None:
+        error_code = (self._error or {}).get("C", "")
+        if error_code.startswith(ENGINE_ERROR_CLASSES):
             self.recent_answers.answered(attempt, Outcome.ERROR)
         else:
             self.recent_answers.answered(attempt, Outcome.SUCCESS, b"".join(self._result))
 
-    # Its end.
+    # Closing.
 
     def _schedule_idle_close(self) -> None:
-        """Close the unused connection after the idle time-out, at once if its engine has gone."""
+        """Close the unused connection after the idle timeout, or at once if its pool is retired."""
         self._cancel_timer()
         if self.pool.retired:
             self.close_unused()
@@ -215,16 +215,16 @@
         self._timer = self.pool.client.clock.call_later(IDLE_TIMEOUT_MS, self.close_unused)
 
     def close_unused(self) -> None:
-        """Close in an orderly way; nothing is out."""
+        """Close gracefully; no attempt is in flight."""
         self._close_idle(IDLE_TIMEOUT)
 
     def _before_close(self) -> None:
         self.transport.write(pg.pack(FrontendType.TERMINATE))
 
     def retire(self) -> None:
-        """Its engine has gone, or has moved: close now if it is not in use; what is out ends before it closes.
+        """The engine was removed or has moved: close now if unused, otherwise when the attempt in flight has ended.
 
-        What is still coming up never does: its address may be another engine's by then.
+        A connection that is still being established is aborted, since another engine may use the address by then.
         """
         if self.ready and not self.reserved:
             self._cancel_timer()
@@ -243,15 +243,16 @@
     def _outcome_of_loss(self) -> Outcome:
         if self.sent:
             return Outcome.CONNECTION_RESET
-        refused = (self._error or {}).get("C") == sqlstate.TOO_MANY_CONNECTIONS  # before anything was sent
+        # The engine rejected the session before any statement was sent.
+        refused = (self._error or {}).get("C") == sqlstate.TOO_MANY_CONNECTIONS
         return Outcome.OVERLOADED if refused else Outcome.UNREACHABLE
 
     def _ended(self, outcome: Outcome) -> None:
         uncertain_answers = self._leave_pool()
-        aborted_attempts = int(self.sent and (self.attempt is not None or self._freed is not None))
+        aborted_attempts = int(self.sent and (self.attempt is not None or self._on_freed is not None))
         self._log_end(aborted_attempts, uncertain_answers)
-        attempt, freed = self.attempt, self._freed
-        self.attempt = self._freed = None
+        attempt, freed = self.attempt, self._on_freed
+        self.attempt = self._on_freed = None
         if freed is not None:
             freed()
         if attempt is not None:
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -1,7 +1,7 @@
-"""The engine client over PostgreSQL: a connection pool for each engine, one attempt at a time on each connection.
+"""The engine client for PostgreSQL: a connection pool per engine, one attempt at a time on each connection.
 
-See `decklb.core.ports.EngineClient` for who calls it and `decklb.wire.engine_pool` for the pools. A connection's
-life is in `pg.engine_connection`.
+See `decklb.core.engine_client.EngineClient` for its interface and `decklb.wire.engine_pool` for the pools. The
+lifecycle of a connection is in `pg.engine_connection`.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from decklb.core.attempts import Attempt
 from decklb.core.ports import Clock
 from decklb.interface import Outcome
-from decklb.pg.cancel_request import CancelRequest
-from decklb.pg.engine_connection import KEY_FORMAT, PgConnection
+from decklb.pg.cancel_request import CancelRequestConnection
+from decklb.pg.engine_connection import BACKEND_KEY_FORMAT, PgConnection
 from decklb.pg.messages import BackendKey
 from decklb.pg.settings import PgSettings
 from decklb.wire.connection_end import end_reason
 from decklb.wire.dialing import Dial
 from decklb.wire.engine_pool import EnginePool, PooledEngines
 
-CONNECT_TIMEOUT_MS = 1000.0  # for a connection to come up
+CONNECT_TIMEOUT_MS = 1000.0  # for establishing a connection
 
 
 class PgPool(EnginePool[PgConnection]):
@@ -33,17 +33,17 @@
 
     def __init__(self, client: PgEngines, engine: str, address: tuple[str, int]) -> None:
         super().__init__(client, engine, address)
-        self.retired = False  # the engine has gone, or has moved
+        self.retired = False  # the engine was removed or has moved
 
     def make_connection(self) -> PgConnection:
-        """A connection that is not dialled yet."""
+        """Return a connection that has not been dialled yet."""
         return PgConnection(self)
 
     def start(self, attempt: Attempt) -> None:
-        """Run on an available connection, else on a new one."""
+        """Run the attempt on an available connection, otherwise on a new one."""
         available = [connection for connection in self.connections if connection.available]
-        # One that is ready comes before one that is still coming up.
-        connection = max(available, key=lambda one: one.ready, default=None)
+        # Prefers a ready connection to one that is still being established.
+        connection = max(available, key=lambda candidate: candidate.ready, default=None)
         if connection is None and len(self.connections) >= self.client.settings.max_connections_per_engine:
             attempt.end(Outcome.OVERLOADED)
             return
@@ -53,7 +53,7 @@
         connection.run(attempt)
 
     def reserve(self, attempt: Attempt) -> bytes:
-        """Keep a ready connection for an attempt and return its cancel key; "" where there is none."""
+        """Reserve a ready connection for an attempt and return its cancel key; empty if there is none."""
         for connection in self.connections:
             if connection.ready and connection.cancel_key and connection.available:
                 attempt.handle = connection
@@ -61,8 +61,11 @@
                 return connection.cancel_key
         return b""
 
-    def cancel(self, key: BackendKey, done: Callable[[], None] | None = None) -> None:
-        """Ask the engine to cancel what runs in that session; `done` is called once it has, or can't be asked."""
+    def cancel(self, key: BackendKey, on_done: Callable[[], None] | None = None) -> None:
+        """Send a CancelRequest for the session with this key.
+
+        `on_done` is called once, when the engine has read the request or the attempt to send it has ended.
+        """
 
         def undelivered(reason: Failure) -> None:
             logger.info(
@@ -71,42 +74,42 @@
                 engine=self.engine,
                 reason=end_reason(reason),
             )
-            if done is not None:
-                done()
+            if on_done is not None:
+                on_done()
 
         client = self.client
-        request = CancelRequest(key, client.clock, done)
+        request = CancelRequestConnection(key, client.clock, on_done)
         Dial(client.reactor, client.clock, self.address, request, client.connect_timeout_ms, undelivered)
 
     def retire(self) -> None:
-        """The engine has gone, or has moved."""
+        """The engine was removed or has moved: close the connections."""
         self.retired = True
         for connection in list(self.connections):
             connection.retire()
 
 
 class PgEngines(PooledEngines[PgPool]):
-    """The core's engine client behind the PostgreSQL listener."""
+    """The engine client that the core uses with the PostgreSQL listener."""
 
     def __init__(self, reactor: Any, clock: Clock, settings: PgSettings) -> None:
         super().__init__(reactor, clock, CONNECT_TIMEOUT_MS)
         self.settings = settings
 
     def make_pool(self, engine: str, address: tuple[str, int]) -> PgPool:
-        """A pool for an engine that is new, or has moved."""
+        """Return a pool for an engine that is new or has moved."""
         return PgPool(self, engine, address)
 
     def reserve(self, attempt: Attempt) -> bytes:
-        """Keep a ready connection for an attempt that is yet to be started.
+        """Reserve a ready connection for an attempt that has not started yet.
 
         Returns:
-            The key by which other managers can cancel the attempt; "" where no connection could be kept.
+            The key with which other managers can cancel the attempt; empty if no connection could be reserved.
         """
         pool = self.pools.get(attempt.engine_id)
         return pool.reserve(attempt) if pool is not None else b""
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt, on the connection that is reserved for it if there is one."""
+        """Send an attempt, on its reserved connection if it has one."""
         connection = attempt.handle
         if isinstance(connection, PgConnection) and connection.attempt is attempt and connection.reserved:
             connection.run_reserved()
@@ -114,17 +117,17 @@
             super().start(attempt)
 
     def cancel_by_token(self, engine: str, cancel_token: bytes, done: Callable[[], None]) -> None:
-        """Cancel what another manager has running, by the token that it told; `done` is called once, later."""
+        """Cancel a statement of another manager by its cancel token; `done` is called once, asynchronously."""
         pool = self.pools.get(engine)
-        if pool is None or len(cancel_token) != KEY_FORMAT.size:
+        if pool is None or len(cancel_token) != BACKEND_KEY_FORMAT.size:
             self.clock.call_later(0, done)
         else:
-            pool.cancel(BackendKey(*KEY_FORMAT.unpack(cancel_token)), done)
+            pool.cancel(BackendKey(*BACKEND_KEY_FORMAT.unpack(cancel_token)), done)
 
     def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel an attempt on its engine; `freed` is called when it is no longer out."""
+        """Cancel an attempt at its engine; `freed` is called once it is no longer in flight."""
         connection = attempt.handle
         if isinstance(connection, PgConnection) and connection.attempt is attempt:
-            connection.give_up(freed)
+            connection.cancel_attempt(freed)
         else:
             self.clock.call_later(0, freed)
--- a/decklb/pg/errors.py
+++ b/decklb/pg/errors.py
@@ -1,4 +1,4 @@
-"""The error that a PostgreSQL client is sent as an ErrorResponse."""
+"""The exception that is sent to PostgreSQL clients as an ErrorResponse."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Severity(StrEnum):
-    """Severity of an ErrorResponse. After FATAL the connection ends."""
+    """Severity of an ErrorResponse. After FATAL the connection is closed."""
 
     ERROR = "ERROR"
     FATAL = "FATAL"
 
 
 class PgError(Exception):
-    """An error to be told to the client, or one made by malformed bytes of either side.
+    """An error for the client, or a protocol violation by a client or an engine.
 
     Attributes:
         sqlstate: Its SQLSTATE code; see `decklb.pg.sqlstate`.
-        message: What went wrong.
-        hint: What the client may do about it; "" for no hint.
-        fatal: Whether it ends the connection.
+        message: The error message.
+        hint: Advice for the client; "": none.
+        fatal: Whether the connection is closed.
     """
 
     def __init__(self, sqlstate: str, message: str, hint: str = "", fatal: bool = False) -> None:
@@ -28,5 +28,5 @@
 
     @property
     def severity(self) -> Severity:
-        """FATAL if it ends the connection."""
+        """FATAL if the connection is closed, otherwise ERROR."""
         return Severity.FATAL if self.fatal else Severity.ERROR
--- a/decklb/pg/health_check.py
+++ b/decklb/pg/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks over PostgreSQL: Sync on a session of its own, answered by ReadyForQuery. No statement runs.
+"""Health checks over PostgreSQL: a Sync on a dedicated session, answered by ReadyForQuery. No statement runs.
 
 See `decklb.wire.health_check`.
 """
@@ -10,28 +10,28 @@
 from decklb.pg.messages import BackendType
 from decklb.wire.health_check import Address, HealthCheckConnection, HealthChecker
 
-MOST_MESSAGE = 1 << 16  # bytes of one message: an idle session sends parameters, notices and errors alone
+MAX_MESSAGE_BYTES = 1 << 16  # sufficient: an idle session sends only parameters, notices and errors
 
 
 class PgHealthCheckConnection(HealthCheckConnection):
-    """A session at an engine, for health checks alone."""
+    """A dedicated session at an engine for health checks."""
 
     def __init__(self, startup: dict[str, str], checker: HealthChecker, engine: str, address: Address) -> None:
-        """`startup`: the session's parameters, user and database among them."""
+        """`startup`: parameters of the session, including user and database."""
         super().__init__(checker, engine, address)
         self._startup = startup
-        self._reader = pg.MessageReader(MOST_MESSAGE, startup=False)
+        self._reader = pg.MessageReader(MAX_MESSAGE_BYTES, startup=False)
 
     def start_session(self) -> None:
-        """Send the startup message; the session is usable at its first ReadyForQuery."""
+        """Send the startup message; checks may be sent after the first ReadyForQuery."""
         self.transport.write(pg.pack_startup(self._startup | {"application_name": "decklb probe"}))
 
     def send_check(self) -> None:
-        """Send a Sync: the least that an engine answers."""
+        """Send a Sync, the smallest message that an engine answers."""
         self.transport.write(pg.SYNC)
 
     def dataReceived(self, data: bytes) -> None:
-        """The engine's messages, split anywhere."""
+        """Handle a chunk of the byte stream, which may contain any part of a message."""
         try:
             for message in self._reader.feed(data):
                 if self.closed:
--- a/decklb/pg/listener.py
+++ b/decklb/pg/listener.py
@@ -1,6 +1,6 @@
-"""The listener for PostgreSQL clients: makes a connection object for each client.
+"""The listener for PostgreSQL clients: creates a connection object for each client.
 
-`decklb.daemon.assembly` makes it; `decklb.daemon.service` listens with it, and closes it when the program drains.
+`decklb.daemon.assembly` creates it; `decklb.daemon.service` listens with it and drains it at shutdown.
 """
 
 from __future__ import annotations
@@ -20,43 +20,43 @@
 
 
 class PgListener(ServerFactory):
-    """Makes a ClientConnection for each client. Has the methods of every listener that the daemon calls."""
+    """Creates a ClientConnection for each client and implements the listener methods that the daemon calls."""
 
     noisy = False
 
     def __init__(
-        self, dispatcher: Dispatcher, settings: PgSettings, draw: Callable[[int], int], max_clients: int
+        self, dispatcher: Dispatcher, settings: PgSettings, random_below: Callable[[int], int], max_clients: int
     ) -> None:
-        """`draw` gives a random number from 0 up to its argument."""
-        self._draw = draw
-        self._registry = ConnectionRegistry(max_clients, draw)
+        """`random_below(n)` returns a random number from 0 to n - 1."""
+        self._random_below = random_below
+        self._registry = ConnectionRegistry(max_clients, random_below)
         self._session_context = SessionContext(dispatcher.settings, settings, self.new_request_id)
         self.context = ConnectionContext(self._session_context, self._registry, dispatcher.clock, dispatcher)
 
     def enable_handoff(self, request_handler: RequestHandler) -> None:
-        """Hand statements to a request handler that keeps answers for clients that come back."""
+        """Submit statements to a request handler that retains answers for clients that ask again."""
         self.context.request_handler = request_handler
         self._session_context.handoff_enabled = True
 
     def new_request_id(self) -> str:
-        """A random id of a request, for the log."""
-        return f"{self._draw(REQUEST_ID_BOUND):016x}"
+        """Return a random request id for the log."""
+        return f"{self._random_below(REQUEST_ID_BOUND):016x}"
 
     def buildProtocol(self, addr: object) -> ClientConnection:
-        """One object for a connection."""
+        """Create the protocol object of a connection."""
         return ClientConnection(self.context)
 
     def attach_port(self, port: object) -> None:
-        """The socket is open. Clients that are too many are accepted and told so, so the port is not needed."""
+        """The port is open. It is not needed: clients above the limit are accepted and receive an error."""
 
     def announce_drain(self) -> None:
-        """The program will drain soon. No message of this protocol says that ahead of the end."""
+        """The program will drain soon. The protocol has no message to announce this to clients."""
 
     @property
     def has_pending_clients(self) -> bool:
-        """Whether some client has not read yet all that it was sent."""
+        """Whether data for any client is still unsent because the client reads too slowly."""
         return self._registry.any_write_paused
 
     def drain(self) -> None:
-        """Take nothing new; sessions end with what they have under way."""
+        """Reject new sessions; existing ones end when their statements have completed."""
         self._registry.drain()
--- a/decklb/pg/messages.py
+++ b/decklb/pg/messages.py
@@ -1,7 +1,7 @@
 """Codec of PostgreSQL's frontend/backend protocol, version 3.0.
 
-`MessageReader` cuts a byte stream into messages, `PayloadReader` reads the fields of one, and the functions build
-those messages that are sent here. Used on both sides: towards clients, and towards engines and health checks.
+`MessageReader` splits a byte stream into messages, `PayloadReader` reads the fields of a message, and the functions
+encode the messages that the manager sends. Used for connections to clients and to engines.
 
 Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", section "Message Formats".
 """
@@ -16,18 +16,18 @@
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError, Severity
 
-# Codes at the start of a message without a type octet, in the place of the protocol's version.
+# Codes in the version field of a message without a type octet.
 PROTOCOL_3_0 = 196_608
 CANCEL_REQUEST_CODE = 80_877_102
 SSL_REQUEST_CODE = 80_877_103
 GSSENC_REQUEST_CODE = 80_877_104
 
-LENGTH_SIZE = 4  # bytes of a message's length, which counts itself but not the type octet
-MAX_STARTUP_SIZE = 10_000  # bytes; PostgreSQL's own bound (MAX_STARTUP_PACKET_LENGTH)
+LENGTH_SIZE = 4  # size of the length field in bytes; the length includes this field but not the type octet
+MAX_STARTUP_SIZE = 10_000  # bytes; PostgreSQL's limit (MAX_STARTUP_PACKET_LENGTH)
 
 
 class FrontendType:
-    """Type octets of the messages that clients send."""
+    """Type octets of client messages."""
 
     BIND: Final = b"B"
     CLOSE: Final = b"C"
@@ -45,7 +45,7 @@
 
 
 class BackendType:
-    """Type octets of the messages that servers send."""
+    """Type octets of server messages."""
 
     AUTHENTICATION: Final = b"R"
     BACKEND_KEY_DATA: Final = b"K"
@@ -66,7 +66,7 @@
 
 
 class ErrorField:
-    """Codes of the fields of an ErrorResponse (section "Error and Notice Message Fields")."""
+    """Field codes of an ErrorResponse (section "Error and Notice Message Fields")."""
 
     SEVERITY_LOCALIZED: Final = b"S"
     SEVERITY: Final = b"V"
@@ -76,7 +76,7 @@
 
 
 class BackendKey(NamedTuple):
-    """What names a session in a CancelRequest, as its BackendKeyData told."""
+    """Identifies a session in a CancelRequest; sent to the client in BackendKeyData."""
 
     process_id: int
     secret_key: int
@@ -87,9 +87,9 @@
     """One message.
 
     Attributes:
-        type: Its type octet; b"" for the messages before and at startup, which have none.
-        payload: What follows the length.
-        raw: The message whole, as it came.
+        type: Its type octet; b"" for messages up to the StartupMessage, which have none.
+        payload: The bytes after the length field.
+        raw: The complete message as received.
     """
 
     type: bytes
@@ -98,13 +98,13 @@
 
 
 class MessageReader:
-    """Cuts a byte stream, split anywhere, into messages.
+    """Splits a byte stream, which arrives in arbitrary chunks, into messages.
 
     Attributes:
-        buffer: Bytes of the message that is not complete yet.
-        max_message_size: Bound of a message's length field, in bytes.
-        startup: Whether the next message has no type octet, as all that a client sends up to its StartupMessage.
-            Whoever reads that sets it to False.
+        buffer: Received bytes of an incomplete message.
+        max_message_size: Largest accepted value of the length field, in bytes.
+        startup: Whether the next message has no type octet: true for client messages up to the StartupMessage. The
+            caller sets it to False after the StartupMessage.
     """
 
     def __init__(self, max_message_size: int, startup: bool) -> None:
@@ -112,7 +112,7 @@
         self.max_message_size, self.startup = max_message_size, startup
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The messages that are complete now, one by one. Raises PgError; nothing can be read after that."""
+        """Yield the messages that are now complete. After a PgError, nothing more can be read."""
         self.buffer += data
         while True:
             type_size = 0 if self.startup else 1
@@ -121,7 +121,7 @@
                 return
             length = int.from_bytes(self.buffer[type_size:header_size], "big")
             max_length = MAX_STARTUP_SIZE if self.startup else self.max_message_size
-            if not LENGTH_SIZE <= length <= max_length:  # checked before the rest is waited for
+            if not LENGTH_SIZE <= length <= max_length:  # checked before the payload arrives
                 raise PgError(sqlstate.PROTOCOL_VIOLATION, "message length is out of bounds", fatal=True)
             message_size = type_size + length
             if len(self.buffer) < message_size:
@@ -132,19 +132,19 @@
 
 
 def split_messages(raw: bytes) -> Iterator[Message]:
-    """The messages of bytes that hold complete ones only."""
+    """Yield the messages of `raw`, which contains complete messages only."""
     return MessageReader(len(raw) + 1, startup=False).feed(raw)
 
 
 class PayloadReader:
-    """Reads the fields of a payload from left to right. Raises PgError where the payload ends too early."""
+    """Reads the fields of a payload in order. Raises PgError if the payload is too short."""
 
     def __init__(self, payload: bytes) -> None:
         self.payload = payload
-        self.position = 0  # of the next field
+        self.position = 0  # offset of the next field
 
     def string(self) -> str:
-        """A string, up to its zero octet."""
+        """Read a zero-terminated string."""
         end = self.payload.find(b"\0", self.position)
         if end < 0:
             raise PgError(sqlstate.PROTOCOL_VIOLATION, "string without an end", fatal=True)
@@ -156,7 +156,7 @@
             raise PgError(sqlstate.CHARACTER_NOT_IN_REPERTOIRE, "text is not UTF-8") from None
 
     def integer(self, struct_format: str) -> int:
-        """One integer in network order, of a format of `struct`: "B", "h", "i" or "I"."""
+        """Read one big-endian integer of the `struct` format "B", "h", "i" or "I"."""
         try:
             (value,) = struct.unpack_from(">" + struct_format, self.payload, self.position)
         except struct.error:
@@ -165,40 +165,40 @@
         return int(value)
 
     def remaining(self) -> bytes:
-        """All that was not read yet."""
+        """Return the unread bytes."""
         return self.payload[self.position :]
 
 
 def read_error(payload: bytes) -> dict[str, str]:
-    """The fields of an ErrorResponse by their codes; see `ErrorField`."""
+    """Return the fields of an ErrorResponse by their codes (see `ErrorField`)."""
     fields = payload.split(b"\0")
     return {field[:1].decode("latin-1"): field[1:].decode("utf-8", "replace") for field in fields if field}
 
 
 def pack(message_type: bytes, payload: bytes = b"") -> bytes:
-    """A message of this type octet."""
+    """Encode a message."""
     return message_type + (len(payload) + LENGTH_SIZE).to_bytes(LENGTH_SIZE, "big") + payload
 
 
 def pack_string(value: str) -> bytes:
-    """A string and its zero octet."""
+    """Encode a zero-terminated string."""
     return value.encode() + b"\0"
 
 
 def pack_startup(parameters: dict[str, str]) -> bytes:
-    """A StartupMessage."""
+    """Encode a StartupMessage."""
     pairs = b"".join(pack_string(name) + pack_string(value) for name, value in parameters.items())
     body = PROTOCOL_3_0.to_bytes(4, "big") + pairs + b"\0"
     return (len(body) + LENGTH_SIZE).to_bytes(LENGTH_SIZE, "big") + body
 
 
 def pack_cancel(process_id: int, secret_key: int) -> bytes:
-    """A CancelRequest for the session of this key."""
+    """Encode a CancelRequest for the session with this backend key."""
     return struct.pack(">IIII", 16, CANCEL_REQUEST_CODE, process_id, secret_key)
 
 
 def pack_error(code: str, message: str, hint: str = "", severity: str = Severity.ERROR) -> bytes:
-    """An ErrorResponse; `code` is its SQLSTATE."""
+    """Encode an ErrorResponse; `code` is the SQLSTATE."""
     fields = ErrorField.SEVERITY_LOCALIZED + pack_string(severity)
     fields += ErrorField.SEVERITY + pack_string(severity)
     fields += ErrorField.SQLSTATE + pack_string(code)
@@ -209,23 +209,23 @@
 
 
 def pack_error_response(error: PgError) -> bytes:
-    """The ErrorResponse that tells of an error."""
+    """Encode an exception as an ErrorResponse."""
     return pack_error(error.sqlstate, error.message, error.hint, error.severity)
 
 
 def pack_command_complete(tag: str) -> bytes:
-    """A CommandComplete with its command tag."""
+    """Encode a CommandComplete with this command tag."""
     return pack(BackendType.COMMAND_COMPLETE, pack_string(tag))
 
 
 def pack_parameter_status(name: str, value: str) -> bytes:
-    """A ParameterStatus."""
+    """Encode a ParameterStatus."""
     return pack(BackendType.PARAMETER_STATUS, pack_string(name) + pack_string(value))
 
 
 AUTHENTICATION_OK_PAYLOAD = b"\0\0\0\0"
 AUTHENTICATION_OK = pack(BackendType.AUTHENTICATION, AUTHENTICATION_OK_PAYLOAD)
-READY_FOR_QUERY = pack(BackendType.READY_FOR_QUERY, b"I")  # I: idle, in no transaction block
+READY_FOR_QUERY = pack(BackendType.READY_FOR_QUERY, b"I")  # I: idle, not in a transaction block
 PARSE_COMPLETE = pack(BackendType.PARSE_COMPLETE)
 BIND_COMPLETE = pack(BackendType.BIND_COMPLETE)
 CLOSE_COMPLETE = pack(BackendType.CLOSE_COMPLETE)
@@ -234,4 +234,4 @@
 PORTAL_SUSPENDED = pack(BackendType.PORTAL_SUSPENDED)
 NO_PARAMETERS = pack(BackendType.PARAMETER_DESCRIPTION, b"\0\0")
 SYNC = pack(FrontendType.SYNC)
-EXECUTE_ALL = pack(FrontendType.EXECUTE, b"\0" + b"\0\0\0\0")  # of the unnamed portal, all rows
+EXECUTE_ALL = pack(FrontendType.EXECUTE, b"\0" + b"\0\0\0\0")  # unnamed portal, all rows
--- a/decklb/pg/parameters.py
+++ b/decklb/pg/parameters.py
@@ -1,7 +1,7 @@
-"""Run-time parameters of one session: whose its requests are, of which class, and how long each may take.
+"""Run-time parameters of one session: tenant, class, budget and keys of its requests.
 
-Set by the StartupMessage and by SET, read by SHOW and for each request. A value object without I/O: `SessionParameters`
-is replaced as a whole when one changes. Used by `decklb.pg.startup` and `decklb.pg.session`.
+They are set by the StartupMessage and by SET, and read by SHOW and for each request. `SessionParameters` is an
+immutable value, replaced when a parameter changes. Used by `decklb.pg.startup` and `decklb.pg.session`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 PARAMETER_PREFIX = "decklb."
 STATEMENT_TIMEOUT = "statement_timeout"
 IDEMPOTENCY_KEY_PARAMETER = "decklb.request"
-# Sent to every client as ParameterStatus: engines are asked to speak like this.
+# Sent to every client as ParameterStatus. Engines are expected to use the same values.
 REPORTED_PARAMETERS = {
     "server_version": "15.0",
     "server_encoding": "UTF8",
@@ -27,8 +27,8 @@
     "standard_conforming_strings": "on",
     "IntervalStyle": "postgres",
 }
-IGNORED_PARAMETERS = ("application_name", "extra_float_digits")  # drivers set them; they change no result here
-MAX_BUDGET_MS = 3_600_000.0  # an hour; longer ones count as this
+IGNORED_PARAMETERS = ("application_name", "extra_float_digits")  # set by drivers; without effect on results
+MAX_BUDGET_MS = 3_600_000.0  # an hour; longer budgets are reduced to this
 MAX_KEY_LENGTH = 200  # characters of an ordering key or idempotency key
 _DURATION = re.compile(r"(\d{1,9})\s*(ms|s|min)?")
 _MS_PER_UNIT = {None: 1.0, "ms": 1.0, "s": 1000.0, "min": 60_000.0}
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionParameters:
-    """What a session has set.
+    """Parameters of a session.
 
     Attributes:
-        tenant: Whose its requests are (decklb.tenant).
-        request_class: Their class (decklb.class).
-        budget_ms: How long each may take (decklb.budget, statement_timeout); 0 is the deadline of the class.
-        ordering_key: Requests of one key run in order (decklb.key); "" is none.
-        idempotency_key: Names the next statement, so that its client can come back for the answer (decklb.request);
-            "" is none.
+        tenant: Tenant of its requests (decklb.tenant).
+        request_class: Class of its requests (decklb.class).
+        budget_ms: Time budget of each request (decklb.budget, statement_timeout); 0: the deadline of the class.
+        ordering_key: Requests with the same key run in order (decklb.key); "": no key.
+        idempotency_key: Identifies the next statement, so that the client can ask for its answer again
+            (decklb.request); "": no key.
     """
 
     tenant: str
@@ -54,7 +54,7 @@
     idempotency_key: str = ""
 
     def set(self, name: str, value: str, settings: Settings) -> SessionParameters:
-        """A copy with one changed; `settings` has the known classes and tenants. Raises PgError."""
+        """Return a copy with one parameter changed. `settings` defines the classes and tenants. Raises PgError."""
         if name == PARAMETER_PREFIX + "tenant" and (value in settings.tenants or not settings.tenants):
             return replace(self, tenant=value)
         if name == PARAMETER_PREFIX + "class" and value in settings.classes:
@@ -76,7 +76,7 @@
         )
 
     def show(self, name: str) -> str:
-        """The value of one of ours, with or without its prefix. Raises PgError for any other."""
+        """Return the value of a decklb parameter, named with or without its prefix. Raises PgError for other names."""
         values = {
             "tenant": self.tenant,
             "class": self.request_class,
@@ -90,6 +90,6 @@
 
 
 def _is_reported_value(name: str, value: str) -> bool:
-    """Whether a parameter would be set to what it is anyway; of a list ("ISO, MDY") the first part counts."""
+    """Whether this is the value that is reported anyway; only the first part of a list ("ISO, MDY") is compared."""
     reported = {key.lower(): reported_value.lower() for key, reported_value in REPORTED_PARAMETERS.items()}
     return reported.get(name, "").split(",")[0] == value.lower().replace("utf-8", "utf8").split(",")[0]
--- a/decklb/pg/request.py
+++ b/decklb/pg/request.py
@@ -1,4 +1,4 @@
-"""A statement of a PostgreSQL session as a request to the dispatcher."""
+"""A statement of a PostgreSQL session, as a request to the dispatcher."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class PgRequest(IncomingRequest):
-    """A statement as a session has it."""
+    """A request with the protocol messages of its statement."""
 
-    simple: bool = False  # sent by Query; otherwise by Parse, Bind and Execute
-    types: bytes = b"\0\0"  # what follows the statement in Parse: the parameters' types
-    bind: bytes | None = None  # what follows the names in Bind, as it came; None: only describe the statement
-    describe: bool = False  # describe the portal too
+    simple: bool = False  # sent with Query, otherwise with Parse, Bind and Execute
+    types: bytes = b"\0\0"  # the rest of Parse after the statement: the parameter types
+    bind: bytes | None = None  # the rest of Bind after the names, unchanged; None: only describe the statement
+    describe: bool = False  # also describe the portal
     execute: bool = True  # execute the portal
--- a/decklb/pg/running_statement.py
+++ b/decklb/pg/running_statement.py
@@ -1,7 +1,7 @@
-"""The request that a session waits for: turns its one final answer into messages for the client.
+"""The statement that a session waits for: converts its final answer into messages for the client.
 
-Made by `decklb.pg.connection` for each submitted request; the dispatcher, or the handoff before it, calls one of
-`served`, `rejected`, `failed` and `conflict` once (`decklb.core.ports.ResponseSink`).
+Created by `decklb.pg.connection` for each submitted request. The dispatcher, or the handoff in front of it, calls one
+of `served`, `rejected`, `failed` and `conflict` once (`decklb.core.ports.ResponseSink`).
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from decklb.pg import sqlstate
 from decklb.pg.errors import PgError
 
-# Before its deadline, in ms, from which a failure is told as running out of time: the dispatcher ends requests
-# ANSWER_MARGIN_MS ahead, and a little before it.
+# A failure less than this before the deadline is reported as a timeout. The dispatcher ends requests ANSWER_MARGIN_MS
+# or slightly more before their deadline.
 TIMEOUT_MARGIN_MS = ANSWER_MARGIN_MS + 5.0
 
 
@@ -23,10 +23,10 @@
     """The connection that waits for the answer."""
 
     def now_ms(self) -> float:
-        """Monotonic time in ms."""
+        """Return the monotonic time in ms."""
 
-    def complete(self, tell: Callable[[], None]) -> None:
-        """The statement has ended: `tell` tells the client, unless it has gone, and the next message may be handled."""
+    def complete(self, send_answer: Callable[[], None]) -> None:
+        """The statement has ended: call `send_answer` unless the client has gone, then handle its next message."""
 
     def report_error(self, error: PgError) -> None:
         """Send an error to the client."""
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True)
 class RunningStatement:
-    """One submitted statement.
+    """A submitted statement.
 
     Attributes:
-        receiver: Whom to tell of the answer.
-        deadline_ms: When its budget ends, in ms of the monotonic clock.
-        on_result: Takes the messages of an engine's whole answer.
-        handle: What names it at the request handler; None until that has taken it.
-        has_idempotency_key: Whether its client may come back for the answer.
+        receiver: Receives the answer.
+        deadline_ms: End of its budget, on the monotonic clock.
+        on_result: Called with the messages of a complete answer of an engine.
+        handle: Handle returned by the request handler; None until the request is submitted.
+        has_idempotency_key: Whether the client can ask for the answer again.
     """
 
     receiver: AnswerReceiver
@@ -51,31 +51,31 @@
     has_idempotency_key: bool = False
 
     def served(self, result: bytes) -> None:
-        """An engine's whole answer, which may be its error about the statement."""
+        """An engine has returned a complete answer, which may be an ErrorResponse about the statement."""
         self.receiver.complete(lambda: self.on_result(result))
 
     def rejected(self, retry_after_ms: float) -> None:
-        """It never ran, or may run again; a retry should wait that long."""
-        hinted_ms = max(1, round(retry_after_ms))
-        if self.has_idempotency_key:  # also past its deadline: this is no answer, and one may still be given
-            hint = f"Ask again under the same decklb.request in {hinted_ms} ms."
+        """The statement did not run, or may run again; the client should retry after `retry_after_ms`."""
+        retry_ms = max(1, round(retry_after_ms))
+        if self.has_idempotency_key:  # even past the deadline, since a later retry may still get the answer
+            hint = f"Ask again under the same decklb.request in {retry_ms} ms."
             self._report(PgError(sqlstate.INSUFFICIENT_RESOURCES, "the statement has no answer here yet", hint))
         else:
-            text, hint = "the engines are too busy for this statement now", f"Come back in {hinted_ms} ms."
+            text, hint = "the engines are too busy for this statement now", f"Come back in {retry_ms} ms."
             self._report_failure(PgError(sqlstate.INSUFFICIENT_RESOURCES, text, hint))
 
     def failed(self) -> None:
-        """Its time is over, or it may have run and can't be sent again."""
+        """The statement has timed out, or it may have run and must not be sent again."""
         text = "the engine failed; whether the statement ran is unknown"
         self._report_failure(PgError(sqlstate.STATEMENT_COMPLETION_UNKNOWN, text))
 
     def conflict(self) -> None:
-        """Its idempotency key was given to another statement."""
+        """Its idempotency key belongs to another statement."""
         text, hint = "decklb.request names another statement", "Give each statement a name of its own."
         self._report_failure(PgError(sqlstate.INVALID_PARAMETER_VALUE, text, hint))
 
     def _report_failure(self, error: PgError) -> None:
-        """Near the deadline any failure is a timeout to the client."""
+        """Report an error; near the deadline, any failure is reported as a timeout."""
         if self.receiver.now_ms() >= self.deadline_ms - TIMEOUT_MARGIN_MS:
             error = PgError(sqlstate.QUERY_CANCELED, "canceling statement due to statement timeout")
         self._report(error)
--- a/decklb/pg/session.py
+++ b/decklb/pg/session.py
@@ -1,11 +1,10 @@
 """State machine of one client's session after startup: simple and extended query protocol, without I/O.
 
-`decklb.pg.connection` feeds it with one message at a time and never while a statement runs; what the session wants done
-it asks of its `SessionOutput`. It owns the session's parameters, prepared statements and portals, and where in the
-protocol the client is.
+`decklb.pg.connection` passes it one message at a time, and none while a statement runs. The session acts through its
+`SessionOutput`. It owns the session's parameters, prepared statements and portals, and the protocol state.
 
-Parse, Bind and Close are answered here at once; nothing reaches an engine before a Describe or Execute needs it, so a
-client that leaves between Bind and Execute leaves no work behind.
+Parse, Bind and Close are answered immediately, without an engine; only Describe and Execute need one. So a client that
+disconnects between Bind and Execute leaves no work behind.
 
 Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", sections "Simple Query" and "Extended Query".
 """
@@ -29,20 +28,20 @@
 from decklb.pg.statements import Classification, LocalCommand, classify
 from decklb.wire.table_group import table_group
 
-DESCRIBE_STATEMENT, DESCRIBE_PORTAL = ord("S"), ord("P")  # kinds of object in Describe and Close
-TEXT_OID = 25  # of the type `text`
-NO_PARAMETER_TYPES = b"\0\0"  # what follows the text of a Parse that names no types
+DESCRIBE_STATEMENT, DESCRIBE_PORTAL = ord("S"), ord("P")  # kinds of objects in Describe and Close
+TEXT_OID = 25  # OID of the type `text`
+NO_PARAMETER_TYPES = b"\0\0"  # the rest of a Parse without parameter types, after the text
 
 
 @dataclass(slots=True)
 class SessionContext:
-    """What all sessions share.
+    """State shared by all sessions.
 
     Attributes:
-        workload: Known request classes and tenants.
-        postgres: Settings of this wire.
-        new_request_id: Draws the id of a request, for the log.
-        handoff_enabled: Whether answers are kept for clients that come back with an idempotency key.
+        workload: Settings that define the request classes and tenants.
+        postgres: Settings of the PostgreSQL front.
+        new_request_id: Generates a request id for the log.
+        handoff_enabled: Whether answers are retained for clients that ask again with an idempotency key.
     """
 
     workload: Settings
@@ -52,39 +51,39 @@
 
 
 class SessionOutput(Protocol):
-    """What a session asks of its connection."""
+    """The methods of the connection that a session calls."""
 
     def write(self, data: bytes) -> None:
-        """Send to the client."""
+        """Send data to the client."""
 
-    def submit(self, work: PgRequest, on_result: Callable[[bytes], None]) -> None:
-        """Run a statement. No message is given to the session until it has its final answer.
+    def submit(self, request: PgRequest, on_result: Callable[[bytes], None]) -> None:
+        """Submit a statement. The session receives no message until it has its final answer.
 
-        `on_result` takes the messages of an engine's whole answer, which may be an ErrorResponse.
+        `on_result` is called with the messages of a complete answer of an engine, which may be an ErrorResponse.
         """
 
-    def put_back(self, message: Message) -> None:
-        """Give this message again, next."""
+    def requeue(self, message: Message) -> None:
+        """Pass this message to the session again, before any other."""
 
     def close(self, reason: str) -> None:
-        """End the connection, for this reason in the log."""
+        """Close the connection; `reason` is logged."""
 
 
 class Session:
-    """One session, from its first ReadyForQuery on."""
+    """One session, starting with its first ReadyForQuery."""
 
     def __init__(self, context: SessionContext, output: SessionOutput, parameters: SessionParameters) -> None:
         self._context, self._output = context, output
         self.parameters = parameters
         self._objects = NamedObjects()
         self._skipping_until_sync = False  # after an error in the extended query protocol
-        self._in_simple_query = False  # ReadyForQuery follows its end, also after an error
-        # Portal of a Describe that waits for the next message: where that executes the portal, an engine is asked for
-        # description and rows in one go.
+        self._in_simple_query = False  # the query ends with ReadyForQuery, even after an error
+        # Portal of a Describe that waits for the next message: if that executes the portal, description and rows are
+        # requested from the engine together.
         self._deferred_describe: str | None = None
 
     def receive(self, message: Message) -> None:
-        """Take the client's next message. Raises PgError, which is for `report_error` unless it is fatal."""
+        """Handle the client's next message. The caller passes a PgError to `report_error` unless it is fatal."""
         if self._skipping_until_sync and message.type not in (FrontendType.SYNC, FrontendType.TERMINATE):
             return
         portal_name, self._deferred_describe = self._deferred_describe, None
@@ -97,7 +96,7 @@
         handler(self, fields)
 
     def report_error(self, error: PgError) -> None:
-        """Send an error that is not fatal; what follows is skipped up to Sync, unless it ends a simple query."""
+        """Send a non-fatal error. Unless it ends a simple query, messages are skipped up to the next Sync."""
         self._output.write(pg.pack_error_response(error))
         if self._in_simple_query:
             self._in_simple_query = False
@@ -115,7 +114,7 @@
             described = classification.local is LocalCommand.SHOW
             description = _describe_local(classification) if described else b""
             return self._end_simple_query(description + self._run_local(classification))
-        self._output.submit(self._new_work(sql, classification, simple=True), self._end_simple_query)
+        self._output.submit(self._new_request(sql, classification, simple=True), self._end_simple_query)
 
     def _end_simple_query(self, result: bytes) -> None:
         self._in_simple_query = False
@@ -138,7 +137,7 @@
     def _describe(self, fields: PayloadReader) -> None:
         kind, name = fields.integer("B"), fields.string()
         if kind == DESCRIBE_PORTAL:
-            self._objects.portal(name)  # an error comes now
+            self._objects.portal(name)  # raises now if the portal does not exist
             self._deferred_describe = name
         elif kind == DESCRIBE_STATEMENT:
             self._describe_statement(self._objects.statement(name))
@@ -157,21 +156,25 @@
             if not failed:
                 statement.description = result
 
-        work = self._new_work(statement.sql, statement.classification, parameter_types=statement.parameter_types)
-        self._output.submit(work, on_result)
+        request = self._new_request(statement.sql, statement.classification, parameter_types=statement.parameter_types)
+        self._output.submit(request, on_result)
 
     def _resume_describe(self, portal_name: str, message: Message, fields: PayloadReader) -> None:
-        """The message after a Describe of a portal: describe with the rows if it executes that, else by itself."""
+        """Handle the message after Describe of a portal.
+
+        If it executes the portal, description and rows are requested together. Otherwise the description is requested
+        alone and the message is handled again afterwards.
+        """
         if message.type == FrontendType.EXECUTE and fields.string() == portal_name:
             return self._execute_portal(portal_name, fields.integer("i"), describe=True)
-        self._output.put_back(message)
+        self._output.requeue(message)
         self._describe_portal(self._objects.portal(portal_name))
 
     def _describe_portal(self, portal: Portal) -> None:
         statement = portal.statement
         if statement.classification.local is not None:
             return self._output.write(_describe_local(statement.classification))
-        work = self._new_work(
+        request = self._new_request(
             statement.sql,
             statement.classification,
             parameter_types=statement.parameter_types,
@@ -179,13 +182,16 @@
             describe=True,
             execute=False,
         )
-        self._output.submit(work, lambda result: self._relay(result, _has_error(result)))
+        self._output.submit(request, lambda result: self._relay(result, _has_error(result)))
 
     def _execute(self, fields: PayloadReader) -> None:
         self._execute_portal(fields.string(), fields.integer("i"), describe=False)
 
     def _execute_portal(self, name: str, max_rows: int, describe: bool) -> None:
-        """Run a portal, or go on with its rows. `max_rows` 0 is all; `describe`: a Describe came just before."""
+        """Run a portal, or return more of its rows.
+
+        `max_rows` 0 means all rows; `describe` says that Describe of the portal came immediately before.
+        """
         portal = self._objects.portal(name)
         if portal.rows is not None:
             return self._output.write(portal.take_rows(max_rows))
@@ -201,14 +207,14 @@
             self._output.write(portal.store(result))
             self._output.write(portal.take_rows(max_rows))
 
-        work = self._new_work(
+        request = self._new_request(
             statement.sql,
             statement.classification,
             parameter_types=statement.parameter_types,
             bind=portal.parameters,
             describe=describe,
         )
-        self._output.submit(work, on_result)
+        self._output.submit(request, on_result)
 
     def _close(self, fields: PayloadReader) -> None:
         kind, name = fields.integer("B"), fields.string()
@@ -224,7 +230,7 @@
         self._output.write(pg.READY_FOR_QUERY)
 
     def _relay(self, result: bytes, failed: bool) -> None:
-        """Pass an engine's answer on; after an error what follows is skipped up to Sync."""
+        """Forward an engine's answer; after an error, messages are skipped up to the next Sync."""
         if failed:
             self._skipping_until_sync = True
         self._output.write(result)
@@ -232,13 +238,13 @@
     # Other messages.
 
     def _ignore(self, _fields: PayloadReader) -> None:
-        """Flush: everything is written at once. CopyData and its like: the rest of a COPY that was rejected."""
+        """Flush needs no action, since nothing is buffered. Copy messages are what is left of a rejected COPY."""
 
     def _terminate(self, _fields: PayloadReader) -> None:
         self._output.close("terminated")
 
     def _function_call(self, _fields: PayloadReader) -> None:
-        self._in_simple_query = True  # it is no part of the extended query protocol: no Sync follows
+        self._in_simple_query = True  # not part of the extended query protocol: no Sync follows
         raise PgError(sqlstate.FEATURE_NOT_SUPPORTED, "function calls are not supported", "Use SELECT.")
 
     _HANDLERS: ClassVar[dict[bytes, Callable[[Session, PayloadReader], None]]] = {
@@ -260,7 +266,7 @@
     # Statements.
 
     def _run_local(self, classification: Classification) -> bytes:
-        """Do what needs no engine; returns its rows and CommandComplete."""
+        """Run a statement that needs no engine; return its rows and CommandComplete."""
         match classification.local:
             case LocalCommand.EMPTY:
                 return pg.EMPTY_QUERY_RESPONSE
@@ -276,7 +282,7 @@
                     self._objects.close_all_statements()
                 return pg.pack_command_complete(classification.name)
 
-    def _new_work(
+    def _new_request(
         self,
         sql: str,
         classification: Classification,
@@ -287,7 +293,10 @@
         describe: bool = False,
         execute: bool = True,
     ) -> PgRequest:
-        """The request for an engine, under the session's parameters. An idempotency key is used up by what runs."""
+        """Build a request from a statement and the session's parameters.
+
+        A request that runs the statement consumes the session's idempotency key.
+        """
         parameters = self.parameters
         idempotency_key = ""
         runs = simple or (bind is not None and execute)
@@ -316,7 +325,7 @@
         )
 
     def _request_class(self, classification: Classification) -> str:
-        """The session's class, or another for what writes in a class that may be repeated as if it only read."""
+        """Return the session's class; if that is idempotent and the statement writes, the class for writes instead."""
         write_class = self._context.postgres.write_class
         request_class = self.parameters.request_class
         effect = self._context.workload.classes[request_class].effect
@@ -330,7 +339,7 @@
 
 
 def _describe_local(classification: Classification) -> bytes:
-    """RowDescription or NoData of what is answered here."""
+    """Return RowDescription or NoData of a statement that needs no engine."""
     if classification.local is not LocalCommand.SHOW:
         return pg.NO_DATA
     column_count = struct.pack(">h", 1)
--- a/decklb/pg/settings.py
+++ b/decklb/pg/settings.py
@@ -1,4 +1,4 @@
-"""The `postgres` section of the configuration: who may connect, as what, and how engines are connected to."""
+"""The `postgres` section of the configuration: defaults of client sessions, and connections to engines."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @dataclass(slots=True)
 class PgSettings:
-    """Settings of this wire.
+    """Settings of the PostgreSQL front.
 
     Attributes:
-        defaults: What a session begins with.
-        users: The same for those who connect under one of these names.
-        write_class: Class of writing statements where the session's class may be repeated; "": they keep theirs.
-        startup: User and database at the engines, as their StartupMessage has them.
-        max_connections_per_engine: Bound on connections to one engine.
-        max_result_bytes: Bound on an engine's result, in bytes.
-        max_message_bytes: Bound on one message of a client, in bytes.
+        defaults: Initial parameters of a session.
+        users: Initial parameters of the sessions of particular users, by user name.
+        write_class: Class of writing statements in sessions whose class is idempotent; "": the session's class.
+        startup: User and database for the StartupMessage to engines.
+        max_connections_per_engine: Maximum number of connections to one engine.
+        max_result_bytes: Maximum size of an engine's result in bytes.
+        max_message_bytes: Maximum size of a client's message in bytes.
     """
 
     defaults: SessionParameters
@@ -37,7 +37,7 @@
 
     @classmethod
     def from_raw(cls, raw: dict[str, Any], settings: Settings) -> PgSettings:
-        """Check and translate the section. Raises ValueError or KeyError."""
+        """Parse and validate the section. Raises ValueError or KeyError."""
         tenants = list(settings.tenants) or [""]
         built_in = SessionParameters(tenants[0], list(settings.classes)[0])
         defaults = _parameters(raw.get("defaults") or {}, built_in, settings)
@@ -45,7 +45,7 @@
         if write_class and write_class not in settings.classes:
             raise ValueError(f"postgres: unknown class {write_class!r}")
         if any(request_class.effect is Effect.KEYED for request_class in settings.classes.values()):
-            # An engine behind this wire has no way to drop a repeat, so none may be sent.
+            # Engines have no way to detect a repeated statement over this protocol, so none may be sent.
             raise ValueError("postgres: engines drop no repeats; make 'deduplicated' classes 'at_most_once'")
         users = raw.get("users") or {}
         return cls(
@@ -60,7 +60,7 @@
 
 
 def _parameters(section: dict[str, Any], base: SessionParameters, settings: Settings) -> SessionParameters:
-    """What `defaults` or one of `users` says, over a base. Raises ValueError."""
+    """Parse `defaults` or an entry of `users`; `base` supplies the missing values. Raises ValueError."""
     parameters = SessionParameters(
         tenant=section.get("tenant", base.tenant),
         request_class=section.get("class", base.request_class),
--- a/decklb/pg/sqlstate.py
+++ b/decklb/pg/sqlstate.py
@@ -1,4 +1,4 @@
-"""SQLSTATE codes that are sent or recognized here, under PostgreSQL's condition names.
+"""SQLSTATE codes that the front sends or recognizes, under PostgreSQL's condition names.
 
 Source: PostgreSQL documentation, appendix A, "PostgreSQL Error Codes".
 """
--- a/decklb/pg/startup.py
+++ b/decklb/pg/startup.py
@@ -1,4 +1,4 @@
-"""Start of a session: what a client's first messages ask for, the parameters they set, and the reply.
+"""Start of a session: parsing the client's first messages, the parameters that they set, and the reply.
 
 Pure functions, called by `decklb.pg.connection`. Clients are not asked to authenticate.
 
@@ -20,9 +20,9 @@
 from decklb.pg.parameters import PARAMETER_PREFIX, REPORTED_PARAMETERS, STATEMENT_TIMEOUT, SessionParameters
 from decklb.pg.settings import PgSettings
 
-ENCRYPTION_REFUSED = b"N"  # the answer to SSLRequest and GSSENCRequest: go on in plain text
+ENCRYPTION_REFUSED = b"N"  # reply to SSLRequest and GSSENCRequest: the client continues unencrypted
 SUPPORTED_MAJOR_VERSION = 3
-PROTOCOL_OPTION_PREFIX = "_pq_."  # parameters that are options of the protocol; none is supported
+PROTOCOL_OPTION_PREFIX = "_pq_."  # prefix of parameters that are protocol options; none is supported
 
 
 @dataclass(slots=True)
@@ -32,18 +32,18 @@
 
 @dataclass(slots=True)
 class CancelRequest:
-    """Asks for the end of what another session runs; the connection then closes."""
+    """Asks to cancel the running statement of another session; the connection is closed afterwards."""
 
     key: BackendKey
 
 
 @dataclass(slots=True)
 class StartupMessage:
-    """Begins a session.
+    """Starts a session.
 
     Attributes:
-        minor_version: Of protocol 3.
-        parameters: What it sets, by name, with `user`, `database` and `options`.
+        minor_version: Minor version of protocol 3.
+        parameters: Its parameters by name, including `user`, `database` and `options`.
     """
 
     minor_version: int
@@ -51,7 +51,7 @@
 
 
 def read_startup(payload: bytes) -> EncryptionRequest | CancelRequest | StartupMessage:
-    """What a message without a type octet asks for. Raises PgError."""
+    """Parse the payload of a message without a type octet. Raises PgError."""
     fields = pg.PayloadReader(payload)
     code = fields.integer("I")
     if code in (pg.SSL_REQUEST_CODE, pg.GSSENC_REQUEST_CODE):
@@ -69,7 +69,7 @@
 
 
 def initial_parameters(startup: StartupMessage, postgres: PgSettings, workload: Settings) -> SessionParameters:
-    """What a session begins with. Raises a fatal PgError where the client sets what it can't."""
+    """Return the initial parameters of a session. Raises a fatal PgError if the client sets an invalid one."""
     parameters = postgres.users.get(startup.parameters.get("user", ""), postgres.defaults)
     try:
         for name, value in _assignments(startup.parameters):
@@ -80,8 +80,11 @@
 
 
 def _assignments(parameters: dict[str, str]) -> list[tuple[str, str]]:
-    """What a StartupMessage sets: our own parameters, and `options` with -c name=value or --name=value."""
-    found = [
+    """Return the assignments of session parameters in a StartupMessage.
+
+    These are decklb.*, statement_timeout, and `options` with -c name=value or --name=value.
+    """
+    assignments = [
         (name, value)
         for name, value in parameters.items()
         if name.startswith(PARAMETER_PREFIX) or name == STATEMENT_TIMEOUT
@@ -95,12 +98,12 @@
         elif word.startswith(("--", "-c")):
             word = word[2:]
         name, _, value = word.replace(escaped_space, " ").partition("=")
-        found.append((name.replace("-", "_").lower(), value))
-    return found
+        assignments.append((name.replace("-", "_").lower(), value))
+    return assignments
 
 
 def startup_reply(startup: StartupMessage, key: BackendKey) -> bytes:
-    """All that a client is sent at the start, up to the first ReadyForQuery."""
+    """Return the messages that answer a StartupMessage, up to the first ReadyForQuery."""
     reply = pg.AUTHENTICATION_OK
     unsupported = [name for name in startup.parameters if name.startswith(PROTOCOL_OPTION_PREFIX)]
     if startup.minor_version or unsupported:
--- a/decklb/pg/statements.py
+++ b/decklb/pg/statements.py
@@ -1,7 +1,7 @@
-"""Classification of a statement by its text: what engines may run, whether it writes, what is answered here.
+"""Classification of a statement by its text: whether engines may run it, whether it writes, or needs no engine.
 
-Statements of one session run on different engines, one at a time and in autocommit mode. What leaves state in one
-engine's session, or needs it, is rejected. Pure functions; called by `decklb.pg.session` for each Query and Parse.
+Statements of one session run on different engines, one at a time and in autocommit mode. Statements that create or
+need state in an engine's session are rejected. Pure functions, called by `decklb.pg.session` for each Query and Parse.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from decklb.pg.errors import PgError
 from decklb.wire.table_group import tokenize
 
-# First words of statements, as `decklb.wire.table_group` cuts them: in lower case.
+# First words of statements, in lower case as `decklb.wire.table_group` returns them.
 TRANSACTION_COMMANDS = frozenset(
     (b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release")
 )
-# Each leaves something behind in one engine's session, which the next statement may not meet.
+# Each depends on state of one engine's session; the next statement may run in another.
 SESSION_STATE_COMMANDS = frozenset(
     (
         b"declare",
@@ -35,7 +35,7 @@
     )
 )
 PARAMETER_COMMANDS = frozenset((b"set", b"reset", b"discard", b"deallocate"))
-# A statement writes if one of these stands anywhere in it, as in WITH ... DELETE.
+# A statement writes if it contains one of these anywhere, as in WITH ... DELETE.
 WRITE_KEYWORDS = frozenset(
     (
         b"insert",
@@ -67,7 +67,7 @@
 
 
 class LocalCommand(Enum):
-    """A statement that is answered here, without an engine."""
+    """A statement that the manager answers without an engine."""
 
     EMPTY = auto()
     SET = auto()
@@ -77,13 +77,13 @@
 
 @dataclass(slots=True)
 class Classification:
-    """What a text tells of its statement.
+    """Classification of a statement.
 
     Attributes:
         writes: Whether it may change data.
-        local: What is done here; None if an engine has to run it.
-        name: Of SET and SHOW the parameter's name, of RESET and its like the command.
-        value: Of SET the value.
+        local: The command that is answered without an engine; None if an engine has to run the statement.
+        name: Parameter of SET and SHOW; for RESET, DISCARD and DEALLOCATE the command itself.
+        value: Value of SET.
     """
 
     writes: bool = False
@@ -93,7 +93,7 @@
 
 
 def classify(sql: str) -> Classification:
-    """What the text, of one or several statements, tells. Raises PgError for what can't run over several engines."""
+    """Classify a text of one or more statements. Raises PgError for statements that need one engine's session."""
     first_words, writes = _scan(sql)
     if not first_words:
         return Classification(local=LocalCommand.EMPTY)
@@ -107,7 +107,7 @@
 
 
 def _scan(sql: str) -> tuple[list[bytes], bool]:
-    """The first word of each statement (b"" where it is no word), and whether any statement writes."""
+    """Return the first word of each statement (b"" if it starts otherwise) and whether any statement writes."""
     first_words: list[bytes] = []
     writes, at_start = False, True
     for kind, word in tokenize(sql.encode()):
--- a/tests/pg_program.py
+++ b/tests/pg_program.py
@@ -1,6 +1,6 @@
-"""The program with PostgreSQL stand-in engines behind it, and a client that sends exactly what a test wants.
+"""The program with stand-in PostgreSQL engines, and a client that sends exactly what a test specifies.
 
-`conftest.py` makes `running_pg_program` the fixture `pg_program`.
+`conftest.py` turns `running_pg_program` into the fixture `pg_program`.
 """
 
 from __future__ import annotations
@@ -41,20 +41,20 @@
 
 
 class ScriptedClient:
-    """A client that sends exactly what a test wants it to send."""
+    """A client that sends exactly what a test specifies."""
 
     def __init__(self, port, **parameters):
         self.socket = socket.create_connection(("127.0.0.1", port), DEADLINE)
         self.reader = pg.MessageReader(1 << 24, startup=False)
         self.received = []
         self.socket.sendall(pg.pack_startup({"user": "u"} | parameters))
-        self.backend_key = next(message.payload for message in self.until(b"Z") if message.type == b"K")
+        self.backend_key = next(message.payload for message in self.receive_until(b"Z") if message.type == b"K")
 
     def send(self, *messages):
         self.socket.sendall(b"".join(messages))
 
-    def until(self, message_type):
-        """All messages up to one of this type."""
+    def receive_until(self, message_type):
+        """Return all messages up to the first of this type."""
         while not any(message.type == message_type for message in self.received):
             data = self.socket.recv(65536)
             if not data:
@@ -62,30 +62,30 @@
                 raise AssertionError(f"closed before {message_type!r}: {types}")
             self.received += self.reader.feed(data)
         end = next(i for i, message in enumerate(self.received) if message.type == message_type) + 1
-        found, self.received = self.received[:end], self.received[end:]
-        return found
+        messages, self.received = self.received[:end], self.received[end:]
+        return messages
 
     def types(self, message_type=b"Z"):
-        """The types of all messages up to one of this type."""
-        return b"".join(message.type for message in self.until(message_type))
+        """Return the types of all messages up to the first of this type."""
+        return b"".join(message.type for message in self.receive_until(message_type))
 
     def sqlstate(self):
-        """That of the next error."""
-        return pg.read_error(self.until(b"E")[-1].payload)["C"]
+        """Return the SQLSTATE of the next error."""
+        return pg.read_error(self.receive_until(b"E")[-1].payload)["C"]
 
     def close(self):
         self.socket.close()
 
 
 class PgProgram:
-    """The program, its engines, and the clients that a test opened."""
+    """The program, its engines, and the clients that a test has opened."""
 
     def __init__(self, program, engines):
         self.program, self.engines, self.port = program, engines, program.port
         self.clients = []
 
     def connect(self, **options):
-        """A connection of a stock driver."""
+        """Connect with psycopg."""
         return psycopg.connect(
             host="127.0.0.1",
             port=self.port,
@@ -103,24 +103,29 @@
         return client
 
     def silent_connection(self):
-        """A connection on which nothing is sent."""
+        """Open a connection and send nothing."""
         connection = socket.create_connection(("127.0.0.1", self.port), DEADLINE)
         self.clients.append(connection)
         return connection
 
-    def statements(self, what):
-        """The statements that engines noted: those that were parsed ("parse"), begun ("start") or ended ("end")."""
-        return [sql for engine in self.engines for sql in engine.said(what)]
+    def statements(self, event):
+        """Return the statements that engines have parsed ("parse"), started ("start") or ended ("end")."""
+        return [sql for engine in self.engines for sql in engine.said(event)]
 
     def assert_no_overlap(self, sql):
-        """Attempts of one request: each starts after the one before has ended."""
-        spans = sorted((m, k) for e in self.engines for k, s, m in e.log if s == sql and k != "parse")
-        assert [k for _, k in spans] == ["start", "end"] * (len(spans) // 2)
+        """Assert that each attempt to run a statement starts after the previous one has ended."""
+        events = sorted(
+            (time, event)
+            for engine in self.engines
+            for event, logged_sql, time in engine.log
+            if logged_sql == sql and event != "parse"
+        )
+        assert [event for _, event in events] == ["start", "end"] * (len(events) // 2)
 
 
 @contextlib.contextmanager
 def running_pg_program(**configuration):
-    """The program before two engines. At the end it is stopped, and must not have logged a traceback."""
+    """Run the program with two engines. At the end, stop it and assert that it has not logged a traceback."""
     loop = Loop()
     engines = [PgEngine(loop), PgEngine(loop)]
     ports = [engine.port for engine in engines]
@@ -140,7 +145,7 @@
 
 
 async def _cancel_all_tasks():
-    """End what still serves connections, while there is a loop to end it on."""
+    """Cancel the tasks that still serve connections, before the loop stops."""
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
         task.cancel()
--- a/tests/test_pg_queries.py
+++ b/tests/test_pg_queries.py
@@ -1,4 +1,4 @@
-"""Statements over the PostgreSQL wire: stock drivers, the extended query protocol, errors and retries."""
+"""Statements over the PostgreSQL protocol: common drivers, the extended query protocol, errors and retries."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_asyncpg_prepares_and_runs(pg_program):
-    async def talk():
+    async def run_statements():
         client = await asyncpg.connect(
             host="127.0.0.1", port=pg_program.port, user="u", database="registro", timeout=20, ssl=False
         )
@@ -34,12 +34,12 @@
         await client.close()
         return rows
 
-    assert asyncio.run(talk()) == ["x", "y", "z"]
+    assert asyncio.run(run_statements()) == ["x", "y", "z"]
 
 
-def test_answers_of_the_extended_query_protocol_come_in_order(pg_program):
+def test_the_extended_query_protocol_answers_in_order(pg_program):
     describe = pg.pack(b"D", b"P\0")
-    for messages, answer in (
+    for messages, expected_types in (
         ((parse("x"), bind(), describe, execute(), pg.SYNC), b"12TDCZ"),
         ((parse("x"), bind(), describe, pg.SYNC), b"12TZ"),
         ((parse("x $1", b"s"), pg.pack(b"D", b"Ss\0"), pg.SYNC), b"1tTZ"),
@@ -55,18 +55,18 @@
     ):
         client = pg_program.scripted_client()
         client.send(*messages)
-        assert client.types() == answer, messages
+        assert client.types() == expected_types, messages
         client.close()
 
 
-def test_after_an_error_everything_up_to_sync_is_skipped(pg_program):
+def test_after_an_error_messages_are_skipped_up_to_sync(pg_program):
     client = pg_program.scripted_client()
     client.send(bind(b"nothing"), execute(), parse("select 1"), pg.SYNC, parse("select 2"), bind(), execute(), pg.SYNC)
     assert (client.types(), client.types()) == (b"EZ", b"12DCZ")
     assert pg_program.statements("start") == ["select 2"]
 
 
-def test_engine_errors_reach_the_client_with_their_state_and_are_not_retried(pg_program):
+def test_statement_errors_reach_the_client_with_their_sqlstate_and_are_not_retried(pg_program):
     with pg_program.connect() as client:
         with pytest.raises(psycopg.errors.UndefinedTable):
             client.execute("fail 42P01")
@@ -79,32 +79,32 @@
         client.prepare_threshold = 0
         assert client.execute("die once %s", ["x"]).fetchone() == ("x",)
     assert len(pg_program.statements("start")) == 2
-    for engine in pg_program.engines:  # one try at each
-        assert [k for k, s, _ in engine.log if s == "die once $1"][:2] == ["parse", "start"]
+    for engine in pg_program.engines:  # one attempt at each
+        assert [event for event, sql, _ in engine.log if sql == "die once $1"][:2] == ["parse", "start"]
     pg_program.assert_no_overlap("die once $1")
 
 
-def test_completion_is_unknown_of_what_may_have_run_and_may_not_be_repeated(pg_program):
+def test_an_unrepeatable_statement_that_may_have_run_ends_with_unknown_completion(pg_program):
     with pg_program.connect(options="-c decklb.class=load") as client, pytest.raises(psycopg.Error) as caught:
         client.execute("die")
     assert caught.value.sqlstate == sqlstate.STATEMENT_COMPLETION_UNKNOWN
     assert pg_program.statements("start") == ["die"]
 
 
-def test_writes_take_the_class_that_is_not_repeated(pg_program):
+def test_writes_use_the_class_for_writes_and_are_not_retried(pg_program):
     with pg_program.connect() as client, pytest.raises(psycopg.Error) as caught:
-        client.execute("die")  # reads are tried anew up to the cap, then refused or failed
+        client.execute("die")  # reads are retried up to the limit, then rejected or failed
     assert caught.value.sqlstate in (sqlstate.INSUFFICIENT_RESOURCES, sqlstate.STATEMENT_COMPLETION_UNKNOWN)
     with pg_program.connect() as client, pytest.raises(psycopg.Error) as caught:
         client.execute("fail 57P01; insert into a values (1)")
     assert caught.value.sqlstate == sqlstate.STATEMENT_COMPLETION_UNKNOWN
-    assert len([s for s in pg_program.statements("start") if s.startswith("fail")]) == 1
+    assert len([sql for sql in pg_program.statements("start") if sql.startswith("fail")]) == 1
 
 
-def test_rejections_tell_when_to_retry(pg_program):
+def test_rejections_state_when_to_retry(pg_program):
     for engine in pg_program.engines:
         engine.close()
-    wait_for(lambda: not reachable(pg_program.engines[0].port), "the end of the stand-in")
+    wait_for(lambda: not reachable(pg_program.engines[0].port), "end of the stand-in engine")
     with pg_program.connect(options="-c statement_timeout=5000") as client, pytest.raises(psycopg.Error) as caught:
         client.execute("select 1")
     assert caught.value.sqlstate == sqlstate.INSUFFICIENT_RESOURCES
--- a/tests/test_pg_statements.py
+++ b/tests/test_pg_statements.py
@@ -1,4 +1,4 @@
-"""What the text of a statement tells: whether engines may run it, whether it writes, what is answered here."""
+"""Classification of statements by their text: whether engines may run them, whether they write or need no engine."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         "lock table a",
     ],
 )
-def test_statements_that_need_one_engines_session_are_not_supported(sql):
+def test_statements_that_need_an_engines_session_are_not_supported(sql):
     with pytest.raises(PgError) as caught:
         classify(sql)
     assert caught.value.sqlstate == sqlstate.FEATURE_NOT_SUPPORTED
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -1,4 +1,4 @@
-"""Golden tests of the PostgreSQL front: messages, handoff records and whole client sessions keep their bytes."""
+"""Golden tests of the PostgreSQL front: the bytes of messages, handoff records and client sessions do not change."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def build_messages():
-    """Every message that is built here, by its name in the protocol's documentation."""
+    """Every message that the front encodes, by its name in the protocol's documentation."""
     error = PgError(sqlstate.INVALID_PARAMETER_VALUE, "no", "Try ñ.", fatal=True)
     return {
         "StartupMessage": pg.pack_startup({"user": "u", "database": "ñ"}),
@@ -61,74 +61,74 @@
     }
 
 
-def read_stream(raw, startup, piece_size):
-    """The messages of a byte stream that comes in pieces, and the error that ends it."""
-    reader, found = pg.MessageReader(50, startup), []
+def read_stream(raw, startup, chunk_size):
+    """The messages of a byte stream that arrives in chunks, and the error that ends it."""
+    reader, messages = pg.MessageReader(50, startup), []
     try:
-        for at in range(0, len(raw), piece_size):
-            for message in reader.feed(raw[at : at + piece_size]):
+        for start in range(0, len(raw), chunk_size):
+            for message in reader.feed(raw[start : start + chunk_size]):
                 reader.startup = False
-                found.append([message.type.decode(), message.payload.hex(), message.raw.hex()])
+                messages.append([message.type.decode(), message.payload.hex(), message.raw.hex()])
     except PgError as error:
-        return {"messages": found, "error": error_fields(error)}
-    return {"messages": found, "rest": reader.buffer.hex()}
+        return {"messages": messages, "error": error_fields(error)}
+    return {"messages": messages, "rest": reader.buffer.hex()}
 
 
 def read_payload(payload, forms):
-    """What fields of these forms hold: "text", "rest" or a number's format."""
-    fields, found = pg.PayloadReader(payload), []
+    """The values of fields of these forms: "text", "rest" or the format of a number."""
+    fields, values = pg.PayloadReader(payload), []
     try:
         for form in forms:
             if form in ("text", "rest"):
                 value = fields.string() if form == "text" else fields.remaining()
-                found.append(value.hex() if isinstance(value, bytes) else value)
+                values.append(value.hex() if isinstance(value, bytes) else value)
             else:
-                found.append(fields.integer(form))
+                values.append(fields.integer(form))
     except PgError as error:
-        return {"values": found, "error": error_fields(error)}
-    return {"values": found}
+        return {"values": values, "error": error_fields(error)}
+    return {"values": values}
 
 
 def classify_statement(sql):
     try:
-        found = classify(sql)
+        classification = classify(sql)
     except PgError as error:
         return {"error": error_fields(error)}
     return {
-        "writes": found.writes,
-        "local": found.local.name.lower() if found.local else "",
-        "name": found.name,
-        "value": found.value,
+        "writes": classification.writes,
+        "local": classification.local.name.lower() if classification.local else "",
+        "name": classification.name,
+        "value": classification.value,
     }
 
 
 def set_parameter(name, value):
-    """The value that SHOW tells after SET, or the error of SET."""
+    """The values that SHOW returns after SET, or the error of SET."""
     try:
-        changed = SessionParameters("cusco", "read").set(name, value, parse_settings(SETTINGS))
+        parameters = SessionParameters("cusco", "read").set(name, value, parse_settings(SETTINGS))
     except PgError as error:
         return {"error": error_fields(error)}
-    return {n: changed.show(n) for n in ("tenant", "class", "budget", "key", "request")}
+    return {shown: parameters.show(shown) for shown in ("tenant", "class", "budget", "key", "request")}
 
 
-def work_fields(work):
+def request_fields(request):
     return {
-        "request_class": work.request_class,
-        "tenant": work.tenant,
-        "budget_ms": work.budget_ms,
-        "statement": work.statement.decode(),
-        "table_group": work.table_group,
-        "ordering_key": work.ordering_key,
-        "idempotency_key": work.idempotency_key,
-        "simple": work.simple,
-        "parameter_types": work.types.hex(),
-        "bind": None if work.bind is None else work.bind.hex(),
-        "describe": work.describe,
-        "execute": work.execute,
+        "request_class": request.request_class,
+        "tenant": request.tenant,
+        "budget_ms": request.budget_ms,
+        "statement": request.statement.decode(),
+        "table_group": request.table_group,
+        "ordering_key": request.ordering_key,
+        "idempotency_key": request.idempotency_key,
+        "simple": request.simple,
+        "parameter_types": request.types.hex(),
+        "bind": None if request.bind is None else request.bind.hex(),
+        "describe": request.describe,
+        "execute": request.execute,
     }
 
 
-WORKS = {
+REQUESTS = {
     "simple query": PgRequest("id", "read", "cusco", 5.0, b"select 1", simple=True),
     "extended query": PgRequest(
         "id", "load", "", 5.0, b"x", 3, "k", types=b"\0\1\0\0\0\x17", bind=b"\0\0\0\0\0\0", describe=True
@@ -138,7 +138,7 @@
 
 
 class FakeTransport:
-    """Notes what a connection does, in order."""
+    """Records the calls of a connection in order."""
 
     def __init__(self, events):
         self.events = events
@@ -163,28 +163,28 @@
         return lambda *arguments: self.events.append([name])
 
 
-class FakeIntake:
-    """Notes requests; the test gives their answers. Makes an idempotency key where "auto" is asked for."""
+class FakeRequestHandler:
+    """Records requests; the test supplies their answers. Generates an idempotency key for "auto"."""
 
     def __init__(self, events):
         self.events, self.sinks = events, []
 
-    def submit(self, work, sink):
-        self.events.append(["submit", work_fields(work)])
+    def submit(self, request, sink):
+        self.events.append(["submit", request_fields(request)])
         self.sinks.append(sink)
-        if work.idempotency_key == "auto":
-            work.idempotency_key = "made"
+        if request.idempotency_key == "auto":
+            request.idempotency_key = "made"
         return len(self.sinks) - 1
 
-    def abandon(self, taken):
-        self.events.append(["abandon", taken])
+    def abandon(self, handle):
+        self.events.append(["abandon", handle])
 
-    def cancel(self, taken):
-        self.events.append(["cancel", taken])
+    def cancel(self, handle):
+        self.events.append(["cancel", handle])
 
 
 class FakeDispatcher:
-    """The clock and settings that a front looks up at its dispatcher."""
+    """The dispatcher's clock and settings, as a front uses them."""
 
     def __init__(self, clock):
         self.settings, self.clock = parse_settings(SETTINGS), self
@@ -193,17 +193,17 @@
     def now(self):
         return self._clock.seconds() * 1000.0
 
-    def call_later(self, delay, call):
-        return self._clock.callLater(delay / 1000.0, call)
+    def call_later(self, delay_ms, callback):
+        return self._clock.callLater(delay_ms / 1000.0, callback)
 
 
-def play(script):
-    """A scripted session: what the connection writes, submits and does to its transport, step by step."""
+def run_script(script):
+    """Run a scripted session; return what the connection writes, submits and does to its transport in each step."""
     events, clock = [], Clock()
     dispatcher = FakeDispatcher(clock)
     settings = PgSettings.from_raw(POSTGRES, dispatcher.settings)
     listener = PgListener(dispatcher, settings, lambda bound: 77 % bound, max_clients=2)
-    intake = listener.context.request_handler = FakeIntake(events)
+    handler = listener.context.request_handler = FakeRequestHandler(events)
     connections, recorded = [], []
     for step, *arguments in script:
         if step == "connect":
@@ -211,17 +211,17 @@
             connections[-1].transport = FakeTransport(events)
             connections[-1].connectionMade()
         elif step == "keep-answers":
-            listener.enable_handoff(intake)
+            listener.enable_handoff(handler)
         elif step == "receive":
             connections[-1].dataReceived(bytes.fromhex(arguments[0]))
         elif step == "receive-on":
             connections[arguments[0]].dataReceived(bytes.fromhex(arguments[1]))
         elif step == "served":
-            intake.sinks[-1].served(bytes.fromhex(arguments[0]))
+            handler.sinks[-1].served(bytes.fromhex(arguments[0]))
         elif step == "refused":
-            intake.sinks[-1].rejected(arguments[0])
+            handler.sinks[-1].rejected(arguments[0])
         elif step in ("failed", "conflict"):
-            getattr(intake.sinks[-1], step)()
+            getattr(handler.sinks[-1], step)()
         elif step == "advance-ms":
             clock.advance(arguments[0] / 1000.0)
         elif step == "pause":
@@ -249,40 +249,40 @@
 
 
 @pytest.mark.parametrize("case", GOLDEN["streams"], ids=lambda case: case["name"])
-@pytest.mark.parametrize("piece_size", [1, 2, 3, 7, 1000])
-def test_streams_are_cut_into_the_same_messages(case, piece_size):
-    assert read_stream(bytes.fromhex(case["raw"]), case["startup"], piece_size) == case["expected"]
+@pytest.mark.parametrize("chunk_size", [1, 2, 3, 7, 1000])
+def test_streams_are_split_into_the_recorded_messages(case, chunk_size):
+    assert read_stream(bytes.fromhex(case["raw"]), case["startup"], chunk_size) == case["expected"]
 
 
 @pytest.mark.parametrize("case", GOLDEN["payloads"], ids=lambda case: f"{case['payload']}-{'-'.join(case['forms'])}")
-def test_payloads_are_read_as_the_same_fields(case):
+def test_payloads_are_read_as_the_recorded_fields(case):
     assert read_payload(bytes.fromhex(case["payload"]), case["forms"]) == case["expected"]
 
 
 @pytest.mark.parametrize("case", GOLDEN["error_responses"], ids=lambda case: case["payload"])
-def test_error_responses_are_read_as_the_same_fields(case):
+def test_error_responses_are_read_as_the_recorded_fields(case):
     assert pg.read_error(bytes.fromhex(case["payload"])) == case["expected"]
 
 
 @pytest.mark.parametrize("sql", GOLDEN["statements"])
-def test_statements_are_classified_alike(sql):
+def test_statements_are_classified_as_recorded(sql):
     assert classify_statement(sql) == GOLDEN["statements"][sql]
 
 
 @pytest.mark.parametrize("case", GOLDEN["parameters"], ids=lambda case: f"{case['name']}={case['value']:.20}")
-def test_session_parameters_take_the_same_values(case):
+def test_session_parameters_have_the_recorded_values(case):
     assert set_parameter(case["name"], case["value"]) == case["expected"]
 
 
-@pytest.mark.parametrize("name", WORKS)
+@pytest.mark.parametrize("name", REQUESTS)
 def test_handoff_records_keep_their_bytes(name):
     codec = PgCodec(lambda: "drawn")
-    assert codec.encode(WORKS[name]).hex() == GOLDEN["handoff"][name]
+    assert codec.encode(REQUESTS[name]).hex() == GOLDEN["handoff"][name]
     decoded = codec.decode(bytes.fromhex(GOLDEN["handoff"][name]), 9.0)
-    assert work_fields(decoded) == work_fields(WORKS[name]) | {"budget_ms": 9.0}
+    assert request_fields(decoded) == request_fields(REQUESTS[name]) | {"budget_ms": 9.0}
     assert decoded.client_request_id == "drawn"
 
 
 @pytest.mark.parametrize("case", SESSIONS, ids=lambda case: case["name"])
-def test_sessions_write_submit_and_end_alike(case):
-    assert play(case["script"]) == case["expected"]
+def test_sessions_write_submit_and_end_as_recorded(case):
+    assert run_script(case["script"]) == case["expected"]
