--- a/decklb/pg/connection.py
+++ b/decklb/pg/connection.py
@@ -147,7 +147,7 @@
                 self._session.report_error(error)
         # Reading continues up to this limit, since a disconnect is only noticed by reading.
         if self._pending_bytes > MAX_PENDING_BYTES:
-            self._end_with_error(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many waiting messages", fatal=True))
+            self._end_with_error(PgError(sqlstate.PROGRAM_LIMIT_EXCEEDED, "too many messages at once", fatal=True))
 
     # Implementation of `SessionOutput`, which the session calls.
 
