--- a/decklb/bgp/errors.py
+++ b/decklb/bgp/errors.py
@@ -1,6 +1,6 @@
 """Errors of a BGP session with the codes of RFC 4271 (section 4.5) and RFC 4486.
 
-The codec and the session raise `BgpError`; the connection responds with a NOTIFICATION with the same codes.
+The codec and the session raise `BgpError`; the session then sends the peer a NOTIFICATION with the same codes.
 """
 
 from __future__ import annotations
--- a/decklb/bgp/session.py
+++ b/decklb/bgp/session.py
@@ -19,7 +19,7 @@
 from decklb.bgp.settings import BgpSettings, PeerSettings
 from decklb.core.ports import Clock, Timer
 
-OPEN_HOLD_TIME_MS = 240_000.0  # limit for the peer's OPEN: four minutes (RFC 4271, section 8.2.2)
+OPEN_HOLD_TIME_MS = 240_000.0  # the peer must send its OPEN within this time: four minutes (RFC 4271, section 8.2.2)
 KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271, section 4.4
 MS_PER_S = 1000.0
 
--- a/decklb/middleware/requests.py
+++ b/decklb/middleware/requests.py
@@ -1,4 +1,4 @@
-"""The specification of a request by the application's `classify`, and the request for the dispatcher."""
+"""How the application wants a request to be managed (`RequestSpec`), and the request that the dispatcher receives."""
 
 from __future__ import annotations
 
--- a/decklb/pg/cancel_request.py
+++ b/decklb/pg/cancel_request.py
@@ -25,9 +25,9 @@
     transport: Any  # the type checker can't read zope's interfaces
 
     def __init__(self, key: BackendKey, clock: Clock, on_done: Callable[[], None] | None) -> None:
-        """`on_done` is called once, when the connection has ended: at the latest after CANCEL_TIMEOUT_MS.
+        """`on_done` is called once, when the connection has ended, at the latest after CANCEL_TIMEOUT_MS.
 
-        With None, nobody waits for the engine to read the request.
+        If it is None, the connection is closed without waiting for the engine to read the request.
         """
         self._key, self._clock, self._on_done = key, clock, on_done
         self._timer: Timer | None = None
@@ -45,7 +45,7 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The engine has read the request or the attempt to send it has failed."""
+        """Call `on_done`: the engine has read the request, or will not read it any more."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -1,7 +1,7 @@
 """One session at a PostgreSQL engine, which runs one attempt at a time.
 
-An attempt is in flight until the engine sends ReadyForQuery or the connection is lost, even after its cancellation.
-Until then the connection sends no other statement, and the core is not notified that the attempt has ended. Dialing,
+An attempt, even a cancelled one, is in flight until the engine sends ReadyForQuery or the connection is lost. Until
+then the connection sends no other statement, and the core is not notified that the attempt has ended. Dialing,
 idle timeouts and the log line at the end are those of `wire.engine_connection`.
 
 State: the attempt that runs on the connection, waits for it or has reserved it, and the result received so far. Owned
@@ -121,7 +121,7 @@
         self.ready, self.sent = False, True
         self.attempt.sent = True
         set_cancel_token = getattr(self.attempt, "set_cancel_token", None)
-        if set_cancel_token is not None and self.cancel_key:  # for other managers, which may take over
+        if set_cancel_token is not None and self.cancel_key:  # lets another manager cancel it after a takeover
             set_cancel_token(self.cancel_key)
         self._result, self._result_size, self._error = [], 0, None
         self.transport.write(self._statements.encode(pg_request))
@@ -156,7 +156,8 @@
         elif message.type == BackendType.AUTHENTICATION and message.payload != pg.AUTHENTICATION_OK_PAYLOAD:
             self._abort("authentication-requested")
         elif message.type in COPY_RESPONSES:
-            self._abort("copy-refused")  # the front rejects COPY, so whatever started this one is aborted
+            # The front rejects clients' COPY statements; a COPY that was started in another way is aborted here.
+            self._abort("copy-refused")
         elif message.type == BackendType.PARSE_COMPLETE:
             self._statements.parse_complete()
 
@@ -193,7 +194,7 @@
         if self.pool.client.clock.now() <= attempt.start_deadline_ms:
             self._send()
             return
-        self.attempt = None  # too late to start: the engine is draining, or the attempt may not be repeated now
+        self.attempt = None  # too late to start: the engine is draining, or the request may no longer be retried
         self._schedule_idle_close()
         attempt.end(Outcome.NEVER_SENT)
 
--- a/decklb/pg/engine_prepared_statements.py
+++ b/decklb/pg/engine_prepared_statements.py
@@ -42,7 +42,7 @@
 
     def _prepare(self, request: PgRequest) -> tuple[bytes, bytes]:
         """Return the messages that prepare a statement (none if it is prepared already) and its name."""
-        statement = (request.statement, request.types)
+        statement = (request.statement, request.parameter_types)
         name = self._names.get(statement)
         if name is not None:
             return b"", name
@@ -51,7 +51,7 @@
             out += pg.pack(FrontendType.CLOSE, STATEMENT + self._names.pop(next(iter(self._names))) + b"\0")
         self._name_count += 1
         name = b"d%d" % self._name_count
-        out += pg.pack(FrontendType.PARSE, name + b"\0" + request.statement + b"\0" + request.types)
+        out += pg.pack(FrontendType.PARSE, name + b"\0" + request.statement + b"\0" + request.parameter_types)
         self._unconfirmed_statement = statement
         self._names[statement] = name
         return out, name
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -64,7 +64,7 @@
     def cancel(self, key: BackendKey, on_done: Callable[[], None] | None = None) -> None:
         """Send a CancelRequest for the session with this key.
 
-        `on_done` is called once, when the engine has read the request or the attempt to send it has ended.
+        `on_done` is called once: when the engine has read the request, or when sending it has failed or timed out.
         """
 
         def undelivered(reason: Failure) -> None:
--- a/decklb/pg/request.py
+++ b/decklb/pg/request.py
@@ -12,7 +12,7 @@
     """A request with the protocol messages of its statement."""
 
     simple: bool = False  # sent with Query, otherwise with Parse, Bind and Execute
-    types: bytes = b"\0\0"  # the rest of Parse after the statement: the parameter types
+    parameter_types: bytes = b"\0\0"  # the rest of Parse after the statement: number of parameter types and their OIDs
     bind: bytes | None = None  # the rest of Bind after the names, unchanged; None: only describe the statement
     describe: bool = False  # also describe the portal
     execute: bool = True  # execute the portal
--- a/decklb/pg/session.py
+++ b/decklb/pg/session.py
@@ -30,7 +30,7 @@
 
 DESCRIBE_STATEMENT, DESCRIBE_PORTAL = ord("S"), ord("P")  # kinds of objects in Describe and Close
 TEXT_OID = 25  # OID of the type `text`
-NO_PARAMETER_TYPES = b"\0\0"  # the rest of a Parse without parameter types, after the text
+NO_PARAMETER_TYPES = b"\0\0"  # end of a Parse message that specifies no parameter types
 
 
 @dataclass(slots=True)
@@ -190,7 +190,7 @@
     def _execute_portal(self, name: str, max_rows: int, describe: bool) -> None:
         """Run a portal, or return more of its rows.
 
-        `max_rows` 0 means all rows; `describe` says that Describe of the portal came immediately before.
+        `max_rows` 0 means all rows; `describe`: the preceding message was Describe of this portal.
         """
         portal = self._objects.portal(name)
         if portal.rows is not None:
@@ -318,14 +318,14 @@
             parameters.ordering_key or None,
             idempotency_key=idempotency_key,
             simple=simple,
-            types=parameter_types,
+            parameter_types=parameter_types,
             bind=bind,
             describe=describe,
             execute=execute,
         )
 
     def _request_class(self, classification: Classification) -> str:
-        """Return the session's class; if that is idempotent and the statement writes, the class for writes instead."""
+        """Return the session's class, or `write_class` (if set) for a writing statement in an idempotent class."""
         write_class = self._context.postgres.write_class
         request_class = self.parameters.request_class
         effect = self._context.workload.classes[request_class].effect
--- a/decklb/pg/statements.py
+++ b/decklb/pg/statements.py
@@ -1,4 +1,4 @@
-"""Classification of a statement by its text: whether engines may run it, whether it writes, or needs no engine.
+"""Classification of a statement by its text: whether it needs an engine, is supported, and writes data.
 
 Statements of one session run on different engines, one at a time and in autocommit mode. Statements that create or
 need state in an engine's session are rejected. Pure functions, called by `decklb.pg.session` for each Query and Parse.
@@ -18,7 +18,7 @@
 TRANSACTION_COMMANDS = frozenset(
     (b"begin", b"start", b"commit", b"end", b"rollback", b"abort", b"savepoint", b"release")
 )
-# Each depends on state of one engine's session; the next statement may run in another.
+# Each creates or needs state in an engine's session, but the next statement may run in another session.
 SESSION_STATE_COMMANDS = frozenset(
     (
         b"declare",
@@ -107,7 +107,7 @@
 
 
 def _scan(sql: str) -> tuple[list[bytes], bool]:
-    """Return the first word of each statement (b"" if it starts otherwise) and whether any statement writes."""
+    """Return the first word of each statement (b"" if it starts with something else) and whether any of them writes."""
     first_words: list[bytes] = []
     writes, at_start = False, True
     for kind, word in tokenize(sql.encode()):
--- a/tests/test_pg_statements.py
+++ b/tests/test_pg_statements.py
@@ -1,4 +1,4 @@
-"""Classification of statements by their text: whether engines may run them, whether they write or need no engine."""
+"""Classification of statements by their text: whether they need an engine, are supported, and write data."""
 
 from __future__ import annotations
 
--- a/tests/test_pg_wire_format.py
+++ b/tests/test_pg_wire_format.py
@@ -121,7 +121,7 @@
         "ordering_key": request.ordering_key,
         "idempotency_key": request.idempotency_key,
         "simple": request.simple,
-        "parameter_types": request.types.hex(),
+        "parameter_types": request.parameter_types.hex(),
         "bind": None if request.bind is None else request.bind.hex(),
         "describe": request.describe,
         "execute": request.execute,
@@ -131,7 +131,7 @@
 REQUESTS = {
     "simple query": PgRequest("id", "read", "cusco", 5.0, b"select 1", simple=True),
     "extended query": PgRequest(
-        "id", "load", "", 5.0, b"x", 3, "k", types=b"\0\1\0\0\0\x17", bind=b"\0\0\0\0\0\0", describe=True
+        "id", "load", "", 5.0, b"x", 3, "k", parameter_types=b"\0\1\0\0\0\x17", bind=b"\0\0\0\0\0\0", describe=True
     ),
     "description": PgRequest("id", "load", "", 5.0, "ñ".encode(), execute=False),
 }
