--- a/decklb/core/__init__.py
+++ b/decklb/core/__init__.py
@@ -1,1 +1,1 @@
-"""The part that knows no wire: requests, attempts, time, and the decision module."""
+"""The protocol-independent core: the dispatcher between the fronts, the policy and the engine clients."""
--- a/decklb/core/attempt_runner.py
+++ b/decklb/core/attempt_runner.py
@@ -1,7 +1,8 @@
-"""Runs attempts: starts, abandons and ends them, within the rules on overlap and repeats, whatever the policy says.
+"""Starts, abandons and closes attempts, and enforces the rules on concurrent and repeated execution.
 
-Owns nothing beyond the attempts of each request. The dispatcher calls it for the policy's actions and due deadlines,
-engine clients by way of Attempt.
+The rules hold whatever the policy decides: a request never has two attempts in flight, and once it may have been
+executed it is repeated only as its class allows. The dispatcher calls the runner for actions of the policy and for
+expired deadlines; engine clients call it through the methods of `Attempt`. Its only state is the list of attempts of each request.
 """
 
 from __future__ import annotations
@@ -22,12 +23,13 @@
 from decklb.interface import Effect, Outcome
 from decklb.policy.records import NEVER_EXECUTED
 
-# ms that an attempt took at least: the policy divides by what is usual, and a coarse clock may not have moved.
+# Minimum reported duration of an attempt in ms. The policy divides by usual durations, and a clock with a coarse
+# resolution can show the same time at the start and at the end of an attempt.
 MIN_DURATION_MS = 0.001
 
 
 class AttemptRunner:
-    """Carries attempts from the policy's decision to their end."""
+    """Runs the attempts of all requests from the policy's decision until they are closed."""
 
     __slots__ = (
         "engines",
@@ -53,23 +55,23 @@
         on_attempt_closed: Callable[[Request], None],
     ) -> None:
         self.engines = engines
-        self.zone_router: ZoneRouter | None = None  # given where traffic is kept in its zone
+        self.zone_router: ZoneRouter | None = None  # set by the locality subsystem; None without it
         self._settings, self._clock, self._events = settings, clock, events
         self._deadlines, self._answers, self._log = deadlines, answers, log
         self._on_attempt_closed = on_attempt_closed
 
     def start(self, request: Request, engine_id: str, timeout_ms: float | None) -> None:
-        """Send an attempt to an engine, unless a rule forbids it; then it counts as never sent."""
+        """Send an attempt to an engine, or close it as never sent if a rule forbids it."""
         now = self._clock.now()
-        left_ms = request.deadline_ms - now
-        attempt = Attempt(self, request, engine_id, now, min(left_ms, timeout_ms or left_ms))
-        overlaps = request.has_open_attempt()
-        attempt.start_deadline_ms = min(attempt.start_deadline_ms, self._repeatable_until(request))
+        time_left_ms = request.deadline_ms - now
+        attempt = Attempt(self, request, engine_id, now, min(time_left_ms, timeout_ms or time_left_ms))
+        other_in_flight = request.has_open_attempt()
+        attempt.start_deadline_ms = min(attempt.start_deadline_ms, self._latest_retry_start(request))
         request.attempts.append(attempt)
-        if request.answered or overlaps or left_ms <= 0 or now > attempt.start_deadline_ms:
-            if overlaps:
+        if request.answered or other_in_flight or time_left_ms <= 0 or now > attempt.start_deadline_ms:
+            if other_in_flight:
                 logger.error(
-                    "second attempt for {request} while one is out",
+                    "attempt of {request} not sent: another attempt is in flight",
                     event="overlap-prevented",
                     request=request.request_id,
                 )
@@ -77,27 +79,32 @@
         self._deadlines.add(attempt.deadline_ms, request.request_id, attempt.number)
         self.engines.start(attempt)
 
-    def _repeatable_until(self, request: Request) -> float:
-        """Until when, in ms, the request's class lets another attempt begin."""
-        ran = next((attempt for attempt in request.attempts if attempt.outcome not in NEVER_EXECUTED), None)
+    def _latest_retry_start(self, request: Request) -> float:
+        """Return the time in ms until which the request's class allows a further attempt to start."""
+        possibly_executed = next(
+            (attempt for attempt in request.attempts if attempt.outcome not in NEVER_EXECUTED), None
+        )
         spec = self._settings.classes.get(request.incoming.request_class)
-        if ran is None or spec is None or spec.effect is Effect.SAFE:
+        if possibly_executed is None or spec is None or spec.effect is Effect.SAFE:
             return math.inf
-        return ran.started_at_ms + spec.deduplication_window_ms if spec.effect is Effect.KEYED else -math.inf
+        return (
+            possibly_executed.started_at_ms + spec.deduplication_window_ms if spec.effect is Effect.KEYED else -math.inf
+        )
 
     def abandon(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Cancel an attempt at its engine; it ends with that outcome when the engine has let go.
+        """Cancel an attempt at its engine.
 
-        Until then it is still out, and the policy may not send another.
+        The attempt stays in flight until the engine client has released it; then it is closed with `outcome`, or as
+        never sent if nothing was sent. Until then no other attempt of the request may start.
         """
         if attempt.ended or attempt.abandoned:
             return
         attempt.abandoned, attempt.timed_out = True, outcome is Outcome.TIMED_OUT
-        final = outcome if attempt.sent else Outcome.NEVER_SENT
-        self.engines.abandon(attempt, lambda: self._close(attempt, final))
+        final_outcome = outcome if attempt.sent else Outcome.NEVER_SENT
+        self.engines.abandon(attempt, lambda: self._close(attempt, final_outcome))
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: bytes) -> None:
-        """An attempt's end; the first successful one is the request's answer."""
+        """Close an attempt; the result of the first successful attempt is the answer to the request."""
         if attempt.ended or attempt.abandoned:
             return
         if outcome is Outcome.SUCCESS and not attempt.request.answered:
@@ -105,14 +112,14 @@
         self._close(attempt, outcome)
 
     def attempt_uncertain(self, attempt: Attempt) -> None:
-        """The connection of an attempt has ended soon after its answer."""
+        """Tell the policy that the connection of an attempt with an ordering key ended soon after its answer."""
         key = attempt.request.incoming.ordering_key
         if attempt.ended and not attempt.abandoned and key is not None:
             self._log.completion_uncertain(attempt)
             self._events.post(api.CompletionUncertain(key))
 
     def attempt_progressed(self, attempt: Attempt, kind: int, level: float) -> None:
-        """Progress of an attempt that is out."""
+        """Pass a progress report of an attempt in flight to the policy."""
         if not (attempt.ended or attempt.abandoned):
             self._events.post(api.AttemptProgress(attempt.request.request_id, attempt.number, kind, level))
 
--- a/decklb/core/attempts.py
+++ b/decklb/core/attempts.py
@@ -1,7 +1,7 @@
-"""Requests in flight and their attempts: the objects that the dispatcher, engine clients and subsystems hand round.
+"""Requests in flight and their attempts, as the dispatcher, the engine clients and the subsystems exchange them.
 
-A Request lives from its arrival until its final answer is out and its last attempt has ended. The dispatcher owns both;
-engine clients report on attempts by the methods of Attempt.
+The dispatcher owns both. It keeps a request until the final answer has been sent and the last attempt has ended. Engine
+clients report about an attempt through its methods.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 
 class Request:
-    """A request from its arrival until its final answer."""
+    """An accepted request."""
 
     __slots__ = ("request_id", "incoming", "sink", "deadline_ms", "attempts", "answered")
 
     def __init__(self, request_id: str, incoming: IncomingRequest, sink: ResponseSink, deadline_ms: float) -> None:
-        """`request_id` is the dispatcher's own; `deadline_ms` is on the clock of the core."""
+        """`request_id` is assigned by the dispatcher; `deadline_ms` is a time on the dispatcher's clock."""
         self.request_id, self.incoming, self.sink, self.deadline_ms = request_id, incoming, sink, deadline_ms
-        self.attempts: list[Attempt] = []  # by their numbers
-        self.answered = False  # its client has had its answer, or wants none
+        self.attempts: list[Attempt] = []  # in order of attempt numbers
+        self.answered = False  # has its final answer, or needs none because its client has gone
 
     def has_open_attempt(self) -> bool:
-        """Whether an attempt lacks its end."""
+        """Whether an attempt has not ended yet."""
         return any(not attempt.ended for attempt in self.attempts)
 
 
 class AttemptListener(Protocol):
-    """Who is told of an attempt's fate: the dispatcher."""
+    """Receives what engine clients report about attempts; implemented by `AttemptRunner`."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: bytes) -> None:
-        """It has ended, with a complete result if it was a success."""
+        """The attempt has ended; `result` is complete if it succeeded."""
 
     def attempt_uncertain(self, attempt: Attempt) -> None:
-        """Its engine may not count it as finished."""
+        """The engine may still be executing an attempt that it has answered."""
 
     def attempt_progressed(self, attempt: Attempt, kind: int, level: float) -> None:
-        """Its engine has told of progress."""
+        """The engine has sent a progress report; `kind` and `level` are those of `AttemptProgress`."""
 
 
 class Attempt:
-    """One send of a request to one engine, named by its directory id."""
+    """One attempt to execute a request at an engine, which is named by its id in the service directory."""
 
     __slots__ = (
         "request",
@@ -67,20 +67,22 @@
         self.request, self.engine_id, self.started_at_ms = request, engine_id, started_at_ms
         self.number = len(request.attempts)
         self.deadline_ms = started_at_ms + timeout_ms
-        self.start_deadline_ms = self.deadline_ms  # after this it may no longer begin
+        self.start_deadline_ms = self.deadline_ms  # time in ms after which it must not be sent any more
         self.outcome: Outcome | None = None
-        self.sent = True  # its engine client says no while it waits, as for a connection
+        self.sent = (
+            True  # the engine client sets it to False while the attempt is still unsent, e.g. without a connection
+        )
         self.abandoned = self.timed_out = self.ended = False
-        self.handle: object = None  # the engine client's own
+        self.handle: object = None  # for use by the engine client
 
     def end(self, outcome: Outcome, result: bytes = b"") -> None:
-        """The engine client reports how it ended. A second report, or one after it was abandoned, is ignored."""
+        """Report how the attempt ended. Ignored if it has already ended or was abandoned."""
         self._listener.attempt_ended(self, outcome, result)
 
     def mark_uncertain(self) -> None:
-        """Its connection has ended right behind its answer: the engine may not count it as finished."""
+        """Report that the connection ended right after the answer, so the engine may still be executing the attempt."""
         self._listener.attempt_uncertain(self)
 
     def report_progress(self, kind: int, level: float) -> None:
-        """The engine has told of progress: kind 1 is the share done, 2 spills, 3 waits."""
+        """Report progress. `kind` 1: `level` is the completed fraction; 2: the query spills to disk; 3: it waits."""
         self._listener.attempt_progressed(self, kind, level)
--- a/decklb/core/deadlines.py
+++ b/decklb/core/deadlines.py
@@ -1,6 +1,6 @@
-"""The deadlines of requests and attempts, in one heap that shares one timer.
+"""Deadlines of requests and attempts, in one heap with one shared timer.
 
-Two timers of the reactor for each request took a tenth of a busy core.
+Separate reactor timers, two for each request, took a tenth of a busy core.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 from decklb.core.ports import Clock
 from decklb.core.timers import call_after_reading
 
-# ms between looks at the heap while anything is in it.
+# ms between two checks of the heap while it is not empty.
 CHECK_INTERVAL_MS = 2.0
-# Stands for the request itself in place of an attempt's number.
+# Used as the attempt number for the deadline of the request itself.
 WHOLE_REQUEST = -1
 
 
 class DeadlineQueue:
-    """Deadlines that are still to come, also those of what has ended since: `on_due` passes over them."""
+    """Calls `on_due` for each deadline that has passed, also if the request or attempt has already ended."""
 
     __slots__ = ("_clock", "_on_due", "_heap", "_timer_set")
 
     def __init__(self, clock: Clock, on_due: Callable[[str, int], None]) -> None:
-        """`on_due` gets the id of a request, and the number of an attempt or WHOLE_REQUEST."""
+        """`on_due` gets a request id and an attempt number, or WHOLE_REQUEST instead of the number."""
         self._clock, self._on_due = clock, on_due
-        self._heap: list[tuple[float, str, int]] = []  # (deadline in ms, id of the request, number of the attempt)
+        self._heap: list[tuple[float, str, int]] = []  # (deadline in ms, request id, attempt number)
         self._timer_set = False
 
     def add(self, deadline_ms: float, request_id: str, attempt_number: int = WHOLE_REQUEST) -> None:
-        """Call `on_due` when that time has come."""
+        """Add a deadline."""
         heappush(self._heap, (deadline_ms, request_id, attempt_number))
         if not self._timer_set:
             self._timer_set = True
--- a/decklb/core/dispatcher.py
+++ b/decklb/core/dispatcher.py
@@ -1,8 +1,9 @@
-"""The dispatcher: carries requests from a front to engines and back, by the decisions of one Gateway.
+"""The dispatcher: forwards requests from a front to engines and answers back, as decided by one `Gateway`.
 
-Owns the requests in flight. Fronts submit and abandon requests, discovery and health checks bring news of engines, and
-the policy's actions are carried out in order, once a tick. Whatever the policy, a front or an engine does, each request
-gets one final answer, at the latest when its time is over, and has no two attempts out at once.
+Owns the requests in flight. Fronts submit and abandon requests, and discovery and health checks report the state of
+engines. The policy decides on these events once per tick, and its actions are carried out in order. Whatever the
+policy, a front or an engine does, each request gets exactly one final answer, at the latest when its budget ends, and
+never has two attempts in flight.
 """
 
 from __future__ import annotations
@@ -24,31 +25,34 @@
 from decklb.interface import Outcome
 from decklb.policy.gateway import Gateway
 
-# ms by which the policy is told less than the budget. A budget runs from when the client sent its request, which is
-# some time before it is read here whole, and the last answer needs its way back. With 15 ms a client was seen to stop
-# waiting 24 ms before the end that was reckoned here, and its request was lost.
+# ms that are subtracted from the budget before the policy gets it. The budget starts when the client sends the request,
+# which is before the dispatcher has read all of it, and the answer takes time to reach the client. With a margin of
+# 15 ms a client stopped waiting 24 ms before the end of the budget computed here, and its request was lost.
 ANSWER_MARGIN_MS = 80.0
-# At most this part of a budget is given up for the margin, so that short ones stay of use.
+# Upper bound of that margin as a fraction of the budget, so that short budgets remain usable.
 MAX_ANSWER_MARGIN_FRACTION = 0.1
-# ms after the end of the budget at which the backstop answers for a policy that has not: past what the policy was told,
-# so that its own answer comes first, and within the 20 ms (50 on sockets) by which a final answer may be late.
+# ms after the end of the budget at which the dispatcher itself answers a request that the policy has not answered. This
+# is after the policy's deadline, so that the policy's answer comes first, and within the 20 ms (50 ms on sockets) by
+# which a final answer may be late.
 BACKSTOP_DELAY_MS = 10.0
-# Ticks until the policy is asked again after it has failed.
-RETRY_TICKS = 10
-RETRY_LABEL = "again"
+# Ticks from an exception in the policy until its next decision.
+POLICY_RETRY_TICKS = 10
+POLICY_RETRY_LABEL = "again"
 
 
 class Dispatcher:
-    """Carries out the decisions of one Gateway."""
+    """Carries out the decisions of one `Gateway`."""
 
     def __init__(self, settings: api.Settings, seed: int, clock: Clock, engines: EngineClient) -> None:
-        """`seed` is of the policy's random choices."""
+        """`seed` initializes the policy's random numbers."""
         self.settings, self.clock = settings, clock
-        # No two attempts of a request are let out here. A policy told that it may hedge spent attempts and retry budget
-        # on ones that were held back, where it could cancel the first and try again.
+        # Hedged attempts are never sent. A policy that was allowed to hedge spent attempts and retry budget on hedges
+        # that were held back, when it could have cancelled the first attempt and retried.
         self.gateway = Gateway(replace(settings, hedging=False), seed)
-        self.live: dict[str, Request] = {}  # requests in flight, and those whose end the policy may not know yet
-        self.unread_for_ms: Callable[[], float] = lambda: 0.0  # ms that what is submitted now may have lain unread
+        self.live: dict[str, Request] = {}  # requests in flight and those whose end the policy has not seen yet, by id
+        self.unread_for_ms: Callable[[], float] = lambda: (
+            0.0
+        )  # ms for which a request submitted now may have waited unread in its socket
         self._request_count = 0
         self._events = EventBatch(clock, settings.tick_ms, self._decide)
         self._deadlines = DeadlineQueue(clock, self._deadline_passed)
@@ -60,12 +64,12 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that lack their final answer."""
+        """Number of requests without a final answer."""
         return self._answers.open_requests
 
     @property
     def on_idle(self) -> Callable[[], None]:
-        """Called whenever the last open request has got its answer."""
+        """Called each time the last open request has been answered."""
         return self._answers.on_idle
 
     @on_idle.setter
@@ -74,7 +78,7 @@
 
     @property
     def engines(self) -> EngineClient:
-        """The client that runs attempts; a subsystem may put its own before it."""
+        """The client that runs the attempts; a subsystem may wrap it in its own."""
         return self._runner.engines
 
     @engines.setter
@@ -83,55 +87,56 @@
 
     @property
     def zone_router(self) -> ZoneRouter | None:
-        """Chooses zones for requests, where traffic is kept in its zone."""
+        """Selects the zones of requests; None unless the locality subsystem is enabled."""
         return self._runner.zone_router
 
     @zone_router.setter
     def zone_router(self, router: ZoneRouter | None) -> None:
         self._runner.zone_router = router
 
-    def submit(self, incoming: IncomingRequest, sink: ResponseSink) -> Request:
-        """Take a request; its sink gets one answer, unless it is abandoned."""
-        # Ids of clients may repeat, by mistake or malice; towards the policy only our own ones count.
+    def submit(self, request: IncomingRequest, sink: ResponseSink) -> Request:
+        """Accept a request; the sink gets exactly one answer, unless the request is abandoned."""
+        # Clients may reuse request ids, by mistake or malice, so the policy gets ids assigned here.
         self._request_count += 1
         now = self.clock.now()
-        budget_end_ms = now + incoming.budget_ms - self.unread_for_ms()  # its client waits since its last byte
-        margin_ms = min(ANSWER_MARGIN_MS, MAX_ANSWER_MARGIN_FRACTION * incoming.budget_ms)
-        request = Request(f"r{self._request_count}", incoming, sink, budget_end_ms - margin_ms)
-        self.live[request.request_id] = request
+        # The client has waited since it sent the last byte, not since the request was read.
+        budget_end_ms = now + request.budget_ms - self.unread_for_ms()
+        margin_ms = min(ANSWER_MARGIN_MS, MAX_ANSWER_MARGIN_FRACTION * request.budget_ms)
+        accepted = Request(f"r{self._request_count}", request, sink, budget_end_ms - margin_ms)
+        self.live[accepted.request_id] = accepted
         self._answers.open_requests += 1
-        self._deadlines.add(budget_end_ms + BACKSTOP_DELAY_MS, request.request_id)
+        self._deadlines.add(budget_end_ms + BACKSTOP_DELAY_MS, accepted.request_id)
         router = self._runner.zone_router
-        zone, zones = ("", None) if router is None else router.route(incoming.request_class)
+        preferred_zone, allowed_zones = ("", None) if router is None else router.route(request.request_class)
         self._events.post(
             api.RequestArrived(
-                request.request_id,
-                incoming.request_class,
-                incoming.tenant,
-                max(0.0, request.deadline_ms - now),
-                incoming.table_group,
-                incoming.ordering_key,
-                preferred_zone=zone,
-                allowed_zones=zones,
+                accepted.request_id,
+                request.request_class,
+                request.tenant,
+                max(0.0, accepted.deadline_ms - now),
+                request.table_group,
+                request.ordering_key,
+                preferred_zone=preferred_zone,
+                allowed_zones=allowed_zones,
             )
         )
-        return request
-
-    def abandon(self, request: Request) -> None:
-        """Its client has disconnected: no answer, and its attempts are cancelled at once."""
-        if not request.answered:
-            self._answers.close(request)
-            self._events.post(api.ClientGone(request.request_id))
-            for attempt in request.attempts:
+        return accepted
+
+    def abandon(self, handle: Request) -> None:
+        """The client has disconnected: send no answer and cancel the attempts at once."""
+        if not handle.answered:
+            self._answers.close(handle)
+            self._events.post(api.ClientGone(handle.request_id))
+            for attempt in handle.attempts:
                 self._runner.abandon(attempt, Outcome.CANCELLED)
 
-    def cancel(self, request: Request) -> None:
-        """Its client has cancelled it; here, where nothing outlives the client, this is the same."""
-        self.abandon(request)
+    def cancel(self, handle: Request) -> None:
+        """The client has cancelled the request. Same as `abandon`, since no request here outlives its client."""
+        self.abandon(handle)
 
     def update_endpoints(self, endpoints: list[api.Endpoint]) -> None:
-        """The complete list of engines, as last heard."""
-        # Guards the drains: what waits for a connection when its engine begins to drain may not begin much later.
+        """Replace the endpoint list."""
+        # An attempt that waits for a connection must not start long after its engine has begun to drain.
         up = {endpoint.engine_id for endpoint in endpoints if endpoint.phase is api.Phase.UP}
         start_deadline_ms = self.clock.now() + self.settings.drain_grace_ms
         for request in self.live.values():
@@ -141,27 +146,27 @@
         self.post_event(api.EndpointsUpdated(endpoints, True))
 
     def health_checked(self, engine_id: str, outcome: Outcome) -> None:
-        """What health checks of any member found of an engine; UNREACHABLE: it can't be reached."""
+        """Report the result of an engine's health check, made by any member: SUCCESS or UNREACHABLE."""
         self.post_event(api.HealthCheckResult(engine_id, outcome, 0.0))
 
     def shut_down(self) -> None:
-        """The process is about to end: the policy answers all that is open."""
+        """Have the policy answer all open requests because the process is about to exit."""
         self.post_event(api.ShutdownStarted())
 
     def post_event(self, event: api.Event) -> None:
-        """Have the policy decide on an event at its next tick."""
+        """Pass an event to the policy at the next tick."""
         self._events.post(event)
 
     def _decide(self, now: float, events: list[api.Event]) -> None:
         answered_ids = self._answers.take_answered_ids()
         try:
             actions = self.gateway.step(now, events)
-        except Exception:  # a fault of the policy must not take the sockets down: the backstop answers
+        except Exception:  # must not end the process; unanswered requests get their answer from the backstop
             logger.exception("policy failed on {count} events", event="policy-failed", count=len(events))
-            actions = [api.SetTimer(self.settings.tick_ms * RETRY_TICKS, RETRY_LABEL)]
+            actions = [api.SetTimer(self.settings.tick_ms * POLICY_RETRY_TICKS, POLICY_RETRY_LABEL)]
         for action in actions:
             self._carry_out(action)
-        for request_id in answered_ids:  # the policy has now been told; its actions for them were ignored
+        for request_id in answered_ids:  # the policy has seen their end; its actions for them were ignored
             self._forget_if_done(self.live.pop(request_id))
 
     def _carry_out(self, action: api.Action) -> None:
@@ -184,24 +189,26 @@
             case api.SetTimer():
                 label = action.label
                 self.clock.call_later(action.delay_ms, lambda: self._events.post(api.TimerFired(label)))
-            case _:  # resources, health checks, messages of peers and watches have no counterpart on these wires
-                logger.debug("no counterpart on this wire: {action}", event="action-ignored", action=str(action))
+            case _:  # the protocols have no resources, health checks, peer messages or subscriptions
+                logger.debug(
+                    "action not supported by this protocol: {action}", event="action-ignored", action=str(action)
+                )
 
     def _deadline_passed(self, request_id: str, attempt_number: int) -> None:
         request = self.live.get(request_id)
         if request is None:
             return
         if attempt_number == WHOLE_REQUEST:
-            self._backstop(request)
+            self._answer_at_deadline(request)
         else:
             self._runner.abandon(request.attempts[attempt_number], Outcome.TIMED_OUT)
 
-    def _backstop(self, request: Request) -> None:
-        """Answer for a policy that has not."""
+    def _answer_at_deadline(self, request: Request) -> None:
+        """Fail a request that the policy has not answered by the end of its budget."""
         if request.answered:
             return
         logger.warning(
-            "deadline backstop for {request} of class {request_class}",
+            "policy did not answer {request} of class {request_class} by its deadline",
             event="deadline-backstop",
             request=request.request_id,
             request_class=request.incoming.request_class,
@@ -210,7 +217,7 @@
         self._answers.fail_closed(request)
 
     def _forget_if_done(self, request: Request) -> None:
-        # Requests and attempts name each other. Left to the garbage collector, thousands of such cycles a second made
-        # its full collections take 20 to 50 ms, in which deadlines passed.
+        # Requests and attempts refer to each other. Left to the garbage collector, thousands of such cycles per second
+        # made its full collections take 20 to 50 ms, during which deadlines passed.
         if request.request_id not in self.live and not request.has_open_attempt():
             request.attempts.clear()
--- a/decklb/core/engine_client.py
+++ b/decklb/core/engine_client.py
@@ -1,4 +1,4 @@
-"""The port to engines: what the dispatcher asks of the client of a protocol that engines speak."""
+"""Port of the core to the engines, implemented by the client of each engine protocol."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 class EngineClient(Protocol):
-    """Runs attempts at engines; it calls `attempt.end` once for each, unless the attempt was abandoned before."""
+    """Runs attempts at engines and calls `attempt.end` once for each attempt that was not abandoned before."""
 
     def start(self, attempt: Attempt) -> None:
         """Send the attempt to its engine."""
 
     def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel the attempt at its engine, and never call it again.
+        """Cancel the attempt at its engine and make no further calls on the attempt.
 
-        `freed` is called once, later: when the attempt is no longer out, so that another may be sent elsewhere.
+        `freed` is called once, after this method has returned, when the attempt is no longer in flight: from then on
+        another attempt of the request may be sent.
         """
--- a/decklb/core/event_batch.py
+++ b/decklb/core/event_batch.py
@@ -1,4 +1,4 @@
-"""Batching of events: the policy decides at most once a tick, on all events since."""
+"""Batches events, so that the policy decides at most once per tick on all events since the last tick."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EventBatch:
-    """The events that the policy has not seen yet. `decide` gets the time in ms and the events, in order."""
+    """Events for the next decision of the policy; `decide` gets the time in ms and the events in order of posting."""
 
     __slots__ = ("_clock", "_tick_ms", "_decide", "_events", "_timer", "_last_tick_ms")
 
@@ -21,7 +21,7 @@
         self._last_tick_ms = clock.now() - tick_ms
 
     def post(self, event: Event) -> None:
-        """Add an event; it is decided on at the next tick."""
+        """Add an event to the batch of the next tick."""
         self._events.append(event)
         if self._timer is None:
             wait_ms = max(0.0, self._last_tick_ms + self._tick_ms - self._clock.now())
--- a/decklb/core/final_answers.py
+++ b/decklb/core/final_answers.py
@@ -1,6 +1,7 @@
-"""Final answers: each request gets exactly one, whatever the policy, a front or an engine does.
+"""Sends the final answers: exactly one to each request, whatever the policy, a front or an engine does.
 
-Owns the count of requests that lack theirs, and the ids of those that were answered since the policy last decided.
+Keeps the number of requests without a final answer, and the ids of the requests that were answered since the policy's
+last decision.
 """
 
 from __future__ import annotations
@@ -15,64 +16,64 @@
 
 
 class FinalAnswers:
-    """Answers requests. The methods are for requests that are not answered yet."""
+    """Sends final answers. Callers have checked that the request has no final answer yet."""
 
     __slots__ = ("open_requests", "on_idle", "_clock", "_log", "_answered_ids")
 
     def __init__(self, clock: Clock, log: RequestLog) -> None:
         self._clock, self._log = clock, log
-        self.open_requests = 0  # requests that lack their final answer
-        self.on_idle: Callable[[], None] = lambda: None  # called when the last of them has its answer
+        self.open_requests = 0  # number of requests without a final answer
+        self.on_idle: Callable[[], None] = lambda: None  # called when there are none left
         self._answered_ids: list[str] = []
 
     def take_answered_ids(self) -> list[str]:
-        """The ids of the requests that were answered since the last call."""
+        """Return and clear the ids of the requests answered since the last call."""
         answered_ids, self._answered_ids = self._answered_ids, []
         return answered_ids
 
     def serve(self, request: Request, result: bytes) -> None:
         """Answer with a complete result."""
         self.close(request)
-        try:  # as in _deliver, without a call more: this is the way of nearly every request
+        try:  # same as _deliver, inlined because nearly every request takes this path
             request.sink.served(result)
         except Exception:
-            _log_failed_delivery(request)
+            _log_delivery_failure(request)
 
     def reject(self, request: Request, retry_after_ms: float) -> None:
-        """Answer that it was not served, and that a retry is harmless."""
+        """Answer that the request was not executed and is safe to retry."""
         self._log.request_not_served(request, "rejected", request.deadline_ms - self._clock.now())
         self.close(request)
         _deliver(request, lambda: request.sink.rejected(retry_after_ms))
 
     def fail(self, request: Request) -> None:
-        """Answer that it failed, with no promise about what was done."""
+        """Answer that the request failed; it may or may not have been executed."""
         self._log.request_not_served(request, "failed", request.deadline_ms - self._clock.now())
         self.close(request)
         _deliver(request, request.sink.failed)
 
     def close(self, request: Request) -> None:
-        """From here on nothing else may be told to its client."""
+        """Mark the request as answered, so that its client gets no other answer."""
         request.answered = True
         self.open_requests -= 1
         self._answered_ids.append(request.request_id)
-        if not self.open_requests:  # only after whoever called has written the answer
-            self._clock.call_later(0, self._call_if_idle)
+        if not self.open_requests:  # called later, once the caller has written the answer
+            self._clock.call_later(0, self._notify_if_idle)
 
     def fail_closed(self, request: Request) -> None:
-        """Tell the client of a request that was closed for the backstop that it failed."""
+        """Answer that a request failed which is already marked as answered."""
         _deliver(request, request.sink.failed)
 
-    def _call_if_idle(self) -> None:
+    def _notify_if_idle(self) -> None:
         if not self.open_requests:
             self.on_idle()
 
 
-def _deliver(request: Request, answer: Callable[[], None]) -> None:
+def _deliver(request: Request, send_answer: Callable[[], None]) -> None:
     try:
-        answer()
-    except Exception:  # a front's fault with one client must not stop the others
-        _log_failed_delivery(request)
+        send_answer()
+    except Exception:  # an error of a front with one client must not affect other requests
+        _log_delivery_failure(request)
 
 
-def _log_failed_delivery(request: Request) -> None:
-    logger.exception("answer to {request} failed", event="answer-failed", request=request.request_id)
+def _log_delivery_failure(request: Request) -> None:
+    logger.exception("failed to deliver the answer to {request}", event="answer-failed", request=request.request_id)
--- a/decklb/core/request_log.py
+++ b/decklb/core/request_log.py
@@ -1,7 +1,7 @@
-"""The log of requests that were not simply served: why each attempt failed, and each request that got no result.
+"""Logs failed attempts, with the reason, and requests that were answered without a result.
 
-At most LINES_A_SECOND lines are written: a flood must not spend the process' core on its own log. The next line says
-how many were left out. The dispatcher's parts call it; its state is the count of the present second.
+At most MAX_LINES_PER_SECOND lines are written, so that logging does not take up the process' core under a flood of
+failures. The next line that is written states how many were suppressed.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from decklb.core.attempts import Attempt, Request
 from decklb.core.ports import Clock
 
-LINES_A_SECOND = 50
-OPEN_ATTEMPT = "OUT"  # stands for the outcome of an attempt that lacks its end
+MAX_LINES_PER_SECOND = 50
+OPEN_ATTEMPT = "OUT"  # written in place of the outcome of an attempt that is still in flight
 
 
 class RequestLog:
-    """Writes at most LINES_A_SECOND lines a second."""
+    """Writes at most MAX_LINES_PER_SECOND lines per second."""
 
     __slots__ = ("_clock", "_second", "_written", "_suppressed")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._second = 0  # of the clock, whose lines are counted
-        self._written = 0  # lines of that second, also those left out
-        self._suppressed = 0  # lines left out since the last one written
+        self._second = 0  # second of the clock for which `_written` counts
+        self._written = 0  # lines of that second, including suppressed ones
+        self._suppressed = 0  # lines suppressed since the last one written
 
     def attempt_failed(self, attempt: Attempt, outcome: str, duration_ms: float) -> None:
-        """An attempt has ended without a result."""
-        if not self._may_write():
+        """Log an attempt that ended without a result."""
+        if not self._admit_line():
             return
         incoming = attempt.request.incoming
         logger.info(
@@ -46,8 +46,8 @@
         )
 
     def completion_uncertain(self, attempt: Attempt) -> None:
-        """The connection of an attempt has ended soon after its answer; the key of its request is held back anew."""
-        if not self._may_write():
+        """Log that an attempt's connection ended soon after its answer, so its ordering key is blocked once more."""
+        if not self._admit_line():
             return
         incoming = attempt.request.incoming
         logger.info(
@@ -63,8 +63,8 @@
         )
 
     def request_not_served(self, request: Request, answer: str, time_left_ms: float) -> None:
-        """A final answer other than a result, so long before the request's deadline."""
-        if not self._may_write():
+        """Log a final answer other than a result, and the time left until the request's deadline."""
+        if not self._admit_line():
             return
         incoming = request.incoming
         attempts = ",".join(
@@ -84,12 +84,12 @@
             suppressed=self._take_suppressed(),
         )
 
-    def _may_write(self) -> bool:
+    def _admit_line(self) -> bool:
         second = int(self._clock.now() // 1000)
         if second != self._second:
             self._second, self._written = second, 0
         self._written += 1
-        if self._written <= LINES_A_SECOND:
+        if self._written <= MAX_LINES_PER_SECOND:
             return True
         self._suppressed += 1
         return False
--- a/decklb/core/timers.py
+++ b/decklb/core/timers.py
@@ -1,7 +1,8 @@
-"""Timers that do not act on an old view of the world after the process was held up.
+"""Timers that run after pending socket input has been read if the process was stalled.
 
-A process that was held up has unread, next to its own due timers, that clients have left, that engines have answered
-and that the list of engines has changed. Timers that start or repeat work let the sockets be read first.
+When a stalled process resumes, its timers are due, but its sockets hold input that it has not read: clients may have
+disconnected, engines may have answered, and the endpoint list may have changed. A timer that starts or repeats work
+must therefore not act before the sockets have been read.
 """
 
 from __future__ import annotations
@@ -10,25 +11,25 @@
 
 from decklb.core.ports import Clock, Timer
 
-# ms of lateness from which a timer counts as held up: an attempt must not begin more than 100 ms after its client has
-# left.
+# Lateness of a timer in ms above which the process was stalled. It is below 100 ms because no attempt may start more
+# than 100 ms after its client has disconnected.
 STALL_THRESHOLD_MS = 40.0
 
 
-def call_after_reading(clock: Clock, delay_ms: float, call: Callable[[], None]) -> Timer:
-    """Make a call after a delay; if the process was held up until then, two passes of reading come first.
+def call_after_reading(clock: Clock, delay_ms: float, callback: Callable[[], None]) -> Timer:
+    """Schedule a call; if the process was stalled when the call was due, the sockets are read twice before it.
 
-    Two passes, since what a connection brought is read in the first and its end in the second.
+    The first pass reads the pending data of a connection, the second its end.
     """
     due_ms = clock.now() + delay_ms
 
     def on_due() -> None:
         if clock.now() - due_ms <= STALL_THRESHOLD_MS:
-            call()
+            callback()
         else:
-            clock.call_later(0.0, second_pass)
+            clock.call_later(0.0, wait_for_second_pass)
 
-    def second_pass() -> None:
-        clock.call_later(0.0, call)
+    def wait_for_second_pass() -> None:
+        clock.call_later(0.0, callback)
 
     return clock.call_later(delay_ms, on_due)
