--- a/decklb/__init__.py
+++ b/decklb/__init__.py
@@ -1,1 +1,1 @@
-"""decklb: the decisions of a workload manager in front of analytic engines."""
+"""decklb: a workload manager in front of analytic query engines."""
--- a/decklb/__main__.py
+++ b/decklb/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m decklb`."""
+"""Runs the command line as `python -m decklb`."""
 
 from decklb.cli import main
 
--- a/decklb/core/attempt_runner.py
+++ b/decklb/core/attempt_runner.py
@@ -2,7 +2,8 @@
 
 The rules hold whatever the policy decides: a request never has two attempts in flight, and once it may have been
 executed it is repeated only as its class allows. The dispatcher calls the runner for actions of the policy and for
-expired deadlines; engine clients call it through the methods of `Attempt`. Its only state is the list of attempts of each request.
+expired deadlines; engine clients call it through the methods of `Attempt`. Its only state is each request's list
+of attempts.
 """
 
 from __future__ import annotations
--- a/decklb/daemon/__init__.py
+++ b/decklb/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The process: assembly of its parts, signals, readiness, drain and reload."""
+"""The daemon process: assembly of its components, signals, readiness, drain and reload."""
--- a/decklb/daemon/assembly.py
+++ b/decklb/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a process that its configuration asks for; what it leaves off is not even imported."""
+"""Builds the components of a process as configured; the modules of disabled subsystems are not imported."""
 
 from __future__ import annotations
 
@@ -9,60 +9,60 @@
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock
 from decklb.daemon.request_path import RequestPath
-from decklb.daemon.subsystems.base import Process
+from decklb.daemon.subsystems.base import SubsystemContext
 from decklb.daemon.subsystems.registry import Subsystems
 
 
 def assemble_request_path(
     reactor: Any, clock: Clock, config: Config, random_below: Callable[[int], int], ready: Callable[[], bool]
 ) -> RequestPath:
-    """The platform's front and engine client, or those of PostgreSQL where its section is given."""
+    """Build the front and the engine client: those of PostgreSQL if its section is given, else the platform's."""
     if config.postgres is None:
         from decklb.net.engines import RespEngines
         from decklb.net.listener import FrameListener
 
-        resp = RespEngines(reactor, clock, config.connection_limits)
-        dispatcher = Dispatcher(config.settings, config.seed, clock, resp)
-        listener = FrameListener(
+        resp_engines = RespEngines(reactor, clock, config.connection_limits)
+        dispatcher = Dispatcher(config.settings, config.seed, clock, resp_engines)
+        frame_listener = FrameListener(
             dispatcher, ready, config.max_clients, config.max_extra_clients, config.max_client_bytes
         )
-        return RequestPath(dispatcher, listener, resp)
+        return RequestPath(dispatcher, frame_listener, resp_engines)
     from decklb.pg.engines import PgEngines
     from decklb.pg.listener import PgListener
 
-    pg = PgEngines(reactor, clock, config.postgres)
-    dispatcher = Dispatcher(config.settings, config.seed, clock, pg)
-    front = PgListener(dispatcher, config.postgres, random_below, config.max_clients)
-    return RequestPath(dispatcher, front, pg)
+    pg_engines = PgEngines(reactor, clock, config.postgres)
+    dispatcher = Dispatcher(config.settings, config.seed, clock, pg_engines)
+    pg_listener = PgListener(dispatcher, config.postgres, random_below, config.max_clients)
+    return RequestPath(dispatcher, pg_listener, pg_engines)
 
 
-def assemble_subsystems(process: Process) -> Subsystems:
-    """The subsystems whose sections are given, each after those that it is built on.
+def assemble_subsystems(context: SubsystemContext) -> Subsystems:
+    """Build the subsystems whose sections are given, each after those that it depends on.
 
     Raises:
         ConfigError: A subsystem can't use its settings, such as a file that they name.
     """
-    config, subsystems = process.config, Subsystems()
+    config, subsystems = context.config, Subsystems()
     if config.bgp is not None:
         from decklb.daemon.subsystems.bgp import BgpSubsystem
 
-        subsystems.bgp = BgpSubsystem(process, config.bgp)
-    if config.cluster is None:  # what follows is built on it
+        subsystems.bgp = BgpSubsystem(context, config.bgp)
+    if config.cluster is None:  # the remaining subsystems depend on it
         return subsystems
     from decklb.daemon.subsystems.cluster import ClusterSubsystem
 
-    subsystems.cluster = cluster = ClusterSubsystem(process, config.cluster)
+    subsystems.cluster = cluster = ClusterSubsystem(context, config.cluster)
     if config.handoff is not None:
         from decklb.daemon.subsystems.handoff import HandoffSubsystem
 
-        subsystems.handoff = HandoffSubsystem(process, config.handoff, cluster)
+        subsystems.handoff = HandoffSubsystem(context, config.handoff, cluster)
     if config.locality is None:
         return subsystems
     from decklb.daemon.subsystems.locality import LocalitySubsystem
 
-    subsystems.locality = locality = LocalitySubsystem(process, config.locality, cluster)
+    subsystems.locality = locality = LocalitySubsystem(context, config.locality, cluster)
     if config.maintenance is not None:
         from decklb.daemon.subsystems.maintenance import MaintenanceSubsystem
 
-        subsystems.maintenance = MaintenanceSubsystem(process, config.maintenance, cluster, locality)
+        subsystems.maintenance = MaintenanceSubsystem(context, config.maintenance, cluster, locality)
     return subsystems
--- a/decklb/daemon/discovery.py
+++ b/decklb/daemon/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery of the engines: the list of the configuration, and the polling of the directory from a UDP socket.
+"""Discovers the engines: from the endpoint list of the configuration and from the directory, polled over UDP.
 
-Owns the directory client and its socket. The service starts it, reloads it on SIGHUP and stops it at the end.
+Owns the directory client and its socket. The service starts and stops it and passes it new configurations on SIGHUP.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from decklb.interface import Endpoint
 from decklb.net.directory_client import DirectoryClient
 
-# ms after which the list of the configuration must do where the directory does not answer.
+# ms to wait for the directory's first answer before the configured endpoint list alone is used.
 FIRST_ANSWER_TIMEOUT_MS = 3000.0
-# ms until the socket is tried again where the machine had none to give.
+# ms after which opening the socket is retried if the operating system refused it.
 SOCKET_RETRY_MS = 500.0
-# Bytes: a UDP message over IPv4 can't be larger.
+# Bytes; larger than any UDP datagram over IPv4.
 MAX_DATAGRAM_BYTES = 65536
 
 
 class Discovery:
-    """Keeps the list of engines current; `on_endpoints` gets entries and addresses each time they change."""
+    """Keeps the endpoint list current; `on_endpoints` gets its entries and addresses each time they change."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         on_endpoints: Callable[[list[Endpoint], dict[str, Address]], None],
         on_timeout: Callable[[], None],
     ) -> None:
-        """`on_timeout` is called when the first answer has stayed away, and the configuration's list has to do."""
+        """`on_timeout` is called if the directory's first answer does not arrive in time."""
         self._reactor, self._clock, self._config, self._lifecycle = reactor, clock, config, lifecycle
         self._on_timeout = on_timeout
         self._first_answer_overdue = False
@@ -48,25 +48,25 @@
 
     @property
     def engines_known(self) -> bool:
-        """Whether the directory has answered, or is not waited for any more."""
+        """Whether the directory has answered or is no longer waited for."""
         return self.directory.synchronized or self._first_answer_overdue
 
     def start(self) -> None:
-        """Take the configuration's list and begin to poll, where there is a directory."""
+        """Load the configured endpoint list, and start to poll the directory if there is one."""
         self.directory.load_updates(self._config.endpoint_list_version, self._config.endpoint_list_updates)
         if self._config.resolver is None:
             self._first_answer_overdue = True
         else:
             self._open_socket()
-            self._clock.call_later(FIRST_ANSWER_TIMEOUT_MS, self._first_answer_timed_out)
+            self._clock.call_later(FIRST_ANSWER_TIMEOUT_MS, self._on_first_answer_timeout)
 
-    def take_newer_endpoints(self, config: Config) -> None:
-        """Take the list of a new configuration if its number is higher than that of the present one."""
+    def load_newer_endpoints(self, config: Config) -> None:
+        """Load the endpoint list of a new configuration if its version is higher than that of the current list."""
         if config.endpoint_list_version > self.directory.serial:
             self.directory.load_updates(config.endpoint_list_version, config.endpoint_list_updates)
 
     def change_resolver(self, resolver: Address | None) -> None:
-        """Poll another directory from now on, or none. The list stays until the new one answers."""
+        """Poll another directory from now on, or none. The current list is kept until the new directory answers."""
         if resolver == self.directory.resolver:
             return
         self.directory.change_resolver(resolver)
@@ -74,7 +74,7 @@
             self._open_socket()
 
     def stop(self) -> None:
-        """End polling."""
+        """Stop polling."""
         self.directory.stop()
 
     def _open_socket(self) -> None:
@@ -83,12 +83,14 @@
         interface = self._config.listen[0]
         try:
             self._reactor.listenUDP(0, self.directory, interface=interface, maxPacketSize=MAX_DATAGRAM_BYTES)
-        except CannotListenError as error:  # the list of the start serves until then
+        except CannotListenError as error:  # until the retry the configured list is used
             logger.warning(
-                "directory: no socket to poll from: {error}", event="directory-no-socket", error=str(error.socketError)
+                "directory: can't open a socket for polling: {error}",
+                event="directory-no-socket",
+                error=str(error.socketError),
             )
             self._clock.call_later(SOCKET_RETRY_MS, self._open_socket)
 
-    def _first_answer_timed_out(self) -> None:
+    def _on_first_answer_timeout(self) -> None:
         self._first_answer_overdue = True
         self._on_timeout()
--- a/decklb/daemon/drain.py
+++ b/decklb/daemon/drain.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: from SIGTERM until the reactor stops, before SIGKILL comes.
+"""Graceful shutdown: everything between SIGTERM and the stop of the reactor, in time before SIGKILL.
 
-Owns the timers of the shutdown. The service begins it; everything else follows from time and from the last request.
+The service begins the drain; its further steps follow from timers and from the end of the last request.
 """
 
 from __future__ import annotations
@@ -13,19 +13,21 @@
 from decklb.daemon.request_path import RequestPath
 from decklb.daemon.subsystems.registry import Subsystems
 
-# ms: SIGKILL comes after SIGTERM no sooner than the longest deadline, counted as this at the most, plus the grace.
+# Upper bound of the longest deadline in ms. SIGKILL follows SIGTERM no sooner than the longest deadline, limited to
+# this value, plus GRACE_MS.
 MAX_DEADLINE_MS = 3000.0
-# ms before SIGKILL could come at which what is still open is answered.
+# ms before the longest deadline at which the remaining requests are answered. The process exits twice this time before
+# the earliest SIGKILL, if clients still wait then.
 LAST_ANSWERS_MARGIN_MS = 100.0
-# ms after SIGTERM in which clients that do not know yet are still taken in: the front layer learns late.
+# ms after SIGTERM during which new clients are still accepted, since the layer in front learns of the drain late.
 GRACE_MS = 700.0
-# ms for last answers to leave, once the last request has been answered.
+# ms from the last answer until the process exits, for sending the answers that are still buffered.
 FLUSH_MS = 500.0
-# ms between looks whether some client is still in the middle of a message or of an answer.
+# ms between two checks whether a client is still in the middle of a message or an answer.
 FLUSH_POLL_MS = 50.0
-# Seconds for taking in connections that wait in the kernel's accept queue, in spite of errors.
+# Seconds for which accepting the connections in the kernel's accept queue is retried after errors.
 ACCEPT_QUEUE_TIMEOUT_S = 0.5
-# Connections that may wait in the kernel's accept queue.
+# Length of the kernel's accept queue in connections.
 ACCEPT_BACKLOG = 512
 
 
@@ -46,43 +48,45 @@
         self._dispatcher, self._front, self._engines = request_path.dispatcher, request_path.front, request_path.engines
         self._discovery, self._subsystems = discovery, subsystems
         self._longest_deadline_ms = min(MAX_DEADLINE_MS, longest_deadline_ms)
-        self._exit_by_ms = 0.0  # the process exits then, whoever still waits: it is killed soon after
-        self.port: Any = None  # the listening port, from when it is open on
+        self._exit_by_ms = 0.0  # time in ms at which the process exits even if clients wait; SIGKILL comes soon after
+        self.port: Any = None  # the listening port, once it is open
 
     def begin(self) -> None:
-        """Tell clients, and answer what is under way. The state is DRAINING already and readiness gone."""
-        if self._subsystems.handoff is None:  # else requests in flight are still answered as a member
+        """Notify the clients and start the timers of the drain. The state is DRAINING and the process not ready."""
+        # With handoff, the process stays a member until its requests in flight have been answered.
+        if self._subsystems.handoff is None:
             self._subsystems.leave_cluster()
         self._front.announce_drain()
         self._clock.call_later(GRACE_MS, self._empty_accept_queue)
         self._exit_by_ms = self._clock.now() + self._longest_deadline_ms + GRACE_MS - 2 * LAST_ANSWERS_MARGIN_MS
-        last_answers_after = max(GRACE_MS, self._longest_deadline_ms - LAST_ANSWERS_MARGIN_MS)
-        self._clock.call_later(last_answers_after, self._dispatcher.shut_down)
+        answer_open_after_ms = max(GRACE_MS, self._longest_deadline_ms - LAST_ANSWERS_MARGIN_MS)
+        self._clock.call_later(answer_open_after_ms, self._dispatcher.shut_down)
 
     def _empty_accept_queue(self) -> None:
-        # Whoever waits there has been told that it is connected, and may have sent a request: closing would reset it.
+        # The clients in the queue are connected from their point of view and may have sent requests: closing the port
+        # would reset their connections.
         self.port.drain_accept_queue(ACCEPT_BACKLOG, ACCEPT_QUEUE_TIMEOUT_S, self._close_port)
 
     def _close_port(self) -> None:
         self.port.stopListening()
-        self._dispatcher.on_idle = self._last_request_answered
+        self._dispatcher.on_idle = self._on_all_answered
         self._front.drain()
         if not self._dispatcher.open_requests:
-            self._last_request_answered()
+            self._on_all_answered()
 
-    def _last_request_answered(self) -> None:
+    def _on_all_answered(self) -> None:
         if self._lifecycle.state is LifecycleState.STOPPING:
             return
         self._lifecycle.state = LifecycleState.STOPPING
         self._discovery.stop()
         self._engines.close()
         self._subsystems.stop_bgp()
-        if self._subsystems.handoff is not None:  # last answers wait for a quorum before they are given
+        if self._subsystems.handoff is not None:  # the last answers are sent only after a quorum has confirmed them
             self._clock.call_later(FLUSH_MS / 2, self._subsystems.leave_cluster)
         self._clock.call_later(FLUSH_MS, self._exit_when_flushed)
 
     def _exit_when_flushed(self) -> None:
-        """Exit once no client is in the middle of a message or of an answer, or when there is no time left."""
+        """Exit once no client is in the middle of a message or an answer, or when no time is left."""
         if self._front.has_pending_clients and self._clock.now() < self._exit_by_ms:
             self._clock.call_later(FLUSH_POLL_MS, self._exit_when_flushed)
         else:
--- a/decklb/daemon/endpoint_updates.py
+++ b/decklb/daemon/endpoint_updates.py
@@ -1,6 +1,6 @@
-"""The way of a list of engines through the process: from discovery, through maintenance, to all that use engines.
+"""Distributes the endpoint list in the process: from discovery, filtered by subsystems, to all components that use it.
 
-Owns the latest list as discovery has it, so that it can go the same way again when the maintenance plan changes.
+Keeps the latest unfiltered list, so that it can be filtered and distributed again when the maintenance plan changes.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class EndpointUpdates:
-    """Hands each list on. `on_updated` is called when all have it."""
+    """Distributes each endpoint list, then calls `on_updated`."""
 
     def __init__(
         self, request_path: RequestPath, subsystems: Subsystems, readiness: Readiness, on_updated: Callable[[], None]
@@ -25,7 +25,7 @@
         self._discovered: tuple[list[Endpoint], dict[str, Address]] = [], {}
 
     def update(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
-        """A new list from discovery."""
+        """Distribute a new list from discovery."""
         self._discovered = entries, addresses
         usable = self._subsystems.filter_endpoints(entries, addresses)
         self._readiness.engines_up = sum(entry.phase is Phase.UP for entry in usable)
@@ -35,5 +35,5 @@
         self._on_updated()
 
     def refresh(self) -> None:
-        """The maintenance plan has changed what may be used of the latest list."""
+        """Distribute the latest list again, because the maintenance plan has changed."""
         self.update(*self._discovered)
--- a/decklb/daemon/lifecycle.py
+++ b/decklb/daemon/lifecycle.py
@@ -1,6 +1,6 @@
-"""The states that a process goes through, and which one it is in.
+"""Lifecycle states of the process and its current state.
 
-One `Lifecycle` belongs to a process; the service and its drain move it on, readiness and discovery look at it.
+A process has one `Lifecycle`: the service and the drain change its state, readiness and discovery read it.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 
 
 class LifecycleState(Enum):
-    """The states of a process, in the order in which it goes through them."""
+    """Lifecycle states of a process, in order."""
 
-    STARTING = "starting"  # parts are built, the port is not open yet
+    STARTING = "starting"  # the components are being built; the port is not open yet
     SERVING = "serving"
-    DRAINING = "draining"  # from SIGTERM on: not ready, but requests still come in and are answered
-    STOPPING = "stopping"  # the last request has been answered; connections end
+    DRAINING = "draining"  # since SIGTERM: not ready, but requests are still accepted and answered
+    STOPPING = "stopping"  # the last request has been answered; connections are being closed
 
 
 class Lifecycle:
-    """The state of one process."""
+    """Current state of a process."""
 
     __slots__ = ("state",)
 
@@ -27,5 +27,5 @@
 
     @property
     def shutting_down(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM has been received."""
         return self.state in (LifecycleState.DRAINING, LifecycleState.STOPPING)
--- a/decklb/daemon/readiness.py
+++ b/decklb/daemon/readiness.py
@@ -1,6 +1,7 @@
-"""Whether this process is ready: whether a request sent now would be served as well as any.
+"""Readiness of this process to accept requests.
 
-Fronts ask before they take new clients; the BGP speaker announces the service address exactly while it holds.
+The platform's front answers readiness queries with it, and the BGP speaker announces the service address only while the
+process is ready.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 
 
 class Readiness:
-    """Ready while the process serves, knows its engines, and at least one of them is up."""
+    """The process is ready while it is serving, its endpoint list is known and at least one engine is up."""
 
     __slots__ = ("_lifecycle", "_engines_known", "engines_up")
 
     def __init__(self, lifecycle: Lifecycle, engines_known: Callable[[], bool]) -> None:
-        """`engines_known`: whether the list of engines can be relied on."""
+        """`engines_known` tells whether the endpoint list can be relied on."""
         self._lifecycle = lifecycle
         self._engines_known = engines_known
-        self.engines_up = 0  # engines that the latest list calls up
+        self.engines_up = 0  # number of engines that are up in the latest list
 
     def ready(self) -> bool:
-        """Whether a request sent now would be served as well as any."""
+        """Whether the process is ready."""
         return self._lifecycle.state is LifecycleState.SERVING and self.engines_up > 0 and self._engines_known()
--- a/decklb/daemon/reload.py
+++ b/decklb/daemon/reload.py
@@ -1,7 +1,7 @@
-"""SIGHUP: a new configuration is read, compared with the one that serves, applied where that is possible, and reported.
+"""Reloads the configuration on SIGHUP: applies what can change at run time and logs what needs a restart.
 
-The list of engines and the address of the directory change at once; the rest holds from the start of the process on.
-No connection ends. A configuration that can't be read or used changes nothing.
+The endpoint list and the address of the directory change at once, and subsystems reread their files; all other settings
+need a restart. No connection is closed. A configuration that can't be read or used changes nothing.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from decklb.daemon.discovery import Discovery
 from decklb.daemon.subsystems.registry import Subsystems
 
-# Fields of the configuration that only a restart applies, and what operators know them as.
+# Fields of `Config` whose changes need a restart, with the names of the settings as operators know them.
 RESTART_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -33,12 +33,12 @@
 
 
 class Reload:
-    """Reloads of one process."""
+    """Reloads the configuration of one process."""
 
     def __init__(
         self, config: Config, read_config: Callable[[], Config], discovery: Discovery, subsystems: Subsystems
     ) -> None:
-        """`config` is the one of the start, `read_config` reads it anew and raises ConfigError."""
+        """`config` is the configuration at the start; `read_config` reads it again and may raise ConfigError."""
         self._config, self._read_config = config, read_config
         self._discovery, self._subsystems = discovery, subsystems
 
@@ -46,15 +46,15 @@
         """Reload once."""
         try:
             new = self._read_config()
-            self._discovery.take_newer_endpoints(new)
+            self._discovery.load_newer_endpoints(new)
         except (ConfigError, LookupError, TypeError, ValueError) as error:
-            # Guards against a file that is half written or wrong: what serves goes on serving.
+            # An incomplete or invalid file must not disturb the running process.
             return logger.error(
                 "SIGHUP: configuration kept, the new one can't be used: {error}",
                 event="reload-rejected",
                 error=repr(error),
             )
-        self._report_restart_fields(changed_fields(self._config, new))
+        self._report_restart_fields(changed_restart_settings(self._config, new))
         self._discovery.change_resolver(new.resolver)
         self._subsystems.reload()
         logger.info(
@@ -64,13 +64,15 @@
             resolver=new.resolver,
         )
 
-    def _report_restart_fields(self, changed: list[str]) -> None:
-        if changed:
+    def _report_restart_fields(self, changed_settings: list[str]) -> None:
+        if changed_settings:
             logger.warning(
-                "SIGHUP: a restart is needed for a change of {parts}", event="reload-partial", parts=", ".join(changed)
+                "SIGHUP: a restart is needed for a change of {parts}",
+                event="reload-partial",
+                parts=", ".join(changed_settings),
             )
 
 
-def changed_fields(old: Config, new: Config) -> list[str]:
-    """What differs and only a restart applies, as operators know it."""
-    return [known_as for field, known_as in RESTART_FIELDS.items() if getattr(new, field) != getattr(old, field)]
+def changed_restart_settings(old: Config, new: Config) -> list[str]:
+    """Return the names of the changed settings that need a restart."""
+    return [setting for field, setting in RESTART_FIELDS.items() if getattr(new, field) != getattr(old, field)]
--- a/decklb/daemon/request_path.py
+++ b/decklb/daemon/request_path.py
@@ -1,4 +1,4 @@
-"""The parts on the way of each request: one dispatcher between a front and the client of its engines."""
+"""The components that every request passes: the front, the dispatcher and the engine client."""
 
 from __future__ import annotations
 
--- a/decklb/daemon/service.py
+++ b/decklb/daemon/service.py
@@ -1,6 +1,6 @@
-"""The process: opens its port, answers whether it is ready, reloads on SIGHUP and drains on SIGTERM.
+"""The workload manager process: opens its port, reports readiness, reloads on SIGHUP and drains on SIGTERM.
 
-Owns the parts that assembly has built. The command `serve` makes one and runs it.
+Owns the components built by `assembly`. The command `serve` creates and runs a `Service`.
 """
 
 from __future__ import annotations
@@ -17,26 +17,29 @@
 from decklb.daemon.discovery import Discovery
 from decklb.daemon.drain import ACCEPT_BACKLOG, Drain
 from decklb.daemon.endpoint_updates import EndpointUpdates
-from decklb.daemon.gc_tuning import Collector
+from decklb.daemon.gc_tuning import IdleGarbageCollector
 from decklb.daemon.lifecycle import Lifecycle, LifecycleState
 from decklb.daemon.readiness import Readiness
 from decklb.daemon.reload import Reload
 from decklb.daemon.signals import install_signal_handlers
-from decklb.daemon.subsystems.base import Process
+from decklb.daemon.subsystems.base import SubsystemContext
 from decklb.interface import Outcome
 from decklb.wire.clock import ReactorClock
 
 
 class Service:
-    """One workload manager."""
+    """One workload manager process."""
 
     def __init__(self, reactor: Any, config: Config, read_config: Callable[[], Config]) -> None:
-        """Build the parts; nothing is opened yet. Raises ConfigError where a part can't use its settings.
+        """Build the components without opening any socket.
 
         Args:
-            reactor: Twisted's, or one like it.
-            config: What the process serves by.
-            read_config: Reads the configuration anew, for each SIGHUP; may raise ConfigError.
+            reactor: The Twisted reactor, or an object with the same interface.
+            config: The configuration of the process.
+            read_config: Reads the configuration again for a reload; may raise ConfigError.
+
+        Raises:
+            ConfigError: A component can't use its settings.
         """
         self._reactor, self._config = reactor, config
         self._clock = ReactorClock(reactor)
@@ -45,7 +48,7 @@
         self._readiness = Readiness(self._lifecycle, lambda: self._discovery.engines_known)
         self._request_path = assemble_request_path(reactor, self._clock, config, random_below, self.ready)
         self._measure_unread_time()
-        self._subsystems = assemble_subsystems(self._process())
+        self._subsystems = assemble_subsystems(self._subsystem_context())
         self._endpoint_updates = EndpointUpdates(
             self._request_path, self._subsystems, self._readiness, on_updated=self._announce_readiness
         )
@@ -59,14 +62,20 @@
             on_timeout=self._announce_readiness,
         )
         self._reload = Reload(config, read_config, self._discovery, self._subsystems)
-        longest = max(spec.deadline_ms for spec in config.settings.classes.values())
+        longest_deadline_ms = max(spec.deadline_ms for spec in config.settings.classes.values())
         self._drain = Drain(
-            reactor, self._clock, self._lifecycle, self._request_path, self._discovery, self._subsystems, longest
+            reactor,
+            self._clock,
+            self._lifecycle,
+            self._request_path,
+            self._discovery,
+            self._subsystems,
+            longest_deadline_ms,
         )
 
-    def _process(self) -> Process:
-        """What subsystems are built from."""
-        return Process(
+    def _subsystem_context(self) -> SubsystemContext:
+        """Return what the subsystems are built from."""
+        return SubsystemContext(
             self._reactor,
             self._clock,
             self._config,
@@ -77,12 +86,12 @@
         )
 
     def _measure_unread_time(self) -> None:
-        """Take the time that requests lay unread in sockets off their budgets, where the reactor knows it."""
+        """Subtract the time that requests waited unread from their budgets, if the reactor measures it."""
         if (unread_for := getattr(self._reactor, "unread_for_s", None)) is not None:
             self._request_path.dispatcher.unread_for_ms = lambda: 1000.0 * unread_for()
 
     def start(self) -> None:
-        """Open everything. Raises what Twisted raises when the address can't be had."""
+        """Open all sockets. Raises Twisted's exception if the port can't be opened."""
         config = self._config
         host, port = config.listen
         self._discovery.start()
@@ -110,23 +119,23 @@
         listen(self._reactor, path, self._subsystems.queries(), self._subsystems.commands())
 
     def ready(self) -> bool:
-        """Whether a request sent now would be served as well as any."""
+        """Whether the process is ready."""
         return self._readiness.ready()
 
     def _announce_readiness(self) -> None:
         self._subsystems.readiness_changed(self.ready())
 
     def _health_checked(self, engine: str, up: bool) -> None:
-        """What the members' probes find of an engine that the list calls up."""
+        """Pass the result of the members' health checks of an engine to the dispatcher."""
         self._request_path.dispatcher.health_checked(engine, Outcome.SUCCESS if up else Outcome.UNREACHABLE)
 
     def reload(self) -> None:
-        """SIGHUP: take what can change without a restart from a new configuration."""
+        """SIGHUP: read the configuration again and apply what can change without a restart."""
         if not self._lifecycle.shutting_down:
             self._reload.run()
 
     def terminate(self) -> None:
-        """SIGTERM: not ready from now on, but what is under way to us is still taken, and then the process exits."""
+        """SIGTERM: become not ready, answer the requests that are still open or on their way, and exit."""
         if self._lifecycle.shutting_down:
             return
         self._lifecycle.state = LifecycleState.DRAINING
@@ -139,7 +148,7 @@
         self._drain.begin()
 
     def run(self) -> None:
-        """Serve until the end."""
+        """Serve until the reactor stops."""
         install_signal_handlers(
             self._reactor,
             {
@@ -149,5 +158,5 @@
             },
         )
         self.start()
-        Collector(self._clock, lambda: not self._request_path.dispatcher.open_requests).start()
+        IdleGarbageCollector(self._clock, lambda: not self._request_path.dispatcher.open_requests).start()
         self._reactor.run(installSignalHandlers=False)
--- a/decklb/daemon/signals.py
+++ b/decklb/daemon/signals.py
@@ -1,4 +1,4 @@
-"""The process' handlers for signals, set before anybody can connect."""
+"""Signal handlers of the process, installed before its port is opened."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def install_signal_handlers(reactor: Any, handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
-    """Have the reactor call a handler for each signal, between its other events.
+    """Have the reactor call the handler of each signal between its other events.
 
-    The defaults, and the reactor's own for SIGTERM, would end the process at once, with the requests in flight.
+    The default handlers, and the reactor's own for SIGTERM, would end the process at once, with requests in flight.
     """
     for number, handler in handlers.items():
         signal.signal(number, lambda *_, handler=handler: reactor.callFromThread(handler))
--- a/decklb/daemon/subsystems/__init__.py
+++ b/decklb/daemon/subsystems/__init__.py
@@ -1,1 +1,1 @@
-"""The subsystems that sections of the settings switch on, one module each, imported only where the section is given."""
+"""Subsystems enabled by sections of the settings; the module of each is imported only if its section is given."""
--- a/decklb/daemon/subsystems/base.py
+++ b/decklb/daemon/subsystems/base.py
@@ -1,4 +1,4 @@
-"""What the daemon asks of every subsystem, and what a subsystem may ask of the process."""
+"""The interface between the daemon and its subsystems."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Process:
-    """What a subsystem is built from: reactor, configuration and request path, and calls back into the process."""
+class SubsystemContext:
+    """What the process provides to its subsystems: reactor, configuration, request path and callbacks."""
 
     reactor: Any
     clock: Clock
     config: Config
     request_path: RequestPath
-    on_health_check: Callable[[str, bool], None]  # an engine id, and whether probes of any member find it up
-    on_maintenance_plan: Callable[[], None]  # the plan has changed what may be used of the list of engines
+    on_health_check: Callable[[str, bool], None]  # gets an engine id and whether health checks of any member reach it
+    on_maintenance_plan: Callable[[], None]  # the plan has changed which engines may be used
     terminate: Callable[[], None]  # drain and exit, as on SIGTERM
 
 
 class Subsystem:
-    """One subsystem of the process. Each method is called by the daemon alone; those not needed do nothing."""
+    """Base class of subsystems. Only the daemon calls the methods; they do nothing unless overridden."""
 
     def start(self) -> None:
-        """Open sockets and set timers; the port for clients is open already."""
+        """Open sockets and start timers; the port for clients is already open."""
 
     def reload(self) -> None:
-        """SIGHUP: read files again that may change while the process runs."""
+        """SIGHUP: read files again that may have changed."""
 
     def stop(self) -> None:
-        """Say goodbye to others and close sockets and files."""
+        """Notify peers and close sockets and files."""
 
     def filter_endpoints(self, entries: list[Endpoint], addresses: dict[str, Address]) -> list[Endpoint]:
-        """The list as others may use it, before they get it."""
+        """Return the entries of a new endpoint list that other components may use."""
         return entries
 
     def endpoints_changed(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
-        """A new list of engines, already filtered."""
+        """Handle a new endpoint list that all subsystems have filtered."""
 
     def readiness_changed(self, ready: bool) -> None:
-        """Whether the process is ready, also when it is as before."""
+        """Handle the readiness of the process; also called when it has not changed."""
 
     def queries(self) -> dict[str, Query]:
-        """What operators may ask over the control socket, by name."""
+        """Return the subsystem's queries for the control socket, by name."""
         return {}
 
     def commands(self) -> dict[str, Command]:
-        """What operators may order over the control socket, by name."""
+        """Return the subsystem's commands for the control socket, by name."""
         return {}
--- a/decklb/daemon/subsystems/cluster.py
+++ b/decklb/daemon/subsystems/cluster.py
@@ -1,4 +1,4 @@
-"""The cluster as a subsystem: membership, and the periodic duties that members share."""
+"""Cluster subsystem: membership and the periodic duties that the members share."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from decklb.cluster.runtime import ClusterService
 from decklb.cluster.settings import ClusterSettings
 from decklb.config import Address, ConfigError
-from decklb.daemon.subsystems.base import Process, Subsystem
+from decklb.daemon.subsystems.base import Subsystem, SubsystemContext
 from decklb.daemon.subsystems.health_checkers import make_health_checker
 from decklb.interface import Endpoint, Phase
 
@@ -18,15 +18,15 @@
 
 
 class ClusterSubsystem(Subsystem):
-    """This process as a member of a cluster."""
+    """Makes the process a member of a cluster."""
 
-    def __init__(self, process: Process, settings: ClusterSettings) -> None:
-        """Raises ConfigError where the key file can't be used."""
-        self._process = process
-        health_checker = make_health_checker(process, _idle_timeout_ms(settings))
+    def __init__(self, context: SubsystemContext, settings: ClusterSettings) -> None:
+        """Raises ConfigError if the key file can't be used."""
+        self._context = context
+        health_checker = make_health_checker(context, _idle_timeout_ms(settings))
         try:
             self.service = ClusterService(
-                process.reactor, process.clock, settings, health_checker, process.on_health_check
+                context.reactor, context.clock, settings, health_checker, context.on_health_check
             )
         except KeyFileError as error:
             raise ConfigError(str(error)) from error
@@ -44,17 +44,21 @@
         self.service.close()
 
     def endpoints_changed(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
-        """Check these engines' health; those that have started lately are in slow start until their warm-up is over."""
-        clock, warm_up_ms = self._process.clock, self._process.config.settings.slow_start_window_ms
-        warm_at = time.time() * 1000.0 - clock.now() + warm_up_ms  # members compare wall-clock times
+        """Check the health of the listed engines; recently started ones are in slow start until their warm-up ends."""
+        clock, warm_up_ms = self._context.clock, self._context.config.settings.slow_start_window_ms
+        # Added to a start time, this gives the end of the warm-up in wall-clock time, which members can compare.
+        warm_up_offset_ms = time.time() * 1000.0 - clock.now() + warm_up_ms
         self.service.set_engines(
-            {entry.engine_id: entry.started_at_ms + warm_at if entry.started_at_ms else 0.0 for entry in entries},
+            {
+                entry.engine_id: entry.started_at_ms + warm_up_offset_ms if entry.started_at_ms else 0.0
+                for entry in entries
+            },
             {entry.engine_id for entry in entries if entry.phase is Phase.UP},
             addresses,
         )
 
     def queries(self) -> dict[str, Query]:
-        """The members, and the duties with their owners."""
+        """Queries: the members, and the duties with their owners."""
         return {"members": self._members, "duties": self.service.duty_rows}
 
     def _members(self) -> dict[str, Any]:
@@ -62,6 +66,6 @@
 
 
 def _idle_timeout_ms(settings: ClusterSettings) -> float:
-    """Long enough that connections stay from one health check to the next, also where periods are stretched."""
+    """Return an idle timeout in ms that keeps connections open between health checks, also while periods are longer."""
     duty = settings.health_checks
     return 2.0 * duty.period_ms * duty.minority_factor * duty.warming_up_factor if duty is not None else 0.0
--- a/decklb/daemon/subsystems/handoff.py
+++ b/decklb/daemon/subsystems/handoff.py
@@ -1,11 +1,11 @@
-"""The handoff as a subsystem: members take over one another's requests in flight."""
+"""Handoff subsystem: members take over the requests in flight of other members."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from decklb.config import ConfigError
-from decklb.daemon.subsystems.base import Process, Subsystem
+from decklb.daemon.subsystems.base import Subsystem, SubsystemContext
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
 from decklb.handoff.errors import HandoffError
 from decklb.handoff.protected_dispatcher import ProtectedDispatcher
@@ -19,20 +19,20 @@
 
 
 class HandoffSubsystem(Subsystem):
-    """Stands between the PostgreSQL front and the dispatcher."""
-
-    def __init__(self, process: Process, settings: HandoffSettings, cluster: ClusterSubsystem) -> None:
-        """Raises ConfigError where the store can't be opened."""
-        front = process.request_path.front
-        assert isinstance(front, PgListener)  # the settings are rejected without that front
-        member = cluster.service
-        name = process.config.cluster.member if process.config.cluster else ""
+    """Puts a protected dispatcher between the PostgreSQL front and the dispatcher."""
+
+    def __init__(self, context: SubsystemContext, settings: HandoffSettings, cluster: ClusterSubsystem) -> None:
+        """Raises ConfigError if the store can't be opened."""
+        front = context.request_path.front
+        assert isinstance(front, PgListener)  # settings with handoff but without this front are rejected
+        cluster_service = cluster.service
+        member_name = context.config.cluster.member if context.config.cluster else ""
         protected = ProtectedDispatcher(
-            process.request_path.dispatcher, process.clock, PgCodec(front.new_request_id), name
+            context.request_path.dispatcher, context.clock, PgCodec(front.new_request_id), member_name
         )
         front.enable_handoff(protected)
         try:
-            self._service = HandoffService(process.reactor, process.clock, settings, member, protected)
+            self._service = HandoffService(context.reactor, context.clock, settings, cluster_service, protected)
         except HandoffError as error:
             raise ConfigError(f"<handoff>: {error}") from error
 
@@ -41,7 +41,7 @@
         self._service.start()
 
     def reload(self) -> None:
-        """Take the cluster's new keys."""
+        """Use the cluster's new keys."""
         self._service.reload()
 
     def stop(self) -> None:
@@ -49,5 +49,5 @@
         self._service.close()
 
     def queries(self) -> dict[str, Query]:
-        """The requests in flight that this member holds for itself and for others."""
+        """Query: figures on the requests in flight that this member holds for itself and for others."""
         return {"handoff": lambda: self._service.coordinator.figures()}
--- a/decklb/daemon/subsystems/maintenance.py
+++ b/decklb/daemon/subsystems/maintenance.py
@@ -1,14 +1,14 @@
-"""Maintenance as a subsystem: takes machines out of service for work, by a plan that the members agree on."""
+"""Maintenance subsystem: takes machines out of service for maintenance, by a plan that the members agree on."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from decklb.config import Address, ConfigError
-from decklb.daemon.subsystems.base import Process, Subsystem
+from decklb.daemon.subsystems.base import Subsystem, SubsystemContext
 from decklb.daemon.subsystems.cluster import ClusterSubsystem
 from decklb.daemon.subsystems.health_checkers import make_health_checker
-from decklb.daemon.subsystems.locality import IDLE_FRESHNESS_PERIODS, LocalitySubsystem
+from decklb.daemon.subsystems.locality import IDLE_TIMEOUT_PER_RESULT_TTL, LocalitySubsystem
 from decklb.interface import Endpoint
 from decklb.maintenance.errors import MaintenanceError
 from decklb.maintenance.runtime import MaintenanceService
@@ -19,45 +19,49 @@
 
 
 class MaintenanceSubsystem(Subsystem):
-    """Lays the plan over the list of engines, and takes operators' commands."""
+    """Applies the maintenance plan to the endpoint list and carries out operators' commands."""
 
     def __init__(
-        self, process: Process, settings: MaintenanceSettings, cluster: ClusterSubsystem, locality: LocalitySubsystem
+        self,
+        context: SubsystemContext,
+        settings: MaintenanceSettings,
+        cluster: ClusterSubsystem,
+        locality: LocalitySubsystem,
     ) -> None:
-        """Raises ConfigError where the plan's store can't be opened."""
-        health_checker = make_health_checker(process, IDLE_FRESHNESS_PERIODS * settings.report_ttl_ms)
+        """Raises ConfigError if the plan's store can't be opened."""
+        health_checker = make_health_checker(context, IDLE_TIMEOUT_PER_RESULT_TTL * settings.report_ttl_ms)
         try:
             self._service = MaintenanceService(
-                process.clock,
+                context.clock,
                 settings,
                 cluster.service,
                 locality.service,
-                process.request_path.dispatcher,
+                context.request_path.dispatcher,
                 health_checker,
-                process.on_maintenance_plan,
-                process.terminate,
+                context.on_maintenance_plan,
+                context.terminate,
             )
         except MaintenanceError as error:
             raise ConfigError(f"<maintenance>: {error}") from error
 
     def start(self) -> None:
-        """Begin to carry out the plan."""
+        """Start to carry out the plan."""
         self._service.start()
 
     def stop(self) -> None:
-        """End with the plan as it is."""
+        """Stop carrying out the plan, without changing it."""
         self._service.close()
 
     def filter_endpoints(self, entries: list[Endpoint], addresses: dict[str, Address]) -> list[Endpoint]:
-        """The list without the machines that the plan has taken out."""
+        """Return the list without the machines that the plan has taken out of service."""
         return self._service.apply_plan(entries, addresses)
 
     def queries(self) -> dict[str, Query]:
-        """The plan and its progress."""
+        """Query: the plan and its progress."""
         return {"plan": self._service.status}
 
     def commands(self) -> dict[str, Command]:
-        """Take machines out, call a job off, and report work as done."""
+        """Commands: request maintenance of machines, cancel a job, and report a machine as returned."""
         return {
             "plan-request": self._service.request_maintenance,
             "plan-cancel": self._service.cancel,
--- a/decklb/daemon/subsystems/registry.py
+++ b/decklb/daemon/subsystems/registry.py
@@ -1,4 +1,4 @@
-"""The subsystems of one process, those that its settings switch on, and the orders in which they are called."""
+"""The enabled subsystems of a process and the order in which they are called."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from decklb.management.control_server import Command, Query
 
-# What is answered for subsystems that are off, so that operators' programs get the same shapes.
-ANSWERS_WITHOUT_SUBSYSTEM: dict[str, object] = {
+# Results of the queries of disabled subsystems. They have the usual structure, for the programs of operators.
+EMPTY_QUERY_RESULTS: dict[str, object] = {
     "members": {"members": [], "health": {"minority": False, "yielding": False}},
     "duties": [],
     "handoff": {},
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Subsystems:
-    """The subsystems of one process; None where the settings leave one off."""
+    """The subsystems of one process; None for disabled ones."""
 
     bgp: Subsystem | None = None
     cluster: Subsystem | None = None
@@ -38,59 +38,59 @@
         return (subsystem for subsystem in subsystems if subsystem is not None)
 
     def _in_start_order(self) -> Iterator[Subsystem]:
-        """Each after those that it is built on."""
+        """Each subsystem comes after those that it depends on."""
         return self._present(self.bgp, self.cluster, self.handoff, self.locality, self.maintenance)
 
     def start(self) -> None:
-        """Start all."""
+        """Start all subsystems."""
         for subsystem in self._in_start_order():
             subsystem.start()
 
     def reload(self) -> None:
-        """Reload all."""
+        """Reload all subsystems."""
         for subsystem in self._in_start_order():
             subsystem.reload()
 
     def leave_cluster(self) -> None:
-        """Stop all that speak with other members; the membership itself last, since the others send over it."""
+        """Stop the subsystems that communicate with other members; the cluster last, as the others send through it."""
         for subsystem in self._present(self.handoff, self.maintenance, self.locality, self.cluster):
             subsystem.stop()
 
     def stop_bgp(self) -> None:
-        """End the sessions with routers."""
+        """Close the sessions with routers."""
         if self.bgp is not None:
             self.bgp.stop()
 
     def filter_endpoints(self, entries: list[Endpoint], addresses: dict[str, Address]) -> list[Endpoint]:
-        """The list as the dispatcher and the subsystems may use it."""
+        """Return the entries that the dispatcher and the subsystems may use."""
         for subsystem in self._in_start_order():
             entries = subsystem.filter_endpoints(entries, addresses)
         return entries
 
     def endpoints_changed(self, entries: list[Endpoint], addresses: dict[str, Address]) -> None:
-        """Hand a new list to all."""
+        """Pass a filtered endpoint list to all subsystems."""
         for subsystem in self._in_start_order():
             subsystem.endpoints_changed(entries, addresses)
 
     def readiness_changed(self, ready: bool) -> None:
-        """Tell all whether the process is ready."""
+        """Pass the readiness of the process to all subsystems."""
         for subsystem in self._in_start_order():
             subsystem.readiness_changed(ready)
 
     def queries(self) -> dict[str, Query]:
-        """What operators may ask, by name; what belongs to a subsystem that is off has an empty answer."""
-        found: dict[str, Query] = {name: partial(_unchanged, a) for name, a in ANSWERS_WITHOUT_SUBSYSTEM.items()}
+        """Return all queries by name; those of disabled subsystems have an empty result."""
+        queries: dict[str, Query] = {name: partial(_identity, result) for name, result in EMPTY_QUERY_RESULTS.items()}
         for subsystem in self._in_start_order():
-            found |= subsystem.queries()
-        return found
+            queries |= subsystem.queries()
+        return queries
 
     def commands(self) -> dict[str, Command]:
-        """What operators may order, by name."""
-        found: dict[str, Command] = {}
+        """Return all commands by name."""
+        commands: dict[str, Command] = {}
         for subsystem in self._in_start_order():
-            found |= subsystem.commands()
-        return found
+            commands |= subsystem.commands()
+        return commands
 
 
-def _unchanged(answer: object) -> object:
-    return answer
+def _identity(result: object) -> object:
+    return result
--- a/decklb/log.py
+++ b/decklb/log.py
@@ -1,6 +1,6 @@
-"""The process' log: lines for people, or one JSON object a line with a stable event code and typed fields.
+"""Logging of the process: readable text, or one JSON object per line with a stable event code and typed fields.
 
-Commands set it up once, before anything logs; the state is loguru's, and Twisted's log is led into it.
+Commands call `set_up` once, before anything is logged. It configures loguru; Twisted's log can be redirected to it.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 FORMATS = ("text", "json")
 TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
-DEFAULT_EVENT = "log"  # of lines that give no event code
+DEFAULT_EVENT = "log"  # event code of lines that give none
 
 
 def set_up(level: str, log_format: str, stream: TextIO | None = None) -> None:
     """Log to a stream, standard error by default.
 
     Args:
-        level: The least level that is logged, in either case.
+        level: The minimum level that is logged, in upper or lower case.
         log_format: One of FORMATS.
-        stream: Where lines go.
+        stream: The output stream.
     """
     out = stream or sys.stderr
     logger.remove()
@@ -45,18 +45,18 @@
 
 
 def _write(out: TextIO, text: str | Message) -> None:
-    with suppress(OSError):  # a log that can't be written must not disturb the service; the line is lost
+    with suppress(OSError):  # an unwritable log must not disturb the service; the line is lost
         out.write(text)
         out.flush()
 
 
 def format_json(record: Any) -> str:
-    """One record of loguru as a JSON object.
+    """Return a loguru record as a JSON object.
 
-    Fields given by keyword keep their types; what has no JSON form becomes its text.
+    Fields given as keyword arguments keep their types; values without a JSON type become strings.
     """
     fields = dict(record["extra"])
-    # A field of the same name must not stand in for what every line has.
+    # Fields given by keyword must not replace these standard fields.
     entry = {
         "time": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name,
@@ -70,7 +70,7 @@
 
 
 def redirect_twisted() -> None:
-    """Log what Twisted reports of failures: one line each, with the error and the place where it was raised."""
+    """Log each failure that Twisted reports on one line, with the error and where it was raised."""
     from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
     def observe(event: Any) -> None:
@@ -88,7 +88,7 @@
 
 
 def _raised_at(failure: Any) -> str:
-    """File and line of the innermost frame of a Twisted failure, "" where it has none."""
+    """Return file and line of the innermost frame of a Twisted failure, or "" if it has none."""
     if not failure.frames:
         return ""
     _, path, line, *_ = failure.frames[-1]
--- a/decklb/management/__init__.py
+++ b/decklb/management/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running process and order it to do: the control socket and its client."""
+"""Queries and commands of operators to a running process: the control socket and its client."""
--- a/decklb/management/control_client.py
+++ b/decklb/management/control_client.py
@@ -1,6 +1,6 @@
-"""The client of the control socket, for commands and the laboratory, which run in other processes than the server.
+"""Client of the control socket, for the command line and the laboratory, which run outside the server's process.
 
-Blocking, without a reactor; each call opens a connection of its own and keeps no state.
+It is blocking and uses no reactor. Each call opens its own connection.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 from decklb.management import control_protocol as protocol
 
-TIMEOUT_S = 10.0  # for connecting and for each read; a command may wait until the members have agreed
-READ_BYTES = 65536  # at most in one read
+TIMEOUT_S = 10.0  # for connecting and for each read; a command is answered only after the members have agreed
+READ_BYTES = 65536  # maximum size of one read
 
 
 class ControlError(Exception):
-    """A running process can't be reached over its control socket, or has rejected the request."""
+    """The process can't be reached through its control socket, or it has rejected the request."""
 
 
 def query(path: str, name: str, **arguments: Any) -> Any:
-    """Send a query or command to the process that listens at a Unix socket and return its result.
+    """Send a query or command to the process that listens on the Unix socket `path` and return its result.
 
     Raises:
-        ControlError: Nobody listens there, no whole response came, or the process has rejected the request.
+        ControlError: No process listens there, the response was incomplete, or the process has rejected the request.
     """
     try:
         with socket.socket(socket.AF_UNIX) as connection:
@@ -37,7 +37,7 @@
     try:
         response = ujson.loads(line)
     except ValueError as error:
-        raise ControlError(f"{path}: the answer is not JSON") from error
+        raise ControlError(f"{path}: the response is not valid JSON") from error
     if not response.get(protocol.OK_KEY):
         raise ControlError(f"{path}: {response.get(protocol.ERROR_KEY, 'no answer')}")
     return response[protocol.RESULT_KEY]
@@ -46,8 +46,8 @@
 def _read_line(connection: socket.socket) -> bytes:
     line = b""
     while not line.endswith(b"\n"):
-        part = connection.recv(READ_BYTES)
-        if not part:
+        chunk = connection.recv(READ_BYTES)
+        if not chunk:
             break
-        line += part
+        line += chunk
     return line
--- a/decklb/management/control_server.py
+++ b/decklb/management/control_server.py
@@ -1,7 +1,7 @@
-"""The server of the control socket: operators' queries and commands over a local Unix socket.
+"""Server of the control socket: answers operators' queries and commands on a local Unix socket.
 
-The socket is readable by its owner alone. Queries are answered at once; commands change something and are answered when
-that has settled. The daemon opens the socket where the settings name one; a connection keeps no state between requests.
+Only the owner of the socket may open it. Queries are answered at once; commands change state and are answered once the
+change is complete. The daemon opens the socket if the settings name one. Connections keep no state between requests.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 from decklb.management import control_protocol as protocol
 
-MAX_REQUEST_BYTES = 4096  # a request names one thing and few arguments
-MAX_CONNECTIONS = 8  # operators are few; descriptors are for clients and engines
-SOCKET_MODE = 0o600  # whoever may open the socket may take machines out
+MAX_REQUEST_BYTES = 4096  # a request has a name and few arguments
+MAX_CONNECTIONS = 8  # for few operators; file descriptors are needed for clients and engines
+SOCKET_MODE = 0o600  # whoever can open the socket can take machines out of service
 
 Query = Callable[[], Any]
-# Given the whole request. It raises or fails with ValueError where the command can't be carried out.
+# Gets the whole request. A ValueError, raised or as a failure of the Deferred, rejects the command.
 Command = Callable[[dict[str, Any]], Deferred[Any]]
 
 PEER_CLOSED = "peer-closed"
@@ -34,7 +34,7 @@
 
 
 class ControlConnection(LineOnlyReceiver):
-    """One operator's connection."""
+    """Connection of one operator."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_REQUEST_BYTES
@@ -46,14 +46,14 @@
         self.end_reason = PEER_CLOSED
 
     def connectionMade(self) -> None:
-        """Close connections beyond the bound."""
+        """Close the connection if there are too many."""
         self.server.connections += 1
         if self.server.connections > MAX_CONNECTIONS:
             self.end_reason = TOO_MANY
             self.transport.loseConnection()
 
     def lineReceived(self, line: bytes) -> None:
-        """Carry out one request."""
+        """Execute one request and send the response."""
         self.request_count += 1
         response = self.server.respond(line)
         if isinstance(response, Deferred):
@@ -62,11 +62,11 @@
             self._send(response)
 
     def _send(self, response: dict[str, Any]) -> None:
-        if self.end_reason == PEER_CLOSED:  # it may have gone while a command was carried out
+        if self.end_reason == PEER_CLOSED:  # else this side has closed the connection
             self.transport.write(protocol.encode_line(response))
 
     def lineLengthExceeded(self, line: bytes) -> Any:
-        """Close: no request is so long."""
+        """Close the connection, as no valid request is that long."""
         self.end_reason = TOO_LONG
         return self.transport.loseConnection()
 
@@ -82,7 +82,7 @@
 
 
 class ControlServer(ServerFactory):
-    """The queries and commands of one process, by name, and the number of open connections."""
+    """Executes the queries and commands of one process; counts the open connections."""
 
     noisy = False
 
@@ -92,11 +92,11 @@
         self.connections = 0
 
     def buildProtocol(self, addr: Any) -> ControlConnection:
-        """Make the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return ControlConnection(self)
 
     def respond(self, line: bytes) -> dict[str, Any] | Deferred[dict[str, Any]]:
-        """The response to one request line, later for commands. Errors become responses and are never raised."""
+        """Return the response to a request line, deferred for commands. Errors become responses; none is raised."""
         try:
             request = ujson.loads(line)
         except ValueError:
@@ -113,17 +113,17 @@
 
 
 def _command_failed(reason: Failure) -> dict[str, Any]:
-    """A command that can't be carried out says so by ValueError; anything else is a bug, and is logged."""
+    """Return the response to a failed command. ValueError rejects it; any other exception is a bug and is logged."""
     if not isinstance(reason.value, ValueError):
         logger.error("command failed: {error}", event="control-command-failed", error=reason.getTraceback())
     return protocol.failure(reason.getErrorMessage())
 
 
 def listen(reactor: Any, path: str, queries: dict[str, Query], commands: dict[str, Command] | None = None) -> Any:
-    """Open the socket and return its port. A socket that a dead process left behind is replaced.
+    """Open the socket and return its port. A socket left behind by a process that has ended is replaced.
 
     Raises:
-        OSError: Another process answers at that path, or the socket can't be made.
+        OSError: Another process listens at that path, or the socket can't be created.
     """
     if os.path.exists(path):
         with socket.socket(socket.AF_UNIX) as probe:
