--- a/decklb/core/dispatcher.py
+++ b/decklb/core/dispatcher.py
@@ -35,7 +35,7 @@
 # is after the policy's deadline, so that the policy's answer comes first, and within the 20 ms (50 ms on sockets) by
 # which a final answer may be late.
 BACKSTOP_DELAY_MS = 10.0
-# Ticks from an exception in the policy until its next decision.
+# Ticks after an exception in the policy until it is called again, even if there are no new events.
 POLICY_RETRY_TICKS = 10
 POLICY_RETRY_LABEL = "again"
 
@@ -49,17 +49,18 @@
         # Hedged attempts are never sent. A policy that was allowed to hedge spent attempts and retry budget on hedges
         # that were held back, when it could have cancelled the first attempt and retried.
         self.gateway = Gateway(replace(settings, hedging=False), seed)
-        self.live: dict[str, Request] = {}  # requests in flight and those whose end the policy has not seen yet, by id
-        self.unread_for_ms: Callable[[], float] = lambda: (
-            0.0
-        )  # ms for which a request submitted now may have waited unread in its socket
+        self.requests: dict[
+            str, Request
+        ] = {}  # requests in flight and those whose end the policy has not seen yet, by id
+        # ms for which a request submitted now may have waited unread in its socket
+        self.unread_for_ms: Callable[[], float] = lambda: 0.0
         self._request_count = 0
         self._events = EventBatch(clock, settings.tick_ms, self._decide)
         self._deadlines = DeadlineQueue(clock, self._deadline_passed)
         log = RequestLog(clock)
         self._answers = FinalAnswers(clock, log)
         self._runner = AttemptRunner(
-            settings, clock, engines, self._events, self._deadlines, self._answers, log, self._forget_if_done
+            settings, clock, engines, self._events, self._deadlines, self._answers, log, self._clear_attempts_if_done
         )
 
     @property
@@ -103,7 +104,7 @@
         budget_end_ms = now + request.budget_ms - self.unread_for_ms()
         margin_ms = min(ANSWER_MARGIN_MS, MAX_ANSWER_MARGIN_FRACTION * request.budget_ms)
         accepted = Request(f"r{self._request_count}", request, sink, budget_end_ms - margin_ms)
-        self.live[accepted.request_id] = accepted
+        self.requests[accepted.request_id] = accepted
         self._answers.open_requests += 1
         self._deadlines.add(budget_end_ms + BACKSTOP_DELAY_MS, accepted.request_id)
         router = self._runner.zone_router
@@ -139,7 +140,7 @@
         # An attempt that waits for a connection must not start long after its engine has begun to drain.
         up = {endpoint.engine_id for endpoint in endpoints if endpoint.phase is api.Phase.UP}
         start_deadline_ms = self.clock.now() + self.settings.drain_grace_ms
-        for request in self.live.values():
+        for request in self.requests.values():
             for attempt in request.attempts:
                 if not attempt.ended and attempt.engine_id not in up:
                     attempt.start_deadline_ms = min(attempt.start_deadline_ms, start_deadline_ms)
@@ -167,23 +168,23 @@
         for action in actions:
             self._carry_out(action)
         for request_id in answered_ids:  # the policy has seen their end; its actions for them were ignored
-            self._forget_if_done(self.live.pop(request_id))
+            self._clear_attempts_if_done(self.requests.pop(request_id))
 
     def _carry_out(self, action: api.Action) -> None:
         match action:
             case api.StartAttempt():
-                if (request := self.live.get(action.request_id)) is not None:
+                if (request := self.requests.get(action.request_id)) is not None:
                     self._runner.start(request, action.engine_id, action.timeout_ms)
             case api.CancelAttempt():
-                request = self.live.get(action.request_id)
+                request = self.requests.get(action.request_id)
                 if request is not None and 0 <= action.attempt < len(request.attempts):
                     self._runner.abandon(request.attempts[action.attempt], Outcome.CANCELLED)
             case api.Reject():
-                request = self.live.get(action.request_id)
+                request = self.requests.get(action.request_id)
                 if request is not None and not request.answered:
                     self._answers.reject(request, action.retry_after_ms)
             case api.Fail():
-                request = self.live.get(action.request_id)
+                request = self.requests.get(action.request_id)
                 if request is not None and not request.answered:
                     self._answers.fail(request)
             case api.SetTimer():
@@ -195,7 +196,7 @@
                 )
 
     def _deadline_passed(self, request_id: str, attempt_number: int) -> None:
-        request = self.live.get(request_id)
+        request = self.requests.get(request_id)
         if request is None:
             return
         if attempt_number == WHOLE_REQUEST:
@@ -216,8 +217,8 @@
         self.abandon(request)
         self._answers.fail_closed(request)
 
-    def _forget_if_done(self, request: Request) -> None:
+    def _clear_attempts_if_done(self, request: Request) -> None:
         # Requests and attempts refer to each other. Left to the garbage collector, thousands of such cycles per second
         # made its full collections take 20 to 50 ms, during which deadlines passed.
-        if request.request_id not in self.live and not request.has_open_attempt():
+        if request.request_id not in self.requests and not request.has_open_attempt():
             request.attempts.clear()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -215,7 +215,7 @@
         self.run_until_started(1)
         self.engines.started[0].end(Outcome.SUCCESS)
         self.clock.go(20)
-        self.assertEqual((request.attempts, self.dispatcher.live, self.dispatcher.gateway.requests), ([], {}, {}))
+        self.assertEqual((request.attempts, self.dispatcher.requests, self.dispatcher.gateway.requests), ([], {}, {}))
 
     def test_an_uncertain_completion_starts_the_hold_down_of_its_key_again(self):
         hold_down_ms = 300.0  # well over the 50 ms between two checks of the policy for requests that may start
