--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -143,9 +143,8 @@
         self.run_until_started(1)
         self.engines.hold = True
         self.dispatcher._carry_out(api.CancelAttempt(request.request_id, 0))
-        self.dispatcher._carry_out(
-            api.StartAttempt(request.request_id, "e2")
-        )  # must not start, whatever the policy decides
+        # Must not start, whatever the policy decides.
+        self.dispatcher._carry_out(api.StartAttempt(request.request_id, "e2"))
         self.clock.go(300)
         self.assertEqual(len(self.engines.started), 1)
         self.engines.freed[0]()
