--- a/decklb/core/attempts.py
+++ b/decklb/core/attempts.py
@@ -69,9 +69,8 @@
         self.deadline_ms = started_at_ms + timeout_ms
         self.start_deadline_ms = self.deadline_ms  # time in ms after which it must not be sent any more
         self.outcome: Outcome | None = None
-        self.sent = (
-            True  # the engine client sets it to False while the attempt is still unsent, e.g. without a connection
-        )
+        # The engine client sets it to False while the attempt is still unsent, such as while it waits for a connection.
+        self.sent = True
         self.abandoned = self.timed_out = self.ended = False
         self.handle: object = None  # for use by the engine client
 
--- a/decklb/core/dispatcher.py
+++ b/decklb/core/dispatcher.py
@@ -47,12 +47,11 @@
         """`seed` initializes the policy's random numbers."""
         self.settings, self.clock = settings, clock
         # Hedged attempts are never sent. A policy that was allowed to hedge spent attempts and retry budget on hedges
-        # that were held back, when it could have cancelled the first attempt and retried.
+        # that were not sent, when it could have cancelled the first attempt and retried.
         self.gateway = Gateway(replace(settings, hedging=False), seed)
-        self.requests: dict[
-            str, Request
-        ] = {}  # requests in flight and those whose end the policy has not seen yet, by id
-        # ms for which a request submitted now may have waited unread in its socket
+        # Requests by id: those in flight and those whose end the policy has not seen yet.
+        self.requests: dict[str, Request] = {}
+        # ms for which a request submitted now may have waited unread in its socket.
         self.unread_for_ms: Callable[[], float] = lambda: 0.0
         self._request_count = 0
         self._events = EventBatch(clock, settings.tick_ms, self._decide)
@@ -215,7 +214,7 @@
             request_class=request.incoming.request_class,
         )
         self.abandon(request)
-        self._answers.fail_closed(request)
+        self._answers.deliver_failure(request)
 
     def _clear_attempts_if_done(self, request: Request) -> None:
         # Requests and attempts refer to each other. Left to the garbage collector, thousands of such cycles per second
--- a/decklb/core/final_answers.py
+++ b/decklb/core/final_answers.py
@@ -59,8 +59,8 @@
         if not self.open_requests:  # called later, once the caller has written the answer
             self._clock.call_later(0, self._notify_if_idle)
 
-    def fail_closed(self, request: Request) -> None:
-        """Answer that a request failed which is already marked as answered."""
+    def deliver_failure(self, request: Request) -> None:
+        """Send the failure of a request that the dispatcher's backstop has already marked as answered."""
         _deliver(request, request.sink.failed)
 
     def _notify_if_idle(self) -> None:
--- a/decklb/core/request_log.py
+++ b/decklb/core/request_log.py
@@ -18,12 +18,12 @@
 class RequestLog:
     """Writes at most MAX_LINES_PER_SECOND lines per second."""
 
-    __slots__ = ("_clock", "_second", "_written", "_suppressed")
+    __slots__ = ("_clock", "_second", "_line_count", "_suppressed")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._second = 0  # second of the clock for which `_written` counts
-        self._written = 0  # lines of that second, including suppressed ones
+        self._second = 0  # second of the clock to which `_line_count` refers
+        self._line_count = 0  # lines of that second, including suppressed ones
         self._suppressed = 0  # lines suppressed since the last one written
 
     def attempt_failed(self, attempt: Attempt, outcome: str, duration_ms: float) -> None:
@@ -87,9 +87,9 @@
     def _admit_line(self) -> bool:
         second = int(self._clock.now() // 1000)
         if second != self._second:
-            self._second, self._written = second, 0
-        self._written += 1
-        if self._written <= MAX_LINES_PER_SECOND:
+            self._second, self._line_count = second, 0
+        self._line_count += 1
+        if self._line_count <= MAX_LINES_PER_SECOND:
             return True
         self._suppressed += 1
         return False
--- a/decklb/core/timers.py
+++ b/decklb/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers that run after pending socket input has been read if the process was stalled.
+"""Timers that, after a stall of the process, run only once pending socket input has been read.
 
 When a stalled process resumes, its timers are due, but its sockets hold input that it has not read: clients may have
 disconnected, engines may have answered, and the endpoint list may have changed. A timer that starts or repeats work
@@ -11,8 +11,8 @@
 
 from decklb.core.ports import Clock, Timer
 
-# Lateness of a timer in ms above which the process was stalled. It is below 100 ms because no attempt may start more
-# than 100 ms after its client has disconnected.
+# Lateness of a timer in ms above which the process counts as stalled. It is below 100 ms because no attempt may start
+# more than 100 ms after its client has disconnected.
 STALL_THRESHOLD_MS = 40.0
 
 
--- a/decklb/daemon/discovery.py
+++ b/decklb/daemon/discovery.py
@@ -38,10 +38,10 @@
         on_endpoints: Callable[[list[Endpoint], dict[str, Address]], None],
         on_timeout: Callable[[], None],
     ) -> None:
-        """`on_timeout` is called if the directory's first answer does not arrive in time."""
+        """`on_timeout` is called when the time for the directory's first answer is over, also if it has arrived."""
         self._reactor, self._clock, self._config, self._lifecycle = reactor, clock, config, lifecycle
         self._on_timeout = on_timeout
-        self._first_answer_overdue = False
+        self._first_answer_wait_over = False
         self.directory = DirectoryClient(
             clock, config.resolver, random_below, on_endpoints, config.settings.drain_grace_ms
         )
@@ -49,13 +49,13 @@
     @property
     def engines_known(self) -> bool:
         """Whether the directory has answered or is no longer waited for."""
-        return self.directory.synchronized or self._first_answer_overdue
+        return self.directory.synchronized or self._first_answer_wait_over
 
     def start(self) -> None:
         """Load the configured endpoint list, and start to poll the directory if there is one."""
         self.directory.load_updates(self._config.endpoint_list_version, self._config.endpoint_list_updates)
         if self._config.resolver is None:
-            self._first_answer_overdue = True
+            self._first_answer_wait_over = True
         else:
             self._open_socket()
             self._clock.call_later(FIRST_ANSWER_TIMEOUT_MS, self._on_first_answer_timeout)
@@ -83,7 +83,7 @@
         interface = self._config.listen[0]
         try:
             self._reactor.listenUDP(0, self.directory, interface=interface, maxPacketSize=MAX_DATAGRAM_BYTES)
-        except CannotListenError as error:  # until the retry the configured list is used
+        except CannotListenError as error:  # until a retry succeeds the current list is used
             logger.warning(
                 "directory: can't open a socket for polling: {error}",
                 event="directory-no-socket",
@@ -92,5 +92,5 @@
             self._clock.call_later(SOCKET_RETRY_MS, self._open_socket)
 
     def _on_first_answer_timeout(self) -> None:
-        self._first_answer_overdue = True
+        self._first_answer_wait_over = True
         self._on_timeout()
--- a/decklb/daemon/drain.py
+++ b/decklb/daemon/drain.py
@@ -16,12 +16,12 @@
 # Upper bound of the longest deadline in ms. SIGKILL follows SIGTERM no sooner than the longest deadline, limited to
 # this value, plus GRACE_MS.
 MAX_DEADLINE_MS = 3000.0
-# ms before the longest deadline at which the remaining requests are answered. The process exits twice this time before
-# the earliest SIGKILL, if clients still wait then.
+# The remaining requests are answered this many ms before the longest deadline, counted from SIGTERM, but not before
+# GRACE_MS have passed. If clients still wait after that, the process exits twice this time before the earliest SIGKILL.
 LAST_ANSWERS_MARGIN_MS = 100.0
 # ms after SIGTERM during which new clients are still accepted, since the layer in front learns of the drain late.
 GRACE_MS = 700.0
-# ms from the last answer until the process exits, for sending the answers that are still buffered.
+# Minimum ms from the last answer until the process exits, for sending the answers that are still buffered.
 FLUSH_MS = 500.0
 # ms between two checks whether a client is still in the middle of a message or an answer.
 FLUSH_POLL_MS = 50.0
@@ -52,7 +52,7 @@
         self.port: Any = None  # the listening port, once it is open
 
     def begin(self) -> None:
-        """Notify the clients and start the timers of the drain. The state is DRAINING and the process not ready."""
+        """Notify the clients and start the timers of the drain. The state is already DRAINING."""
         # With handoff, the process stays a member until its requests in flight have been answered.
         if self._subsystems.handoff is None:
             self._subsystems.leave_cluster()
--- a/decklb/daemon/subsystems/base.py
+++ b/decklb/daemon/subsystems/base.py
@@ -24,7 +24,7 @@
     config: Config
     request_path: RequestPath
     on_health_check: Callable[[str, bool], None]  # gets an engine id and whether health checks of any member reach it
-    on_maintenance_plan: Callable[[], None]  # the plan has changed which engines may be used
+    on_maintenance_plan: Callable[[], None]  # called when the plan has changed the set of usable engines
     terminate: Callable[[], None]  # drain and exit, as on SIGTERM
 
 
--- a/decklb/daemon/subsystems/cluster.py
+++ b/decklb/daemon/subsystems/cluster.py
@@ -66,6 +66,6 @@
 
 
 def _idle_timeout_ms(settings: ClusterSettings) -> float:
-    """Return an idle timeout in ms that keeps connections open between health checks, also while periods are longer."""
+    """Return twice the longest period of health checks in ms, so that connections stay open between two checks."""
     duty = settings.health_checks
     return 2.0 * duty.period_ms * duty.minority_factor * duty.warming_up_factor if duty is not None else 0.0
--- a/decklb/daemon/subsystems/handoff.py
+++ b/decklb/daemon/subsystems/handoff.py
@@ -19,7 +19,7 @@
 
 
 class HandoffSubsystem(Subsystem):
-    """Puts a protected dispatcher between the PostgreSQL front and the dispatcher."""
+    """Puts a `ProtectedDispatcher` between the PostgreSQL front and the dispatcher."""
 
     def __init__(self, context: SubsystemContext, settings: HandoffSettings, cluster: ClusterSubsystem) -> None:
         """Raises ConfigError if the store can't be opened."""
--- a/decklb/daemon/subsystems/registry.py
+++ b/decklb/daemon/subsystems/registry.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from decklb.management.control_server import Command, Query
 
-# Results of the queries of disabled subsystems. They have the usual structure, for the programs of operators.
+# Results of the queries of disabled subsystems, with the usual structure, so that operators' programs can read them.
 EMPTY_QUERY_RESULTS: dict[str, object] = {
     "members": {"members": [], "health": {"minority": False, "yielding": False}},
     "duties": [],
--- a/decklb/management/control_client.py
+++ b/decklb/management/control_client.py
@@ -39,7 +39,7 @@
     except ValueError as error:
         raise ControlError(f"{path}: the response is not valid JSON") from error
     if not response.get(protocol.OK_KEY):
-        raise ControlError(f"{path}: {response.get(protocol.ERROR_KEY, 'no answer')}")
+        raise ControlError(f"{path}: {response.get(protocol.ERROR_KEY, 'rejected without a reason')}")
     return response[protocol.RESULT_KEY]
 
 
--- a/decklb/management/control_server.py
+++ b/decklb/management/control_server.py
@@ -21,7 +21,7 @@
 from decklb.management import control_protocol as protocol
 
 MAX_REQUEST_BYTES = 4096  # a request has a name and few arguments
-MAX_CONNECTIONS = 8  # for few operators; file descriptors are needed for clients and engines
+MAX_CONNECTIONS = 8  # operators need only a few; the other file descriptors are for clients and engines
 SOCKET_MODE = 0o600  # whoever can open the socket can take machines out of service
 
 Query = Callable[[], Any]
@@ -62,7 +62,7 @@
             self._send(response)
 
     def _send(self, response: dict[str, Any]) -> None:
-        if self.end_reason == PEER_CLOSED:  # else this side has closed the connection
+        if self.end_reason == PEER_CLOSED:  # the default; any other reason: this side has closed the connection
             self.transport.write(protocol.encode_line(response))
 
     def lineLengthExceeded(self, line: bytes) -> Any:
--- a/tests/test_attempt_guards.py
+++ b/tests/test_attempt_guards.py
@@ -22,7 +22,7 @@
         return len(self.engines.started)
 
     def test_with_hedging_allowed_a_lost_attempt_is_cancelled_not_hedged(self):
-        """In 15 days with such settings 225 hedges were held back, each of which used up an attempt (61e05677)."""
+        """In 15 days with such settings 225 hedges were not sent, and each still used up an attempt (61e05677)."""
         settings = replace(self.dispatcher.settings, hedging=True, progress_interval_ms=100.0)
         self.dispatcher = Dispatcher(settings, 1, self.clock, self.engines)
         self.dispatcher.update_endpoints([api.Endpoint("e0", "z", "k", 0, api.Phase.UP)])
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -159,7 +159,7 @@
 
 
 def full_config(*omitted, **changes):
-    """The configuration with every section except the omitted ones, with changed values."""
+    """The configuration with every section except the omitted ones, and with the changed values."""
     result = config.load(None, EVERY_KEY)
     for name in omitted:
         setattr(result, name, "" if name == "control" else None)
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -69,7 +69,8 @@
             if frame.type == frames.ANSWER:
                 answers[frame.stream] = frame.payload[0]
         self.assertEqual(answers, {1: frames.REJECTED, 2: frames.FAILED})
-        wait_for(lambda: len(self.engine.said(b"undo")) == 2, "undo")  # the engine may read them later
+        # The engine may read the cancellations after the clients have their answers.
+        wait_for(lambda: len(self.engine.said(b"undo")) == 2, "undo")
         self.assertEqual(program.process.wait(DEADLINE), 0)
 
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -13,7 +13,7 @@
 from tests.frame_standins import Client, RespEngine, request
 from tests.standins import Loop, Program, known, wait_for
 
-BUDGET_S, STALL_S, TOLERANCE_S = 3.0, 1.0, 0.15  # the operators set the tolerance (standing page)
+BUDGET_S, STALL_S, TOLERANCE_S = 3.0, 1.0, 0.15  # the tolerance is specified by the operators
 
 
 class TimedEngine(RespEngine):
@@ -67,7 +67,7 @@
     return unread
 
 
-def test_without_a_stall_no_input_counts_as_old():
+def test_without_a_stall_no_input_has_waited_unread():
     assert (
         unread_times((0.001, 0.1, 0.1), (0.0, 0.1, 0.02), (STALL_THRESHOLD_MS / 1000, 0.0, 0.0), (0.01, 0.05, 0.05))
         == [0.0] * 4
@@ -75,12 +75,12 @@
 
 
 @pytest.mark.parametrize(("step", "unread"), [((0.5, 0.0, 0.0), 0.5), ((0.5, 0.1, 0.0), 0.5), ((0.0, 0.1, 1.1), 1.1)])
-def test_after_a_stall_input_counts_as_old_for_some_passes(step, unread):
+def test_input_read_in_the_first_passes_after_a_stall_has_waited_unread(step, unread):
     result = unread_times(step, *[(0.0, 0.1, 0.0)] * STALE_PASSES)
     assert result == [unread] * STALE_PASSES + [0.0]
 
 
 def test_a_process_that_stays_busy_counts_only_its_last_passes():
-    """Each long pass kept the start time of the first one, so during a long flood all input counted as old."""
+    """Each long pass once kept the start time of the first, so in a long flood all input seemed to have waited."""
     result = unread_times(*[(0.05, 0.0, 0.0)] * 100)[STALE_PASSES - 1 :]
     assert result == [round(0.05 * STALE_PASSES, 3)] * (101 - STALE_PASSES)
