--- a/decklb/locality/__init__.py
+++ b/decklb/locality/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones: states decided by a quorum of members, requests kept in their zone where that is safe."""
+"""Failover between zones: members decide the states of zones by quorum, and keep requests in their zone if possible."""
--- a/decklb/locality/consensus.py
+++ b/decklb/locality/consensus.py
@@ -1,13 +1,13 @@
-"""One member's part in the agreement on zones' states: votes by term, counted against a quorum.
+"""Consensus on the states of zones, as run by one member: votes by term, counted against a quorum.
 
-Each term of a zone is decided once: a member votes at most once in a term, and a state is decided when more than half
-of all known members voted for it in that term, so two states can't both be. A member votes for what it has observed
-for a while itself; one that observed nothing of the zone lately follows most of those that did, and one that only
-checks its health follows those whose requests failed there or were slow. One member's bad link, or one that lies,
-moves nothing.
+A member votes at most once in a term, and a state is decided once more than half of all known members have voted for
+it in that term. Two states can therefore never be decided in the same term. A member votes for a state that its own
+observation has supported for the stabilization time. A member without a recent observation of the zone follows the
+majority of the members that have one, and a member that has only health checks of the zone follows the members whose
+requests failed there or were slow. A single member with a bad link or with false reports cannot change a state.
 
-Owns, for each zone, the decided state, this member's observation and vote, and the others' votes. Called by
-`coordinator.py`. Free of I/O. Times are ms on this member's monotonic clock.
+Owns, for each zone, the decided state, this member's observation and vote, and the votes of the other members. Called
+by `coordinator.py`. Does no I/O. Times are ms on this member's monotonic clock.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class CastVote(NamedTuple):
-    """This member's own vote that counts."""
+    """The vote that this member has cast."""
 
     term: int
     state: ZoneState
@@ -37,7 +37,7 @@
 
 
 class ReceivedVote(NamedTuple):
-    """A member's newest vote."""
+    """The newest vote of a member, with the time of its receipt."""
 
     vote: Vote
     received_at: float
@@ -45,29 +45,29 @@
 
 @dataclass(slots=True)
 class ZoneRecord:
-    """What one member holds of one zone."""
+    """One member's data on one zone."""
 
     state: ZoneState = ZoneState.HEALTHY
-    term: int = 0  # in which the state was decided
+    term: int = 0  # term in which the state was decided; 0: no state has been decided
     decided_at: float = NEVER
     observation: ZoneObservation | None = None
     observed_at: float = NEVER
-    desired_state: ZoneState | None = None  # that this member's observation speaks for
+    desired_state: ZoneState | None = None  # change of state that this member's observation supports; None: no change
     desired_since: float = 0.0
-    cast: CastVote | None = None
-    votes: dict[str, ReceivedVote] = field(default_factory=dict)  # by member, this one included
+    cast_vote: CastVote | None = None
+    votes: dict[str, ReceivedVote] = field(default_factory=dict)  # by member, including this one
 
 
 class ZoneConsensus:
-    """All zones, as one member holds them.
+    """The consensus on all zones, from the view of one member.
 
     Attributes:
-        zones: By name.
-        known: Names of all members that count.
-        outgoing: Votes and decisions for all others.
-        isolated: No quorum was heard for the isolation grace: this member decides alone.
-        voting_from: Time before which this member casts no vote. One that starts may have voted in an earlier process;
-            by then those votes have lapsed everywhere.
+        zones: The data on each zone, by zone name.
+        known: Names of all members that are counted for the quorum.
+        outgoing: Votes and decisions to send to all other members.
+        isolated: No quorum has been heard from for longer than the isolation grace, so this member decides alone.
+        voting_from: Time before which this member casts no vote. An earlier process of this member may have voted; by
+            this time its votes have expired at all members.
     """
 
     def __init__(self, settings: LocalitySettings, member: str, zones: Collection[str], now: float) -> None:
@@ -77,26 +77,29 @@
         self.isolated = False
         self.voting_from = now + settings.observation_ttl_ms + settings.vote_timeout_ms
         self._settings, self._member = settings, member
-        self._last_heard: dict[str, float] = {}  # by other member
+        self._last_heard: dict[str, float] = {}  # by name of the other member
         self._quorum_heard_at = now
 
     @property
     def quorum(self) -> int:
-        """How many members decide: more than half of those known, and of those that the settings name."""
+        """Number of votes that decide: more than half of the known members, and of the settings' member count."""
         return max(len(self.known), self._settings.member_count) // 2 + 1
 
     def update_members(self, known: Collection[str]) -> None:
-        """Take over all members that count, dead or alive."""
+        """Replace the set of known members, dead or alive; this member is always one of them."""
         self.known = frozenset(known) | {self._member}
 
     def observe(self, now: float, zone: str, observation: ZoneObservation) -> None:
-        """Take this member's own observation."""
+        """Record this member's own observation of a zone."""
         record = self.zones.get(zone)
         if record is not None:
             record.observation, record.observed_at = observation, now
 
     def receive(self, now: float, message: Vote | Decision, sender: str) -> None:
-        """Take another member's vote or decision. A vote counts only from its own member, if that is known."""
+        """Process another member's vote or decision.
+
+        A vote is counted only if it comes from the member that it names, and if that member is known.
+        """
         self._last_heard[sender] = now
         record = self.zones.get(message.zone)
         if record is None:
@@ -110,19 +113,19 @@
                 record.votes[sender] = ReceivedVote(message, now)
 
     def state(self, zone: str) -> DecidedState:
-        """What is decided for a zone, and since when."""
+        """Return the decided state of a zone and the time of the decision."""
         record = self.zones[zone]
         return DecidedState(record.state, record.decided_at)
 
     def reachable_fraction(self, zone: str, now: float) -> float:
-        """The fraction of a zone's capacity that is up: the median of what members reach."""
+        """Return the fraction of a zone's capacity that is up: the median over the members' votes."""
         since = now - self._settings.observation_ttl_ms
         votes = self.zones[zone].votes.values()
         fractions = sorted([received.vote.reachable_fraction for received in votes if received.received_at >= since])
         return fractions[len(fractions) // 2] if fractions else 1.0
 
     def tick(self, now: float) -> None:
-        """Vote and count; to be called a few times a second."""
+        """Cast votes and count them; must be called a few times a second."""
         self._check_isolation(now)
         for name, record in self.zones.items():
             self._update_desired_state(now, record)
@@ -138,7 +141,7 @@
             self.isolated = True
 
     def _update_desired_state(self, now: float, record: ZoneRecord) -> None:
-        """What this member's observation speaks for, and since when; None for no change."""
+        """Update the change of state that this member's observation supports, and since when it does."""
         desired = self._desired_state(now, record)
         if desired is not record.desired_state:
             record.desired_state, record.desired_since = desired, now
@@ -158,7 +161,7 @@
         return observed if observed is not record.state else None
 
     def _vote(self, now: float, name: str, record: ZoneRecord) -> None:
-        """Cast a vote if there is something to vote for, and tell all others this member's vote and decision."""
+        """Cast a vote if a change is due, and queue this member's vote and decision for all other members."""
         observation = self._fresh_observation(now, record)
         choice = self._choice(now, record, observation)
         votable_from = max(record.decided_at + self._settings.min_state_duration_ms, self.voting_from)
@@ -171,11 +174,16 @@
             self.outgoing.append(Decision(name, record.term, record.state, max(0.0, now - record.decided_at)))
 
     def _choice(self, now: float, record: ZoneRecord, observation: ZoneObservation | None) -> ZoneState | None:
-        """What to vote for: what was observed for long enough, or what members that observed more vote for."""
+        """Return the state to vote for, or None.
+
+        This is the state that this member has observed for the stabilization time, or, if other members have better
+        observations, the state that the majority of them votes for.
+        """
         stable = now - record.desired_since >= self._settings.stabilization_ms
         choice = record.desired_state if stable else None
         if observation is None or observation.health_checks_only:
-            # A member whose health checks are answered does not follow those that merely can't reach the zone.
+            # A member whose health checks succeed does not follow members that only fail to reach the zone: the cause
+            # may be their own network.
             observers = [
                 vote
                 for vote in self._fresh_votes(now, record)
@@ -186,20 +194,20 @@
         return choice
 
     def _cast(self, now: float, record: ZoneRecord, choice: ZoneState) -> None:
-        """Vote once a term: another choice waits for the next one, once this one has timed out."""
+        """Cast at most one vote per term; a different choice has to wait until the term has timed out."""
         highest = max([record.term, *(vote.term for vote in self._fresh_votes(now, record))])
         term = max(record.term + 1, highest)
-        cast = record.cast
+        cast = record.cast_vote
         if cast is not None and cast.term >= term:
             term = cast.term
             if cast.state is not choice and now - cast.cast_at >= self._settings.vote_timeout_ms:
                 term += 1
         if cast is None or cast.term < term:
-            record.cast = CastVote(term, choice, now)
+            record.cast_vote = CastVote(term, choice, now)
 
     def _own_vote(self, name: str, record: ZoneRecord, observation: ZoneObservation | None) -> Vote:
-        """This member's vote as it tells all others; without a state where it has cast none in an open term."""
-        cast = record.cast if record.cast is not None and record.cast.term > record.term else None
+        """Return the vote to send to all other members; its state is None if no vote is cast in an open term."""
+        cast = record.cast_vote if record.cast_vote is not None and record.cast_vote.term > record.term else None
         term, state = (cast.term, cast.state) if cast is not None else (record.term, None)
         if observation is None:
             return Vote(name, self._member, term, state, observed=False)
@@ -214,7 +222,7 @@
         )
 
     def _count_votes(self, now: float, name: str, record: ZoneRecord) -> None:
-        """Decide each state that a quorum voted for in one term."""
+        """Decide each state that a quorum has voted for in one term."""
         tally: dict[tuple[int, ZoneState], int] = {}
         for member, received in record.votes.items():
             vote = received.vote
@@ -240,7 +248,7 @@
 
 
 def _majority_choice(votes: list[Vote], decided_term: int) -> ZoneState | None:
-    """The state that most of these members vote for in a term that is open; None for no majority."""
+    """Return the state that more than half of these votes support in an undecided term; None without a majority."""
     for state in ZoneState:
         supporters = sum(vote.state is state and vote.term > decided_term for vote in votes)
         if 2 * supporters > len(votes):
--- a/decklb/locality/coordinator.py
+++ b/decklb/locality/coordinator.py
@@ -1,8 +1,8 @@
-"""One member's view of all zones: what state holds, how much capacity is up, how much load each zone's callers make.
+"""One member's view of all zones: their state, the capacity that is up and the load of the callers in each zone.
 
-Owns the agreement with the other members (`ZoneConsensus`), the same rules for this member alone (for when it is cut
-off or is to decide by itself), the members' loads, and the messages to and from them. Driven by `runtime.py`; asked by
-the zone selector and by maintenance. Free of I/O. Times are ms on this member's monotonic clock.
+Owns the consensus with the other members (`ZoneConsensus`), a second one with this member only (used while the member
+is isolated or is set to decide alone), the reported loads, and the exchange of messages. Driven by `runtime.py`;
+queried by the zone selector and by maintenance. Does no I/O. Times are ms on this member's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from decklb.locality.settings import DecisionMode, LocalitySettings
 from decklb.locality.zone_state import NEVER, DecidedState, Decision, Vote, ZoneObservation, ZoneState
 
-SENDS_PER_TTL = 3  # messages of a member that has nothing new, within the time for which they count
+SENDS_PER_TTL = 3  # messages that a member sends within one observation TTL if nothing has changed
 
 
 class MemberLoad(NamedTuple):
-    """The load of a member's own callers, as it reported it."""
+    """The load of a member's own callers, as reported by the member."""
 
     zone: str
     load_cores: float
@@ -30,23 +30,23 @@
 
 
 class ZoneCoordinator:
-    """One member.
+    """Coordinates the states and loads of zones for one member.
 
     Attributes:
-        consensus: The agreement with the other members.
-        standalone: The same rules with nobody else.
-        own_load_cores: Cores that this member's own callers ask for.
-        member_loads: Of the other members, by name.
-        outgoing: Datagrams for all others.
-        notices: For the log.
-        dropped: Count of datagrams that could not be read.
+        consensus: The consensus with the other members.
+        standalone: A consensus of which this member is the only participant.
+        own_load_cores: Load of this member's own callers, in cores.
+        member_loads: Loads of the other members, by name.
+        outgoing: Datagrams to send to all other members.
+        notices: Events to log.
+        dropped: Number of datagrams that could not be decoded.
     """
 
     def __init__(self, settings: LocalitySettings, member: str, now: float) -> None:
         zones = settings.region_of
         self.consensus = ZoneConsensus(settings, member, zones, now)
         self.standalone = ZoneConsensus(replace(settings, member_count=1), member, zones, now)
-        self.standalone.voting_from = now  # nobody else counts its votes
+        self.standalone.voting_from = now  # no other member counts its votes, so no earlier vote can conflict
         self.own_load_cores = 0.0
         self.member_loads: dict[str, MemberLoad] = {}
         self.outgoing: list[bytes] = []
@@ -60,21 +60,21 @@
 
     @property
     def decides_alone(self) -> bool:
-        """Whether this member goes by its own observation."""
+        """Whether this member's own observation alone decides."""
         return self._settings.decision_mode is DecisionMode.ALONE or self.consensus.isolated
 
     def update_members(self, known: Collection[str]) -> None:
-        """Take over all members that count; loads of others are dropped."""
+        """Replace the set of known members, and drop the loads of members that are no longer known."""
         self.consensus.update_members(known)
         self.member_loads = {name: load for name, load in self.member_loads.items() if name in self.consensus.known}
 
     def observe(self, now: float, zone: str, observation: ZoneObservation) -> None:
-        """Take this member's own observation of a zone."""
+        """Record this member's own observation of a zone."""
         self.consensus.observe(now, zone, observation)
         self.standalone.observe(now, zone, observation)
 
     def receive(self, now: float, sender: str, data: bytes) -> None:
-        """Handle another member's datagram; one that can't be read is counted and changes nothing."""
+        """Process another member's datagram; one that cannot be decoded is counted and otherwise ignored."""
         try:
             report = messages.decode(data, sender)
         except WireError:
@@ -85,7 +85,7 @@
             self.consensus.receive(now, item, sender)
 
     def tick(self, now: float) -> None:
-        """Vote, count and send; `outgoing` and `notices` are to be emptied after it."""
+        """Cast and count votes, and queue messages; the caller has to empty `outgoing` and `notices` afterwards."""
         self.standalone.tick(now)
         self.standalone.outgoing.clear()
         self.consensus.tick(now)
@@ -96,23 +96,23 @@
         self._log_states()
 
     def state(self, zone: str) -> DecidedState:
-        """What holds for a zone, and since when. A zone in no region is always healthy."""
+        """Return the state of a zone and since when it holds. A zone that is in no region is always healthy."""
         if zone not in self.consensus.zones:
             return DecidedState(ZoneState.HEALTHY, NEVER)
         return self._effective().state(zone)
 
     def reachable_fraction(self, zone: str, now: float) -> float:
-        """The fraction of a zone's capacity that is up."""
+        """Return the fraction of a zone's capacity that is up."""
         if zone not in self.consensus.zones:
             return 1.0
         return self._effective().reachable_fraction(zone, now)
 
     def unhealthy_zones(self) -> frozenset[str]:
-        """Zones that are degraded, out or returning."""
+        """Return the zones that are degraded, out or returning."""
         return frozenset(zone for zone in self.consensus.zones if self.state(zone).state is not ZoneState.HEALTHY)
 
     def load_cores(self, now: float) -> dict[str, float]:
-        """Cores that the callers of each zone ask for, by all members' reports."""
+        """Return the load of the callers in each zone in cores, as the sum of all members' reports."""
         loads = dict.fromkeys(self.consensus.zones, 0.0)
         if self._settings.home_zone in loads:
             loads[self._settings.home_zone] = self.own_load_cores
@@ -122,7 +122,7 @@
         return loads
 
     def status(self, now: float) -> list[dict[str, Any]]:
-        """A row for each zone, for operators. The keys are the public form."""
+        """Return a row for each zone, for operators. The keys are part of the public interface."""
         loads = self.load_cores(now)
         return [self._status_row(zone, now, loads[zone]) for zone in self.consensus.zones]
 
@@ -130,7 +130,7 @@
         return self.standalone if self.decides_alone else self.consensus
 
     def _send(self, now: float, items: list[Vote | Decision]) -> None:
-        """At once while a vote is open or anything is new, else a few times within the time for which it counts."""
+        """Queue a message at once if a vote is open or the content is new, else SENDS_PER_TTL times per TTL."""
         content = tuple((item.zone, item.term, item.state) for item in items)
         vote_open = any(isinstance(item, Vote) and item.state is not None for item in items)
         due = now - self._last_sent_at >= self._settings.observation_ttl_ms / SENDS_PER_TTL
--- a/decklb/locality/health_observer.py
+++ b/decklb/locality/health_observer.py
@@ -1,10 +1,11 @@
-"""What one member observes of each zone: engines reachable or not, errors, latency; and which engines it checks.
+"""One member's observation of each zone (reachable engines, errors, latency), and which engines it health-checks.
 
-Requests show most, health checks the rest: a member checks an engine that has not answered lately. In a large zone it
-checks a few engines, chosen by a hash of its name, so that members together check all of them and each sends little.
+Most observations come from the attempts of requests; engines that have not answered recently are health-checked. In a
+large zone a member checks only a few engines, selected by a hash of the member's and the engine's name, so that the
+members together check all engines while each sends few checks.
 
-Owns the health of each engine and the running means of each zone. Fed by `runtime.py` with the ends of attempts and
-health checks; free of I/O. Times are ms on this member's monotonic clock.
+Owns the health of each engine and the moving averages of each zone. `runtime.py` passes in the results of attempts and
+health checks. Does no I/O. Times are ms on this member's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.zone_state import NEVER, ZoneObservation
 
-CHECKED_ENGINES = 8  # of a zone, by one member
-MEMBERS_AT_FULL_RATE = 16  # more than these check more rarely, so that engines get no more checks as the fleet grows
-ERROR_WEIGHT = 0.05  # of one attempt in the running mean of errors
-LATENCY_WEIGHT = 0.05  # of one answer in the running mean of latency
-BEST_LATENCY_DECAY = 0.002  # fraction by which the best latency is forgotten with each answer
-RATIO_FLOOR_MS = 20.0  # added to both sides of a ratio, or a hiccup of a millisecond would look like a slow zone
-HEALTH_CHECK_CLASS = ""  # in place of a request class, for the latency of health checks
+CHECKED_ENGINES = 8  # maximum number of engines per zone that one member checks
+MEMBERS_AT_FULL_RATE = 16  # in larger fleets each member checks less often, so that the load on engines stays the same
+ERROR_WEIGHT = 0.05  # weight of one attempt in the moving average of the error rate
+LATENCY_WEIGHT = 0.05  # weight of one answer in the moving average of the latency
+BEST_LATENCY_DECAY = 0.002  # fraction by which the best latency rises with each answer, so that old minima fade
+RATIO_FLOOR_MS = 20.0  # added to both sides of the latency ratio: a delay of 1 ms must not make a fast zone look slow
+HEALTH_CHECK_CLASS = ""  # key for the latency of health checks, in place of a request class
 ANSWERED = (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED)
 UNANSWERED = (Outcome.UNREACHABLE, Outcome.CONNECTION_RESET, Outcome.TIMED_OUT)
 
 
 class EngineCapacity(NamedTuple):
-    """An engine of the endpoint list that is up."""
+    """Zone and cores of an engine that is up according to the endpoint list."""
 
     zone: str
     cores: float
@@ -38,28 +39,28 @@
 
 @dataclass(slots=True)
 class EngineHealth:
-    """One engine, as this member reaches it."""
+    """The health of one engine as observed by this member."""
 
     zone: str
     cores: float
-    failures: int = 0  # in a row
+    failures: int = 0  # number of consecutive failures
     answered_at: float = NEVER
     checked_at: float = NEVER
 
 
 @dataclass(slots=True)
 class ZoneHealth:
-    """One zone. The means are exponentially weighted."""
+    """The health of one zone. Averages are exponentially weighted."""
 
     error_rate: float = 0.0
-    latency_ratio: float = 1.0  # to the best of any zone
+    latency_ratio: float = 1.0  # latency relative to the best average of any zone
     attempt_ended_at: float = NEVER
-    checked_engines: tuple[str, ...] = ()  # whose health this member checks
-    latency_ms: dict[str, float] = field(default_factory=dict)  # mean, by request class
+    checked_engines: tuple[str, ...] = ()  # engines that this member health-checks
+    latency_ms: dict[str, float] = field(default_factory=dict)  # average latency by request class
 
 
 def engine_capacities(endpoints: Iterable[Endpoint], cores_by_kind: Mapping[str, int]) -> dict[str, EngineCapacity]:
-    """Zone and cores of each engine that the endpoint list calls up."""
+    """Return zone and cores of each engine that is up according to the endpoint list."""
     return {
         endpoint.engine_id: EngineCapacity(endpoint.zone, float(max(1, cores_by_kind.get(endpoint.kind, 1))))
         for endpoint in endpoints
@@ -68,10 +69,10 @@
 
 
 class ZoneHealthObserver:
-    """All zones, as one member observes them.
+    """One member's observations of all zones.
 
     Attributes:
-        engines: Health of each engine that the endpoint list calls up.
+        engines: Health of each engine that is up according to the endpoint list.
         zones: Health of each zone that has such engines.
     """
 
@@ -79,10 +80,10 @@
         self.engines: dict[str, EngineHealth] = {}
         self.zones: dict[str, ZoneHealth] = {}
         self._settings, self._member = settings, member
-        self._best_latency_ms: dict[str, float] = {}  # least mean of any zone, by request class
+        self._best_latency_ms: dict[str, float] = {}  # lowest average of any zone, by request class
 
     def update_engines(self, engines: Mapping[str, EngineCapacity]) -> None:
-        """Take over the engines that the endpoint list calls up; an engine that stays keeps its health."""
+        """Replace the engines; an engine whose zone and cores are unchanged keeps its recorded health."""
         updated = {}
         for name, capacity in engines.items():
             engine = self.engines.get(name)
@@ -101,7 +102,7 @@
     def attempt_ended(
         self, now: float, engine_id: str, request_class: str, outcome: Outcome, duration_ms: float
     ) -> None:
-        """Take the end of a request's attempt."""
+        """Record the result of an attempt of a request."""
         engine = self.engines.get(engine_id)
         if engine is None or outcome not in ANSWERED + UNANSWERED:
             return
@@ -110,13 +111,14 @@
         if outcome in ANSWERED:
             engine.failures, engine.answered_at = 0, now
             zone.error_rate += ERROR_WEIGHT * ((outcome is Outcome.ERROR) - zone.error_rate)
-        elif engine.answered_at < now - duration_ms or outcome is Outcome.UNREACHABLE:  # else the request's fault
+        elif engine.answered_at < now - duration_ms or outcome is Outcome.UNREACHABLE:
+            # If the engine answered others during the attempt, the request itself caused the failure.
             engine.failures += 1
         if outcome is Outcome.SUCCESS:
             self._add_latency(zone, request_class, duration_ms)
 
     def health_check_ended(self, now: float, engine_id: str, answered: bool, duration_ms: float) -> bool:
-        """Take the end of a health check; returns whether the engine has become unreachable by it."""
+        """Record the result of a health check, and return whether the engine has just become unreachable."""
         engine = self.engines.get(engine_id)
         if engine is None:
             return False
@@ -128,11 +130,11 @@
         return False
 
     def unreachable_engines(self) -> list[str]:
-        """Engines that this member can't reach."""
+        """Return the engines that this member cannot reach."""
         return [name for name, engine in self.engines.items() if not self._reachable(engine)]
 
     def take_due_health_checks(self, now: float, member_count: int) -> list[str]:
-        """Engines to check now; each counts as checked by this call."""
+        """Return the engines to check now, and mark them as checked."""
         interval_ms = self._settings.health_check_interval_ms * max(1.0, member_count / MEMBERS_AT_FULL_RATE)
         due = []
         for zone in self.zones.values():
@@ -145,7 +147,7 @@
         return due
 
     def observation(self, zone_name: str, now: float) -> ZoneObservation | None:
-        """What this member holds of a zone; None where no engine answered or failed lately."""
+        """Return this member's observation of a zone; None if no checked engine has answered or failed recently."""
         zone = self.zones.get(zone_name)
         if zone is None:
             return None
--- a/decklb/locality/messages.py
+++ b/decklb/locality/messages.py
@@ -1,7 +1,7 @@
-"""Codec of the messages between members about zones: one MessagePack array in one cluster datagram.
+"""Codec of the messages that members exchange about zones: one MessagePack array per cluster datagram.
 
-Owns the wire format (version, order of fields, numbers of states, bounds); no state. Called by `coordinator.py`. Free
-of I/O.
+Defines the wire format (version, order of fields, numbers of states, bounds). Stateless and does no I/O. Called by
+`coordinator.py`.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from decklb.locality.zone_state import Decision, Vote, ZoneState
 
 VERSION = 1
-TOPIC = "locality"  # of the cluster's datagrams
-MAX_ZONES = 10  # in one message: with the longest names it still fits a datagram
+TOPIC = "locality"  # topic of the cluster datagrams
+MAX_ZONES = 10  # per message, so that a message with names of maximum length still fits into a datagram
 MAX_AGE_MS = 1 << 40
-NO_VOTE = 255  # in place of a state
+NO_VOTE = 255  # encoded instead of a state if the sender votes for none
 OBSERVED_FLAG = 1
 UNREACHABLE_FLAG = 2
 STATES = {int(state): state for state in ZoneState}
@@ -30,29 +30,29 @@
 
 
 class ZoneEntry(Struct, array_like=True, frozen=True):
-    """The sender's vote on one zone, and what it holds decided."""
+    """The sender's vote on one zone, and the newest decision that it knows."""
 
     zone: ZoneName
     vote_term: Term
     voted_state: Annotated[int, Meta(ge=0, le=255)]  # or NO_VOTE
-    flags: Annotated[int, Meta(ge=0, le=3)]  # OBSERVED_FLAG, UNREACHABLE_FLAG
+    flags: Annotated[int, Meta(ge=0, le=3)]  # combination of OBSERVED_FLAG and UNREACHABLE_FLAG
     reachable_percent: Percent
-    decided_term: Term  # 0: nothing is decided
+    decided_term: Term  # 0: no state has been decided
     decided_state: Annotated[int, Meta(ge=0, le=3)]
     decision_age_ms: Annotated[int, Meta(ge=0, le=MAX_AGE_MS)]
 
 
 class ZonesMessage(Struct, array_like=True, frozen=True):
-    """A datagram."""
+    """The content of a datagram as encoded."""
 
     version: int
-    home_zone: Annotated[str, Meta(max_length=64)]  # the sender's
-    load_cores: Annotated[float, Meta(ge=0, le=1e9)]  # that the sender's own callers ask of its zone
+    home_zone: Annotated[str, Meta(max_length=64)]  # zone of the sender
+    load_cores: Annotated[float, Meta(ge=0, le=1e9)]  # load of the sender's own callers, in cores
     entries: Annotated[list[ZoneEntry], Meta(max_length=MAX_ZONES)]
 
 
 class MemberReport(NamedTuple):
-    """The content of one member's datagram."""
+    """The content of one member's datagram after decoding."""
 
     home_zone: str
     load_cores: float
@@ -64,9 +64,9 @@
 
 
 def encode(home_zone: str, load_cores: float, votes_and_decisions: list[Vote | Decision]) -> list[bytes]:
-    """A member's votes and decisions of one moment, in as few datagrams as they fit.
+    """Encode a member's current votes and decisions in as few datagrams as possible.
 
-    A decision is sent beside its zone's vote; one without a vote is not sent.
+    A decision is encoded together with the vote on its zone; a decision without a vote is left out.
     """
     decisions = {item.zone: item for item in votes_and_decisions if isinstance(item, Decision)}
     votes = [item for item in votes_and_decisions if isinstance(item, Vote)]
@@ -78,10 +78,10 @@
 
 
 def decode(data: bytes, sender: str) -> MemberReport:
-    """The content of another member's datagram.
+    """Decode another member's datagram.
 
     Raises:
-        WireError: It can't be read.
+        WireError: The datagram is malformed or has another version.
     """
     try:
         message = _decoder.decode(data)
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -1,7 +1,7 @@
-"""The I/O of locality: datagrams of the cluster, health checks of engines, the clock, the log.
+"""The I/O of locality: cluster datagrams, health checks of engines, the clock and the log.
 
-Owns the health observer, the zone coordinator and the zone selector, and the rates of requests by which this member's
-load is estimated. The dispatcher asks it for the zone of each request, and tells it of each attempt's end. Made by
+Owns the health observer, the zone coordinator, the zone selector, and the request rates from which this member's load
+is estimated. The dispatcher asks it for the zone of each request and reports the end of each attempt to it. Created by
 `daemon.assembly`.
 """
 
@@ -25,15 +25,15 @@
 from decklb.locality.zone_selector import ZoneSelector
 from decklb.wire.health_check import Address, HealthChecker
 
-LARGE_FLEET = 50  # members from which on messages are sent more rarely, so that each receives no more of them
-RATE_TIME_CONSTANT_MS = 3000.0  # of the running mean of the rate of requests
-MIN_ANSWERS = 10  # of a class, from which on its work is known
-REPORT_INTERVAL_MS = 1000.0  # between two notices to the policy of one unreachable engine
+LARGE_FLEET = 50  # members; above this each sends less often, so that the messages received per member stay constant
+RATE_TIME_CONSTANT_MS = 3000.0  # time constant of the moving average of the request rates
+MIN_ANSWERS = 10  # number of answers of a class from which its work estimate is used
+REPORT_INTERVAL_MS = 1000.0  # ms between two reports to the policy that the same engine is unreachable
 MS_PER_SECOND = 1000
 
 
 class LocalityService:
-    """One member; the dispatcher's zone router."""
+    """The locality subsystem of one member; implements `core.ports.ZoneRouter` for the dispatcher."""
 
     def __init__(
         self,
@@ -51,21 +51,21 @@
         self.selector = ZoneSelector(settings, dispatcher.settings.classes, dispatcher.settings.cores_by_kind)
         self.addresses: Mapping[str, Address] = {}
         self.timer: Timer | None = None
-        self._request_counts: Counter[str] = Counter()  # since the last tick, by class
-        self._request_rates: dict[str, float] = {}  # a second, by class
+        self._request_counts: Counter[str] = Counter()  # requests since the last tick, by class
+        self._request_rates: dict[str, float] = {}  # requests per second, by class
         self._load_estimated_at = clock.now()
-        self._reported_at: dict[str, float] = {}  # when the policy was last notified of each unreachable engine
-        self._unknown_zones: set[str] = set()  # already logged
+        self._reported_at: dict[str, float] = {}  # time of the last report to the policy, by unreachable engine
+        self._unknown_zones: set[str] = set()  # zones without a region that have been logged
         self.closed = False
 
     def start(self) -> None:
-        """Take datagrams, route requests, and tick from now on."""
+        """Start receiving datagrams, routing requests and ticking."""
         self.cluster.subscribe(TOPIC, self._receive)
         self.dispatcher.zone_router = self
         self._schedule_tick()
 
     def update_engines(self, endpoints: list[Endpoint], addresses: Mapping[str, Address]) -> None:
-        """Take over the endpoint list."""
+        """Apply a new endpoint list."""
         self.addresses = addresses
         self.observer.update_engines(engine_capacities(endpoints, self.dispatcher.settings.cores_by_kind))
         self.selector.update_engines(endpoints)
@@ -74,26 +74,26 @@
         ):
             self._unknown_zones.add(zone)
             logger.warning(
-                "zone {zone!r} is in no <region>: its state is never decided, and it counts as a region of its own",
+                "zone {zone!r} is in no <region>: it is treated as a region of its own, and its state is never decided",
                 event="zone-unknown",
                 zone=zone,
             )
 
     def route(self, request_class: str) -> tuple[str, Collection[str] | None]:
-        """For one request of a class: the zone to prefer, and all that it may use; see `core.ports.ZoneRouter`."""
+        """Return the preferred zone and all allowed zones for one request; see `core.ports.ZoneRouter`."""
         self._request_counts[request_class] += 1
         statistics = self.dispatcher.gateway.statistics.get(request_class)
         spec = self.dispatcher.settings.classes.get(request_class)
-        # The mean, not the least that a request takes, by which a budget would be overdrawn.
+        # The average work of the class: with the minimum, the recovery budget of a zone would be overdrawn.
         work_ms = statistics.run_ms * spec.threads if statistics is not None and spec is not None else 0.0
         return self.selector.select(self.clock.now(), request_class, work_ms, self.coordinator)
 
     def attempt_ended(self, engine_id: str, request_class: str, outcome: Outcome, duration_ms: float) -> None:
-        """How an attempt ended; see `core.ports.ZoneRouter`."""
+        """Record the result of an attempt; see `core.ports.ZoneRouter`."""
         self.observer.attempt_ended(self.clock.now(), engine_id, request_class, outcome, duration_ms)
 
     def status(self) -> dict[str, Any]:
-        """Zones, quorum and this member's requests, for operators. The keys are the public form."""
+        """Return zones, quorum and this member's request counts, for operators. The keys are a public interface."""
         coordinator = self.coordinator
         return {
             "zones": coordinator.status(self.clock.now()),
@@ -106,7 +106,7 @@
         }
 
     def close(self) -> None:
-        """End with the program; requests that still come go anywhere."""
+        """Shut down; requests that still arrive may go to any zone."""
         self.closed = True
         self.dispatcher.zone_router = None
         self.cluster.unsubscribe(TOPIC)
@@ -145,7 +145,7 @@
         log_notices("locality", notices)
 
     def _estimate_load_cores(self, now: float) -> float:
-        """Cores that this member's own callers ask for, by the policy's estimate of each class's work."""
+        """Estimate the load of this member's own callers in cores, from the policy's work estimate of each class."""
         elapsed_ms, self._load_estimated_at = max(1.0, now - self._load_estimated_at), now
         weight, load_cores = 1 - math.exp(-elapsed_ms / RATE_TIME_CONSTANT_MS), 0.0
         for name, statistics in self.dispatcher.gateway.statistics.items():
@@ -171,7 +171,7 @@
         return on_result
 
     def _report_unreachable(self, now: float) -> None:
-        """Notify the policy of engines that this member can't reach, so that no request has to find out."""
+        """Report unreachable engines to the policy, so that no request is sent there just to fail."""
         unreachable = set(self.observer.unreachable_engines())
         self._reported_at = {engine: at for engine, at in self._reported_at.items() if engine in unreachable}
         for engine in unreachable:
--- a/decklb/locality/settings.py
+++ b/decklb/locality/settings.py
@@ -1,7 +1,7 @@
-"""Settings of locality: the regions, how zones' states are decided, and when requests leave their zone.
+"""Settings of locality: the regions, how the states of zones are decided, and when requests leave their zone.
 
-Made from the `<locality>` element by `config.sections.locality`, which translates its attributes; read by all of
-this package. Names ending in `_ms` are milliseconds; fractions are from 0 to 1.
+`config.sections.locality` creates them from the attributes of the `<locality>` element; all modules of this package
+read them. Names ending in `_ms` are milliseconds; fractions are from 0 to 1.
 """
 
 from __future__ import annotations
@@ -15,43 +15,48 @@
     """Who decides the states of zones. The values are those of the XML attribute `judge`."""
 
     COMMON = "common"  # a quorum of all members
-    ALONE = "alone"  # each member for itself
+    ALONE = "alone"  # each member on its own
 
 
 @dataclass(frozen=True, slots=True)
 class LocalitySettings:
-    """Regions and zones, thresholds of zones' states, voting, spillover and the recovery ramp."""
+    """Regions and zones, thresholds for the states of zones, voting, spillover and the recovery ramp.
 
-    home_zone: str = ""  # this member's own: its callers are there
-    regions: tuple[tuple[str, tuple[str, ...]], ...] = ()  # name and zones of each
-    member_count: int = 1  # managers in the whole fleet at the least: a side that knows fewer decides nothing
+    Raises:
+        ValueError: A value is out of range; the message names the attributes of the XML element.
+    """
+
+    home_zone: str = ""  # zone of this member and of its callers
+    regions: tuple[tuple[str, tuple[str, ...]], ...] = ()  # name and zones of each region
+    member_count: int = 1  # minimum number of managers in the fleet; without a majority of them nothing is decided
     decision_mode: DecisionMode = DecisionMode.COMMON
-    tick_ms: float = 250.0  # between two ticks of a member
-    health_check_interval_ms: float = 500.0  # between two checks of an engine that sent no answer meanwhile
+    tick_ms: float = 250.0  # ms between two ticks of a member
+    health_check_interval_ms: float = 500.0  # ms between two checks of an engine that has not answered in between
     health_check_timeout_ms: float = 250.0
-    unhealthy_threshold: int = 2  # failures in a row after which an engine counts as unreachable
-    observation_ttl_ms: float = 3000.0  # for which a member's observation of a zone, and its vote, count
-    stabilization_ms: float = 500.0  # for which a member must observe the same before it votes for it
-    min_state_duration_ms: float = 5000.0  # between two changes of one zone's state
-    vote_timeout_ms: float = 1500.0  # after which a term without a majority is given up for the next
-    isolation_grace_ms: float = 15_000.0  # for which a member without a quorum goes by the last common decision
-    recovery_ramp_ms: float = 10_000.0  # from a zone's return until it takes its whole share again
-    recovery_min_fraction: float = 0.05  # of its share at the moment of its return
-    out_threshold: float = 0.7  # fraction of a zone's capacity down, or attempts failed, from which it is out
-    degraded_threshold: float = 0.3  # likewise, from which it is degraded
-    degraded_latency_ratio: float = 4.0  # to the usual latency, from which a zone is degraded
-    max_utilization: float = 0.85  # of a zone's capacity that its own callers may fill before they spill over
-    panic_threshold: float = 0.4  # of all capacity healthy, below which every zone is used alike: errors, not a flood
+    unhealthy_threshold: int = 2  # consecutive failures after which an engine counts as unreachable
+    observation_ttl_ms: float = 3000.0  # ms for which observations and votes of a member are valid
+    stabilization_ms: float = 500.0  # ms for which a member must observe a state before it votes for it
+    min_state_duration_ms: float = 5000.0  # minimum ms between two changes of a zone's state
+    vote_timeout_ms: float = 1500.0  # ms after which a term without a majority is abandoned for the next
+    isolation_grace_ms: float = 15_000.0  # ms for which a member without a quorum keeps the last common decision
+    recovery_ramp_ms: float = 10_000.0  # ms from a zone's return until it receives its whole share again
+    recovery_min_fraction: float = 0.05  # fraction of its share that a zone receives at the moment of its return
+    out_threshold: float = 0.7  # fraction of capacity unreachable, or of attempts failed, from which a zone is out
+    degraded_threshold: float = 0.3  # the same fraction, from which a zone is degraded
+    degraded_latency_ratio: float = 4.0  # ratio to the usual latency from which a zone is degraded
+    max_utilization: float = 0.85  # fraction of a zone's capacity that its callers may use before they spill over
+    # Fraction of all capacity below which, if no more is usable, all zones are used regardless of their state: some
+    # requests fail then, but the remaining healthy zones are not overloaded.
+    panic_threshold: float = 0.4
 
     def __post_init__(self) -> None:
-        """Raises ValueError, which names the attributes of the XML element."""
         self._check_durations()
         self._check_thresholds()
         self._check_zones()
 
     @property
     def region_of(self) -> Mapping[str, str]:
-        """The region of each zone."""
+        """The region of each zone, by zone name."""
         return {zone: name for name, zones in self.regions for zone in zones}
 
     def _check_durations(self) -> None:
--- a/decklb/locality/spillover.py
+++ b/decklb/locality/spillover.py
@@ -1,11 +1,11 @@
-"""Spillover: which share of a zone's requests goes to which zone.
+"""Spillover: the share of a zone's requests that goes to each zone.
 
-Zone-aware routing as it is commonly published (Envoy's zone-aware and locality-weighted balancing, with a panic
-threshold): a caller's requests stay in its own zone while that has the capacity, and spill over to the nearest ones as
-far as needed. Beyond that, a common budget for a zone that returns: all managers compute it from the one moment at
-which its return was decided, so that together they never load it beyond the ramp.
+This is zone-aware routing as in Envoy (zone-aware and locality-weighted load balancing with a panic threshold):
+requests stay in the zone of their caller while it has the capacity, and only the excess spills over to the nearest
+zones. In addition, a returning zone has a recovery budget that is common to all managers: each computes it from the
+time at which the return was decided, so that together they never load the zone beyond its recovery ramp.
 
-Pure functions, no state. Called by `zone_selector.py` and by the laboratory.
+Pure functions without state. Called by `zone_selector.py` and by the laboratory.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.zone_state import ZoneState
 
-DEGRADED_FACTOR = 0.5  # of its usual capacity that a degraded zone is given
-ROUNDING = 1e-9  # of a share that does not count as spilling over
-LEAST_CAPACITY = 1e-9  # in place of none, so that shares can be taken of it
+DEGRADED_FACTOR = 0.5  # fraction of its usual capacity that a degraded zone may use
+ROUNDING_TOLERANCE = 1e-9  # a spillover share up to this is a rounding error
+MIN_CAPACITY = 1e-9  # used instead of 0, so that shares can be computed from capacities
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatus:
-    """A zone as it stands for routing. Capacity and load are in one unit: cores, or requests a second."""
+    """The data of a zone that routing needs. Capacity and load have the same unit: cores, or requests per second."""
 
     region: str
-    capacity: float  # of its engines that are up
-    load: float  # of the callers in it, as all managers report them
+    capacity: float  # capacity of the engines that are up
+    load: float  # load of the callers in this zone, summed over the reports of all managers
     state: ZoneState = ZoneState.HEALTHY
     state_since: float = 0.0  # ms
-    reachable_fraction: float = 1.0  # of its capacity, by members
+    reachable_fraction: float = 1.0  # fraction of the capacity that members can reach
 
 
 def usable_capacity(zone: ZoneStatus, now: float, settings: LocalitySettings) -> float:
-    """The load that a zone may be given now, by all callers together."""
+    """Return the load that all callers together may send to a zone now."""
     if zone.state is ZoneState.OUT:
         return 0.0
     if zone.state is ZoneState.RETURNING:
-        elapsed = min(1.0, max(0.0, (now - zone.state_since) / settings.recovery_ramp_ms))
-        least = settings.recovery_min_fraction
-        return zone.capacity * settings.max_utilization * (least + (1 - least) * elapsed)
+        elapsed_fraction = min(1.0, max(0.0, (now - zone.state_since) / settings.recovery_ramp_ms))
+        min_fraction = settings.recovery_min_fraction
+        return zone.capacity * settings.max_utilization * (min_fraction + (1 - min_fraction) * elapsed_fraction)
     if zone.state is ZoneState.DEGRADED:
         return zone.capacity * settings.max_utilization * DEGRADED_FACTOR
     return zone.capacity * settings.max_utilization
@@ -53,16 +53,17 @@
     settings: LocalitySettings,
     allowed: Collection[str] | None = None,
 ) -> dict[str, float]:
-    """The share of its requests that a caller sends to each zone; they come to 1, or nothing is allowed.
+    """Return the share of its requests that a caller sends to each zone.
 
-    Other regions are used only where no zone of the own region is healthy or degraded.
+    The shares sum to 1; the result is empty if no zone is allowed. Zones of other regions are used only if no zone of
+    the caller's region is healthy or degraded.
 
     Args:
         home: The caller's zone.
         zones: All zones by name.
-        now: The time, ms.
+        now: The current time in ms.
         settings: Thresholds and the recovery ramp.
-        allowed: Zones that the requests may go to at all, which always wins; None for any.
+        allowed: The only zones that may be used, regardless of all else; None for any.
     """
     permitted = {name: zone for name, zone in zones.items() if allowed is None or name in allowed}
     if not permitted:
@@ -73,35 +74,36 @@
         return _panic_shares(permitted, usable)
     candidates = _candidates(home, zones, permitted, usable)
     own_load = zones[home].load if home in zones else 0.0
-    stays = min(1.0, usable[home] / own_load) if home in candidates and own_load > 0 else float(home in candidates)
-    shares = {home: stays} if home in candidates and stays > 0 else {}
-    spilling = 1.0 - stays
-    if spilling <= ROUNDING:
+    home_share = min(1.0, usable[home] / own_load) if home in candidates and own_load > 0 else float(home in candidates)
+    shares = {home: home_share} if home in candidates and home_share > 0 else {}
+    spillover_share = 1.0 - home_share
+    if spillover_share <= ROUNDING_TOLERANCE:
         return shares
     weights = _spillover_weights(home, permitted, usable, candidates)
     for name, weight in weights.items():
         if weight > 0:
-            shares[name] = shares.get(name, 0.0) + spilling * weight / sum(weights.values())
+            shares[name] = shares.get(name, 0.0) + spillover_share * weight / sum(weights.values())
     return shares
 
 
 def _candidates(
     home: str, zones: Mapping[str, ZoneStatus], permitted: Mapping[str, ZoneStatus], usable: Mapping[str, float]
 ) -> set[str]:
-    """Zones of the own region if one of them is healthy or degraded, else all that may be given any load."""
+    """Return the zones to use: those of the own region if one of them is healthy or degraded, else all usable zones."""
     region = zones[home].region if home in zones else ""
-    near = {name for name, zone in permitted.items() if zone.region == region and zone.state is not ZoneState.OUT}
-    if any(permitted[name].state is not ZoneState.RETURNING for name in near):
-        return near
+    in_region = {name for name, zone in permitted.items() if zone.region == region and zone.state is not ZoneState.OUT}
+    if any(permitted[name].state is not ZoneState.RETURNING for name in in_region):
+        return in_region
     return {name for name, capacity in usable.items() if capacity > 0}
 
 
 def _spillover_weights(
     home: str, permitted: Mapping[str, ZoneStatus], usable: Mapping[str, float], candidates: set[str]
 ) -> dict[str, float]:
-    """What does not fit at home goes by what each zone can spare once its own callers are served.
+    """Return the weights by which the requests beyond the home zone's capacity are distributed.
 
-    Where no zone has any to spare, available zones share it by their usable capacity; never those that return.
+    The weight of a zone is the capacity left after serving its own callers. If no zone has any left, the weights are
+    the usable capacities of all zones except the returning ones.
     """
     loads = {name: permitted[name].load if usable[name] > 0 else 0.0 for name in candidates}
     spare = {name: max(0.0, usable[name] - loads[name]) for name in candidates if name != home}
@@ -112,10 +114,10 @@
 
 
 def _panic_shares(zones: Mapping[str, ZoneStatus], usable: Mapping[str, float]) -> dict[str, float]:
-    """Shares below the panic threshold: too little is healthy to take the load of the rest.
+    """Return the shares below the panic threshold, where the healthy zones could not take the load of the others.
 
-    All zones are used alike, by the capacity that is reached. Only zones that return keep to their budgets: load
-    that moves there would hit them while they are cold.
+    All zones are used in proportion to their reachable capacity, regardless of their state. Only returning zones keep
+    to their recovery budgets, as moving load there would overload them while they are cold.
     """
     load = sum(zone.load for zone in zones.values())
     returning = {
@@ -125,7 +127,7 @@
     }
     rest = {name: zone.capacity * zone.reachable_fraction for name, zone in zones.items() if name not in returning}
     if sum(rest.values()) <= 0:
-        rest = {name: max(zone.capacity, LEAST_CAPACITY) for name, zone in zones.items() if name not in returning}
+        rest = {name: max(zone.capacity, MIN_CAPACITY) for name, zone in zones.items() if name not in returning}
     budget = sum(returning.values())
     if not rest or budget > 1.0:
         return {name: share / budget for name, share in returning.items()}
--- a/decklb/locality/zone_selector.py
+++ b/decklb/locality/zone_selector.py
@@ -1,7 +1,7 @@
-"""The zone of each request of this member's own callers, so that the shares of `spillover.py` come out exactly.
+"""Selects the zone of each request of this member's own callers according to the shares of `spillover.py`.
 
-Owns, for each request class, the shares for now and the round robin over them, and the recovery budgets of zones that
-return. Called by `runtime.py` for each request; free of I/O. Times are ms on this member's monotonic clock.
+Owns the current shares of each request class, the round robin over them, and the recovery budgets of returning zones.
+Called by `runtime.py` for each request. Does no I/O. Times are ms on this member's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from decklb.locality.weighted_round_robin import WeightedRoundRobin
 from decklb.locality.zone_state import AVAILABLE_STATES, ZoneState
 
-SHARES_TTL_MS = 100.0  # for which shares are used before they are computed anew
+SHARES_TTL_MS = 100.0  # ms after which shares are recomputed
 
 
 class ZoneSelection(NamedTuple):
-    """Where a request may go."""
+    """The zones that a request may use."""
 
-    preferred: str  # the zone to use first; "" for any
-    allowed: Sequence[str] | None  # all zones that it may use; None for any
+    preferred: str  # zone to use first; "": any
+    allowed: Sequence[str] | None  # all zones that it may use; None: any
 
 
 ANY_ZONE = ZoneSelection("", None)
@@ -33,21 +33,21 @@
 
 @dataclass(slots=True)
 class ClassRouting:
-    """How the requests of one class are spread for now."""
+    """The current distribution of the requests of one class."""
 
     computed_at: float
     zones: WeightedRoundRobin
-    without_returning: WeightedRoundRobin  # the same without zones that return
-    recovery_cores: dict[str, float]  # that this member may use of each zone that returns
-    selections: dict[str, ZoneSelection]  # by preferred zone
+    without_returning: WeightedRoundRobin  # the same without returning zones
+    recovery_cores: dict[str, float]  # cores that this member may use in each returning zone
+    selections: dict[str, ZoneSelection]  # selections by preferred zone
 
 
 class ZoneSelector:
-    """One member's own callers.
+    """Selects zones for the requests of one member's own callers.
 
     Attributes:
-        region_of: The region of each zone that the settings name.
-        counts: Requests that went to the own zone (`near`) and to others (`away`).
+        region_of: The region of each zone in the settings.
+        counts: Number of requests sent to the own zone (`near`) and to other zones (`away`).
     """
 
     def __init__(
@@ -58,10 +58,10 @@
         self._settings, self._classes, self._cores_by_kind = settings, classes, cores_by_kind
         self._capacity: dict[str, dict[str, float]] = {}  # cores of engines that are up, by zone and kind
         self._routing: dict[str, ClassRouting] = {}  # by request class
-        self._budgets: dict[str, RecoveryBudget] = {}  # by zone that returns
+        self._budgets: dict[str, RecoveryBudget] = {}  # by returning zone
 
     def update_engines(self, endpoints: Sequence[Endpoint]) -> None:
-        """Take over the endpoint list."""
+        """Apply a new endpoint list."""
         self._capacity = {}
         for endpoint in endpoints:
             if endpoint.phase is Phase.UP:
@@ -71,15 +71,16 @@
         self._routing.clear()
 
     def select(self, now: float, request_class: str, work_ms: float, coordinator: ZoneCoordinator) -> ZoneSelection:
-        """The zones of the next request of a class.
+        """Return the zones for the next request of a class.
 
-        Any, where none of its allowed zones is on the endpoint list: the policy holds the request or ends it.
+        If none of its allowed zones is on the endpoint list, any zone is returned, and the policy delays or ends the
+        request.
 
         Args:
-            now: The time.
+            now: The current time.
             request_class: The request's class.
-            work_ms: Its estimated work, for the budget of a zone that returns.
-            coordinator: The states and loads of zones.
+            work_ms: The request's estimated work, charged to the budget of a returning zone.
+            coordinator: Supplies the states and loads of zones.
         """
         routing = self._routing.get(request_class)
         if routing is None or now - routing.computed_at >= SHARES_TTL_MS:
@@ -95,13 +96,13 @@
         return routing.selections[zone]
 
     def _refresh(self, now: float, request_class: str, coordinator: ZoneCoordinator) -> ClassRouting | None:
-        """Compute the routing of a class anew and keep it; None where no zone is allowed."""
+        """Recompute the routing of a class and store it; return None if no zone is allowed."""
         routing, previous = self._compute(now, request_class, coordinator), self._routing.get(request_class)
         if routing is None:
             return None
         if previous is not None:
-            routing.zones.take_over(previous.zones)
-            routing.without_returning.take_over(previous.without_returning)
+            routing.zones.inherit_credit(previous.zones)
+            routing.without_returning.inherit_credit(previous.without_returning)
         self._routing[request_class] = routing
         return routing
 
@@ -113,14 +114,15 @@
         )
         if not shares:
             return None
-        # A retry goes to any zone that is available or to the preferred one; never to another that returns, whose
-        # budget is spent by preferred zones alone. Where all are used alike (panic), all are open.
+        # A retry may use the available zones and the preferred zone. Other returning zones are excluded, as only the
+        # selection of the preferred zone is charged to their budgets. Below the panic threshold a preferred zone may
+        # be in any state.
         permitted = [name for name in zones if spec is None or spec.allowed_zones is None or name in spec.allowed_zones]
         available = {name for name in permitted if zones[name].state in AVAILABLE_STATES}
         returning = {name: share for name, share in shares.items() if zones[name].state is ZoneState.RETURNING}
         self._budgets = {name: budget for name, budget in self._budgets.items() if name in returning}
         rest = {name: share for name, share in shares.items() if name not in returning}
-        if returning and not rest:  # requests over the budgets go to all available zones
+        if returning and not rest:  # requests beyond the recovery budgets go to all available zones
             rest = dict.fromkeys(available, 1.0)
         total = sum(rest.values())
         return ClassRouting(
@@ -134,13 +136,14 @@
     def _zone_statuses(
         self, now: float, coordinator: ZoneCoordinator, kinds: Sequence[str] | None
     ) -> dict[str, ZoneStatus]:
-        """All zones that have engines of these kinds; None for any kind."""
+        """Return the status of all zones that have engines of these kinds (None: of any kind)."""
         loads, statuses = coordinator.load_cores(now), {}
         for zone, by_kind in self._capacity.items():
             cores = sum(count for kind, count in by_kind.items() if kinds is None or kind in kinds)
             if cores > 0:
                 state, since = coordinator.state(zone)
-                # What is up of a zone that is out counts in a panic alone: its state keeps requests away.
+                # For a zone that is out or returning the full capacity counts. What is reachable of a zone that is out
+                # matters only below the panic threshold, as otherwise its state already keeps requests away.
                 reachable = coordinator.reachable_fraction(zone, now)
                 capacity = cores * reachable if state in AVAILABLE_STATES else cores
                 region = self.region_of.get(zone, zone)
--- a/decklb/locality/zone_state.py
+++ b/decklb/locality/zone_state.py
@@ -1,6 +1,6 @@
-"""States of zones, what members observe of zones, and the votes and decisions that they exchange.
+"""States of zones, members' observations of zones, and the votes and decisions that members exchange.
 
-Types and one classification, no state. Used by all of this package.
+Defines types and the classification of observations; holds no state. Used by all modules of this package.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from decklb.locality.settings import LocalitySettings
 
-LEAVING_FACTOR = 0.8  # times the threshold at which a state is entered: where it is left (hysteresis)
+HYSTERESIS_FACTOR = 0.8  # a state is left below this multiple of the threshold at which it is entered
 NEVER = -float("inf")
 
 
 class ZoneState(IntEnum):
-    """Of a zone. The numbers are the wire format. A zone that was out returns before it is healthy."""
+    """State of a zone. The numbers are the wire format. A zone that was out is returning before it is healthy."""
 
     HEALTHY = 0
     DEGRADED = 1
@@ -26,11 +26,11 @@
     RETURNING = 3
 
 
-AVAILABLE_STATES = (ZoneState.HEALTHY, ZoneState.DEGRADED)  # any request may be sent there
+AVAILABLE_STATES = (ZoneState.HEALTHY, ZoneState.DEGRADED)  # zones in these states accept any request
 
 
 class DecidedState(NamedTuple):
-    """What holds for a zone, and since when (ms on this member's clock)."""
+    """The state of a zone, and since when it holds (ms on this member's clock)."""
 
     state: ZoneState
     since: float
@@ -38,29 +38,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneObservation:
-    """What one member has observed of a zone lately."""
+    """One member's recent observation of a zone."""
 
-    reachable_fraction: float  # of the zone's capacity, by this member
-    error_rate: float = 0.0  # fraction of its attempts there that the engines failed
-    latency_ratio: float = 1.0  # to the usual latency
-    health_checks_only: bool = False  # no request was sent there, all checks were answered: errors don't show
+    reachable_fraction: float  # fraction of the zone's capacity that this member can reach
+    error_rate: float = 0.0  # fraction of its attempts there that engines answered with an error
+    latency_ratio: float = 1.0  # ratio to the usual latency
+    health_checks_only: bool = False  # no recent requests and all health checks succeeded, so errors are not observed
 
     @property
     def unreachable(self) -> bool:
-        """Whether engines that can't be reached are what speaks against the zone; it may be the network to them."""
+        """Whether unreachable engines, not errors, are the main fault; this member's network may be the cause."""
         return 1.0 - self.reachable_fraction > self.error_rate
 
 
 class Vote(Struct, frozen=True, gc=False):
-    """A member's vote on a zone, as it tells all others."""
+    """A member's vote on a zone, as sent to all other members."""
 
     zone: str
     member: str
     term: int
-    state: ZoneState | None  # None: nothing that it observed speaks for a change
-    observed: bool  # it has sent requests there lately, or found engines unreachable
+    state: ZoneState | None  # None: the member votes for no change
+    observed: bool  # the member has recently sent requests there, or found engines unreachable
     unreachable: bool = False  # see ZoneObservation
-    reachable_fraction: float = 1.0  # of the zone's capacity
+    reachable_fraction: float = 1.0  # fraction of the zone's capacity
 
 
 class Decision(Struct, frozen=True, gc=False):
@@ -69,15 +69,16 @@
     zone: str
     term: int
     state: ZoneState
-    age_ms: float = 0.0  # since it was decided, by the sender's clock
+    age_ms: float = 0.0  # ms since the decision, by the sender's clock
 
 
 def classify(observation: ZoneObservation, current: ZoneState, settings: LocalitySettings) -> ZoneState:
-    """The state that an observation by itself speaks for.
+    """Return the state that corresponds to an observation.
 
-    A state is left only well past where it was entered, so that a zone at the edge does not flap.
+    The threshold for leaving a state is lower than the one for entering it, so that a zone close to a threshold does
+    not flap.
     """
-    factor = LEAVING_FACTOR if current in (ZoneState.DEGRADED, ZoneState.OUT) else 1.0
+    factor = HYSTERESIS_FACTOR if current in (ZoneState.DEGRADED, ZoneState.OUT) else 1.0
     failing = max(1.0 - observation.reachable_fraction, observation.error_rate)
     if failing >= settings.out_threshold * factor:
         return ZoneState.OUT
--- a/tests/test_locality_health_observer.py
+++ b/tests/test_locality_health_observer.py
@@ -7,13 +7,13 @@
 SETTINGS = LocalitySettings()
 
 
-def make_observer(zones=("a", "b"), each=2):
+def make_observer(zones=("a", "b"), engines_per_zone=2):
     observer = ZoneHealthObserver(SETTINGS, "m0")
-    observer.update_engines({f"{z}{i}": EngineCapacity(z, 4.0) for z in zones for i in range(each)})
+    observer.update_engines({f"{z}{i}": EngineCapacity(z, 4.0) for z in zones for i in range(engines_per_zone)})
     return observer
 
 
-def test_engines_are_unreachable_after_failures_in_a_row_and_reachable_after_one_answer():
+def test_engines_are_unreachable_after_consecutive_failures_and_reachable_after_one_answer():
     observer = make_observer()
     assert observer.observation("a", 0.0) is None
     assert not observer.health_check_ended(1.0, "a0", False, 250.0)
@@ -25,7 +25,7 @@
     assert (observer.observation("a", 4.0).reachable_fraction, observer.unreachable_engines()) == (1.0, [])
 
 
-def test_a_timed_out_request_is_no_failure_of_an_engine_that_answered_meanwhile():
+def test_a_timed_out_request_is_no_failure_of_an_engine_that_answered_others_in_that_time():
     observer = make_observer()
     observer.attempt_ended(1000.0, "a0", "q", Outcome.SUCCESS, 5.0)
     for _ in range(3):
@@ -36,9 +36,9 @@
     assert observer.unreachable_engines() == ["a0"]
 
 
-def test_only_engines_without_a_recent_answer_are_checked_and_more_rarely_in_a_large_fleet():
-    observer = make_observer(each=20)
-    assert len(observer.take_due_health_checks(0.0, 5)) == 16  # a few of each zone
+def test_only_engines_without_a_recent_answer_are_checked_and_less_often_in_a_large_fleet():
+    observer = make_observer(engines_per_zone=20)
+    assert len(observer.take_due_health_checks(0.0, 5)) == 16  # 8 of the 20 engines of each zone
     assert observer.take_due_health_checks(SETTINGS.health_check_interval_ms / 2, 5) == []
     first = observer.zones["a"].checked_engines[0]
     observer.attempt_ended(SETTINGS.health_check_interval_ms, first, "q", Outcome.SUCCESS, 1.0)
@@ -47,7 +47,7 @@
     assert len(observer.take_due_health_checks(5 * SETTINGS.health_check_interval_ms, 64)) == 16
 
 
-def test_health_checks_alone_are_marked_and_requests_show_errors_and_latency():
+def test_observations_from_health_checks_only_are_marked_and_requests_show_errors_and_latency():
     observer = make_observer()
     for i in range(100):
         for z in "ab":
@@ -57,9 +57,9 @@
         observer.attempt_ended(200.0 + i, "a0", "q", Outcome.ERROR, 1.0)
         observer.attempt_ended(200.0 + i, "b0", "q", Outcome.SUCCESS, 10.0)
         observer.health_check_ended(200.0 + i, "a0", True, 200.0)
-    bad, well = observer.observation("a", 300.0), observer.observation("b", 300.0)
-    assert not bad.health_checks_only
-    assert not well.health_checks_only
-    assert bad.error_rate > SETTINGS.out_threshold
-    assert bad.latency_ratio > SETTINGS.degraded_latency_ratio
-    assert max(well.error_rate, well.latency_ratio) < 1.5
+    failing, healthy = observer.observation("a", 300.0), observer.observation("b", 300.0)
+    assert not failing.health_checks_only
+    assert not healthy.health_checks_only
+    assert failing.error_rate > SETTINGS.out_threshold
+    assert failing.latency_ratio > SETTINGS.degraded_latency_ratio
+    assert max(healthy.error_rate, healthy.latency_ratio) < 1.5
--- a/tests/test_locality_round_robin.py
+++ b/tests/test_locality_round_robin.py
@@ -13,9 +13,9 @@
         assert all(abs(counts[name] - picks * weight) <= 1 for name, weight in weights.items())
 
 
-def test_credit_is_taken_over_for_items_that_stay():
-    before = WeightedRoundRobin({"a": 0.5, "b": 0.5})
-    before.pick()
-    after = WeightedRoundRobin({"a": 0.5, "c": 0.5})
-    after.take_over(before)
-    assert after.credit == {"a": before.credit["a"]}
+def test_credit_is_inherited_for_items_that_remain():
+    previous = WeightedRoundRobin({"a": 0.5, "b": 0.5})
+    previous.pick()
+    current = WeightedRoundRobin({"a": 0.5, "c": 0.5})
+    current.inherit_credit(previous)
+    assert current.credit == {"a": previous.credit["a"]}
