--- a/decklb/locality/settings.py
+++ b/decklb/locality/settings.py
@@ -73,7 +73,7 @@
         if min(durations) <= 0:
             raise ValueError("fresh, settle, hold, retry, keep, ramp, tick and look must be above 0")
         if not 0 < self.health_check_timeout_ms <= self.health_check_interval_ms:
-            raise ValueError("timeout must be above 0, at most look")
+            raise ValueError("timeout must be above 0 and at most look")
         if self.observation_ttl_ms < 3 * max(self.tick_ms, self.health_check_interval_ms):
             raise ValueError("fresh must be at least three times tick and look, or one lost word would blind a member")
 
@@ -86,7 +86,9 @@
             and 0 <= self.panic_threshold < 1
             and self.degraded_latency_ratio > 1
         ):
-            raise ValueError("ramp-floor and full are shares above 0, panic one below 100%, slow is above 1")
+            raise ValueError(
+                "ramp-floor and full must be above 0 and at most 100%, panic at least 0 and below 100%, slow above 1"
+            )
         if self.member_count < 1 or self.unhealthy_threshold < 1:
             raise ValueError("members and misses must be at least 1")
 
--- a/decklb/maintenance/acceptor.py
+++ b/decklb/maintenance/acceptor.py
@@ -1,9 +1,10 @@
-"""The acceptor of the replicated register: one member's promises and the value it has accepted.
+"""The acceptor of the replicated register: one member's promises and its last accepted value.
 
-Owns the state that must survive a restart (`AcceptorState`) and its recovery. A member that restarts without it has
-forgotten its promises. It then rejects every proposal until proposals that count on those promises are over and it has
-read the state of a majority of the others, or of all of them; else a committed change could be lost. Where so many
-members restart at once that no majority remembers, what only they had accepted is lost with them.
+Owns the state that must survive a restart (`AcceptorState`) and its recovery. A member that restarts without this state
+has forgotten its promises. To not lose a committed change, it rejects all proposals until two conditions hold: the
+rounds that rely on those promises are over, and it has read the state of enough other members: a majority of all
+members, or every other member. If so many members restart at once that no majority remembers, the values that only
+they had accepted are lost.
 
 Called by `replicated_register.py` with the messages of other members, and by this member's own proposer.
 """
@@ -41,20 +42,20 @@
         state: AcceptorState | None,
         persist: Callable[[AcceptorState], bool],
     ) -> None:
-        """Starts from `state`, or recovers where there is none.
+        """Start from a persisted state, or start the recovery if there is none.
 
         Args:
-            member_count: Members of the whole fleet.
-            nonce: Random number that marks the replies to this process's recovery.
-            recovery_starts_at: Time (ms) by which no proposal lives that counts on promises of an earlier process.
-            request_interval_ms: Between two requests for the others' state.
-            state: What an earlier process of this member persisted; None if nothing.
-            persist: Writes the state before any reply rests on it; returns whether it is written.
+            member_count: Number of members in the whole fleet.
+            nonce: Random number that identifies replies to this process's recovery.
+            recovery_starts_at: Time (ms) by which all rounds that rely on promises of an earlier process are over.
+            request_interval_ms: Interval between two requests for the state of the other members.
+            state: State persisted by an earlier process of this member, or None.
+            persist: Writes the state before a reply that depends on it is sent; returns whether it was written.
         """
         self.promised = NO_BALLOT if state is None else state.promised
         self.accepted = NOTHING_ACCEPTED if state is None else state.accepted
         self.recovering = member_count > 1 and state is None
-        self.highest_number = 0  # of all ballots seen
+        self.highest_number = 0  # highest ballot number seen
         self._member_count = member_count
         self._persist = persist
         self._nonce = nonce
@@ -63,26 +64,26 @@
         self._requested_at = -float("inf")
         self._state_replies: dict[str, StateReply] = {}
 
-    def observe(self, number: int) -> None:
-        """Note the number of a ballot, for this member's next proposal to be above it."""
+    def observe_ballot_number(self, number: int) -> None:
+        """Record the number of a ballot, so that this member's next ballot is above it."""
         self.highest_number = max(self.highest_number, number)
 
     def next_ballot_number(self) -> int:
-        """A number above those of all ballots seen and promised."""
+        """Return a number above those of all ballots seen and promised."""
         self.highest_number = max(self.highest_number, self.promised.number) + 1
         return self.highest_number
 
     def on_prepare(self, message: Prepare) -> Promise | Rejected:
-        """Phase 1: promise the ballot if it is above every promise before, and the promise is persisted."""
+        """Phase 1: promise the ballot if it is above all earlier promises and the promise can be persisted."""
         ballot = message.ballot
-        self.observe(ballot.number)
+        self.observe_ballot_number(ballot.number)
         if self.recovering or ballot <= self.promised or not self._persist(AcceptorState(ballot, self.accepted)):
             return self._reject(ballot)
         self.promised = ballot
         return Promise(ballot, *self.accepted)
 
     def on_accept(self, message: Accept) -> Accepted | Rejected:
-        """Phase 2: accept the value unless a higher ballot is promised, or it can't be persisted."""
+        """Phase 2: accept the value unless a higher ballot is promised or the value cannot be persisted."""
         accepted = AcceptedValue(message.ballot, message.value)
         state = AcceptorState(message.ballot, accepted)
         if self.recovering or message.ballot < self.promised or not self._persist(state):
@@ -91,11 +92,11 @@
         return Accepted(message.ballot)
 
     def on_state_request(self, message: StateRequest) -> StateReply:
-        """The state, for a member that recovers."""
+        """Return this acceptor's state for a member that is recovering."""
         return StateReply(message.nonce, self.promised, *self.accepted, not self.recovering)
 
     def state_request(self, now: float) -> StateRequest | None:
-        """The request to all others that is due now; None where none is."""
+        """Return the request to broadcast now; None if no request is due."""
         if not self.recovering or now < self._recovery_starts_at:
             return None
         if now - self._requested_at < self._request_interval_ms:
@@ -104,10 +105,11 @@
         return StateRequest(self._nonce)
 
     def on_state_reply(self, sender: str, message: StateReply) -> None:
-        """Another member's state; ends the recovery once enough of them are known.
+        """Process another member's state; the recovery ends once enough states are known.
 
-        What this member promised in an earlier process, it promised to a proposer of a majority. With a majority of the
-        others' states the highest of all is known, as any two majorities share a member that has not forgotten.
+        A promise of this member's earlier process matters only as part of a majority of promises. Any two majorities
+        share a member, so the states of a majority of members that have not forgotten include the highest promise
+        and the newest value that can have been committed.
         """
         if not self.recovering or message.nonce != self._nonce:
             return
@@ -120,7 +122,7 @@
         newest = max(recovered, key=lambda reply: reply.accepted, default=None)
         if newest is not None and newest.accepted > self.accepted.ballot:
             self.accepted = AcceptedValue(newest.accepted, newest.value)
-        self.observe(self.promised.number)
+        self.observe_ballot_number(self.promised.number)
         self.recovering = not self._persist(AcceptorState(self.promised, self.accepted))
 
     def _reject(self, ballot: Ballot) -> Rejected:
--- a/decklb/maintenance/disruption_budget.py
+++ b/decklb/maintenance/disruption_budget.py
@@ -1,8 +1,8 @@
 """The disruption budget: whether a waiting machine may be drained now, and if not, why.
 
-Bounds the machines that are disrupted at a time (over all, by zone, by fraction of a zone's cores) and keeps the load
-of the rest within the utilization allowed. Called by `scheduling.py`. No state, free of I/O. The reasons are texts for
-operators and are stored in the plan.
+Limits the machines that are disrupted at the same time (in total, per zone, and as a fraction of a zone's cores), and
+the utilization of the machines that remain. Stateless and does no I/O. Called by `scheduling.py`. The reasons are texts
+for operators; they are stored in the plan and so are part of its stored and transmitted form.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from decklb.maintenance.plan import DISRUPTED_STAGES, MANAGERS_ZONE, Machine, Plan
 from decklb.maintenance.settings import MaintenanceSettings
 
-ROUNDING = 1e-9  # cores that sums may differ by
+ROUNDING_TOLERANCE = 1e-9  # rounding error in cores that sums may have
 
 
 def blocking_reason(plan: Plan, machine: Machine, fleet: FleetStatus, settings: MaintenanceSettings) -> str:
-    """Why a machine may not be drained now, the first reason that holds; "" where it may."""
+    """Return the first reason why a machine may not be drained now; "" if it may be drained."""
     status = fleet.machines.get(machine.name)
     if status is None:
         return f"{machine.name} is on no list"
@@ -44,12 +44,12 @@
 
 
 def _zone_reason(zone: str, unavailable: set[str], fleet: FleetStatus, settings: MaintenanceSettings) -> str:
-    """Whether the zone keeps enough of its cores, and enough for its load."""
+    """Return a reason if the zone would lose too large a fraction of its cores, or too many for its load."""
     machines = [status for status in fleet.machines.values() if status.zone == zone]
     total = sum(status.cores for status in machines)
     out = sum(status.cores for status in machines if status.name in unavailable)
     fraction = settings.max_unavailable_zone_fraction
-    if out > fraction * total + ROUNDING:
+    if out > fraction * total + ROUNDING_TOLERANCE:
         return f"{out:g} of {total:g} cores of zone {zone} would be out; {100 * fraction:g}% may be"
     remaining = _remaining_cores(machines, unavailable)
     if fleet.load_cores.get(zone, 0.0) > settings.max_utilization * remaining:
--- a/decklb/maintenance/endpoint_overlay.py
+++ b/decklb/maintenance/endpoint_overlay.py
@@ -1,7 +1,7 @@
-"""Lays the plan over the endpoint list: unavailable engines drain, those just back start slowly.
+"""Applies the plan to the endpoint list: unavailable engines are draining, returned engines are in slow start.
 
-Owns what the plan was last seen to say, and since when each engine warms on this member's clock (the plan's times are
-other members' wall clocks). Called by `runtime.py`; free of I/O.
+Owns the sets of unavailable and warming machines last seen in the plan, and since when each engine is warming on this
+member's clock (the times in the plan are from the wall clocks of other members). Does no I/O. Called by `runtime.py`.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class EndpointOverlay:
-    """One member's endpoint list under the plan."""
+    """Changes that the plan makes to one member's endpoint list."""
 
     def __init__(self) -> None:
         self._seen: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # unavailable, warming
         self._warming_since: dict[str, float] = {}  # ms, by engine
 
-    def follow(self, now: float, plan: Plan, unavailable: frozenset[str]) -> bool:
-        """Take over the plan; returns whether the endpoint list has to be applied again."""
+    def update_plan(self, now: float, plan: Plan, unavailable: frozenset[str]) -> bool:
+        """Update to a plan, and return whether the endpoint list has to be applied again."""
         warming = frozenset(machine.name for machine in plan.machines_in((Stage.WARMING,)))
         self._warming_since = {name: self._warming_since.get(name, now) for name in warming}
         previous, self._seen = self._seen, (unavailable, warming)
         return self._seen != previous
 
     def apply(self, endpoints: list[Endpoint], unavailable: frozenset[str]) -> list[Endpoint]:
-        """The endpoint list as the plan lets it be used."""
+        """Return the endpoint list with the changes of the plan."""
         return [self._apply_to(endpoint, unavailable) for endpoint in endpoints]
 
     def _apply_to(self, endpoint: Endpoint, unavailable: frozenset[str]) -> Endpoint:
--- a/decklb/maintenance/errors.py
+++ b/decklb/maintenance/errors.py
@@ -1,59 +1,60 @@
-"""Errors of maintenance, each with what to do about it. Operators read the texts as answers to their requests."""
+"""Errors of maintenance. Operators receive the messages as answers, so each message says what to do."""
 
 from __future__ import annotations
 
 
 class MaintenanceError(ValueError):
-    """Base of all: an operator's request that can't be taken, or a plan that can't be kept or sent."""
+    """Base class: an operator's request cannot be accepted, or a plan cannot be stored or sent."""
 
 
 class InvalidRequestError(MaintenanceError):
-    """A request lacks what it needs, or a part of it is of the wrong kind; the text names it."""
+    """A field of a request is missing or invalid; the message names it."""
 
 
 class UnknownMachineError(MaintenanceError):
-    """The request names no machine that is known."""
+    """A target of the request matches no known machine."""
 
     def __init__(self, target: str) -> None:
-        super().__init__(f"no engine is called {target!r}, nor is any in a zone of that name; `status` lists them")
+        super().__init__(f"{target!r} matches no engine, zone or manager; `status` lists the known machines")
 
 
 class MachineAlreadyPlannedError(MaintenanceError):
-    """A machine is in another job that has not ended."""
+    """A machine is in another job that has not finished."""
 
     def __init__(self, machine: str, job_id: str) -> None:
-        super().__init__(f"{machine} is in job {job_id} already; cancel that one first, or leave the machine out")
+        super().__init__(f"{machine} is in job {job_id} already; cancel that job first, or omit the machine")
 
 
 class UnknownJobError(MaintenanceError):
-    """No job of that name is open."""
+    """There is no active job of that name."""
 
     def __init__(self, job_id: str) -> None:
-        super().__init__(f"no open job is called {job_id!r}; `status` lists them")
+        super().__init__(f"no active job is named {job_id!r}; `status` lists the jobs")
 
 
 class MachineNotOutError(MaintenanceError):
-    """A machine is reported as returned that is not out."""
+    """A machine was reported as returned but is not out."""
 
     def __init__(self, machine: str) -> None:
-        super().__init__(f"{machine} is not out for work; `status` tells where it stands")
+        super().__init__(f"{machine} is not out for maintenance; `status` shows its stage")
 
 
 class QuorumUnavailableError(MaintenanceError):
-    """A change could not be agreed on in time."""
+    """No majority of the members confirmed a change in time."""
 
     def __init__(self) -> None:
         super().__init__(
-            "no majority of the members has answered; it may still come to be done: see `status` before asking again"
+            "no majority of the members answered in time; the change may still take effect: "
+            "check `status` before retrying"
         )
 
 
 class PlanTooLargeError(MaintenanceError):
-    """The plan has more bytes than members take in one message."""
+    """The plan has more bytes than fit into one message between members."""
 
     def __init__(self, size: int, limit: int) -> None:
-        super().__init__(f"the plan has {size} bytes; at most {limit} fit: let jobs end first")
+        super().__init__(f"the plan has {size} bytes, but at most {limit} are allowed; wait until jobs have finished")
 
 
 class PlanStoreError(MaintenanceError):
-    """The folder of the store can't be used: free room there, or name another."""
+    """The folder of the store cannot be used: free disk space there, or configure another folder."""
--- a/decklb/maintenance/fleet_observer.py
+++ b/decklb/maintenance/fleet_observer.py
@@ -1,7 +1,8 @@
 """Aggregates the members' reports and this member's own observation into the status of the fleet.
 
-Owns the last report of each member, when each was first and last heard, and which engines this member saw down. Called
-by `orchestrator.py`. Free of I/O. Times are ms on this member's monotonic clock unless a name says otherwise.
+Owns the last report of each member, the times at which each member was first and last heard from, and the engines that
+this member has seen down. Does no I/O. Called by `orchestrator.py`. Times are ms on this member's monotonic clock
+unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -18,34 +19,34 @@
 
 @dataclass(slots=True)
 class LocalObservation:
-    """What this member observes by itself, given at each tick."""
+    """This member's own observation, updated at each tick."""
 
-    in_flight: Mapping[str, int] = field(default_factory=dict)  # attempts, by engine
-    unreachable: frozenset[str] = frozenset()  # engines
-    load_cores: Mapping[str, float] = field(default_factory=dict)  # by zone of the callers
+    in_flight: Mapping[str, int] = field(default_factory=dict)  # number of attempts by engine
+    unreachable: frozenset[str] = frozenset()  # engines that this member cannot reach
+    load_cores: Mapping[str, float] = field(default_factory=dict)  # load in cores by zone of the callers
     unhealthy_zones: frozenset[str] = frozenset()
 
 
 class ReceivedReport(NamedTuple):
-    """A member's newest report, and when it came."""
+    """A member's newest report, and the time of its receipt."""
 
     report: Report
     received_at: float
 
 
 def manager_machine(name: str) -> str:
-    """What a manager is called as a machine of the plan."""
+    """Return the name of a manager as a machine of the plan."""
     return f"manager:{name}"
 
 
 class FleetObserver:
-    """What one member knows of all.
+    """One member's knowledge of the fleet.
 
     Attributes:
         engines: All engines on the endpoint list, with their zone and cores.
-        alive: Names of the members alive, this one included.
+        alive: Names of the members alive, including this one.
         local: This member's own observation.
-        seen_down: Engines that this member saw down since they are out.
+        seen_down: Engines that are out and that this member has seen down since then.
     """
 
     def __init__(self, settings: MaintenanceSettings, member: str, incarnation: int, now: float) -> None:
@@ -55,47 +56,47 @@
         self.seen_down: frozenset[str] = frozenset()
         self._settings, self._member, self._incarnation = settings, member, incarnation
         self._reports: dict[str, ReceivedReport] = {}
-        self._known_since: dict[str, float] = {}  # other members, by name
-        self._process_known_since = {member: now}  # when each member's present process was first heard
+        self._known_since: dict[str, float] = {}  # by name of the other member
+        self._process_known_since = {member: now}  # time of the first report of each member's current process
 
     def update_members(self, now: float, alive: Collection[str], known: Collection[str]) -> None:
-        """Take over who is alive, and all members that have not left."""
+        """Update the members that are alive, and all members that have not left."""
         self.alive = frozenset(alive) | {self._member}
         for name in [n for n in self._reports if n not in known]:
             del self._reports[name]
         self._known_since = {n: self._known_since.get(n, now) for n in known if n != self._member}
 
     def add_report(self, now: float, sender: str, report: Report) -> None:
-        """Take another member's report."""
+        """Record another member's report."""
         previous = self._reports.get(sender)
         if previous is None or previous.report.incarnation != report.incarnation:
             self._process_known_since[sender] = now
         self._reports[sender] = ReceivedReport(report, now)
 
     def observe(self, local: LocalObservation) -> None:
-        """Take this member's own observation."""
+        """Record this member's own observation."""
         self.local = local
 
     def track_seen_down(self, plan: Plan) -> None:
-        """Remember which of the machines that are out were seen down, maybe only for a moment."""
+        """Remember which of the machines that are out have been seen down, even if only briefly."""
         out = {machine.name for machine in plan.machines_in((Stage.OUT,))}
         self.seen_down = frozenset(out & (self.seen_down | self.local.unreachable))
 
     def known_machines(self) -> Mapping[str, MachineStatus]:
-        """All machines that a request may name."""
+        """Return all machines that a request may name."""
         return {**self.engines, **self._managers({name: r.report for name, r in self._reports.items()})}
 
     def fleet_status(
         self, now: float, unix_ms: float, plan: Plan, own_step_count: int, plan_known_for_ms: float
     ) -> FleetStatus:
-        """What is known now, for a step on a plan.
+        """Return the current status of the fleet, on which the next step of a plan is decided.
 
         Args:
-            now: The time.
-            unix_ms: The same by the wall clock.
-            plan: The plan that the step is to change.
-            own_step_count: Steps of the newest plan that this member knows to be committed.
-            plan_known_for_ms: For how long it has known that plan.
+            now: The current time.
+            unix_ms: The current time by the wall clock.
+            plan: The plan that the step would change.
+            own_step_count: Step count of the newest plan that this member knows to be committed.
+            plan_known_for_ms: How long this member has known that plan.
         """
         fresh = {
             name: received.report
@@ -114,21 +115,21 @@
         )
 
     def _engine_status(self, engine: MachineStatus, reports: Collection[Report]) -> MachineStatus:
-        """One engine by the votes of a majority of all members.
+        """Return the status of one engine as a majority of all members reports it.
 
-        Whoever has reported nothing for a while has not reported that it is reachable either.
+        A member without a recent report is not counted as reaching the engine.
         """
         name = engine.name
-        reaching = sum(name not in report.unreachable for report in reports) + (name not in self.local.unreachable)
-        saw_down = sum(name in report.seen_down for report in reports) + (name in self.seen_down)
+        reachable_votes = sum(name not in r.unreachable for r in reports) + (name not in self.local.unreachable)
+        seen_down_votes = sum(name in report.seen_down for report in reports) + (name in self.seen_down)
         in_flight = sum(report.in_flight.get(name, 0) for report in reports) + self.local.in_flight.get(name, 0)
         return MachineStatus(
             name,
             engine.zone,
             engine.cores,
-            reachable=2 * reaching > self._settings.member_count,
+            reachable=2 * reachable_votes > self._settings.member_count,
             in_flight=in_flight,
-            seen_down=2 * saw_down > self._settings.member_count,
+            seen_down=2 * seen_down_votes > self._settings.member_count,
         )
 
     def _managers(self, reports: Mapping[str, Report]) -> dict[str, MachineStatus]:
@@ -146,14 +147,17 @@
         }
 
     def _known_to_others(self, now: float, plan: Plan, fresh: Mapping[str, Report]) -> bool:
-        """Whether every other member that is not absent has reported at least this plan."""
+        """Return whether every other member that is not absent has reported this plan or a newer one."""
         return all(
             (name in fresh and fresh[name].step_count >= plan.step_count) or self._absent(name, now)
             for name in self._known_since
         )
 
     def _in_flight_certain(self, now: float) -> bool:
-        """Whether each member's process is known for as long as a drain: work of an earlier one has ended by then."""
+        """Return whether the current process of each member has been known for at least the drain timeout.
+
+        By then the work of an earlier process, which the current one does not count, has ended.
+        """
         return all(
             now - self._process_known_since.get(name, now) >= self._settings.drain_timeout_ms
             for name in {self._member, *self._known_since}
@@ -161,7 +165,7 @@
         )
 
     def _absent(self, name: str, now: float) -> bool:
-        """Whether a member has reported nothing for so long that it is no longer waited for."""
+        """Return whether a member has not reported for so long that the plan no longer waits for it."""
         if name == self._member:
             return False
         received = self._reports.get(name)
--- a/decklb/maintenance/messages.py
+++ b/decklb/maintenance/messages.py
@@ -1,7 +1,7 @@
-"""Codec of the messages between members about the plan: MessagePack, in fragments that fit a cluster datagram.
+"""Codec of the messages that members exchange about the plan: MessagePack, in fragments that fit a cluster datagram.
 
-Owns the wire format (versions, tags, order of fields, bounds) and, in `Reassembler`, the fragments of messages that are
-not complete yet. Called by `orchestrator.py`; the store uses the plan's encoding too. Free of I/O.
+Defines the wire format (versions, tags, order of fields, bounds). `Reassembler` holds the fragments of incomplete
+messages. Called by `orchestrator.py`; the store also uses the encoding of the plan. Does no I/O.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from decklb.maintenance.paxos_messages import RegisterMessage
 from decklb.maintenance.plan import Plan
 
-TOPIC = "maintenance"  # of the cluster's datagrams
+TOPIC = "maintenance"  # topic of the cluster datagrams
 VERSION = 1
-FRAGMENT_BYTES = 1000  # of a message in one datagram
-MAX_FRAGMENTS = 64  # of one message
-MAX_INCOMPLETE_MESSAGES = 64  # of which fragments lack; older ones are dropped
+FRAGMENT_BYTES = 1000  # maximum number of bytes of a message per datagram
+MAX_FRAGMENTS = 64  # per message
+MAX_INCOMPLETE_MESSAGES = 64  # maximum number of messages with missing fragments; the oldest are dropped
 MAX_REPORTED_ENGINES = 1000
 
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
@@ -29,24 +29,25 @@
 
 
 class Report(Struct, array_like=True, tag=9, frozen=True):
-    """What one member knows, sent to all others on a change and every few ticks."""
+    """One member's report, sent to all other members on a change and every few ticks."""
 
-    step_count: NonNegative  # of the newest plan that it knows to be committed
-    committed_ballot: tuple[NonNegative, str]  # of that plan
-    incarnation: NonNegative  # which run of its process it is
-    in_flight: Annotated[dict[Name, NonNegative], Meta(max_length=MAX_REPORTED_ENGINES)]  # at unavailable engines
+    step_count: NonNegative  # step count of the newest plan that the member knows to be committed
+    committed_ballot: tuple[NonNegative, str]  # ballot of that plan
+    incarnation: NonNegative  # identifies the run of the member's process
+    # Number of this member's attempts in flight, by unavailable engine.
+    in_flight: Annotated[dict[Name, NonNegative], Meta(max_length=MAX_REPORTED_ENGINES)]
     unreachable: Engines
-    seen_down: Engines  # at some time since they are out
+    seen_down: Engines  # engines seen down since they are out
 
 
 Message = RegisterMessage | Report
 
 
 class Fragment(Struct, array_like=True, frozen=True):
-    """A piece of one message."""
+    """A part of one message."""
 
     version: int
-    message_id: NonNegative  # counted by its sender
+    message_id: NonNegative  # assigned by the sender, increasing
     index: Annotated[int, Meta(ge=0, lt=MAX_FRAGMENTS)]
     count: Annotated[int, Meta(ge=1, le=MAX_FRAGMENTS)]
     data: Annotated[bytes, Meta(max_length=FRAGMENT_BYTES)]
@@ -59,15 +60,15 @@
 
 
 def encode_plan(plan: Plan) -> bytes:
-    """The plan as the register carries it and the store keeps it."""
+    """Encode a plan for the register and the store."""
     return _encoder.encode(plan)
 
 
 def decode_plan(data: bytes) -> Plan:
-    """The plan of its bytes.
+    """Decode a plan.
 
     Raises:
-        WireError: The bytes are no plan.
+        WireError: The bytes are not a valid plan.
     """
     try:
         return _plan_decoder.decode(data)
@@ -76,10 +77,10 @@
 
 
 def encode_fragments(message_id: int, message: Message) -> list[bytes]:
-    """One message as datagrams.
+    """Encode one message as datagrams.
 
     Raises:
-        PlanTooLargeError: It has more fragments than members take.
+        PlanTooLargeError: The message needs more than MAX_FRAGMENTS datagrams.
     """
     data = _encoder.encode(message)
     pieces = [data[start : start + FRAGMENT_BYTES] for start in range(0, len(data), FRAGMENT_BYTES)]
@@ -91,16 +92,16 @@
 
 
 class Reassembler:
-    """Puts messages together from their fragments; one that stays incomplete is dropped for newer ones."""
+    """Reassembles messages from their fragments; the oldest incomplete messages are dropped if there are too many."""
 
     def __init__(self) -> None:
         self._incomplete: dict[tuple[str, int], dict[int, bytes]] = {}  # by sender and message id
 
     def receive(self, sender: str, data: bytes) -> Message | None:
-        """Take one datagram; returns the message that it completes, if any.
+        """Process one datagram, and return the message that it completes, if any.
 
         Raises:
-            WireError: The datagram, or the message, can't be read.
+            WireError: The datagram or the message is malformed.
         """
         try:
             fragment = _fragment_decoder.decode(data)
--- a/decklb/maintenance/operator_requests.py
+++ b/decklb/maintenance/operator_requests.py
@@ -1,7 +1,7 @@
-"""Changes of the plan that operators ask for: take machines out, cancel a job, report a machine as returned.
+"""Changes of the plan that operators request: take machines out, cancel a job, report a machine as returned.
 
-Each takes a plan and returns the next, and is idempotent: a proposal that is tried anew may find itself done. Called by
-`orchestrator.py` through the replicated register. Free of I/O.
+Each function takes a plan and returns the changed plan. They are idempotent, as a proposal that is retried may already
+have been committed. Called by `orchestrator.py` through the replicated register. Does no I/O.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from decklb.maintenance.fleet_status import MachineStatus
 from decklb.maintenance.plan import FINISHED_STAGES, Job, Machine, Plan, Stage, map_machines, move_machine
 
-MAX_JOB_NAME = 64  # characters
-MAX_REASON = 200  # characters; the rest is cut
+MAX_JOB_ID_LENGTH = 64  # characters
+MAX_REASON_LENGTH = 200  # characters; a longer reason is truncated
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,30 +34,30 @@
     job_id: str
     targets: tuple[str, ...]  # engines by id, zone or pattern, managers as `manager:NAME`
     reason: str
-    window_ms: float  # for the work on one machine; 0 for the default
+    window_ms: float  # expected duration of the work on one machine in ms; 0: the default
 
     @classmethod
     def parse(cls, fields: Mapping[str, Any]) -> MaintenanceRequest:
-        """The request of the fields `job`, `machines`, and perhaps `reason` and `window`, as operators send them.
+        """Parse a request with the fields `job` and `machines`, and optionally `reason` and `window`.
 
         Raises:
-            InvalidRequestError: A field is missing or of the wrong kind.
+            InvalidRequestError: A field is missing or invalid.
         """
         job_id, machines = str(fields.get("job", "")), fields.get("machines")
-        if not job_id or len(job_id) > MAX_JOB_NAME or not isinstance(machines, list) or not machines:
-            raise InvalidRequestError("a request needs a job's name of at most 64 characters, and machines")
+        if not job_id or len(job_id) > MAX_JOB_ID_LENGTH or not isinstance(machines, list) or not machines:
+            raise InvalidRequestError("job must be a name of 1 to 64 characters, machines a non-empty list of targets")
         window_ms = fields.get("window") or 0
         if not isinstance(window_ms, int | float) or window_ms < 0:
-            raise InvalidRequestError("window is a number of ms above 0")
-        reason = str(fields.get("reason", ""))[:MAX_REASON]
+            raise InvalidRequestError("window must be a number of ms, at least 0 (0: the default)")
+        reason = str(fields.get("reason", ""))[:MAX_REASON_LENGTH]
         return cls(job_id, tuple(str(machine) for machine in machines), reason, window_ms)
 
 
 def resolve_machines(targets: Iterable[str], known: Mapping[str, MachineStatus]) -> tuple[MachineStatus, ...]:
-    """The machines that names, zones and patterns with `*` stand for, zone by zone, once each.
+    """Return the machines that match names, zones and patterns with `*`: each machine once, sorted by zone.
 
     Raises:
-        UnknownMachineError: A target stands for none.
+        UnknownMachineError: A target matches no machine.
     """
     found: dict[str, MachineStatus] = {}
     for target in targets:
@@ -77,19 +77,19 @@
     known: Mapping[str, MachineStatus],
     retained_jobs: int,
 ) -> Plan:
-    """The plan with a new job; the same plan if it has a job of that name already.
+    """Return the plan with a new job added; the same plan if it already has a job of that name.
 
     Args:
-        plan: The plan before.
-        job_id: The job's name.
+        plan: The current plan.
+        job_id: The name of the job.
         targets: Machines by name, zone or pattern.
-        reason: For readers of the plan.
-        window_ms: For the work on one machine.
+        reason: Why the machines are taken out, for readers of the plan.
+        window_ms: Expected duration of the work on one machine.
         known: All machines that may be named.
-        retained_jobs: Finished jobs that the plan keeps; the oldest go.
+        retained_jobs: Number of finished jobs that the plan keeps; the oldest are dropped.
 
     Raises:
-        UnknownMachineError: A target stands for no machine.
+        UnknownMachineError: A target matches no machine.
         MachineAlreadyPlannedError: A machine is in another job that has not finished.
     """
     if any(job.job_id == job_id for job in plan.jobs):
@@ -106,7 +106,9 @@
 
 
 def cancel_job(plan: Plan, job_id: str, unix_ms: int) -> Plan:
-    """The plan with a job ended at once: its machines take work again. The same plan if it is cancelled already.
+    """Return the plan with a job cancelled at once; the same plan if it is already cancelled.
+
+    The job's machines receive work again.
 
     Raises:
         UnknownJobError: No active job has that name.
@@ -126,7 +128,7 @@
 
 
 def mark_returned(plan: Plan, name: str, unix_ms: int) -> Plan:
-    """The plan with a machine back from its maintenance, as an operator reports; the same plan if it warms already.
+    """Return the plan with a machine warming after its maintenance; the same plan if it is already warming.
 
     Raises:
         MachineNotOutError: The machine is not out.
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -1,11 +1,12 @@
 """One member's part in the maintenance plan: operators' requests, the steps of the plan, reports to the other members.
 
-Any member takes an operator's request. One member does the steps, the first by a hash of names among those alive, so
-that the loss of one moves the duty at once; should two believe that it is theirs, the register makes one line of what
-both propose, and a step that was done is none on the plan as it then is.
+Any member accepts operators' requests. One member, the driver, does the steps of the plan: the first of the members
+alive by a hash of their names, so that another takes over at once if it is lost. If two members both consider
+themselves the driver, the register serializes their proposals, and a step that is already done has no effect when it
+is applied to the newer plan.
 
-Owns this member's replica of the register and its fleet observer. Driven by `runtime.py` with the time, datagrams and
-observations; free of I/O.
+Owns this member's replica of the register and its fleet observer. Driven by `runtime.py`, which passes in the time,
+datagrams and observations. Does no I/O.
 """
 
 from __future__ import annotations
@@ -41,21 +42,21 @@
 from decklb.maintenance.status import status_report
 
 PlanResult = Callable[[Plan | Exception], None]
-STEP_DEADLINE_FACTOR = 12  # times the round timeout: three rounds, each longer than the one before
-REPORT_EVERY_TICKS = 4  # of a member that has nothing new to report
-MESSAGE_ID_RANDOM_BITS = 31  # of the first message id, so that two processes of a member share none
-MESSAGE_ID_COUNT_BITS = 20  # left for counting from there
+STEP_DEADLINE_FACTOR = 12  # deadline of a step in round timeouts: enough for three rounds with backoff
+REPORT_EVERY_TICKS = 4  # ticks between two reports if nothing has changed
+MESSAGE_ID_RANDOM_BITS = 31  # random bits of the first message id, so that processes of a member use different ids
+MESSAGE_ID_COUNT_BITS = 20  # bits below the random ones, for counting up from the first id
 
 
 class MaintenanceOrchestrator:
-    """One member.
+    """Runs the maintenance plan for one member.
 
     Attributes:
-        register: The replica of the plan.
-        observer: What is known of the fleet.
-        outgoing: (member, datagram) to be sent; member "" is all others.
-        notices: For the log.
-        counts: Steps proposed and datagrams dropped, by name.
+        register: This member's replica of the plan.
+        observer: This member's knowledge of the fleet.
+        outgoing: Pairs (member, datagram) to send; member "" stands for all other members.
+        notices: Events to log.
+        counts: Number of steps committed (`steps`) and not committed (`undecided`), and of datagrams dropped by reason.
     """
 
     def __init__(
@@ -68,14 +69,14 @@
         state: AcceptorState | None = None,
         persist: Callable[[AcceptorState], bool] = lambda _state: True,
     ) -> None:
-        """Starts a member.
+        """Start a member.
 
         Args:
-            settings: The budget and the timeouts.
+            settings: The disruption budget and the timeouts.
             member: This member's name.
-            incarnation: Random number of this run of its process.
-            rng: For jitter and message ids.
-            now: The time, ms.
+            incarnation: Random number that identifies this run of the member's process.
+            rng: Source of jitter and message ids.
+            now: The current time in ms.
             state: See ReplicatedRegister.
             persist: See ReplicatedRegister.
         """
@@ -93,10 +94,10 @@
         self._last_report: Report | None = None
         self._ticks = 0
         self._events = PlanEvents()
-        self._plan_known_since = now  # when this member came to know the plan as it stands
+        self._plan_known_since = now  # time at which this member learned of the current plan
         self._restart_claimed = False
         self._now = now
-        self._unix_offset_ms = 0.0  # of the wall clock to the monotonic one
+        self._unix_offset_ms = 0.0  # wall clock minus monotonic clock
 
     @property
     def plan(self) -> Plan:
@@ -105,16 +106,16 @@
 
     @property
     def driver(self) -> str:
-        """The member that does the steps, as this one sees it."""
+        """The member that does the steps of the plan, from this member's view."""
         return min(self.observer.alive, key=lambda name: (crc32(f"plan/{name}".encode()), name))
 
     def request_maintenance(self, request: MaintenanceRequest, deadline: float, on_result: PlanResult) -> None:
-        """Take machines out.
+        """Add a job that takes machines out for maintenance.
 
         Args:
             request: The job and its machines.
-            deadline: Time (ms) past which the request is given up.
-            on_result: Told the plan, or a MaintenanceError.
+            deadline: Time (ms) after which the request is abandoned.
+            on_result: Called with the changed plan or a MaintenanceError.
         """
         known = self.observer.known_machines()
         window_ms = round(request.window_ms or self._settings.default_window_ms)
@@ -126,23 +127,23 @@
         )
 
     def cancel(self, job_id: str, unix_ms: float, deadline: float, on_result: PlanResult) -> None:
-        """End a job at once."""
+        """Cancel a job at once."""
         self.register.propose(lambda plan: cancel_job(plan, job_id, round(unix_ms)), on_result, deadline)
 
     def mark_returned(self, name: str, unix_ms: float, deadline: float, on_result: PlanResult) -> None:
-        """Report that the work on a machine is done."""
+        """Mark a machine as returned: an operator reports that the work on it is done."""
         self.register.propose(lambda plan: mark_returned(plan, name, round(unix_ms)), on_result, deadline)
 
     def update_members(self, now: float, alive: Collection[str], known: Collection[str]) -> None:
-        """Take over who is alive, and all members that have not left."""
+        """Update the members that are alive, and all members that have not left."""
         self.observer.update_members(now, alive, known)
 
     def update_engines(self, engines: Mapping[str, MachineStatus]) -> None:
-        """Take over the engines of the endpoint list, with their zone and cores."""
+        """Replace the engines of the endpoint list, with their zone and cores."""
         self.observer.engines = engines
 
     def receive(self, now: float, sender: str, data: bytes) -> None:
-        """Handle another member's datagram; one that can't be read is counted and changes nothing."""
+        """Process another member's datagram; one that cannot be decoded is counted and otherwise ignored."""
         self._now = now
         try:
             message = self._reassembler.receive(sender, data)
@@ -155,7 +156,7 @@
         self._send_register_messages()
 
     def tick(self, now: float, unix_ms: float, local: LocalObservation) -> None:
-        """Carry out what is due; `outgoing` and `notices` are to be emptied after it."""
+        """Do all work that is due; the caller has to empty `outgoing` and `notices` afterwards."""
         self.observer.observe(local)
         self._ticks += 1
         self.register.tick(now)
@@ -169,16 +170,19 @@
         self.notices += self._events.notices(self.plan, round(unix_ms))
 
     def unavailable_machines(self) -> frozenset[str]:
-        """Machines that no work may be sent to, also by a plan that is accepted here and may come to be committed."""
+        """Return the machines that no work may be sent to.
+
+        This includes those of a plan that is accepted here and not known to be committed, as it may be committed.
+        """
         return self.plan.unavailable_machines() | self.register.newest.unavailable_machines()
 
     def checked_engines(self) -> frozenset[str]:
-        """Engines whose health is checked for the plan: those unavailable or just back."""
+        """Return the engines whose health is checked for the plan: those that are draining, out or warming."""
         disrupted = self.plan.machines_in(DISRUPTED_STAGES)
         return frozenset(machine.name for machine in disrupted if machine.zone != MANAGERS_ZONE)
 
     def claim_restart(self) -> bool:
-        """Whether this manager is to end now for a restart: true once, and only for the planned incarnation."""
+        """Return whether this manager has to restart now: true only once, and only for the planned incarnation."""
         machine = self.plan.active_machine(manager_machine(self._member))
         if machine is None or self._restart_claimed:
             return False
@@ -188,12 +192,12 @@
         return True
 
     def fleet_status(self, now: float, unix_ms: float, plan: Plan) -> FleetStatus:
-        """What is known now, for a step on a plan."""
+        """Return the current status of the fleet, on which the next step of a plan is decided."""
         known_for_ms = now - self._plan_known_since
         return self.observer.fleet_status(now, unix_ms, plan, self.plan.step_count, known_for_ms)
 
     def status(self, now: float, unix_ms: float) -> dict[str, Any]:
-        """The plan and this member's view of it, for operators."""
+        """Return the plan and this member's view of it, for operators."""
         return status_report(
             self.plan,
             round(unix_ms),
@@ -207,7 +211,7 @@
 
     def _on_report(self, now: float, sender: str, report: Report) -> None:
         self.observer.add_report(now, sender, report)
-        if report.committed_ballot < self.register.committed_ballot:  # it missed the newest
+        if report.committed_ballot < self.register.committed_ballot:  # the sender has missed the newest plan
             self._send(sender, Committed(self.register.committed_ballot, encode_plan(self.plan)))
 
     def _propose_step(self, now: float) -> None:
@@ -217,7 +221,7 @@
             self.register.propose(self._next_plan, self._count_step, deadline)
 
     def _next_plan(self, plan: Plan) -> Plan:
-        """The next step by what is known when it is asked for: a proposal may have waited."""
+        """Return the plan after the next step; uses the current fleet status, as the proposal may have been queued."""
         fleet = self.fleet_status(self._now, self._now + self._unix_offset_ms, plan)
         return advance(plan, fleet, self._settings)
 
@@ -225,7 +229,7 @@
         self.counts["steps" if isinstance(result, Plan) else "undecided"] += 1
 
     def _report(self) -> None:
-        """Report to all others, at once where anything is new."""
+        """Send a report to all other members: at once if it has changed, else every REPORT_EVERY_TICKS ticks."""
         local, engines = self.observer.local, self.observer.engines
         unavailable = self.plan.unavailable_machines()
         report = Report(
--- a/decklb/maintenance/paxos_messages.py
+++ b/decklb/maintenance/paxos_messages.py
@@ -1,7 +1,7 @@
 """Types of the replicated register's protocol (CASPaxos): ballots, the acceptor's state and the messages of a round.
 
-No state. Used by the acceptor, the proposer and the register, and encoded by `messages.py`. Tag numbers and the order
-of fields are the wire format.
+Used by the acceptor, the proposer and the register, and encoded by `messages.py`. Tag numbers and the order of fields
+are the wire format.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 
 
 class Ballot(NamedTuple):
-    """Orders proposals: by number, then by the proposer's name, so that no two proposals share one."""
+    """Orders proposals by number, then by the proposer's name, so that no two members use the same ballot."""
 
     number: int
     proposer: str
 
 
 class AcceptedValue(NamedTuple):
-    """What an acceptor has accepted last: the ballot and the encoded value."""
+    """The value that an acceptor has accepted last (encoded), and its ballot."""
 
     ballot: Ballot
     value: bytes
 
 
-NO_BALLOT = Ballot(0, "")  # below every proposal's
+NO_BALLOT = Ballot(0, "")  # below the ballot of any proposal
 NOTHING_ACCEPTED = AcceptedValue(NO_BALLOT, b"")
 
 
 class AcceptorState(NamedTuple):
-    """What an acceptor must not forget, or a committed change could be lost."""
+    """The state that an acceptor must not forget, as otherwise a committed change could be lost."""
 
     promised: Ballot
     accepted: AcceptedValue
 
 
 def quorum_size(member_count: int) -> int:
-    """Members of a majority."""
+    """Return the number of members that form a majority."""
     return member_count // 2 + 1
 
 
 class Prepare(Struct, array_like=True, tag=1, frozen=True):
-    """Phase 1 request: promise to accept nothing below this ballot, and report what was accepted."""
+    """Phase 1 request: promise to accept nothing below this ballot, and report the last accepted value."""
 
     ballot: Ballot
 
@@ -69,27 +69,30 @@
 
 
 class Rejected(Struct, array_like=True, tag=5, frozen=True):
-    """Reply to either phase: a higher ballot is promised, or the acceptor recovers (`promised` is then `ballot`)."""
+    """Reply to either phase: the acceptor has promised a higher ballot, or is recovering or cannot persist its state.
+
+    `promised` is the promised ballot; while the acceptor is recovering it equals `ballot`.
+    """
 
     ballot: Ballot
     promised: Ballot
 
 
 class Committed(Struct, array_like=True, tag=6, frozen=True):
-    """For learners: a majority has accepted this encoded value."""
+    """Notification of learners: a majority has accepted this encoded value."""
 
     ballot: Ballot
     value: bytes
 
 
 class StateRequest(Struct, array_like=True, tag=7, frozen=True):
-    """Asks for an acceptor's state on behalf of one that recovers; promises nothing."""
+    """Request of a recovering acceptor for another acceptor's state; the receiver promises nothing."""
 
-    nonce: int  # of the recovery, so that replies to an earlier process don't count
+    nonce: int  # identifies the recovery, so that replies to an earlier process are ignored
 
 
 class StateReply(Struct, array_like=True, tag=8, frozen=True):
-    """An acceptor's state; from one that is recovering (`recovered` false) it only counts as a reply."""
+    """An acceptor's state; if that acceptor is itself recovering (`recovered` is false), it counts only as a reply."""
 
     nonce: int
     promised: Ballot
--- a/decklb/maintenance/plan_events.py
+++ b/decklb/maintenance/plan_events.py
@@ -1,7 +1,7 @@
 """Turns changes of the plan into notices for the log.
 
-Owns the plan as last logged, and the machines already logged as overdue. Called by
-`orchestrator.py` at each tick. Free of I/O; `docs/operations/maintenance.md` lists the events.
+Owns the plan as last logged, and the machines that are logged as overdue. Called by `orchestrator.py` at each tick.
+Does no I/O. `docs/operations/maintenance.md` lists the events.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class PlanEvents:
-    """What has changed since the last look."""
+    """Detects changes since the plan was last logged."""
 
     def __init__(self) -> None:
-        self._logged = Plan()
+        self._logged_plan = Plan()
         self._overdue: set[str] = set()
 
     def changed(self, plan: Plan) -> bool:
-        """Whether the plan is another than at the last look."""
-        return plan is not self._logged
+        """Return whether the plan differs from the one last logged."""
+        return plan is not self._logged_plan
 
     def notices(self, plan: Plan, unix_ms: int) -> list[Notice]:
-        """Notices of machines newly overdue, of each step, and of a new reason that blocks all waiting machines."""
+        """Return notices of newly overdue machines, of each step, and of a new reason that blocks waiting machines."""
         notices = self._newly_overdue(plan, unix_ms)
-        previous, self._logged = self._logged, plan
+        previous, self._logged_plan = self._logged_plan, plan
         if plan is previous:
             return notices
         notices += _steps(previous, plan)
--- a/decklb/maintenance/proposer.py
+++ b/decklb/maintenance/proposer.py
@@ -1,8 +1,8 @@
-"""The proposer of the replicated register: one member's own changes, proposed one after another.
+"""The proposer of the replicated register: proposes one member's own changes one after another.
 
-Owns the queue of changes and the round of the first one: its ballot, the promises and acceptances that it has. Called
-by `replicated_register.py` with the time and with other members' replies. A round that gets no majority in time is made
-again under a higher ballot; the wait grows with each in vain (exponential backoff with jitter).
+Owns the queue of changes and the current round of the first one: its ballot and the replies received. A round without
+a majority in time is repeated under a higher ballot, with exponential backoff and jitter. Called by
+`replicated_register.py` with the time and with other members' replies.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 
 Value = TypeVar("Value")
 Reply = Promise | Accepted | Rejected
-MAX_ROUND_FACTOR = 8.0  # times the round timeout that one round may last at most
-REJECTION_WAIT_DIVISOR = 4  # of a round's wait, that a rejected round still waits before the next
+MAX_ROUND_FACTOR = 8.0  # maximum duration of one round in round timeouts
+REJECTION_WAIT_DIVISOR = 4  # after a rejection the next round starts within the round's timeout divided by this
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,18 +43,18 @@
 
 @dataclass(slots=True)
 class Proposal(Generic[Value]):
-    """A change that waits in the queue or is under way. Times are ms."""
+    """A change that is queued or being proposed. Times are ms."""
 
     change: Callable[[Value], Value]
     on_result: Callable[[Value | Exception], None]
     deadline: float
-    ballot: Ballot = NO_BALLOT  # of the current round; none before the first
+    ballot: Ballot = NO_BALLOT  # ballot of the current round; NO_BALLOT before the first round
     round_started_at: float = 0.0
     round_timeout_ms: float = 0.0
     promises: dict[str, Promise] = field(default_factory=dict)  # by member
     accepted_by: set[str] = field(default_factory=set)
-    encoded: bytes | None = None  # the changed value, from phase 2 on
-    value: Value | None = None
+    encoded: bytes | None = None  # the changed value, encoded; set from phase 2 on
+    value: Value | None = None  # the changed value
 
 
 class Proposer(Generic[Value]):
@@ -71,17 +71,17 @@
         broadcast: Callable[[Prepare | Accept | Committed], None],
         on_commit: Callable[[Ballot, bytes], None],
     ) -> None:
-        """Starts with no change.
+        """Start with an empty queue.
 
         Args:
             member: This member's name.
-            acceptor: This member's own acceptor; it takes part in each round without a message.
+            acceptor: This member's own acceptor, which takes part in each round without messages.
             codec: The value before any change, and its encoding.
-            member_count: Members of the whole fleet.
-            round_timeout_ms: The first round's wait for a quorum.
-            rng: For jitter, which parts members that propose at once.
-            broadcast: Sends a message to all others.
-            on_commit: Told of each value that a majority has accepted, encoded.
+            member_count: Number of members in the whole fleet.
+            round_timeout_ms: Time that the first round waits for a quorum, without jitter.
+            rng: Source of the jitter that separates members that propose at the same time.
+            broadcast: Sends a message to all other members.
+            on_commit: Called with the ballot and the encoded value of each committed change.
         """
         self._member = member
         self._acceptor = acceptor
@@ -92,11 +92,11 @@
         self._broadcast = broadcast
         self._on_commit = on_commit
         self._queue: list[Proposal[Value]] = []
-        self._backoff = 1.0  # times the round timeout; doubled by each round in vain, halved by each that is done
+        self._backoff = 1.0  # factor on the round timeout: doubled by each round that times out, halved by each commit
 
     @property
     def busy(self) -> bool:
-        """Whether a change waits or is under way."""
+        """Whether a change is queued or being proposed."""
         return bool(self._queue)
 
     def propose(self, proposal: Proposal[Value]) -> None:
@@ -104,7 +104,7 @@
         self._queue.append(proposal)
 
     def tick(self, now: float) -> None:
-        """Give up changes past their deadline, and begin the round that is due."""
+        """Abandon changes past their deadline, and begin a round if one is due."""
         for proposal in [p for p in self._queue if now > p.deadline]:
             self._queue.remove(proposal)
             proposal.on_result(QuorumUnavailableError())
@@ -114,16 +114,18 @@
         if proposal.ballot == NO_BALLOT:
             self._begin_round(now, proposal)
         elif now - proposal.round_started_at >= proposal.round_timeout_ms:
-            # Replies that are slower than a round would always come to a ballot that is given up already.
+            # Longer rounds let replies arrive in time: with a fixed timeout, replies that take longer than one round
+            # would always belong to an abandoned ballot.
             self._backoff = min(2 * self._backoff, MAX_ROUND_FACTOR / 2)
             self._begin_round(now, proposal)
 
     def on_reply(self, now: float, sender: str, message: Reply) -> None:
-        """Another member's reply; one to a round that is over changes nothing."""
+        """Process another member's reply; a reply to an earlier round is ignored."""
         if not self._queue or self._queue[0].ballot != message.ballot:
             return
         proposal = self._queue[0]
-        # A proposer held up for long may not go on with promises of members that have restarted since.
+        # A proposer that was stalled past the end of its round must not continue it: members that gave it promises may
+        # have restarted and forgotten them.
         if now - proposal.round_started_at < proposal.round_timeout_ms:
             self._count_reply(now, sender, message, proposal)
 
@@ -131,7 +133,7 @@
         """Phase 1 under a new ballot."""
         proposal.ballot = Ballot(self._acceptor.next_ballot_number(), self._member)
         proposal.round_started_at = now
-        # Two that propose at once would outbid each other for good; chance parts them.
+        # Without jitter, two members that propose at the same time could reject each other's ballots forever.
         proposal.round_timeout_ms = self._round_timeout_ms * self._backoff * (1 + self._rng.random())
         proposal.promises.clear()
         proposal.accepted_by.clear()
@@ -156,19 +158,19 @@
                         self._commit(proposal)
 
     def _abandon_round(self, now: float, message: Rejected, proposal: Proposal[Value]) -> None:
-        """A higher ballot is promised, so this one can't win any more: the next round comes sooner."""
-        self._acceptor.observe(message.promised.number)
+        """End the round early, as a higher ballot is promised and this one can no longer succeed."""
+        self._acceptor.observe_ballot_number(message.promised.number)
         proposal.promises.clear()
         wait = now - proposal.round_started_at + proposal.round_timeout_ms / REJECTION_WAIT_DIVISOR
         proposal.round_timeout_ms = min(proposal.round_timeout_ms, wait)
 
     def _apply_change(self, now: float, proposal: Proposal[Value]) -> None:
-        """Phase 2: the change applied to the newest value that the quorum has accepted."""
+        """Phase 2: apply the change to the newest value that the quorum has accepted, and propose the result."""
         newest = max(proposal.promises.values(), key=lambda promise: promise.accepted)
         current = self._codec.decode(newest.value) if newest.accepted != NO_BALLOT else self._codec.initial
         try:
             proposal.value = proposal.change(current)
-        except Exception as error:  # the request can't be taken: that is its result, and nothing is proposed
+        except Exception as error:  # the change is not possible: report the error and propose nothing
             self._queue.pop(0)
             proposal.on_result(error)
             return
@@ -178,7 +180,7 @@
         self._count_reply(now, self._member, self._acceptor.on_accept(accept), proposal)
 
     def _commit(self, proposal: Proposal[Value]) -> None:
-        """A majority has accepted the value."""
+        """Complete the change, as a majority has accepted its value."""
         assert proposal.encoded is not None
         assert proposal.value is not None
         self._queue.pop(0)
--- a/decklb/maintenance/replicated_register.py
+++ b/decklb/maintenance/replicated_register.py
@@ -1,12 +1,13 @@
-"""A replicated register: one value that the members agree on, and that any of them may change.
+"""A replicated register: one value that the members agree on and that any of them may change.
 
-Rystsov: "CASPaxos: Replicated State Machines without logs" (2018). A proposer asks a majority for the newest value that
-each has accepted, under a ballot above all that they promised; applies its change to the newest; and has a majority
-accept the result under the same ballot. So changes form one line, whoever proposes them: none is lost, and none is made
-to a value that another change has replaced. No leader is needed for that; one that changes alone is only quicker.
+The protocol is CASPaxos (Rystsov: "CASPaxos: Replicated State Machines without logs", 2018). A proposer picks a ballot
+above all earlier ones and asks a majority for the newest value that each member has accepted. It applies its change to
+the newest of these values and has a majority accept the result under the same ballot. Changes are therefore
+serialized, whichever members propose them: none is lost, and none is applied to an outdated value. This needs no
+leader; it is only faster if a single member proposes.
 
-Owns this member's acceptor, its proposer and the newest value known to be committed (the learner). Called by
-`orchestrator.py` with the time and other members' messages. Free of I/O.
+Owns this member's acceptor, its proposer and the newest value known to be committed (the learner). Does no I/O. Called
+by `orchestrator.py` with the time and other members' messages.
 """
 
 from __future__ import annotations
@@ -34,19 +35,19 @@
 
 Value = TypeVar("Value")
 NEVER = float("inf")
-UNCOMMITTED_CHECK_FACTOR = 10.0  # times the round timeout that an accepted value may wait to be known as committed
-RECOVERY_MARGIN = 1.1  # times the longest round, by which all rounds that began before a start are over
+UNCOMMITTED_CHECK_FACTOR = 10.0  # round timeouts to wait for the commit of an accepted value before checking on it
+RECOVERY_MARGIN = 1.1  # multiple of the longest round after which all rounds from before this process are over
 NONCE_BITS = 48
 
 
 class ReplicatedRegister(Generic[Value]):
-    """One member's replica.
+    """One member's replica of the register.
 
     Attributes:
         committed: The newest value known to be accepted by a majority.
-        committed_ballot: Its ballot.
+        committed_ballot: The ballot of that value.
         acceptor: This member's acceptor.
-        outgoing: (member, message) to be sent; member "" is all others.
+        outgoing: Pairs (member, message) to send; member "" stands for all other members.
     """
 
     def __init__(
@@ -60,23 +61,25 @@
         state: AcceptorState | None = None,
         persist: Callable[[AcceptorState], bool] = lambda _state: True,
     ) -> None:
-        """Starts from a persisted state, or recovers from the other members.
+        """Start from a persisted state, or recover the state from the other members.
 
         Args:
             member: This member's name.
             codec: The value before any change, and its encoding.
-            member_count: Members of the whole fleet.
-            round_timeout_ms: The first wait for a quorum's replies.
-            rng: For jitter and the recovery's nonce.
-            now: The time, ms.
-            state: What an earlier process of this member persisted.
-            persist: Writes the acceptor's state before any message rests on it; returns whether it is written.
+            member_count: Number of members in the whole fleet.
+            round_timeout_ms: Time that the first round waits for a quorum, without jitter.
+            rng: Source of jitter and of the recovery's nonce.
+            now: The current time in ms.
+            state: State persisted by an earlier process of this member, or None.
+            persist: Writes the acceptor's state before a message that depends on it is sent; returns whether it was
+                written.
         """
         self.committed, self.committed_ballot = codec.initial, NO_BALLOT
         self.outgoing: list[tuple[str, RegisterMessage]] = []
         self._codec = codec
         self._round_timeout_ms, self._rng = round_timeout_ms, rng
-        # When to look for the fate of a value accepted here that is not known to be committed; soon after a start.
+        # When to check on a value that is accepted here and not known to be committed; early after a start, as all
+        # members may have restarted before the commit was announced.
         self._uncommitted_check_at = NEVER if state is None else now + round_timeout_ms * (1 + rng.random())
         self.acceptor = Acceptor(
             member_count,
@@ -92,17 +95,17 @@
 
     @property
     def recovering(self) -> bool:
-        """Whether this member has forgotten its promises and may not take part yet."""
+        """Whether this member has forgotten its promises and may not participate yet."""
         return self.acceptor.recovering
 
     @property
     def busy(self) -> bool:
-        """Whether a change of this member waits or is under way."""
+        """Whether a change of this member is queued or being proposed."""
         return self._proposer.busy
 
     @property
     def newest(self) -> Value:
-        """What is accepted here: it may come to be committed, or is already without this member knowing."""
+        """The newest value accepted here; it may be committed later, or already be without this member knowing."""
         accepted = self.acceptor.accepted
         return self._codec.decode(accepted.value) if accepted.ballot > self.committed_ballot else self.committed
 
@@ -112,25 +115,25 @@
         on_result: Callable[[Value | Exception], None],
         deadline: float = NEVER,
     ) -> None:
-        """Make a change.
+        """Queue a change of the value.
 
         Args:
-            change: Makes the next value of the one before. It may be called more than once, each time with the value
-                that is newest then.
-            on_result: Told the committed value, or what `change` raised, or QuorumUnavailableError.
-            deadline: Time (ms) past which the change is given up: it may be done or not.
+            change: Returns the new value for a given value. It may be called more than once, each time with the then
+                newest value.
+            on_result: Called with the committed value, the exception that `change` raised, or QuorumUnavailableError.
+            deadline: Time (ms) after which the change is abandoned; it may nevertheless have been committed.
         """
         self._proposer.propose(Proposal(change, on_result, deadline))
 
     def tick(self, now: float) -> None:
-        """Carry out what is due; to be called a few times within the round timeout."""
+        """Do all work that is due; must be called a few times per round timeout."""
         if (request := self.acceptor.state_request(now)) is not None:
             self._broadcast(request)
         self._check_uncommitted(now)
         self._proposer.tick(now)
 
     def receive(self, now: float, sender: str, message: RegisterMessage) -> None:
-        """Handle another member's message."""
+        """Process another member's message."""
         match message:
             case Prepare():
                 self.outgoing.append((sender, self.acceptor.on_prepare(message)))
@@ -146,9 +149,10 @@
                 self._proposer.on_reply(now, sender, message)
 
     def _check_uncommitted(self, now: float) -> None:
-        """Find out what became of a value that was accepted here and is not known to be committed.
+        """Complete a value that was accepted here and is not known to be committed.
 
-        Its proposer may have died before it sent that, or all members at once. A change of nothing commits it.
+        Its proposer, or all members at once, may have ended before the commit was announced. Proposing a change that
+        leaves the value as it is commits the value.
         """
         if self.acceptor.accepted.ballot <= self.committed_ballot or self.recovering:
             self._uncommitted_check_at = NEVER
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -1,7 +1,7 @@
-"""The I/O of maintenance: datagrams of the cluster, health checks of engines, the clock, the log, the store.
+"""The I/O of maintenance: cluster datagrams, health checks of engines, the clock, the log and the store.
 
-Owns the orchestrator, its timer, the health checks of engines in the plan, and the store where the settings name a
-folder. Lays the plan over the endpoint list (`apply_plan`) and ends this manager at its turn. Made by
+Owns the orchestrator, its timer, the health checks of engines in the plan, and the store if the settings name a folder.
+Applies the plan to the endpoint list (`apply_plan`), and restarts this manager when the plan requires it. Created by
 `daemon.assembly`; the management listener passes operators' requests to it.
 """
 
@@ -38,12 +38,12 @@
 if TYPE_CHECKING:
     from decklb.maintenance.store import PlanStore
 
-REQUEST_TIMEOUT_MS = 8000.0  # after which a request fails with QuorumUnavailableError
+REQUEST_TIMEOUT_MS = 8000.0  # ms after which a request fails with QuorumUnavailableError
 INCARNATION_BITS = 48
 
 
 class MaintenanceService:
-    """One member."""
+    """The maintenance subsystem of one member."""
 
     def __init__(
         self,
@@ -56,20 +56,20 @@
         on_plan_changed: Callable[[], None],
         restart: Callable[[], None],
     ) -> None:
-        """Reads the store, where there is one.
+        """Create the orchestrator from the stored state, if there is any.
 
         Args:
             clock: Monotonic time and timers.
             settings: See MaintenanceSettings.
-            cluster: Carries the datagrams, and knows the members.
-            locality: Knows the zones' states, their load and engines that can't be reached.
-            dispatcher: Knows the attempts in flight.
-            health_checker: For engines in the plan.
+            cluster: Transports the datagrams, and supplies the members.
+            locality: Supplies the states and loads of zones, and the unreachable engines.
+            dispatcher: Supplies the attempts in flight.
+            health_checker: Checks the engines in the plan.
             on_plan_changed: Called when the endpoint list has to be applied again.
-            restart: Ends this manager gracefully; its supervisor starts it again.
+            restart: Shuts this manager down gracefully; its supervisor starts it again.
 
         Raises:
-            PlanStoreError: The folder can't be used.
+            PlanStoreError: The folder of the store cannot be used.
         """
         self.clock, self.settings, self.cluster, self.locality = clock, settings, cluster, locality
         self.dispatcher, self.health_checker = dispatcher, health_checker
@@ -92,12 +92,12 @@
         self.closed = False
 
     def start(self) -> None:
-        """Take datagrams, and tick from now on."""
+        """Start receiving datagrams and ticking."""
         self.cluster.subscribe(TOPIC, self._receive)
         self._schedule_tick()
 
     def apply_plan(self, endpoints: list[Endpoint], addresses: Mapping[str, Address]) -> list[Endpoint]:
-        """The endpoint list as the plan lets it be used: unavailable engines drain, those just back start slowly."""
+        """Return the endpoint list with the changes of the plan: engines are draining or in slow start."""
         self.addresses = addresses
         engines = engine_capacities(endpoints, self.dispatcher.settings.cores_by_kind)
         self.orchestrator.update_engines(
@@ -106,13 +106,13 @@
         return self._overlay.apply(endpoints, self.orchestrator.unavailable_machines())
 
     def request_maintenance(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
-        """Take machines out.
+        """Add a job that takes machines out for maintenance.
 
         Args:
             request: See MaintenanceRequest.parse.
 
         Returns:
-            Fires with the count of steps done so far, or fails with MaintenanceError.
+            A deferred that fires with the number of steps done so far, or fails with MaintenanceError.
 
         Raises:
             InvalidRequestError: The request is malformed.
@@ -123,23 +123,23 @@
         )
 
     def cancel(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
-        """End the job named by `job` at once; see request_maintenance for the result."""
+        """Cancel the job named by the field `job` at once; see `request_maintenance` for the result."""
         job_id = str(request.get("job", ""))
         return self._propose(lambda deadline, on_result: self.orchestrator.cancel(job_id, wall(), deadline, on_result))
 
     def mark_returned(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
-        """The work on the machine named by `machine` is done; see request_maintenance for the result."""
+        """Mark the machine named by the field `machine` as returned; see `request_maintenance` for the result."""
         name = str(request.get("machine", ""))
         return self._propose(
             lambda deadline, on_result: self.orchestrator.mark_returned(name, wall(), deadline, on_result)
         )
 
     def status(self) -> dict[str, Any]:
-        """The plan, for operators."""
+        """Return the plan and this member's view of it, for operators."""
         return self.orchestrator.status(self.clock.now(), wall())
 
     def close(self) -> None:
-        """End with the program."""
+        """Shut down."""
         self.closed = True
         self.cluster.unsubscribe(TOPIC)
         if self.timer is not None:
@@ -157,15 +157,18 @@
         return PlanStore(self.settings.data_directory, self.cluster.settings.member)
 
     def _persist(self, state: AcceptorState) -> bool:
-        """Write the state where there is a folder; a member that can't takes no part in agreements."""
+        """Write the state if the settings name a folder, and return whether the member may rely on it.
+
+        A member that cannot write its state rejects all proposals.
+        """
         if self.store is None:
-            return not self.settings.data_directory  # or it is closed
+            return not self.settings.data_directory  # with a folder, the store is already closed
         try:
             self.store.write(state)
         except MaintenanceError as error:
             if not self._store_failing:
                 logger.error(
-                    "the plan's store can't be written, this member takes no part: {error}",
+                    "cannot write the store of the maintenance plan, so this member rejects all proposals: {error}",
                     event="maintenance-store-failed",
                     error=str(error),
                 )
@@ -200,11 +203,11 @@
         self._check_health(checked)
         self._send_and_log()
         self._follow_plan(now)
-        if not self.closed:  # it may have been this manager's turn to restart
+        if not self.closed:  # the restart of this manager may have closed this service
             self._schedule_tick()
 
     def _observe(self, now: float, checked: frozenset[str]) -> LocalObservation:
-        """What this member sees by itself. Engines in the plan are checked here, the others by locality."""
+        """Return this member's own observation; engines in the plan are checked here, all others by locality."""
         engines = self.dispatcher.gateway.engines.by_id
         in_flight = {name: len(engine.attempts) for name, engine in engines.items() if engine.attempts}
         self._health_checks.retain(checked)
@@ -225,11 +228,11 @@
             self._health_checks.ended(name, answered)
 
     def _follow_plan(self, now: float) -> None:
-        """Carry out the plan on the endpoint list, and on this manager."""
-        if self._overlay.follow(now, self.orchestrator.plan, self.orchestrator.unavailable_machines()):
+        """Apply the plan to the endpoint list, and restart this manager if the plan requires it."""
+        if self._overlay.update_plan(now, self.orchestrator.plan, self.orchestrator.unavailable_machines()):
             self.on_plan_changed()
         if self.orchestrator.claim_restart():
-            logger.info("this manager restarts by the maintenance plan", event="maintenance-restart")
+            logger.info("restarting this manager according to the maintenance plan", event="maintenance-restart")
             self.restart()
 
     def _receive(self, sender: str, data: bytes) -> None:
--- a/decklb/maintenance/scheduling.py
+++ b/decklb/maintenance/scheduling.py
@@ -1,7 +1,7 @@
-"""The next step of the plan: which machine moves to its next stage, by what is known of the fleet.
+"""The next step of the plan: decides from the status of the fleet which machine moves to its next stage.
 
-Called by `orchestrator.py` through the replicated register, so that a member which proposes a step that another has
-done already proposes it on the plan as it then is, where it is no step any more. No state, free of I/O.
+Called by `orchestrator.py` through the replicated register, which applies it to the newest plan: a step that another
+member has already done is not repeated. Stateless and does no I/O.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
 
 
 def advance(plan: Plan, fleet: FleetStatus, settings: MaintenanceSettings) -> Plan:
-    """The plan after the next step, or the same plan. At most one machine moves, so that a step is done once or not."""
+    """Return the plan after the next step, or the same plan if no step is due.
+
+    A step moves at most one machine, so that it is either done completely or not at all.
+    """
     for machine in plan.machines_in(DISRUPTED_STAGES):
         moved = _advance_disrupted(plan, machine, fleet, settings)
         if moved is not plan:
@@ -43,14 +46,14 @@
 
 
 def _advance_disrupted(plan: Plan, machine: Machine, fleet: FleetStatus, settings: MaintenanceSettings) -> Plan:
-    """The next step of a machine that is draining, out or warming; the same plan where it has to wait."""
+    """Return the plan after the next step of a draining, out or warming machine; the same plan if none is due."""
     status = fleet.machines.get(machine.name)
     stage_age_ms = fleet.unix_ms - machine.stage_since_unix_ms
     if machine.stage is Stage.DRAINING:
         if _drained(status, stage_age_ms, fleet, settings):
             return move_machine(plan, machine, Stage.OUT, fleet.unix_ms)
     elif machine.stage is Stage.OUT:
-        if not machine.seen_down and (status is None or status.seen_down):  # down for its work, maybe for a moment
+        if not machine.seen_down and (status is None or status.seen_down):  # it went down, even if only briefly
             return replace_machine(plan, machine, replace(machine, seen_down=True))
         if status is not None and _returned(machine, status):
             return move_machine(plan, machine, Stage.WARMING, fleet.unix_ms)
@@ -62,21 +65,25 @@
 def _drained(
     status: MachineStatus | None, stage_age_ms: float, fleet: FleetStatus, settings: MaintenanceSettings
 ) -> bool:
-    """Whether no work runs there by every member's report, or the drain has timed out.
+    """Return whether all members report that no work runs on a machine, or the drain has timed out.
 
-    The time-out counts from when the member that does the step came to know the plan: before that it sent work there.
+    The timeout starts when the member that does the step learned of the plan, as it may have sent work there before.
     """
     idle = fleet.plan_known_to_all and fleet.in_flight_certain and (status is None or status.in_flight == 0)
     return idle or min(stage_age_ms, fleet.plan_known_for_ms) >= settings.drain_timeout_ms
 
 
 def _returned(machine: Machine, status: MachineStatus) -> bool:
-    """Whether a machine is up again; a manager, whether another run of its process is."""
+    """Return whether a machine is up again: reachable after it was down or, for a manager, in a new process."""
     return status.reachable and (machine.seen_down or status.incarnation != machine.incarnation)
 
 
 def _warm_up_ms(machine: Machine, settings: MaintenanceSettings) -> float:
-    """How long a machine warms. While a manager votes on no records, another restart would leave too few voters."""
+    """Return how long a machine is warming.
+
+    A restarted manager does not vote on handoff records at first; restarting another one during that time could leave
+    too few voters.
+    """
     if machine.zone == MANAGERS_ZONE:
         return max(settings.warm_up_ms, settings.manager_voting_delay_ms)
     return settings.warm_up_ms
--- a/decklb/maintenance/status.py
+++ b/decklb/maintenance/status.py
@@ -1,6 +1,6 @@
-"""The plan as operators are shown it: the answer of the management listener to `plan`. No state, free of I/O.
+"""The plan as shown to operators: the answer of the management listener to `plan`.
 
-The keys are the public form that `decklb maint` and other programs read.
+The keys are a public interface: `decklb maint` and other programs read them. Stateless and does no I/O.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     machines: Iterable[str],
     counts: Mapping[str, int],
 ) -> dict[str, Any]:
-    """Jobs with the stage of each machine, what blocks waiting machines, and how far the members agree."""
+    """Return the jobs with the stage of each machine, why waiting machines are blocked, and the members' agreement."""
     overdue = {machine.name for machine in overdue_machines(plan, unix_ms)}
     return {
         "jobs": [_job_row(job, overdue, unix_ms) for job in plan.jobs],
--- a/decklb/maintenance/store.py
+++ b/decklb/maintenance/store.py
@@ -1,8 +1,9 @@
-"""The acceptor's state on disk (LMDB), so that it outlives the process.
+"""Stores the acceptor's state on disk (LMDB), so that it survives a restart of the process.
 
-Written before any message that rests on it leaves, without a sync: it outlives the process, not the machine. After the
-machine's own restart, known by the kernel's boot id, it counts as forgotten, and the member recovers from the others.
-One record under one key; used by `runtime.py` where the settings name a folder.
+The state is written before a message that depends on it is sent, but without a sync: it survives a crash of the
+process, not of the machine. After a restart of the machine, which shows by the kernel's boot id, the stored state is
+ignored and the member recovers its state from the other members. The store holds one record under one key. `runtime.py`
+uses it if the settings name a folder.
 """
 
 from __future__ import annotations
@@ -19,28 +20,28 @@
 from decklb.maintenance.paxos_messages import NO_BALLOT, AcceptedValue, AcceptorState, Ballot
 
 VERSION = 1
-MAP_SIZE_BYTES = 16 << 20  # one value of at most 64 KiB, and LMDB's copies
+MAP_SIZE_BYTES = 16 << 20  # room for one value of at most 64 KiB and the copies that LMDB makes
 _KEY = b"plan"
 
 
 class _Record(msgspec.Struct, array_like=True, frozen=True):
-    """The stored form; the order of fields is part of it."""
+    """The stored form of the state; the order of the fields is part of it."""
 
     version: int
     member: str
-    boot_id: str  # of the machine's start in which it was written
+    boot_id: str  # boot id of the machine when the record was written
     promised: Ballot
     accepted: AcceptedValue
 
 
 class PlanStore:
-    """The folder of one member."""
+    """The store of one member."""
 
     def __init__(self, folder: str, member: str) -> None:
-        """Opens the folder, and makes it where it is missing.
+        """Open the store, and create its folder if it does not exist.
 
         Raises:
-            PlanStoreError: It can't be used.
+            PlanStoreError: The folder cannot be used.
         """
         self.folder, self.member, self.boot_id = folder, member, boot_id()
         try:
@@ -50,16 +51,16 @@
             raise PlanStoreError(f"{folder}: {error}") from error
 
     def read(self) -> AcceptorState | None:
-        """The state that this member wrote; None if there is none, or another's, or older than the machine's start.
+        """Return the stored state; None if this member has stored none since the machine was started.
 
         Raises:
-            PlanStoreError: The record can't be read.
+            PlanStoreError: The record cannot be read.
         """
         try:
             with self._environment.begin() as transaction:
                 data = transaction.get(_KEY)
             record = msgspec.msgpack.decode(data, type=_Record) if data is not None else None
-            if record is None or not self._ours(record):
+            if record is None or not self._is_valid(record):
                 return None
             if record.accepted.ballot != NO_BALLOT:
                 decode_plan(record.accepted.value)
@@ -68,10 +69,10 @@
             raise PlanStoreError(f"{self.folder}: {error}") from error
 
     def write(self, state: AcceptorState) -> None:
-        """Replace the record, whole or not at all.
+        """Replace the stored state atomically.
 
         Raises:
-            PlanStoreError: It can't be written.
+            PlanStoreError: The record cannot be written.
         """
         record = _Record(VERSION, self.member, self.boot_id, state.promised, state.accepted)
         try:
@@ -81,10 +82,13 @@
             raise PlanStoreError(f"{self.folder}: {error}") from error
 
     def close(self) -> None:
-        """Close the folder; nothing is written after this."""
+        """Close the store; it must not be used afterwards."""
         self._environment.close()
 
-    def _ours(self, record: _Record) -> bool:
-        """Whether this member wrote it since the machine's start; without a boot id nobody can say."""
+    def _is_valid(self, record: _Record) -> bool:
+        """Return whether this member wrote the record since the machine was started.
+
+        Without a boot id this cannot be determined, and the record is not valid.
+        """
         expected = (VERSION, self.member, self.boot_id)
         return bool(self.boot_id) and (record.version, record.member, record.boot_id) == expected
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -1,4 +1,4 @@
-"""Members of the maintenance plan on a simulated network that loses a tenth of the datagrams, by seed."""
+"""Members of the maintenance plan on a seeded simulated network that loses 10% of the datagrams."""
 
 import random
 
@@ -18,17 +18,23 @@
 
 
 def stages(plan):
-    """The stage of each machine, by name."""
+    """Return the stage of each machine, by machine name."""
     return {machine.name: machine.stage.name.lower() for job in plan.jobs for machine in job.machines}
 
 
 def request(job_id, *targets, reason=""):
-    """An operator's request with the default window."""
+    """Return an operator's request with the default window."""
     return MaintenanceRequest(job_id, targets, reason, 0)
 
 
 class Fleet:
-    """Three members; `busy` are attempts in flight, `down` engines that nobody reaches, `dead` members that ended."""
+    """Three members.
+
+    Attributes:
+        in_flight: Number of attempts that each member has in flight, by engine.
+        unreachable: Engines that no member can reach.
+        dead: Members whose process has ended.
+    """
 
     def __init__(self, seed):
         self.rng, self.now, self.queue = random.Random(seed), 0.0, []
@@ -36,40 +42,40 @@
         self.settings = fleet_settings(
             member_count=3, absent_after_ms=3000.0, round_timeout_ms=200.0, tick_ms=100.0, report_ttl_ms=1000.0
         )
-        self.nodes = {name: self.make(name) for name in self.names}
-        self.busy, self.down, self.dead = {}, set(), set()
+        self.members = {name: self.start_member(name) for name in self.names}
+        self.in_flight, self.unreachable, self.dead = {}, set(), set()
 
-    def make(self, name):
-        """A new process of a member, which has forgotten what the former one knew."""
-        node = MaintenanceOrchestrator(
+    def start_member(self, name):
+        """Start a new process of a member, which knows nothing of what an earlier process knew."""
+        member = MaintenanceOrchestrator(
             self.settings, name, self.rng.getrandbits(40), random.Random(self.rng.random()), self.now
         )
-        node.update_engines(ENGINES)
-        return node
+        member.update_engines(ENGINES)
+        return member
 
-    def run(self, duration_ms, watch=lambda: None):
-        """Let time pass in steps of 50 ms; `watch` is called after each."""
+    def run(self, duration_ms, on_step=lambda: None):
+        """Simulate a duration in steps of 50 ms; `on_step` is called after each step."""
         end = self.now + duration_ms
         while self.now < end:
             for sender, receiver, data in self.queue:
                 if receiver not in self.dead and sender not in self.dead:
-                    self.nodes[receiver].receive(self.now, sender, data)
+                    self.members[receiver].receive(self.now, sender, data)
             self.queue.clear()
             alive = [name for name in self.names if name not in self.dead]
             for name in alive:
-                node = self.nodes[name]
-                node.update_members(self.now, alive, self.names)
-                node.tick(self.now, 1000.0 + self.now, LocalObservation(self.busy, frozenset(self.down)))
+                member = self.members[name]
+                member.update_members(self.now, alive, self.names)
+                member.tick(self.now, 1000.0 + self.now, LocalObservation(self.in_flight, frozenset(self.unreachable)))
             for name in alive:
-                self.send(name)
-            watch()
+                self.send_datagrams(name)
+            on_step()
             self.now += 50.0
 
-    def send(self, name):
-        """Queue a member's datagrams for their receivers; a tenth is lost."""
-        node = self.nodes[name]
-        for receiver, data in node.outgoing:
+    def send_datagrams(self, name):
+        """Queue a member's datagrams for their receivers; 10% are lost."""
+        member = self.members[name]
+        for receiver, data in member.outgoing:
             for other in [receiver] if receiver else self.names:
                 if other != name and self.rng.random() > 0.1:
                     self.queue.append((name, other, data))
-        node.outgoing = []
+        member.outgoing = []
--- a/tests/test_maintenance_command.py
+++ b/tests/test_maintenance_command.py
@@ -7,14 +7,14 @@
 from decklb.cli.maint import maint
 
 
-def test_plan_lists_unfinished_machines_with_those_under_way_first():
+def test_plan_lists_unfinished_machines_with_disrupted_ones_first():
     rows = [("e0", "done"), ("e1", "waiting"), ("e2", "out")]
     answer = {
         "hold": "zone b is not well",
         "jobs": [{"job": "j", "machines": [{"machine": n, "zone": "z", "stage": s} for n, s in rows]}],
     }
     with mock.patch("decklb.cli.maint.query_process", return_value=answer):
-        said = CliRunner().invoke(maint, ["plan"]).output
-    assert [line.split()[1:2] for line in said.splitlines()[1:3]] == [["e2"], ["e1"]]
-    assert "e0" not in said
-    assert "waiting: zone b is not well" in said
+        output = CliRunner().invoke(maint, ["plan"]).output
+    assert [line.split()[1:2] for line in output.splitlines()[1:3]] == [["e2"], ["e1"]]
+    assert "e0" not in output
+    assert "waiting: zone b is not well" in output
--- a/tests/test_maintenance_health_checks.py
+++ b/tests/test_maintenance_health_checks.py
@@ -3,16 +3,16 @@
 from decklb.maintenance.health_checks import PlanHealthChecks
 
 
-def test_an_engine_is_unreachable_after_two_failures_in_a_row_until_it_answers():
-    checks, seen = PlanHealthChecks(), []
+def test_an_engine_is_unreachable_after_two_consecutive_failures_until_it_answers():
+    checks, unreachable = PlanHealthChecks(), []
     for answered in (False, True, False, False, True):
         checks.started("e0")
         checks.ended("e0", answered)
-        seen.append(checks.unreachable())
-    assert seen == [set(), set(), set(), {"e0"}, set()]
+        unreachable.append(checks.unreachable())
+    assert unreachable == [set(), set(), set(), {"e0"}, set()]
 
 
-def test_an_engine_has_one_check_in_flight_and_is_forgotten_outside_the_plan():
+def test_an_engine_has_at_most_one_check_in_flight_and_is_forgotten_when_it_leaves_the_plan():
     checks, engines = PlanHealthChecks(), frozenset(("e0", "e1"))
     checks.started("e0")
     assert checks.due(engines) == {"e1"}
--- a/tests/test_maintenance_plan.py
+++ b/tests/test_maintenance_plan.py
@@ -1,4 +1,4 @@
-"""The plan: operators' requests, the disruption budget and the steps that follow by themselves."""
+"""The plan: operators' requests, the disruption budget and the steps."""
 
 import pytest
 from msgspec.structs import replace
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def requested():
-    """A plan with the job j for the machines of zone a."""
+    """Return a plan with the job j for the machines of zone a."""
     return add_job(Plan(), "j", ["a"], "", 5000, ENGINES, SETTINGS.retained_jobs)
 
 
@@ -74,10 +74,10 @@
         add_job(requested, "k", ["a1", "b"], "", 5000, ENGINES, SETTINGS.retained_jobs)
 
 
-def test_a_machine_passes_its_stages_in_order_and_the_next_waits_until_it_is_warm(requested):
+def test_a_machine_passes_its_stages_in_order_and_the_next_waits_until_it_is_done(requested):
     plan, seen = requested, []
     down = {"reachable": False, "seen_down": True}
-    for unix_ms, more in (
+    for unix_ms, a0_changes in (
         (0, {}),
         (100, {"in_flight": 1}),
         (200, {}),
@@ -89,33 +89,33 @@
         (1700, {}),
         (1800, {}),
     ):
-        plan = advance(plan, fleet_status(unix_ms, a0=more), SETTINGS)
+        plan = advance(plan, fleet_status(unix_ms, a0=a0_changes), SETTINGS)
         seen.append((stages(plan)["a0"], stages(plan)["a1"]))
-    assert [x for x, _ in seen] == ["draining"] * 2 + ["out"] * 4 + ["warming"] * 2 + ["done"] * 2
-    assert {y for _, y in seen[:9]} == {"waiting"}
+    assert [a0 for a0, _ in seen] == ["draining"] * 2 + ["out"] * 4 + ["warming"] * 2 + ["done"] * 2
+    assert {a1 for _, a1 in seen[:9]} == {"waiting"}
     assert seen[9][1] == "draining"
     assert plan.step_count == 5
 
 
 def test_the_reason_that_blocks_a_machine_is_stored_once(requested):
-    for found, words in (
+    for status, expected_reason in (
         (fleet_status(plan_known_to_all=False), "not every member has the plan"),
         (fleet_status(unhealthy=["b"]), "zone b is not"),
         (fleet_status(load={"a": 7.0}), "zone a would have 8 cores left"),
         (fleet_status(load={"b": 21.0}), "the fleet would have 24"),
     ):
-        plan = advance(requested, found, SETTINGS)
+        plan = advance(requested, status, SETTINGS)
         assert set(stages(plan).values()) == {"waiting"}
-        assert words in plan.blocked_reason
-        assert advance(plan, found, SETTINGS) is plan  # said once
-    one = add_job(Plan(), "k", ["a0"], "", 5000, ENGINES, SETTINGS.retained_jobs)
-    short = fleet_status(a1={"reachable": False}, load={"a": 1.0})
-    assert "0 cores left" in advance(one, short, SETTINGS).blocked_reason
-    tight = MaintenanceSettings(member_count=3, max_unavailable_zone_fraction=0.4)
-    assert "40% may be" in advance(requested, fleet_status(), tight).blocked_reason
+        assert expected_reason in plan.blocked_reason
+        assert advance(plan, status, SETTINGS) is plan  # the same reason is not stored again
+    job_of_one = add_job(Plan(), "k", ["a0"], "", 5000, ENGINES, SETTINGS.retained_jobs)
+    other_unreachable = fleet_status(a1={"reachable": False}, load={"a": 1.0})
+    assert "0 cores left" in advance(job_of_one, other_unreachable, SETTINGS).blocked_reason
+    smaller_fraction = MaintenanceSettings(member_count=3, max_unavailable_zone_fraction=0.4)
+    assert "40% may be" in advance(requested, fleet_status(), smaller_fraction).blocked_reason
 
 
-def test_the_disruption_budget_holds_over_all_jobs_and_zones(requested):
+def test_the_disruption_budget_applies_across_all_jobs_and_zones(requested):
     plan = add_job(requested, "k", ["b"], "", 5000, ENGINES, SETTINGS.retained_jobs)
     for _ in range(5):
         plan = advance(plan, fleet_status(100, a0={"in_flight": 1}, b0={"in_flight": 1}), SETTINGS)
@@ -123,15 +123,15 @@
     assert "2 of 2 machines" in plan.blocked_reason
 
 
-def test_work_in_flight_is_waited_for_until_the_drain_times_out(requested):
+def test_a_machine_drains_until_no_work_is_in_flight_or_the_drain_times_out(requested):
     plan = advance(requested, fleet_status(0), SETTINGS)
     assert stages(advance(plan, fleet_status(499, a0={"in_flight": 3}), SETTINGS))["a0"] == "draining"
     assert stages(advance(plan, fleet_status(499, plan_known_to_all=False), SETTINGS))["a0"] == "draining"
     assert stages(advance(plan, fleet_status(500, a0={"in_flight": 3}), SETTINGS))["a0"] == "out"
 
 
-def test_after_a_members_death_the_whole_drain_timeout_is_waited_for(requested):
-    """What its process had sent runs on at the machine, and nobody counts it any more."""
+def test_after_a_member_was_lost_a_machine_drains_for_the_whole_drain_timeout(requested):
+    """Work that the lost process had sent still runs on the machine, but no member counts it."""
     plan = advance(requested, fleet_status(0), SETTINGS)
     for unix_ms, stage in ((499, "draining"), (500, "out")):
         assert stages(advance(plan, replace(fleet_status(unix_ms), in_flight_certain=False), SETTINGS))["a0"] == stage
@@ -145,12 +145,12 @@
     assert "out or warming: a0" in plan.blocked_reason
     plan = cancel_job(plan, "j", 6001)
     assert (set(stages(plan).values()), plan.unavailable_machines()) == ({"cancelled"}, frozenset())
-    assert cancel_job(plan, "j", 6002) is plan  # the same word again, as where its answer was lost
+    assert cancel_job(plan, "j", 6002) is plan  # repeated request, as after a lost answer
     with pytest.raises(UnknownJobError):
         cancel_job(plan, "k", 6002)
 
 
-def test_an_operator_marks_a_machine_returned_that_was_never_seen_down(requested):
+def test_an_operator_can_mark_a_machine_as_returned_that_was_never_seen_down(requested):
     with pytest.raises(MachineNotOutError):
         mark_returned(requested, "a0", 5)
     plan = advance(advance(requested, fleet_status(0), SETTINGS), fleet_status(10), SETTINGS)
@@ -160,7 +160,7 @@
     assert mark_returned(plan, "a0", 101) is plan
 
 
-def test_a_manager_has_returned_when_its_incarnation_is_another():
+def test_a_manager_has_returned_when_its_incarnation_has_changed():
     name = manager_machine("m1")
     machines = {name: MachineStatus(name, "managers", 0.0, True, 0, 50)}
     plan = add_job(Plan(), "j", [name], "", 5000, machines, SETTINGS.retained_jobs)
@@ -170,7 +170,7 @@
         assert stages(plan)[name] == stage
 
 
-def test_the_next_manager_waits_until_the_one_before_may_vote_on_records():
+def test_the_next_manager_waits_until_the_previous_one_may_vote_on_records():
     names = [manager_machine("m1"), manager_machine("m2")]
     machines = {n: MachineStatus(n, "managers", 0.0, True, 0, 50) for n in names}
     settings = MaintenanceSettings(
--- a/tests/test_maintenance_register.py
+++ b/tests/test_maintenance_register.py
@@ -1,4 +1,4 @@
-"""The replicated register (CASPaxos): on a simulated network by seed, and its acceptor, proposer and recovery."""
+"""The replicated register (CASPaxos): seeded simulations, and its acceptor, proposer and recovery."""
 
 import random
 
@@ -22,77 +22,80 @@
     return ReplicatedRegister(name, ValueCodec((), bytes, tuple), members, 100.0, random.Random(seed), 0.0, **more)
 
 
-def test_each_change_is_committed_once_in_one_line_despite_faults_and_restarts():
-    """1,600 such runs were clean; with a rule taken out, these few are not."""
-    done = 0
+def test_each_change_is_committed_once_in_one_sequence_despite_faults_and_restarts():
+    """1,600 such runs showed no violation; with a rule of the protocol removed, the runs of this test fail."""
+    committed = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(25)):
-        told = RegisterSimulation(seed, members, harsh=True).run()
-        assert (told.lost, told.twice, told.forked, told.stuck) == ([], [], 0, 0), (members, seed)
-        done += len(told.done)
-    assert done > 1000
+        outcome = RegisterSimulation(seed, members, harsh=True).run()
+        assert (outcome.lost, outcome.twice, outcome.forked, outcome.stuck) == ([], [], 0, 0), (members, seed)
+        committed += len(outcome.done)
+    assert committed > 1000
 
 
-def test_messages_slower_than_a_round_delay_commits_and_do_not_stop_them():
-    """Each way 60 ms and more, where a try begins with 100 to 200: with tries of one length none was done."""
-    made = [RegisterSimulation(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
-    assert sum(len(t.done) for t in made) > 60
-    assert [(t.lost, t.twice, t.forked) for t in made] == [([], [], 0)] * 8
+def test_messages_slower_than_a_round_delay_commits_and_do_not_prevent_them():
+    """Messages take 60 ms or more each way, and the first rounds 100 to 200 ms.
 
+    Without longer timeouts for repeated rounds no change was ever committed.
+    """
+    outcomes = [RegisterSimulation(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
+    assert sum(len(outcome.done) for outcome in outcomes) > 60
+    assert [(outcome.lost, outcome.twice, outcome.forked) for outcome in outcomes] == [([], [], 0)] * 8
 
-def test_persisted_state_outlives_a_restart_of_all_members_at_once():
-    done = 0
+
+def test_persisted_state_survives_a_simultaneous_restart_of_all_members():
+    committed = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(12)):
-        told = RegisterSimulation(seed, members, harsh=True, kept=True).run()
-        assert (told.lost, told.twice, told.forked, told.stuck) == ([], [], 0, 0), (members, seed)
-        done += len(told.done)
-    assert done > 400
+        outcome = RegisterSimulation(seed, members, harsh=True, kept=True).run()
+        assert (outcome.lost, outcome.twice, outcome.forked, outcome.stuck) == ([], [], 0, 0), (members, seed)
+        committed += len(outcome.done)
+    assert committed > 400
 
 
-def test_a_value_whose_proposer_dies_before_it_is_learned_is_committed_by_others():
-    nodes = {n: make_replica(n, 3, seed=n) for n in ("m0", "m1", "m2")}
-    for node in nodes.values():
-        node.acceptor.recovering = False
-    nodes["m0"].propose(lambda v: (*v, 1), lambda _value: None)
+def test_a_value_whose_proposer_ends_before_others_learn_it_is_committed_by_them():
+    replicas = {n: make_replica(n, 3, seed=n) for n in ("m0", "m1", "m2")}
+    for replica in replicas.values():
+        replica.acceptor.recovering = False
+    replicas["m0"].propose(lambda value: (*value, 1), lambda _value: None)
     now, queue = 0.0, []
     while now < 4000.0:
-        for sender, to, message in queue:
-            if not isinstance(message, Committed):  # m0 is gone by then
-                nodes[to].receive(now, sender, message)
+        for sender, receiver, message in queue:
+            if not isinstance(message, Committed):  # m0 ends before it can announce the commit
+                replicas[receiver].receive(now, sender, message)
         queue = []
-        for name, node in nodes.items():
+        for name, replica in replicas.items():
             if now <= 20.0 or name != "m0":
-                node.tick(now)
-                queue += [(name, o, x) for to, x in node.outgoing for o in ([to] if to else nodes) if o != name]
-            node.outgoing.clear()
+                replica.tick(now)
+                queue += [(name, r, m) for to, m in replica.outgoing for r in ([to] if to else replicas) if r != name]
+            replica.outgoing.clear()
         now += 10.0
-    assert [n.committed for n in nodes.values()][1:] == [(1,)] * 2
+    assert [n.committed for n in replicas.values()][1:] == [(1,)] * 2
 
 
-def test_a_recovering_acceptor_rejects_until_it_has_read_a_majority():
+def test_a_recovering_acceptor_rejects_until_it_has_read_the_state_of_a_majority():
     replica = make_replica("m0", 5)
     replica.receive(0.0, "m1", Prepare(Ballot(4, "m1")))
     assert replica.outgoing == [("m1", Rejected(Ballot(4, "m1"), Ballot(4, "m1")))]
     replica.outgoing.clear()
     replica.tick(100.0)
-    assert replica.outgoing == []  # proposals that count on its former promises may still live
+    assert replica.outgoing == []  # rounds that rely on its earlier promises may not be over yet
     replica.tick(870.0)
     assert replica.outgoing == []
     replica.tick(890.0)
-    ((_, read),) = replica.outgoing
+    ((_, state_request),) = replica.outgoing
     for i, name in enumerate(("m1", "m2", "m3")):
         assert replica.recovering
-        replica.receive(891.0, name, StateReply(read.nonce, Ballot(7, "m2"), Ballot(6, "m1"), b"\x01", i < 3))
+        replica.receive(891.0, name, StateReply(state_request.nonce, Ballot(7, "m2"), Ballot(6, "m1"), b"\x01", i < 3))
     assert not replica.recovering
     assert (replica.acceptor.promised, replica.acceptor.accepted) == (Ballot(7, "m2"), (Ballot(6, "m1"), b"\x01"))
 
 
 def test_a_change_without_a_quorum_fails_at_its_deadline():
     replica = make_replica("m0", 3)
-    replica.acceptor.recovering, told = False, []
-    replica.propose(lambda v: (*v, 1), told.append, 1000.0)
+    replica.acceptor.recovering, results = False, []
+    replica.propose(lambda value: (*value, 1), results.append, 1000.0)
     for now in range(0, 1200, 50):
         replica.tick(float(now))
-    assert isinstance(told[0], QuorumUnavailableError)
+    assert isinstance(results[0], QuorumUnavailableError)
     assert not replica.busy
 
 
@@ -102,5 +105,5 @@
     assert not replica.recovering
     replica.receive(0.0, "m1", Prepare(Ballot(3, "m1")))
     replica.receive(0.0, "m1", Accept(Ballot(3, "m1"), b"\x01"))
-    assert [type(x) for _, x in replica.outgoing] == [Rejected] * 2
+    assert [type(message) for _, message in replica.outgoing] == [Rejected] * 2
     assert (replica.acceptor.promised, replica.acceptor.accepted.ballot) == (Ballot(2, "m1"), Ballot(1, "m1"))
--- a/tests/test_maintenance_store.py
+++ b/tests/test_maintenance_store.py
@@ -31,16 +31,16 @@
         store.close()
 
 
-def test_state_is_read_back_by_the_same_member_in_the_same_boot_alone(open_store):
+def test_state_is_read_back_only_by_the_same_member_in_the_same_boot(open_store):
     plan = add_job(Plan(), "j", ["a"], "", 5000, ENGINES, 50)
     state = AcceptorState(Ballot(4, "m1"), AcceptedValue(Ballot(3, "m0"), encode_plan(plan)))
     store = open_store()
     assert store.read() is None
     store.write(state)
     store.close()
-    for member, boot, found in (("m0", None, state), ("m1", None, None), ("m0", "b2", None), ("m0", "", None)):
-        store = open_store(member, boot)  # with no boot id nobody can say
-        assert store.read() == found, (member, boot)
+    for member, boot, expected in (("m0", None, state), ("m1", None, None), ("m0", "b2", None), ("m0", "", None)):
+        store = open_store(member, boot)  # None: the real boot id; "": the boot id is unknown
+        assert store.read() == expected, (member, boot)
         store.close()
 
 
