--- a/decklb/locality/messages.py
+++ b/decklb/locality/messages.py
@@ -89,13 +89,13 @@
         raise WireError("shape", str(error)) from error
     if message.version != VERSION:
         raise WireError("version", f"{message.version}")
-    found: list[Vote | Decision] = []
+    votes_and_decisions: list[Vote | Decision] = []
     for entry in message.entries:
-        found.append(_vote(entry, sender))
+        votes_and_decisions.append(_vote(entry, sender))
         if entry.decided_term:
             state = STATES[entry.decided_state]
-            found.append(Decision(entry.zone, entry.decided_term, state, float(entry.decision_age_ms)))
-    return MemberReport(message.home_zone, message.load_cores, found)
+            votes_and_decisions.append(Decision(entry.zone, entry.decided_term, state, float(entry.decision_age_ms)))
+    return MemberReport(message.home_zone, message.load_cores, votes_and_decisions)
 
 
 def _entry(vote: Vote, decision: Decision | None) -> ZoneEntry:
--- a/decklb/locality/recovery_budget.py
+++ b/decklb/locality/recovery_budget.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-BURST_MS = 250.0  # ms of budget that may be spent at once
+BURST_MS = 250.0  # ms for which unused budget accumulates
 
 
 @dataclass(slots=True)
--- a/decklb/locality/settings.py
+++ b/decklb/locality/settings.py
@@ -45,8 +45,8 @@
     degraded_threshold: float = 0.3  # the same fraction, from which a zone is degraded
     degraded_latency_ratio: float = 4.0  # ratio to the usual latency from which a zone is degraded
     max_utilization: float = 0.85  # fraction of a zone's capacity that its callers may use before they spill over
-    # Fraction of all capacity below which, if no more is usable, all zones are used regardless of their state: some
-    # requests fail then, but the remaining healthy zones are not overloaded.
+    # If a smaller fraction of the total capacity is usable, all zones are used regardless of their state: some requests
+    # fail then, but the remaining healthy zones are not overloaded.
     panic_threshold: float = 0.4
 
     def __post_init__(self) -> None:
--- a/decklb/locality/spillover.py
+++ b/decklb/locality/spillover.py
@@ -103,7 +103,7 @@
     """Return the weights by which the requests beyond the home zone's capacity are distributed.
 
     The weight of a zone is the capacity left after serving its own callers. If no zone has any left, the weights are
-    the usable capacities of all zones except the returning ones.
+    the usable capacities of the healthy and degraded zones, or of the returning ones if there are no others.
     """
     loads = {name: permitted[name].load if usable[name] > 0 else 0.0 for name in candidates}
     spare = {name: max(0.0, usable[name] - loads[name]) for name in candidates if name != home}
--- a/decklb/locality/zone_state.py
+++ b/decklb/locality/zone_state.py
@@ -43,7 +43,7 @@
     reachable_fraction: float  # fraction of the zone's capacity that this member can reach
     error_rate: float = 0.0  # fraction of its attempts there that engines answered with an error
     latency_ratio: float = 1.0  # ratio to the usual latency
-    health_checks_only: bool = False  # no recent requests and all health checks succeeded, so errors are not observed
+    health_checks_only: bool = False  # no recent requests and no unreachable engine, so errors cannot be observed
 
     @property
     def unreachable(self) -> bool:
--- a/decklb/maintenance/__init__.py
+++ b/decklb/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Machines taken out for maintenance by one plan, which the members agree on through a replicated register."""
+"""Takes machines out for maintenance by a plan that the members agree on through a replicated register."""
--- a/decklb/maintenance/endpoint_overlay.py
+++ b/decklb/maintenance/endpoint_overlay.py
@@ -16,15 +16,15 @@
     """Changes that the plan makes to one member's endpoint list."""
 
     def __init__(self) -> None:
-        self._seen: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # unavailable, warming
+        self._last_seen: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # unavailable, warming
         self._warming_since: dict[str, float] = {}  # ms, by engine
 
     def update_plan(self, now: float, plan: Plan, unavailable: frozenset[str]) -> bool:
         """Update to a plan, and return whether the endpoint list has to be applied again."""
         warming = frozenset(machine.name for machine in plan.machines_in((Stage.WARMING,)))
         self._warming_since = {name: self._warming_since.get(name, now) for name in warming}
-        previous, self._seen = self._seen, (unavailable, warming)
-        return self._seen != previous
+        previous, self._last_seen = self._last_seen, (unavailable, warming)
+        return self._last_seen != previous
 
     def apply(self, endpoints: list[Endpoint], unavailable: frozenset[str]) -> list[Endpoint]:
         """Return the endpoint list with the changes of the plan."""
--- a/decklb/maintenance/operator_requests.py
+++ b/decklb/maintenance/operator_requests.py
@@ -59,13 +59,13 @@
     Raises:
         UnknownMachineError: A target matches no machine.
     """
-    found: dict[str, MachineStatus] = {}
+    resolved: dict[str, MachineStatus] = {}
     for target in targets:
         matching = [machine for machine in known.values() if _matches(target, machine)]
         if not matching:
             raise UnknownMachineError(target)
-        found |= {machine.name: machine for machine in matching}
-    return tuple(sorted(found.values(), key=lambda machine: (machine.zone, machine.name)))
+        resolved |= {machine.name: machine for machine in matching}
+    return tuple(sorted(resolved.values(), key=lambda machine: (machine.zone, machine.name)))
 
 
 def add_job(
--- a/decklb/maintenance/plan_events.py
+++ b/decklb/maintenance/plan_events.py
@@ -23,22 +23,22 @@
 
     def notices(self, plan: Plan, unix_ms: int) -> list[Notice]:
         """Return notices of newly overdue machines, of each step, and of a new reason that blocks waiting machines."""
-        notices = self._newly_overdue(plan, unix_ms)
+        notices = self._overdue_notices(plan, unix_ms)
         previous, self._logged_plan = self._logged_plan, plan
         if plan is previous:
             return notices
-        notices += _steps(previous, plan)
+        notices += _step_notices(previous, plan)
         if plan.blocked_reason != previous.blocked_reason and plan.blocked_reason:
             notices.append(Notice("maintenance-blocked", {"reason": plan.blocked_reason}))
         return notices
 
-    def _newly_overdue(self, plan: Plan, unix_ms: int) -> list[Notice]:
+    def _overdue_notices(self, plan: Plan, unix_ms: int) -> list[Notice]:
         overdue = {machine.name for machine in overdue_machines(plan, unix_ms)}
         new, self._overdue = overdue - self._overdue, overdue
         return [Notice("maintenance-overdue", {"machine": name}) for name in sorted(new)]
 
 
-def _steps(previous: Plan, plan: Plan) -> list[Notice]:
+def _step_notices(previous: Plan, plan: Plan) -> list[Notice]:
     stages = {(job.job_id, machine.name): machine.stage for job in previous.jobs for machine in job.machines}
     return [
         Notice(
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -11,9 +11,13 @@
 ENGINES = {f"{z}{i}": MachineStatus(f"{z}{i}", z, 8.0) for z in "ab" for i in range(2)}
 
 
-def fleet_settings(**more):
+def fleet_settings(**overrides):
     return MaintenanceSettings(
-        max_unavailable_zone_fraction=0.5, warm_up_ms=300.0, drain_timeout_ms=2000.0, default_window_ms=9000.0, **more
+        max_unavailable_zone_fraction=0.5,
+        warm_up_ms=300.0,
+        drain_timeout_ms=2000.0,
+        default_window_ms=9000.0,
+        **overrides,
     )
 
 
--- a/tests/test_maintenance_register.py
+++ b/tests/test_maintenance_register.py
@@ -18,8 +18,10 @@
 from decklb.maintenance.replicated_register import ReplicatedRegister
 
 
-def make_replica(name, members, seed=1, **more):
-    return ReplicatedRegister(name, ValueCodec((), bytes, tuple), members, 100.0, random.Random(seed), 0.0, **more)
+def make_replica(name, member_count, seed=1, **options):
+    return ReplicatedRegister(
+        name, ValueCodec((), bytes, tuple), member_count, 100.0, random.Random(seed), 0.0, **options
+    )
 
 
 def test_each_change_is_committed_once_in_one_sequence_despite_faults_and_restarts():
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -137,9 +137,9 @@
 class TracedSimulation(RegisterSimulation):
     """The register on a simulated network, with a digest of all messages in order."""
 
-    def __init__(self, *args, **more):
+    def __init__(self, *args, **kwargs):
         self.digest = hashlib.sha256()
-        super().__init__(*args, **more)
+        super().__init__(*args, **kwargs)
 
     def _send_messages(self, name, node):
         for to, message in node.outgoing:
