--- a/decklb/maintenance/errors.py
+++ b/decklb/maintenance/errors.py
@@ -1,4 +1,4 @@
-"""Errors of maintenance. Operators receive the messages as answers, so each message says what to do."""
+"""Errors of maintenance. Most messages are answers of the control socket to operators, so each says what to do."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
     """A target of the request matches no known machine."""
 
     def __init__(self, target: str) -> None:
-        super().__init__(f"{target!r} matches no engine, zone or manager; `status` lists the known machines")
+        super().__init__(f"no engine is called {target!r}, nor is any in a zone of that name; `status` lists them")
 
 
 class MachineAlreadyPlannedError(MaintenanceError):
     """A machine is in another job that has not finished."""
 
     def __init__(self, machine: str, job_id: str) -> None:
-        super().__init__(f"{machine} is in job {job_id} already; cancel that job first, or omit the machine")
+        super().__init__(f"{machine} is in job {job_id} already; cancel that one first, or leave the machine out")
 
 
 class UnknownJobError(MaintenanceError):
     """There is no active job of that name."""
 
     def __init__(self, job_id: str) -> None:
-        super().__init__(f"no active job is named {job_id!r}; `status` lists the jobs")
+        super().__init__(f"no open job is called {job_id!r}; `status` lists them")
 
 
 class MachineNotOutError(MaintenanceError):
     """A machine was reported as returned but is not out."""
 
     def __init__(self, machine: str) -> None:
-        super().__init__(f"{machine} is not out for maintenance; `status` shows its stage")
+        super().__init__(f"{machine} is not out for work; `status` tells where it stands")
 
 
 class QuorumUnavailableError(MaintenanceError):
@@ -44,8 +44,7 @@
 
     def __init__(self) -> None:
         super().__init__(
-            "no majority of the members answered in time; the change may still take effect: "
-            "check `status` before retrying"
+            "no majority of the members has answered; it may still come to be done: see `status` before asking again"
         )
 
 
--- a/decklb/maintenance/operator_requests.py
+++ b/decklb/maintenance/operator_requests.py
@@ -1,7 +1,7 @@
 """Changes of the plan that operators request: take machines out, cancel a job, report a machine as returned.
 
-Each function takes a plan and returns the changed plan. They are idempotent, as a proposal that is retried may already
-have been committed. Called by `orchestrator.py` through the replicated register. Does no I/O.
+Each function takes a plan and returns the changed plan. The functions are idempotent, as a proposal that is retried may
+already have been committed. Called by `orchestrator.py` through the replicated register. Does no I/O.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
         """
         job_id, machines = str(fields.get("job", "")), fields.get("machines")
         if not job_id or len(job_id) > MAX_JOB_ID_LENGTH or not isinstance(machines, list) or not machines:
-            raise InvalidRequestError("job must be a name of 1 to 64 characters, machines a non-empty list of targets")
+            raise InvalidRequestError("a request needs a job's name of at most 64 characters, and machines")
         window_ms = fields.get("window") or 0
         if not isinstance(window_ms, int | float) or window_ms < 0:
-            raise InvalidRequestError("window must be a number of ms, at least 0 (0: the default)")
+            raise InvalidRequestError("window is a number of ms above 0")
         reason = str(fields.get("reason", ""))[:MAX_REASON_LENGTH]
         return cls(job_id, tuple(str(machine) for machine in machines), reason, window_ms)
 
