--- a/decklb/locality/consensus.py
+++ b/decklb/locality/consensus.py
@@ -141,7 +141,7 @@
             self.isolated = True
 
     def _update_desired_state(self, now: float, record: ZoneRecord) -> None:
-        """Update the change of state that this member's observation supports, and since when it does."""
+        """Update which change of state this member's observation supports, and since when."""
         desired = self._desired_state(now, record)
         if desired is not record.desired_state:
             record.desired_state, record.desired_since = desired, now
--- a/decklb/locality/coordinator.py
+++ b/decklb/locality/coordinator.py
@@ -99,13 +99,13 @@
         """Return the state of a zone and since when it holds. A zone that is in no region is always healthy."""
         if zone not in self.consensus.zones:
             return DecidedState(ZoneState.HEALTHY, NEVER)
-        return self._effective().state(zone)
+        return self._effective_consensus().state(zone)
 
     def reachable_fraction(self, zone: str, now: float) -> float:
         """Return the fraction of a zone's capacity that is up."""
         if zone not in self.consensus.zones:
             return 1.0
-        return self._effective().reachable_fraction(zone, now)
+        return self._effective_consensus().reachable_fraction(zone, now)
 
     def unhealthy_zones(self) -> frozenset[str]:
         """Return the zones that are degraded, out or returning."""
@@ -126,7 +126,7 @@
         loads = self.load_cores(now)
         return [self._status_row(zone, now, loads[zone]) for zone in self.consensus.zones]
 
-    def _effective(self) -> ZoneConsensus:
+    def _effective_consensus(self) -> ZoneConsensus:
         return self.standalone if self.decides_alone else self.consensus
 
     def _send(self, now: float, items: list[Vote | Decision]) -> None:
--- a/decklb/locality/health_observer.py
+++ b/decklb/locality/health_observer.py
@@ -112,7 +112,8 @@
             engine.failures, engine.answered_at = 0, now
             zone.error_rate += ERROR_WEIGHT * ((outcome is Outcome.ERROR) - zone.error_rate)
         elif engine.answered_at < now - duration_ms or outcome is Outcome.UNREACHABLE:
-            # If the engine answered others during the attempt, the request itself caused the failure.
+            # A lost connection or a timeout is not counted if the engine answered other requests during the attempt, as
+            # the request itself has caused it then.
             engine.failures += 1
         if outcome is Outcome.SUCCESS:
             self._add_latency(zone, request_class, duration_ms)
--- a/decklb/locality/runtime.py
+++ b/decklb/locality/runtime.py
@@ -84,7 +84,7 @@
         self._request_counts[request_class] += 1
         statistics = self.dispatcher.gateway.statistics.get(request_class)
         spec = self.dispatcher.settings.classes.get(request_class)
-        # The average work of the class: with the minimum, the recovery budget of a zone would be overdrawn.
+        # The average work of a request of the class: its minimum would overdraw the recovery budget of a zone.
         work_ms = statistics.run_ms * spec.threads if statistics is not None and spec is not None else 0.0
         return self.selector.select(self.clock.now(), request_class, work_ms, self.coordinator)
 
--- a/decklb/locality/settings.py
+++ b/decklb/locality/settings.py
@@ -43,7 +43,7 @@
     recovery_min_fraction: float = 0.05  # fraction of its share that a zone receives at the moment of its return
     out_threshold: float = 0.7  # fraction of capacity unreachable, or of attempts failed, from which a zone is out
     degraded_threshold: float = 0.3  # the same fraction, from which a zone is degraded
-    degraded_latency_ratio: float = 4.0  # ratio to the usual latency from which a zone is degraded
+    degraded_latency_ratio: float = 4.0  # ratio of a zone's latency to the best zone's, from which it is degraded
     max_utilization: float = 0.85  # fraction of a zone's capacity that its callers may use before they spill over
     # If a smaller fraction of the total capacity is usable, all zones are used regardless of their state: some requests
     # fail then, but the remaining healthy zones are not overloaded.
--- a/decklb/locality/spillover.py
+++ b/decklb/locality/spillover.py
@@ -16,7 +16,7 @@
 from decklb.locality.settings import LocalitySettings
 from decklb.locality.zone_state import ZoneState
 
-DEGRADED_FACTOR = 0.5  # fraction of its usual capacity that a degraded zone may use
+DEGRADED_FACTOR = 0.5  # fraction of its usable capacity that a zone keeps while it is degraded
 ROUNDING_TOLERANCE = 1e-9  # a spillover share up to this is a rounding error
 MIN_CAPACITY = 1e-9  # used instead of 0, so that shares can be computed from capacities
 
--- a/decklb/locality/zone_selector.py
+++ b/decklb/locality/zone_selector.py
@@ -73,8 +73,8 @@
     def select(self, now: float, request_class: str, work_ms: float, coordinator: ZoneCoordinator) -> ZoneSelection:
         """Return the zones for the next request of a class.
 
-        If none of its allowed zones is on the endpoint list, any zone is returned, and the policy delays or ends the
-        request.
+        If none of its allowed zones is on the endpoint list, the result is `ANY_ZONE`, and the policy delays or ends
+        the request.
 
         Args:
             now: The current time.
--- a/decklb/locality/zone_state.py
+++ b/decklb/locality/zone_state.py
@@ -42,7 +42,7 @@
 
     reachable_fraction: float  # fraction of the zone's capacity that this member can reach
     error_rate: float = 0.0  # fraction of its attempts there that engines answered with an error
-    latency_ratio: float = 1.0  # ratio to the usual latency
+    latency_ratio: float = 1.0  # ratio of the zone's latency to the best zone's
     health_checks_only: bool = False  # no recent requests and no unreachable engine, so errors cannot be observed
 
     @property
@@ -57,7 +57,7 @@
     zone: str
     member: str
     term: int
-    state: ZoneState | None  # None: the member votes for no change
+    state: ZoneState | None  # None: the member has cast no vote in an undecided term
     observed: bool  # the member has recently sent requests there, or found engines unreachable
     unreachable: bool = False  # see ZoneObservation
     reachable_fraction: float = 1.0  # fraction of the zone's capacity
--- a/decklb/maintenance/acceptor.py
+++ b/decklb/maintenance/acceptor.py
@@ -1,7 +1,7 @@
 """The acceptor of the replicated register: one member's promises and its last accepted value.
 
 Owns the state that must survive a restart (`AcceptorState`) and its recovery. A member that restarts without this state
-has forgotten its promises. To not lose a committed change, it rejects all proposals until two conditions hold: the
+has forgotten its promises. So that no committed change is lost, it rejects all proposals until two conditions hold: the
 rounds that rely on those promises are over, and it has read the state of enough other members: a majority of all
 members, or every other member. If so many members restart at once that no majority remembers, the values that only
 they had accepted are lost.
--- a/decklb/maintenance/fleet_observer.py
+++ b/decklb/maintenance/fleet_observer.py
@@ -46,7 +46,7 @@
         engines: All engines on the endpoint list, with their zone and cores.
         alive: Names of the members alive, including this one.
         local: This member's own observation.
-        seen_down: Engines that are out and that this member has seen down since then.
+        seen_down: Engines that are out and that this member has seen down since they were taken out.
     """
 
     def __init__(self, settings: MaintenanceSettings, member: str, incarnation: int, now: float) -> None:
--- a/decklb/maintenance/fleet_status.py
+++ b/decklb/maintenance/fleet_status.py
@@ -20,7 +20,7 @@
     reachable: bool = True  # a majority of all members reaches it; for a manager: it is alive
     in_flight: int = 0  # number of attempts of all members there
     incarnation: int = 0  # for a manager: identifies the run of its process
-    seen_down: bool = False  # a majority of all members has seen it down since it is out
+    seen_down: bool = False  # a majority of all members has seen it down since it was taken out
 
 
 class FleetStatus(Struct, frozen=True):
--- a/decklb/maintenance/messages.py
+++ b/decklb/maintenance/messages.py
@@ -37,7 +37,7 @@
     # Number of this member's attempts in flight, by unavailable engine.
     in_flight: Annotated[dict[Name, NonNegative], Meta(max_length=MAX_REPORTED_ENGINES)]
     unreachable: Engines
-    seen_down: Engines  # engines seen down since they are out
+    seen_down: Engines  # engines that the member has seen down since they were taken out
 
 
 Message = RegisterMessage | Report
--- a/decklb/maintenance/orchestrator.py
+++ b/decklb/maintenance/orchestrator.py
@@ -41,7 +41,7 @@
 from decklb.maintenance.settings import MaintenanceSettings
 from decklb.maintenance.status import status_report
 
-PlanResult = Callable[[Plan | Exception], None]
+PlanCallback = Callable[[Plan | Exception], None]
 STEP_DEADLINE_FACTOR = 12  # deadline of a step in round timeouts: enough for three rounds with backoff
 REPORT_EVERY_TICKS = 4  # ticks between two reports if nothing has changed
 MESSAGE_ID_RANDOM_BITS = 31  # random bits of the first message id, so that processes of a member use different ids
@@ -109,7 +109,7 @@
         """The member that does the steps of the plan, from this member's view."""
         return min(self.observer.alive, key=lambda name: (crc32(f"plan/{name}".encode()), name))
 
-    def request_maintenance(self, request: MaintenanceRequest, deadline: float, on_result: PlanResult) -> None:
+    def request_maintenance(self, request: MaintenanceRequest, deadline: float, on_result: PlanCallback) -> None:
         """Add a job that takes machines out for maintenance.
 
         Args:
@@ -126,11 +126,11 @@
             deadline,
         )
 
-    def cancel(self, job_id: str, unix_ms: float, deadline: float, on_result: PlanResult) -> None:
+    def cancel(self, job_id: str, unix_ms: float, deadline: float, on_result: PlanCallback) -> None:
         """Cancel a job at once."""
         self.register.propose(lambda plan: cancel_job(plan, job_id, round(unix_ms)), on_result, deadline)
 
-    def mark_returned(self, name: str, unix_ms: float, deadline: float, on_result: PlanResult) -> None:
+    def mark_returned(self, name: str, unix_ms: float, deadline: float, on_result: PlanCallback) -> None:
         """Mark a machine as returned: an operator reports that the work on it is done."""
         self.register.propose(lambda plan: mark_returned(plan, name, round(unix_ms)), on_result, deadline)
 
--- a/decklb/maintenance/plan.py
+++ b/decklb/maintenance/plan.py
@@ -39,7 +39,7 @@
     zone: str
     stage: Stage = Stage.WAITING
     stage_since_unix_ms: int = 0  # wall clock of the member that did the step
-    seen_down: bool = False  # has been seen down since it is out, so it has returned once it is reachable again
+    seen_down: bool = False  # seen down since it was taken out, so it has returned once it is reachable again
     step: int = 0  # number of the step that moved it to this stage
     incarnation: int = 0  # for a manager: identifies the run of its process that has to restart
 
@@ -81,7 +81,10 @@
 
 
 def overdue_machines(plan: Plan, unix_ms: int) -> list[Machine]:
-    """Return the machines that are out for longer than their window; the plan still waits for them."""
+    """Return the machines that have been out for longer than their window.
+
+    The plan still waits for them, and they still count against the disruption budget.
+    """
     return [
         machine
         for job in plan.jobs
--- a/decklb/maintenance/plan_events.py
+++ b/decklb/maintenance/plan_events.py
@@ -1,6 +1,6 @@
 """Turns changes of the plan into notices for the log.
 
-Owns the plan as last logged, and the machines that are logged as overdue. Called by `orchestrator.py` at each tick.
+Owns the plan as last logged, and the machines already logged as overdue. Called by `orchestrator.py` at each tick.
 Does no I/O. `docs/operations/maintenance.md` lists the events.
 """
 
--- a/decklb/maintenance/replicated_register.py
+++ b/decklb/maintenance/replicated_register.py
@@ -36,7 +36,7 @@
 Value = TypeVar("Value")
 NEVER = float("inf")
 UNCOMMITTED_CHECK_FACTOR = 10.0  # round timeouts to wait for the commit of an accepted value before checking on it
-RECOVERY_MARGIN = 1.1  # multiple of the longest round after which all rounds from before this process are over
+RECOVERY_MARGIN = 1.1  # rounds begun before this process are over after this multiple of the longest round
 NONCE_BITS = 48
 
 
@@ -105,7 +105,7 @@
 
     @property
     def newest(self) -> Value:
-        """The newest value accepted here; it may be committed later, or already be without this member knowing."""
+        """The newest value accepted here; it may be committed later, or already, unknown to this member."""
         accepted = self.acceptor.accepted
         return self._codec.decode(accepted.value) if accepted.ballot > self.committed_ballot else self.committed
 
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -29,7 +29,7 @@
 from decklb.maintenance.health_checks import PlanHealthChecks
 from decklb.maintenance.messages import TOPIC
 from decklb.maintenance.operator_requests import MaintenanceRequest
-from decklb.maintenance.orchestrator import MaintenanceOrchestrator, PlanResult
+from decklb.maintenance.orchestrator import MaintenanceOrchestrator, PlanCallback
 from decklb.maintenance.paxos_messages import AcceptorState
 from decklb.maintenance.plan import Plan
 from decklb.maintenance.settings import MaintenanceSettings
@@ -177,7 +177,7 @@
         self._store_failing = False
         return True
 
-    def _propose(self, propose: Callable[[float, PlanResult], None]) -> Deferred[dict[str, int]]:
+    def _propose(self, propose: Callable[[float, PlanCallback], None]) -> Deferred[dict[str, int]]:
         result: Deferred[dict[str, int]] = Deferred()
 
         def on_result(plan: Plan | Exception) -> None:
@@ -213,8 +213,10 @@
         self._health_checks.retain(checked)
         unreachable = self._health_checks.unreachable()
         unreachable |= {name for name in self.locality.observer.unreachable_engines() if name not in checked}
-        zones = self.locality.coordinator
-        return LocalObservation(in_flight, frozenset(unreachable), zones.load_cores(now), zones.unhealthy_zones())
+        coordinator = self.locality.coordinator
+        return LocalObservation(
+            in_flight, frozenset(unreachable), coordinator.load_cores(now), coordinator.unhealthy_zones()
+        )
 
     def _check_health(self, engines: frozenset[str]) -> None:
         for name in self._health_checks.due(engines):
--- a/decklb/maintenance/scheduling.py
+++ b/decklb/maintenance/scheduling.py
@@ -79,7 +79,7 @@
 
 
 def _warm_up_ms(machine: Machine, settings: MaintenanceSettings) -> float:
-    """Return how long a machine is warming.
+    """Return how many ms a machine has to stay in the stage `WARMING`.
 
     A restarted manager does not vote on handoff records at first; restarting another one during that time could leave
     too few voters.
--- a/tests/maintenance_fleet.py
+++ b/tests/maintenance_fleet.py
@@ -32,7 +32,7 @@
 
 
 class Fleet:
-    """Three members.
+    """Three members and the simulated network between them.
 
     Attributes:
         in_flight: Number of attempts that each member has in flight, by engine.
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -63,7 +63,7 @@
 )
 BALLOTS = (Ballot(4, "m1"), Ballot(3, "m0"))
 STORED = AcceptorState(BALLOTS[0], AcceptedValue(BALLOTS[1], messages.encode_plan(PLAN)))
-MESSAGES = {
+MESSAGES = {  # by a name in the golden file
     "prepare": Prepare(BALLOTS[0]),
     "promise": Promise(BALLOTS[0], BALLOTS[1], b"\x01\x02"),
     "promise, nothing accepted": Promise(BALLOTS[0], NO_BALLOT, b""),
