--- a/decklb/cluster/anti_entropy.py
+++ b/decklb/cluster/anti_entropy.py
@@ -1,9 +1,10 @@
-"""Join and anti-entropy: members compare their tables in pairs and exchange the rows that differ (push/pull).
+"""Join and anti-entropy: pairs of members compare their member tables and exchange the rows that differ (push/pull).
 
-A member sends a digest of checksums; the other answers that it is in sync, or asks for the buckets that differ and
-sends its own rows of them. Partners are drawn from dead members as well, and seeds that are not live are tried, so that
-the sides of a healed partition meet again. Joining is an exchange with the seeds. `membership` starts it and hands it
-the messages of exchanges; what it learns it applies through `member_states`.
+One member sends a digest of checksums. The other replies that the tables are in sync, or requests the buckets that
+differ and sends its own rows of these buckets. Partners are chosen among live and dead members, and seeds that are not
+live are contacted too, so that the sides of a healed partition find each other again. A member joins by an exchange
+with the seeds. `membership` starts the exchanges and passes their messages in; received rows are applied through
+`member_states`.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 from decklb.cluster.settings import MembershipSettings
 from decklb.cluster.timers import TimerQueue
 
-# Members asked for a refutation after one exchange.
+# Maximum number of members asked for a refutation after one exchange.
 MAX_REFUTATION_REQUESTS = 32
 
-# Gossip intervals between attempts to join, until a member has answered: the first one, and the further ones.
-FIRST_JOIN_RETRY = 2
-JOIN_RETRY = 4
+# Delay before the first retry of a join and between further retries, in gossip intervals.
+FIRST_JOIN_RETRY_INTERVALS = 2
+JOIN_RETRY_INTERVALS = 4
 
 
 class AntiEntropy:
-    """Exchanges of one member with others."""
+    """The anti-entropy exchanges of the local member with other members."""
 
     def __init__(
         self,
@@ -52,23 +53,23 @@
     # Joining.
 
     def contact_seeds(self) -> None:
-        """Begin an exchange with each seed."""
+        """Start an exchange with each seed."""
         for address in self.table.seeds:
             self.send(address, [self.table.digest()], piggyback=True)
 
     def schedule_join_retry(self, now: float) -> None:
-        """Contact the seeds again until one has answered: a datagram may be lost, or nobody be up yet."""
-        self.timers.call_at(now + self.settings.gossip_interval_ms * FIRST_JOIN_RETRY, self._retry_join)
+        """Contact the seeds repeatedly until one answers: datagrams may be lost, or no seed may be up yet."""
+        self.timers.call_at(now + self.settings.gossip_interval_ms * FIRST_JOIN_RETRY_INTERVALS, self._retry_join)
 
     def _retry_join(self, now: float) -> None:
         if not (self.local.is_synced or self.local.ready or self.local.has_left):
             self.contact_seeds()
-            self.timers.call_at(now + self.settings.gossip_interval_ms * JOIN_RETRY, self._retry_join)
+            self.timers.call_at(now + self.settings.gossip_interval_ms * JOIN_RETRY_INTERVALS, self._retry_join)
 
     # Periodic exchanges.
 
     def start(self, now: float) -> None:
-        """Begin the periodic exchanges, at a random moment so that members are spread."""
+        """Start the periodic exchanges after a random delay, so that the members' exchanges are spread over time."""
         first = now + self.settings.push_pull_interval_ms * (0.5 + self.rng.random())
         self.timers.call_at(first, self._run_exchange)
 
@@ -85,7 +86,10 @@
             self.send(self.rng.choice(missing), [self.table.digest()], piggyback=True)
 
     def _draw_partner(self) -> Member | None:
-        """Any live or dead member; without the dead, the sides of a partition would never meet again."""
+        """Choose a live or dead member at random.
+
+        Dead members are included because the sides of a healed partition would otherwise never find each other.
+        """
         live, dead = self.table.live.items, self.table.dead.items
         if not live and not dead:
             return None
@@ -96,7 +100,7 @@
     # Messages of exchanges.
 
     def on_digest(self, now: float, address: Address, digest: Digest) -> None:
-        """Another member's checksums: answer with what differs."""
+        """Compare another member's digest with the local table and reply with the differences."""
         differing = self.table.differing_buckets(digest)
         if not differing:
             self.send(address, [InSync()], piggyback=True)
@@ -105,13 +109,13 @@
         self._send_records(now, address, set(differing))
 
     def on_in_sync(self, now: float) -> None:
-        """Another member's table equals ours: the join is complete."""
+        """Complete the join: another member's table equals the local one."""
         if not self.local.is_synced:
             self.local.is_synced = True
             self.states.make_ready(now)
 
     def on_bucket_request(self, now: float, address: Address, request: BucketRequest) -> None:
-        """Another member asks for rows."""
+        """Send the requested rows to another member."""
         self._send_records(now, address, set(request.buckets))
 
     def _send_records(self, now: float, address: Address, buckets: Collection[int]) -> None:
@@ -119,18 +123,18 @@
         self.send(address, records, piggyback=False)
 
     def on_records(self, now: float, address: Address, records: list[MemberRecord]) -> None:
-        """Rows of another member's table: apply them."""
+        """Apply rows of another member's table."""
         disputed = []
         for record in records:
             member = self._apply(now, record)
             if member is not None:
                 disputed.append(member)
         self._request_refutations(now, disputed)
-        if not self.local.is_synced:  # ask whether that was all
+        if not self.local.is_synced:  # check whether the tables are equal now
             self.send(address, [self.table.digest()], piggyback=True)
 
     def _apply(self, now: float, record: MemberRecord) -> Member | None:
-        """Apply one row; returns a member that is live here and dead there."""
+        """Apply one row; return the member if it is live in the local table but dead in the sender's."""
         member = self.table.get(record.name)
         if record.state in (MemberState.ALIVE, MemberState.SUSPECT):
             self.states.on_alive(now, _as_alive(record), from_exchange=True)
@@ -141,12 +145,13 @@
         elif record.state == MemberState.LEFT and record.incarnation >= member.incarnation:
             self.states.on_dead(now, Dead(record.name, record.incarnation, record.name))
         elif member.name in self.table.live and record.incarnation >= member.incarnation:
-            # Another side's claim that it is dead proves nothing here: it is asked to refute, and probed as ever.
+            # The sender may be on the other side of a partition, so its claim does not make the member dead here. The
+            # member is asked to refute the claim and is probed as before.
             return member
         return None
 
     def _add_dead(self, now: float, record: MemberRecord) -> None:
-        """A member first heard of as dead is kept as a possible partner of exchanges."""
+        """Add a member that is already dead when first heard of, as a possible partner of exchanges."""
         if record.state != MemberState.DEAD or record.state_age_ms >= self.settings.dead_retention_ms:
             return
         died_at = now - record.state_age_ms
--- a/decklb/cluster/broadcast_queue.py
+++ b/decklb/cluster/broadcast_queue.py
@@ -1,7 +1,7 @@
-"""Broadcasts that are still to be gossiped: each is sent a bounded number of times, the least sent first.
+"""Queue of pending broadcasts: each is sent a limited number of times, and those sent least often go first.
 
-SWIM section 4.1; HashiCorp memberlist has it as its transmit-limited queue. Owned by `gossip`, which fills datagrams
-from it.
+Described in SWIM, section 4.1, and known from HashiCorp memberlist as the transmit-limited queue. `gossip` owns the
+queue and fills datagrams from it.
 """
 
 from __future__ import annotations
@@ -10,35 +10,36 @@
 from collections import OrderedDict
 from collections.abc import Hashable
 
-# Broadcasts that may fail to fit into a datagram before the search for a smaller one ends.
-MAX_MISFITS = 4
+# Number of broadcasts too large for the rest of a datagram after which the search for a smaller one stops.
+MAX_OVERSIZED = 4
 
-# Broadcasts kept; beyond that the one sent most often is dropped.
+# Maximum length of the queue; beyond it the broadcast sent most often is dropped.
 MAX_BROADCASTS = 20_000
 
 
 def transmit_limit(retransmit_base: int, members: int) -> int:
-    """How often each member sends a broadcast.
+    """Return how often each member sends a broadcast.
 
-    Spread at random, a member misses a broadcast that each sends k times with probability e^-k: k has to grow with the
-    logarithm of the members (SWIM, section 4.1), from a floor that keeps a refutation from being missed at 10% loss.
-    With 4 * log10(n), 2.7% missed one among nine, and live members were declared dead.
+    If each member sends a broadcast k times to random receivers, a member misses it with probability e^-k. So k grows
+    with the logarithm of the number of members (SWIM, section 4.1), and `retransmit_base` is large enough that a
+    refutation arrives in spite of 10% packet loss. With k = 4 * log10(n) and nine members, 2.7% of the members missed a
+    broadcast, and live members were declared dead.
     """
     return retransmit_base + math.ceil(1.5 * math.log(members + 1))
 
 
 class BroadcastQueue:
-    """The queue of one member. A newer broadcast on a subject replaces the older one and starts anew."""
+    """The queue of one member. A newer broadcast on a subject replaces the older one, with its count reset to 0."""
 
     def __init__(self) -> None:
-        self._by_transmits: list[OrderedDict[Hashable, bytes]] = [OrderedDict()]  # index: times sent
+        self._by_transmits: list[OrderedDict[Hashable, bytes]] = [OrderedDict()]  # index: number of transmissions
         self._transmits: dict[Hashable, int] = {}
 
     def __len__(self) -> int:
         return len(self._transmits)
 
     def add(self, subject: Hashable, message: bytes) -> None:
-        """Send this encoded message from now on."""
+        """Add an encoded message, in place of an older one on the same subject."""
         self.drop(subject)
         self._by_transmits[0][subject] = message
         self._transmits[subject] = 0
@@ -47,33 +48,33 @@
             self.drop(next(iter(most_sent)))
 
     def drop(self, subject: Hashable) -> None:
-        """Send it no more."""
+        """Remove the broadcast on a subject, if there is one."""
         transmits = self._transmits.pop(subject, None)
         if transmits is not None:
             del self._by_transmits[transmits][subject]
 
     def take(self, capacity: int, limit: int) -> list[bytes]:
-        """Messages for one datagram.
+        """Return the messages for one datagram and count them as sent.
 
         Args:
             capacity: bytes left in the datagram.
-            limit: transmissions after which a broadcast is dropped; see `transmit_limit`.
+            limit: number of transmissions after which a broadcast is dropped; see `transmit_limit`.
         """
         taken = self._select(capacity)
         return [self._count_transmit(transmits, subject, limit) for transmits, subject in taken]
 
     def _select(self, capacity: int) -> list[tuple[int, Hashable]]:
-        """What fits, as (times sent, subject); the whole queue is not searched for one that does."""
+        """Return the broadcasts that fit, as (number of transmissions, subject), without searching the whole queue."""
         selected: list[tuple[int, Hashable]] = []
-        misfits = 0
+        oversized = 0
         for transmits, level in enumerate(self._by_transmits):
             for subject, message in level.items():
                 if len(message) <= capacity:
                     capacity -= len(message)
                     selected.append((transmits, subject))
                 else:
-                    misfits += 1
-                if misfits > MAX_MISFITS:
+                    oversized += 1
+                if oversized > MAX_OVERSIZED:
                     return selected
         return selected
 
--- a/decklb/cluster/declines.py
+++ b/decklb/cluster/declines.py
@@ -1,7 +1,8 @@
-"""Which members have declined which duties, and until when. One a kind of duty, owned by its scheduler.
+"""Which members have declined which duties, and until when. The scheduler of each kind of duty has one such record.
 
-A member declines a duty that it can't do, such as a health check of an engine that it can't reach; it then owns the
-duty no more until the hold is over. All members must hold the same declines to find the same owner.
+A member declines a duty that it cannot perform, such as a health check of an engine that it cannot reach. It does not
+own the duty until the hold of the decline has ended. Members compute the same owner only if they know the same
+declines.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 import math
 from collections.abc import Collection
 
-# A decline that ends less than this after the one held is the same one, reckoned by another clock.
+# Two reports of a decline whose holds end within this time are the same decline, computed from different clocks.
 SAME_DECLINE_MS = 1000.0
 
 
@@ -20,7 +21,7 @@
         self._until: dict[str, dict[str, float]] = {}  # duty -> member -> end of the hold
 
     def add(self, duty: str, member: str, until: float) -> bool:
-        """Hold a decline; true if it was not known."""
+        """Record a decline; return whether it was new."""
         members = self._until.setdefault(duty, {})
         if members.get(member, -math.inf) >= until - SAME_DECLINE_MS:
             return False
@@ -28,7 +29,7 @@
         return True
 
     def active(self, now: float) -> dict[str, set[str]]:
-        """The members that decline each duty now; declines that are over are forgotten."""
+        """Return the members that currently decline each duty, and remove the declines that have ended."""
         for duty, members in list(self._until.items()):
             for member in [member for member, until in members.items() if until <= now]:
                 del members[member]
@@ -37,21 +38,21 @@
         return {duty: set(members) for duty, members in self._until.items()}
 
     def members_for(self, duty: str, now: float) -> set[str]:
-        """The members that decline one duty now."""
+        """Return the members that currently decline one duty."""
         return {member for member, until in self._until.get(duty, {}).items() if until > now}
 
     def of_member(self, member: str, now: float) -> list[tuple[str, float]]:
-        """One member's declines, as (duty, ms left of the hold)."""
+        """Return one member's declines, as (duty, remaining ms of the hold)."""
         return [
             (duty, members[member] - now) for duty, members in self._until.items() if members.get(member, 0.0) > now
         ]
 
     def forget_members(self, gone: Collection[str]) -> None:
-        """Members that are gone own nothing, and come back without a memory: their declines end."""
+        """Remove the declines of members that are gone: these own nothing, and have lost their state if they return."""
         for members in self._until.values():
             for name in [name for name in members if name in gone]:
                 del members[name]
 
     def next_expiry(self) -> float:
-        """When the first hold ends; infinity for none."""
+        """Return when the first hold ends; infinity if there is none."""
         return min((until for members in self._until.values() for until in members.values()), default=float("inf"))
--- a/decklb/cluster/duties.py
+++ b/decklb/cluster/duties.py
@@ -1,11 +1,12 @@
-"""The scheduler of one kind of periodic duty: which duties this instance owns, when each is due, what a run leads to.
+"""The scheduler of one kind of periodic duty: which duties this instance owns, when they run, and what follows a run.
 
-A duty is done once a period at a phase of its own, the same whoever owns it: phases are hashed and reckoned on the wall
-clock, so that a subject doesn't get all its duties at once and a duty that moves keeps its rhythm. An owner that fails
-repeatedly declines the duty, so that another member tries; the last failure is then believed and reported.
+A duty runs once per period, at a phase within the period that does not depend on its owner. The phase is a hash of kind
+and subject and is aligned to the wall clock, so that the duties of one subject are spread over the period and a duty
+keeps its schedule when its owner changes. An owner whose runs fail repeatedly declines the duty, so that another member
+tries. When enough members have declined it, or no other member is left, a further failure is trusted and reported.
 
-Owned by `node`, which tells it of changes of members and of messages received, starts the runs that it asks for and
-broadcasts its reports. Free of I/O; times are ms, on the local monotonic clock unless said otherwise.
+`node` owns the scheduler: it passes in changes of members and received messages, starts the requested runs and
+broadcasts the reports. The scheduler does no I/O. Times are ms on the local monotonic clock unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -23,29 +24,29 @@
 from decklb.cluster.timers import Timer, TimerQueue
 from decklb.cluster.verdicts import VerdictTable
 
-# Share of a period over which the duties of a dead member are taken over: promptly, but not all at once.
+# Fraction of a period over which the first runs of a dead member's duties are spread: soon, but not all at once.
 TAKEOVER_SPREAD = 0.25
 
-# Smallest share of a period between two starts of a duty, whatever the wall clock does.
+# Minimum time between two starts of a duty, as a fraction of the period; holds even if the wall clock jumps.
 MIN_START_GAP = 0.5
 
-# Largest hold of a decline, in multiples of the first.
+# Maximum hold of a decline, as a multiple of the first hold.
 MAX_HOLD_MULTIPLIER = 8.0
 
-# After the end of a hold, so that it is over when the owners are computed anew.
+# Delay of the reassignment after the end of a hold, so that the hold has certainly ended by then.
 HOLD_EXPIRY_MARGIN_MS = 1.0
 
 
 class DutyScheduler:
-    """One kind of duty at one instance.
+    """Schedules one kind of duty at one instance.
 
     Attributes:
-        duties: those owned or still running, by subject.
+        duties: duties that are owned or still running, by subject.
         declines: which members decline which duties.
         eligible: members that may own duties.
         warming_until: all subjects, each with the end of its warm-up (Unix ms).
-        in_minority: whether this side sees under half of the known members.
-        running: runs under way.
+        in_minority: whether fewer than half of the known members are live from here.
+        running: number of runs in progress.
     """
 
     def __init__(
@@ -60,18 +61,18 @@
         start_run: Callable[[DutyRun], None],
         report: Callable[[DutyResult | DutyDecline], None],
     ) -> None:
-        """Make a scheduler without duties.
+        """Create a scheduler without duties.
 
         Args:
-            settings: of this kind of duty.
+            settings: settings of this kind of duty.
             member: name of this instance.
             ranking: assigns owners.
-            verdicts: the results held.
-            lamport_clock: gives terms.
-            timers: the node's.
-            wall_clock: Unix ms at a moment of the monotonic clock.
-            start_run: asks for a run; `on_run_ended` is to be called at its end.
-            report: broadcasts a result or a decline, and applies it here by `on_result` or `on_decline`.
+            verdicts: stores the newest results.
+            lamport_clock: issues terms.
+            timers: timers of the node.
+            wall_clock: converts a time of the monotonic clock to Unix ms.
+            start_run: requests a run; `on_run_ended` must be called when the run ends.
+            report: broadcasts a result or decline and applies it locally through `on_result` or `on_decline`.
         """
         self.settings = settings
         self.member = member
@@ -89,15 +90,15 @@
         self.in_minority = False
         self.counters = DutyCounters()
         self.running = 0
-        self._waiting: deque[Duty] = deque()  # due, but too many runs are under way
-        self._times_declined: dict[str, int] = {}  # by subject
-        self._hold_timer: Timer | None = None  # at the end of the next hold
-        self._repeats_declines = False  # whether their repetition has been started
+        self._waiting: deque[Duty] = deque()  # duties that are due while the maximum number of runs is in progress
+        self._times_declined: dict[str, int] = {}  # number of declines by this instance, by subject
+        self._hold_timer: Timer | None = None  # fires when the next hold ends
+        self._repeats_declines = False  # whether the periodic repetition of declines has been started
 
     # Ownership.
 
     def set_subjects(self, now: float, warming_until: Mapping[str, float]) -> None:
-        """Replace the subjects; the values are the ends of their warm-ups (Unix ms)."""
+        """Replace the subjects; the values of `warming_until` are the ends of their warm-ups (Unix ms)."""
         self.warming_until = warming_until
         if not self._repeats_declines:
             self._repeats_declines = True
@@ -110,7 +111,7 @@
         self.update_ownership(now, self.eligible, self.in_minority)
 
     def update_ownership(self, now: float, eligible: Collection[str], in_minority: bool) -> None:
-        """Take and release duties after a change of members, subjects or declines."""
+        """Acquire and release duties after a change of members, subjects or declines."""
         before, self.eligible = self.eligible, frozenset(eligible)
         self.declines.forget_members(before - self.eligible - {self.member})
         declined = self.declines.active(now)
@@ -131,10 +132,10 @@
     def _acquire_all(
         self, now: float, subjects: set[str], before: frozenset[str], declined: Mapping[str, Collection[str]]
     ) -> None:
-        # One term serves all that are taken at once: terms are compared subject by subject.
+        # All duties acquired together share one term, since terms are compared only within a subject.
         term = self.lamport_clock.next_term() if subjects else 0
         for subject in sorted(subjects):
-            # Promptly where its last owner is gone, so that nobody waits a period more for it.
+            # If the last owner is gone the duty runs soon, so that its result is not delayed by another period.
             last_owner = self.ranking.owner(subject, before) if before else None
             is_orphaned = last_owner is not None and last_owner not in self.eligible
             self._acquire(now, subject, term, is_orphaned, subject in declined)
@@ -161,18 +162,18 @@
             del self.duties[duty.subject]
 
     def _on_members_returned(self, now: float, still_owned: set[str]) -> None:
-        """Members have come, or come back from another side of a partition."""
+        """Members have joined, or returned from the other side of a partition."""
         if still_owned:
-            # They may have owned these duties on their side: our results must outdo theirs.
+            # They may have owned these duties on their side, so results from here need a higher term than theirs.
             term = self.lamport_clock.next_term()
             for subject in still_owned:
                 self.duties[subject].term = term
-        self._send_declines(now)  # which they have not heard
+        self._send_declines(now)  # the returned members have not received them
 
     # Schedule.
 
     def period_ms(self, now: float, subject: str) -> float:
-        """Between two runs: stretched for a subject that warms up, and on a side that sees few members."""
+        """Return the time between two runs; it is longer while the subject warms up and while in a minority."""
         factor = self.settings.minority_factor if self.in_minority else 1.0
         if self.wall_clock(now) < self.warming_until.get(subject, 0.0):
             factor *= self.settings.warming_up_factor
@@ -185,7 +186,7 @@
         else:
             since_phase = self.wall_clock(now) - duty.phase * period
             due = now + (math.floor(since_phase / period) + 1) * period - since_phase
-        # Guards against a clock that jumps, and against the moment after a prompt run.
+        # Keeps the minimum gap after a jump of the wall clock and after a takeover run.
         if due - duty.last_started < MIN_START_GAP * period:
             due += period if not promptly else duty.last_started + MIN_START_GAP * period - due
         if duty.timer is not None:
@@ -196,7 +197,7 @@
         duty.timer = None
         if not duty.is_owned:
             return
-        if duty.is_running:  # it takes longer than its period; a second run would only add to it
+        if duty.is_running:  # the run takes longer than a period; a second one would only add load
             self.counters.overruns += 1
         elif self.running >= self.settings.max_concurrent:
             self._waiting.append(duty)
@@ -213,13 +214,13 @@
     # Results of own runs.
 
     def on_run_ended(self, now: float, subject: str, ok: bool) -> None:
-        """A run that was asked for is over."""
+        """Handle the end of a run requested by `start_run`."""
         duty = self.duties.get(subject)
         if duty is None or not duty.is_running:
             return
         duty.is_running, duty.last_ok, duty.last_ended = False, ok, now
         self.running -= 1
-        if not duty.is_owned:  # it moved meanwhile; its new owner finds out for itself
+        if not duty.is_owned:  # another member owns it by now and makes runs of its own
             del self.duties[subject]
         elif ok:
             self._on_success(now, duty)
@@ -258,15 +259,15 @@
 
     def _report_status(self, now: float, duty: Duty, status: HealthStatus) -> None:
         duty.failure_reported = now
-        if self.verdicts.term(duty.subject) >= duty.term:  # another had it with a higher term: ours must outdo it
+        if self.verdicts.term(duty.subject) >= duty.term:  # another owner had a higher term; this result must exceed it
             duty.term = self.lamport_clock.next_term()
         found_at_ms = int(self.wall_clock(now))
         self.report(DutyResult(self.settings.kind, duty.subject, duty.term, self.member, found_at_ms, status))
 
-    # Reports, of others and of our own.
+    # Reports from other members and from this instance.
 
     def on_result(self, now: float, result: DutyResult) -> bool:
-        """Apply a result; true if it is newer than the one held, and worth passing on."""
+        """Apply a result; return whether it is newer than the stored one and should be forwarded."""
         self.lamport_clock.observe(result.term)
         if result.subject not in self.ranking or not self.verdicts.apply(now, result):
             return False
@@ -276,8 +277,8 @@
         return True
 
     def on_decline(self, now: float, decline: DutyDecline) -> bool:
-        """Apply a decline; true if it was not known, and is worth passing on."""
-        # Its hold runs from when it was declared, as far as the clocks agree.
+        """Apply a decline; return whether it was new and should be forwarded."""
+        # The hold starts when the decline was declared. Bounded, because the wall clocks may disagree.
         elapsed_ms = min(max(0.0, self.wall_clock(now) - decline.declined_at_ms), decline.hold_ms)
         until = now + decline.hold_ms - elapsed_ms
         if decline.subject not in self.ranking or not self.declines.add(decline.subject, decline.declined_by, until):
@@ -286,9 +287,9 @@
         return True
 
     def _send_declines(self, now: float) -> None:
-        """Report own declines again: all members must hold the same ones to find the same owner."""
-        for subject, left_ms in self.declines.of_member(self.member, now):
-            self._report_decline(now, subject, max(1, int(left_ms)))
+        """Report this instance's declines again: members need the same declines to compute the same owner."""
+        for subject, remaining_ms in self.declines.of_member(self.member, now):
+            self._report_decline(now, subject, max(1, int(remaining_ms)))
 
     def _repeat_declines(self, now: float) -> None:
         self._send_declines(now)
--- a/decklb/cluster/duty.py
+++ b/decklb/cluster/duty.py
@@ -1,4 +1,4 @@
-"""One periodic duty as an instance holds it, the run of one, and the phase at which it is due."""
+"""The state of one periodic duty at an instance, a run of a duty, and the phase at which a duty is due."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def phase_of(kind: str, subject: str) -> float:
-    """The moment in its period at which a duty is due, from 0 to 1, the same whoever owns it."""
+    """Return when in its period a duty is due, as a fraction from 0 to 1 that does not depend on the owner."""
     return xxhash.xxh32_intdigest(f"{kind}/{subject}".encode()) / HASH_RANGE
 
 
 @dataclass(frozen=True, slots=True)
 class DutyRun:
-    """A run of a duty that is to be started now."""
+    """A request to run a duty now."""
 
     kind: str
     subject: str
@@ -31,18 +31,18 @@
     """One duty that this instance owns, or that still runs here. Times are local monotonic ms.
 
     Attributes:
-        subject: what it is about; an engine's id for health checks.
-        phase: share of the period at which it is due, 0 to 1.
-        term: results of this ownership carry it; the higher of two wins.
-        is_owned: false while a run is finished for another owner.
-        is_second_opinion: whether it came here because another member declined it.
-        is_running: whether a run is under way.
-        timer: of the next run.
-        last_started: when it was last started.
-        consecutive_failures: runs failed in a row.
-        last_ok: how the last run ended; None before the first.
-        last_ended: when the last run ended.
-        failure_reported: when its failing was last reported to the members.
+        subject: what the duty is performed on; for health checks the id of an engine.
+        phase: fraction of the period at which the duty is due, 0 to 1.
+        term: carried by the results of this ownership; of two results the one with the higher term wins.
+        is_owned: False while a run is in progress that started before ownership was lost.
+        is_second_opinion: whether this instance owns the duty because another member declined it.
+        is_running: whether a run is in progress.
+        timer: fires when the next run is due.
+        last_started: start of the last run.
+        consecutive_failures: number of failed runs since the last success.
+        last_ok: whether the last run succeeded; None before the first run.
+        last_ended: end of the last run.
+        failure_reported: when a status was last reported to the members.
     """
 
     subject: str
@@ -61,15 +61,15 @@
 
 @dataclass(slots=True)
 class DutyCounters:
-    """Counts since the start.
+    """Counts since the start of the instance.
 
     Attributes:
-        started: runs.
+        started: runs started.
         failed: runs that failed.
-        overruns: runs left out because the one before was still under way.
-        gained: duties that came to be owned.
-        lost: duties that ceased to be owned.
-        declined: duties that this instance declined.
+        overruns: runs skipped because the previous one was still in progress.
+        gained: duties acquired.
+        lost: duties released.
+        declined: declines by this instance.
     """
 
     started: int = 0
--- a/decklb/cluster/duty_status.py
+++ b/decklb/cluster/duty_status.py
@@ -1,4 +1,4 @@
-"""What operators see of one kind of duty: rows of `decklb duties` and counters. Keys are those of the JSON output."""
+"""Status of one kind of duty for operators: the rows of `decklb duties` and counters, with the JSON output's keys."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def duty_rows(scheduler: DutyScheduler, now: float) -> list[dict[str, Any]]:
-    """All duties of a kind: owner by this instance's view, term, last result and its age in ms.
+    """Return all duties of a kind: the owner as seen from here, the term, the last result and its age in ms.
 
-    Of duties of others only what is out of the ordinary is told between members: `up` is then None.
+    Members report results only on failure and recovery, so `up` is None for most duties of other members.
     """
     declined = scheduler.declines.active(now)
     return [
@@ -46,7 +46,7 @@
 
 
 def duty_health(scheduler: DutyScheduler) -> dict[str, Any]:
-    """Counters of a kind."""
+    """Return the counters of a kind of duty."""
     counters = scheduler.counters
     return {
         "owned": sum(duty.is_owned for duty in scheduler.duties.values()),
--- a/decklb/cluster/errors.py
+++ b/decklb/cluster/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the cluster subsystem, also raised by the subsystems whose messages it carries."""
+"""Errors of the cluster subsystem; the subsystems that send messages through it raise them too."""
 
 from __future__ import annotations
 
 
 class WireError(Exception):
-    """A datagram or message that can't be accepted.
+    """A datagram or message was rejected.
 
     Attributes:
-        reason: a short code by which dropped datagrams are counted: `size`, `version`, `key`, `seal`, `shape`, `skew`,
+        reason: short code under which dropped datagrams are counted: `size`, `version`, `key`, `seal`, `shape`, `skew`,
             `replay` or `own`.
     """
 
@@ -17,4 +17,4 @@
 
 
 class KeyFileError(Exception):
-    """The key file can't be used; the message names it and says what to do."""
+    """The key file cannot be used; the message names the file and the remedy."""
--- a/decklb/cluster/events.py
+++ b/decklb/cluster/events.py
@@ -1,4 +1,4 @@
-"""What membership tells its owner: callbacks on changes, and counters for operators. `node` provides both."""
+"""Callbacks through which membership notifies `node` of changes, and membership's counters for operators."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
     """Callbacks; the first argument of each is the time (local monotonic ms).
 
     Attributes:
-        member_changed: the member as it is now, and its state before, None if it was unknown.
-        name_conflict: the address of another process with our name, and whether we yield to it.
-        ready: this instance has settled and may own duties.
+        member_changed: called with the changed member and its previous state (None if it was unknown).
+        name_conflict: called with the address of another process that has this instance's name, and whether this
+            instance yields to it.
+        ready: called when this instance has settled and may own duties.
     """
 
     member_changed: Callable[[float, Member, MemberState | None], None]
@@ -26,14 +27,14 @@
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """Counts since the start.
+    """Counts since the start of the instance.
 
     Attributes:
-        probes: probes of members sent.
-        failed_probes: of these, without an answer in their interval.
-        refutations: claims against this instance that it refuted.
-        stalls: times that this process did not run for two probe intervals or more.
-        name_conflicts: times that another live process with our name was noticed.
+        probes: probes sent to members.
+        failed_probes: probes that were not answered within their interval.
+        refutations: claims about this instance that it refuted.
+        stalls: pauses of this process of two probe intervals or more.
+        name_conflicts: detections of another live process with this instance's name.
     """
 
     probes: int = 0
--- a/decklb/cluster/failure_detector.py
+++ b/decklb/cluster/failure_detector.py
@@ -1,8 +1,8 @@
-"""SWIM's failure detector: probes one member in each interval, directly and through other members.
+"""SWIM's failure detector: probes one member per interval, directly and, if that fails, through other members.
 
-SWIM section 3.1, with Lifeguard's nacks, local health and buddy system. A member that answers neither directly nor
-through others is reported to `member_states` as suspected. Owns the probe under way and the pings relayed for others;
-`membership` starts it and hands it pings' answers and ping requests.
+Described in SWIM, section 3.1; nacks, local health and buddy system are Lifeguard's. A member that answers neither
+directly nor through others is reported to `member_states` as suspected. The detector owns the probe in progress and the
+pings relayed for other members; `membership` starts it and passes in answers to pings and ping requests.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way.
+    """The probe in progress.
 
     Attributes:
-        sequence: of its ping, and of the ping requests for it.
-        target: name of the member.
-        acked: whether the member answered, directly or through a relay.
-        relays: members asked to ping it.
-        nacks: of these, how many said that they got no answer.
+        sequence: sequence number of its ping and ping requests.
+        target: name of the probed member.
+        acked: whether the target answered, directly or through a relay.
+        relays: number of members asked to ping the target.
+        nacks: number of relays that reported no answer from the target.
     """
 
     sequence: int
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedPing:
-    """A ping that we sent for another member.
+    """A ping sent on behalf of another member.
 
     Attributes:
-        requester: where its answer goes.
-        sequence: of the requester's ping request.
-        expires_at: after which an answer is passed on no more; local monotonic ms.
+        requester: address to which the answer is forwarded.
+        sequence: sequence number of the requester's ping request.
+        expires_at: local monotonic ms after which an answer is no longer forwarded.
     """
 
     requester: Address
@@ -57,7 +57,7 @@
 
 
 class FailureDetector:
-    """Probes the live members of a table in turn."""
+    """Probes the live members of a member table in turn."""
 
     def __init__(
         self,
@@ -81,23 +81,23 @@
         self.send = send
         self.counters = counters
         self._probe: Probe | None = None
-        self._failed_once = ""  # the member whose last probe failed, and that is being probed again
-        self._relayed: dict[int, RelayedPing] = {}  # by the sequence of our ping
+        self._failed_once = ""  # member whose first failed probe is being repeated; empty for none
+        self._relayed: dict[int, RelayedPing] = {}  # by the sequence number of the ping sent from here
         self._sequence = 0
 
     def start(self, now: float) -> None:
-        """Begin to probe, at a random moment so that members are spread."""
+        """Start probing after a random delay, so that the members' probes are spread over time."""
         first = now + self.settings.probe_interval_ms * (0.5 + self.rng.random())
         self.timers.call_at(first, self._run_interval)
 
     def cancel_probe(self) -> None:
-        """Forget the probe under way: this process was stalled, and may have missed the answer."""
+        """Discard the probe in progress, because this process was stalled and may have missed the answer."""
         self._probe = None
 
     # Probing.
 
     def _run_interval(self, now: float) -> None:
-        """End the last interval's probe and begin the next one's."""
+        """Finish the probe of the previous interval and start the next probe."""
         self._finish_probe(now)
         multiplier = self.health.timeout_multiplier
         self.timers.call_at(now + self.settings.probe_interval_ms * multiplier, self._run_interval)
@@ -108,14 +108,14 @@
         probe = self._probe = Probe(self._next_sequence(), target.name)
         messages: list[Message] = [Ping(probe.sequence, target.name)]
         if target.state == MemberState.SUSPECT:
-            # Lifeguard's buddy system: a suspect hears of the suspicion first from whoever probes it.
+            # Lifeguard's buddy system: the prober tells a suspect of the suspicion, so that it can refute it early.
             messages.append(Suspect(target.name, target.incarnation, self.table.local.name))
         self.send(target.address, messages, piggyback=True)
         timeout = self.settings.probe_timeout_ms * multiplier
         self.timers.call_at(now + timeout, lambda _: self._probe_indirectly(probe))
 
     def _probe_indirectly(self, probe: Probe) -> None:
-        """No direct answer in time: ask other members to ping the target."""
+        """Ask other members to ping the target, which has not answered directly in time."""
         target = self.table.get(probe.target)
         if probe.acked or probe is not self._probe or target is None or self.table.local.has_left:
             return
@@ -125,7 +125,7 @@
         for name in relays:
             request = PingRequest(probe.sequence, target.name, *target.address)
             self.send(self.table.members[name].address, [request], piggyback=True)
-        # The direct way once more: one lost datagram should not need others.
+        # Repeat the direct ping, so that the loss of one datagram can be made up for without relays.
         self.send(target.address, [Ping(probe.sequence, target.name)], piggyback=False)
 
     def _finish_probe(self, now: float) -> None:
@@ -137,15 +137,15 @@
             self.health.record_success()
             return
         self.counters.failed_probes += 1
-        # Relays that get no answer say so. Where they don't, the fault may be ours.
+        # A relay that gets no answer sends a nack. If nacks are missing too, the fault may be at this instance.
         self.health.record_failure(probe.relays - probe.nacks if probe.relays else 1)
         target = self.table.get(probe.target)
         if target is not None and target.name in self.table.live:
             self._handle_failure(now, target)
 
     def _handle_failure(self, now: float, target: Member) -> None:
-        # The first failure is kept to ourselves and tried again: reported at once, losses would make every member hear
-        # of suspicions and refutations that grow with the members, and bytes with them.
+        # A first failure is not broadcast; the target is probed again first. Otherwise every lost datagram would cause
+        # a suspicion and a refutation at all members, whose number, and traffic, would grow with the cluster.
         if target.state == MemberState.ALIVE and self._failed_once != target.name:
             self._failed_once = target.name
             self.ring.repeat(target.name)
@@ -153,22 +153,22 @@
             self._failed_once = ""
             self.states.suspect(now, target, target.incarnation, self.table.local.name)
 
-    # Answers, and pings for others.
+    # Answers, and pings on behalf of other members.
 
     def on_ack(self, ack: Ack) -> None:
-        """A target answered: ours, or that of a ping that we relayed."""
+        """Handle an answer from the target of the probe in progress or of a relayed ping."""
         if self._probe is not None and self._probe.sequence == ack.sequence:
             self._probe.acked = True
         elif (relayed := self._relayed.pop(ack.sequence, None)) is not None:
             self.send(relayed.requester, [Ack(relayed.sequence)], piggyback=False)
 
     def on_nack(self, nack: Nack) -> None:
-        """A relay got no answer from our target."""
+        """Count a relay that got no answer from the target of the probe in progress."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.nacks += 1
 
     def on_ping_request(self, now: float, requester: Address, request: PingRequest) -> None:
-        """Ping a member for another."""
+        """Ping a member on behalf of another member."""
         sequence = self._next_sequence()
         expires_at = now + self.settings.probe_interval_ms
         self._relayed[sequence] = RelayedPing(requester, request.sequence, expires_at)
@@ -179,7 +179,7 @@
 
     def _send_nack(self, sequence: int) -> None:
         relayed = self._relayed.get(sequence)
-        if relayed is not None:  # it stays: a late answer is still passed on
+        if relayed is not None:  # kept until it expires, as a late answer is still forwarded
             self.send(relayed.requester, [Nack(relayed.sequence)], piggyback=False)
 
     def _next_sequence(self) -> int:
--- a/decklb/cluster/gossip.py
+++ b/decklb/cluster/gossip.py
@@ -1,6 +1,6 @@
 """Dissemination: spreads broadcasts by gossip, in rounds and piggybacked on other datagrams (SWIM, section 4.1).
 
-Owns the queue of broadcasts. `member_states` announces changes of members through it, `node` the results of duties.
+Owns the broadcast queue. `member_states` broadcasts changes of members, and `node` results and declines of duties.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class Send(Protocol):
-    """Sends messages to an address, in as many datagrams as they need."""
+    """Sends messages to an address, in as many datagrams as needed."""
 
     def __call__(self, address: Address, messages: Sequence[Message], *, piggyback: bool) -> None:
-        """`piggyback`: whether broadcasts may fill the rest of the last datagram."""
+        """Send the messages; with `piggyback`, pending broadcasts fill the rest of the last datagram."""
 
 
 class Gossip:
@@ -36,30 +36,30 @@
         self.rng = rng
         self.send = send
         self.queue = BroadcastQueue()
-        self._is_scheduled = False  # whether a round is to come
+        self._is_scheduled = False  # whether a gossip round is scheduled
 
     @property
     def transmit_limit(self) -> int:
-        """Times that this member sends one broadcast."""
+        """How often this member sends one broadcast."""
         return transmit_limit(self.settings.retransmit_base, self.table.live_count)
 
     def announce(self, member: Member) -> None:
-        """Broadcast that a member is alive, with its present incarnation."""
+        """Broadcast that a member is alive, with its current incarnation."""
         local = self.table.local
         if member is not local or not local.is_yielding:
             self.broadcast(member.name, member.announcement())
 
     def broadcast(self, subject: Hashable, message: Message) -> None:
-        """Spread a message; it replaces an older one on the same subject."""
+        """Broadcast a message, in place of a pending one on the same subject."""
         self.queue.add(subject, encode_message(message))
         if not self._is_scheduled:
             self._is_scheduled = True
-            # A random delay, so that the members' rounds are spread.
+            # A random delay, so that the members' rounds are spread over time.
             first_round = self.timers.now + self.settings.gossip_interval_ms * self.rng.random()
             self.timers.call_at(first_round, self._run_round)
 
     def take(self, capacity: int) -> list[bytes]:
-        """Encoded broadcasts for a datagram with so many bytes left; without other members they are kept."""
+        """Return encoded broadcasts that fit into `capacity` bytes; none while no other member is known."""
         if not self.table.live and not self.table.seeds:
             return []
         return self.queue.take(capacity, self.transmit_limit)
--- a/decklb/cluster/member.py
+++ b/decklb/cluster/member.py
@@ -1,4 +1,4 @@
-"""One row of the member table: another member as this instance knows it, and this instance itself."""
+"""Rows of the member table: other members as this instance knows them, and this instance itself."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     """One member as this instance knows it.
 
     Attributes:
-        incarnation: SWIM's number; a claim of a lower one is outdated. Only the member itself raises it.
-        run_id: the run of its process; the lower of two is the older.
-        ready: whether it has settled and may own duties.
-        weight: its share of duties, relative to others'.
+        incarnation: SWIM's incarnation number; a claim with a lower one is outdated. Only the member itself raises it.
+        run_id: identifies one run of the member's process; of two runs the older has the lower id.
+        ready: whether the member has settled and may own duties.
+        weight: the member's share of duties, relative to other members.
         state_since: when the state began, local monotonic ms.
         checksum: this row's contribution to the checksum of its bucket.
         suspicion: set while the state is SUSPECT.
-        suspicion_timer: fires at the suspicion's deadline.
+        suspicion_timer: fires at the deadline of the suspicion.
     """
 
     name: str
@@ -40,15 +40,15 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether it is alive as far as is known: a suspect still counts."""
+        """Whether the member counts as alive; a suspected member does."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     def announcement(self) -> Alive:
-        """The broadcast that this member is alive."""
+        """Return the broadcast that this member is alive."""
         return Alive(self.name, *self.address, self.incarnation, self.run_id, self.ready, self.weight)
 
     def record(self, now: float) -> MemberRecord:
-        """This row for an anti-entropy exchange."""
+        """Return this row for an anti-entropy exchange."""
         return MemberRecord(
             self.name,
             *self.address,
@@ -66,9 +66,9 @@
     """This instance's own row. Its `incarnation` starts above that of earlier runs.
 
     Attributes:
-        is_synced: whether another member's table has equalled ours since the start.
-        has_left: whether it has said good-bye.
-        is_yielding: whether it is silent because an older run of a process has its name.
+        is_synced: whether the table has been equal to another member's since the start.
+        has_left: whether this instance has left the cluster.
+        is_yielding: whether this instance sends nothing because an older process has the same name.
     """
 
     is_synced: bool = False
@@ -77,5 +77,5 @@
 
     @property
     def can_own(self) -> bool:
-        """Whether it may own duties."""
+        """Whether this instance may own duties."""
         return self.ready and not (self.has_left or self.is_yielding)
--- a/decklb/cluster/member_states.py
+++ b/decklb/cluster/member_states.py
@@ -1,8 +1,8 @@
-"""State transitions of members: alive, suspect, dead, left, and the refutation of claims against this instance.
+"""State transitions of members (alive, suspect, dead, left) and the refutation of claims about this instance.
 
-SWIM section 4.2. A claim counts only with an incarnation that is high enough; each transition is broadcast and reported
-to the owner. Called by the failure detector (suspicions), by `membership` (claims received) and by `anti_entropy`
-(records received). Changes the member table; owns no state of its own.
+Described in SWIM, section 4.2. A claim is applied only if its incarnation is high enough; each transition is broadcast
+and reported through `MembershipEvents`. Called by the failure detector (suspicions), by `membership` (received claims)
+and by `anti_entropy` (received records). Changes the member table and has no state of its own.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     # Alive.
 
     def on_alive(self, now: float, alive: Alive, *, from_exchange: bool = False) -> None:
-        """A member is alive. `from_exchange`: heard in an anti-entropy exchange, not by gossip."""
+        """Apply a claim that a member is alive; `from_exchange`: it came in an anti-entropy exchange, not by gossip."""
         if alive.name == self.local.name:
             self._on_own_name_alive(now, alive)
             return
@@ -70,28 +70,29 @@
         member.ready = alive.ready
         member.weight = alive.weight
         self.table.set_state(now, member, MemberState.ALIVE)
-        if not from_exchange or before is not None:  # a member first heard of in an exchange is known to others
+        # A new member learnt in an exchange is known to other members already, so it is not announced again.
+        if not from_exchange or before is not None:
             self.gossip.announce(member)
         self.events.member_changed(now, member, before)
 
     def _on_own_name_alive(self, now: float, alive: Alive) -> None:
         if alive.run_id != self.local.run_id:
             self._on_other_run(now, alive)
-        elif alive.incarnation > self.local.incarnation:  # not possible, unless a state was restored
+        elif alive.incarnation > self.local.incarnation:  # only possible if the state of this process was restored
             self.renew(alive.incarnation)
 
     def _on_other_run(self, now: float, alive: Alive) -> None:
-        """A claim about another run under our name: an earlier one, or one that lives beside us."""
+        """Handle a claim about another run with this instance's name: an earlier run, or a live process."""
         if alive.incarnation < self.local.incarnation or self.local.is_yielding:
             return
-        # An earlier run claims nothing new, so that one refutation outdoes it for good.
+        # An earlier run announces nothing new, so one refutation settles its claim. Only a live process repeats it.
         self._refute(alive.incarnation)
-        self.conflicts.record_sign(now, alive.run_id, (alive.host, alive.port))
+        self.conflicts.record_sighting(now, alive.run_id, (alive.host, alive.port))
 
     # Suspect.
 
     def on_suspect(self, now: float, suspect: Suspect) -> None:
-        """Another member suspects one, perhaps us."""
+        """Apply another member's suspicion of a member, possibly of this instance."""
         if suspect.name == self.local.name:
             self.refute_if_current(suspect.incarnation)
             return
@@ -100,7 +101,7 @@
             self.suspect(now, member, suspect.incarnation, suspect.reported_by)
 
     def suspect(self, now: float, member: Member, incarnation: int, reporter: str) -> None:
-        """Begin or confirm a suspicion."""
+        """Start or confirm a suspicion."""
         if not member.is_live:
             return
         if member.state == MemberState.SUSPECT and member.suspicion is not None:
@@ -125,7 +126,7 @@
         member.suspicion_timer = None
         if member.suspicion is None or member.state != MemberState.SUSPECT:
             return
-        if now < member.suspicion.deadline():  # put off meanwhile, by a stall of this process
+        if now < member.suspicion.deadline():  # postponed after a stall of this process
             self._arm_suspicion_timer(now, member, member.suspicion)
             return
         self.on_dead(now, Dead(member.name, member.incarnation, self.local.name))
@@ -133,7 +134,7 @@
     # Dead and left.
 
     def on_dead(self, now: float, dead: Dead) -> None:
-        """A member is dead, or has left if it says so itself."""
+        """Apply a claim that a member is dead; if the member itself reports it, it has left."""
         if dead.name == self.local.name:
             self.refute_if_current(dead.incarnation)
             return
@@ -150,7 +151,10 @@
     # This instance.
 
     def refute_if_current(self, incarnation: int) -> None:
-        """Refute a claim against us, unless it is outdated. It may be of an earlier run, where our clock is behind."""
+        """Refute a claim about this instance unless it is outdated.
+
+        A claim about an earlier run can have a higher incarnation if the clock has gone back since.
+        """
         if incarnation >= self.local.incarnation:
             self._refute(incarnation)
 
@@ -160,13 +164,13 @@
         self.renew(incarnation)
 
     def renew(self, claimed: int) -> None:
-        """Announce this instance with an incarnation above its own and the one claimed."""
+        """Announce this instance with an incarnation above its current one and the claimed one."""
         self.local.incarnation = max(self.local.incarnation, claimed) + 1
         self.table.update_checksum(self.local)
         self.gossip.announce(self.local)
 
     def make_ready(self, now: float) -> None:
-        """This instance has settled: from now on it may own duties."""
+        """Mark this instance as settled: from now on it may own duties."""
         if self.local.ready or self.local.has_left or self.local.is_yielding:
             return
         self.local.ready = True
--- a/decklb/cluster/member_table.py
+++ b/decklb/cluster/member_table.py
@@ -1,7 +1,7 @@
 """The member table: all known members, which of them are live or dead, and checksums for comparing tables.
 
-Owned by `membership`. `member_states` changes states, `anti_entropy` compares checksums; the failure detector and
-gossip draw members from it. Members that left, or have been dead for long, are pruned.
+Owned by `membership`. `member_states` changes states and `anti_entropy` compares checksums; the failure detector and
+gossip choose members from it. Members that left or died are removed after a retention time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from decklb.cluster.messages import Digest, MemberState
 from decklb.cluster.random_set import RandomSet
 
-# Buckets of the digest: it carries four bytes for each, and a difference in one costs the records of n/64 members.
+# Number of buckets of the digest. Each adds four bytes to the digest; a difference in one bucket costs the transfer of
+# about n/64 of n member records.
 BUCKETS = 64
 
 CHECKSUM_BYTES = 4
@@ -23,20 +24,20 @@
 
 @lru_cache(maxsize=1 << 16)  # needed for every member at each exchange
 def bucket_of(name: str) -> int:
-    """The digest's bucket that a member counts in."""
+    """Return the bucket of the digest to which a member belongs."""
     return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
 
 
 class MemberTable:
-    """All members that this instance knows, itself among them.
+    """All members that this instance knows, including itself.
 
     Attributes:
         local: this instance's own row.
         members: all rows by name.
-        live: names of the others that are alive or suspected.
-        dead: names of the others that are dead; those that left are in neither set.
-        checksums: one a bucket, the XOR of its members' checksums.
-        seeds: configured addresses of other members, whether they have ever answered or not.
+        live: names of the other members that are alive or suspected.
+        dead: names of the other members that are dead; members that left are in neither set.
+        checksums: one per bucket, the XOR of its members' checksums.
+        seeds: configured addresses of other members, whether or not they have ever answered.
     """
 
     def __init__(self, local: LocalMember) -> None:
@@ -50,19 +51,19 @@
 
     @property
     def live_count(self) -> int:
-        """Live members, this instance among them."""
+        """Number of live members, including this instance."""
         return len(self.live) + 1
 
     def get(self, name: str) -> Member | None:
-        """A member by name."""
+        """Return a member by name; None if it is unknown."""
         return self.members.get(name)
 
     def add(self, member: Member) -> None:
-        """A member not known before; `set_state` is to follow."""
+        """Add a member that was unknown; the caller must call `set_state` next."""
         self.members[member.name] = member
 
     def set_state(self, now: float, member: Member, state: MemberState) -> None:
-        """Record a state, and end the suspicion where it is another than SUSPECT."""
+        """Set a member's state; in any state but SUSPECT its suspicion ends."""
         if member.state != state:
             member.state_since = now
         member.state = state
@@ -76,8 +77,8 @@
         self.update_checksum(member)
 
     def update_checksum(self, member: Member) -> None:
-        """To be called after any change of a member's incarnation, run or state."""
-        # Suspicion is left out: it ends soon, and members need not agree on it.
+        """Update the checksums; must be called after any change of a member's incarnation, run id or state."""
+        # SUSPECT counts as ALIVE: a suspicion is short-lived, and members need not agree on it.
         state = int(MemberState.ALIVE if member.is_live else member.state)
         row = f"{member.name}/{member.incarnation}/{member.run_id}/{state}"
         checksum = xxhash.xxh32_intdigest(row.encode())
@@ -85,26 +86,26 @@
         member.checksum = checksum
 
     def digest(self) -> Digest:
-        """The checksums as a message."""
+        """Return the checksums as a message."""
         return Digest(b"".join(checksum.to_bytes(CHECKSUM_BYTES, "big") for checksum in self.checksums))
 
     def differing_buckets(self, digest: Digest) -> bytes:
-        """Buckets in which another member's table differs from this one."""
+        """Return the buckets in which another member's table differs from this one."""
         data = digest.checksums
-        theirs = [
+        remote_checksums = [
             int.from_bytes(data[i : i + CHECKSUM_BYTES], "big")
             for i in range(0, BUCKETS * CHECKSUM_BYTES, CHECKSUM_BYTES)
         ]
-        return bytes(i for i in range(BUCKETS) if theirs[i] != self.checksums[i])
+        return bytes(i for i in range(BUCKETS) if remote_checksums[i] != self.checksums[i])
 
     def in_buckets(self, buckets: Collection[int]) -> list[Member]:
-        """The members of some buckets."""
+        """Return the members that belong to some buckets."""
         return [member for member in self.members.values() if bucket_of(member.name) in buckets]
 
     def count_known(self, now: float, retention_ms: float) -> int:
-        """Members known within the retention, this instance among them.
+        """Count the live members, including this instance, and the members that died within the retention time.
 
-        Seeds that never answered count: they may be alive on the other side of a partition.
+        Seeds that never answered are counted too: they may be alive on the other side of a partition.
         """
         addresses = {self.local.address}
         count = 1
@@ -115,12 +116,12 @@
         return count + sum(address not in addresses for address in self.seeds)
 
     def missing_seeds(self) -> list[Address]:
-        """Seeds at whose address no live member is known."""
+        """Return the seeds at whose address no live member is known."""
         live = {self.members[name].address for name in self.live.items}
         return [address for address in self.seeds if address not in live]
 
     def prune(self, now: float, retention_ms: float) -> None:
-        """Forget members that have been dead, or gone, for longer than `retention_ms`."""
+        """Remove members that died or left longer than `retention_ms` ago."""
         gone = (MemberState.DEAD, MemberState.LEFT)
         for member in [
             member
--- a/decklb/cluster/membership.py
+++ b/decklb/cluster/membership.py
@@ -1,17 +1,17 @@
 """Membership of the cluster as one member sees it: SWIM with suspicion and Lifeguard's local health, free of I/O.
 
 Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (2002). This
-module wires the parts, dispatches messages to them and answers questions about the members:
+module connects the components, dispatches messages to them and answers queries about the members:
 
     member_table, member    all members and their states
-    failure_detector        probes, direct and through others
-    member_states           transitions alive, suspect, dead, left; refutations
+    failure_detector        probes, directly and through other members
+    member_states           transitions between alive, suspect, dead and left; refutations
     gossip                  dissemination of broadcasts
     anti_entropy            join, and push/pull exchanges in pairs
-    name_conflict           two processes under one name
+    name_conflict           two processes with the same member name
 
-Used by `node`, which moves the timers, brings datagrams in by `handle` and sends what is given to `send`. Times are
-local monotonic milliseconds.
+Used by `node`, which runs the timers, passes received messages to `handle` and sends the messages given to `send`.
+Times are local monotonic milliseconds.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 from decklb.cluster.settings import MembershipSettings
 from decklb.cluster.timers import TimerQueue
 
-# Between prunings of the table, where members are kept for longer.
+# Maximum time between two prunings of the table; shorter if dead members are kept for a shorter time.
 MAX_PRUNE_INTERVAL_MS = 60_000.0
 
 
@@ -58,7 +58,7 @@
     Attributes:
         local: this instance's own row of the table.
         table: all members.
-        gossip: spreads broadcasts, also those of other parts of the node.
+        gossip: spreads broadcasts, including those of other components of the node.
     """
 
     def __init__(
@@ -90,32 +90,32 @@
         self.anti_entropy = AntiEntropy(settings, self.table, self.states, timers, rng, send)
         self._refutation_requests = RateLimiter(settings.probe_interval_ms)
 
-    # Questions.
+    # Queries.
 
     @property
     def members(self) -> dict[str, Member]:
-        """All known members by name, this instance among them."""
+        """All known members by name, including this instance."""
         return self.table.members
 
     def live_names(self) -> Sequence[str]:
-        """The other members that are alive or under suspicion."""
+        """Return the names of the other members that are alive or suspected."""
         return self.table.live.items
 
     def eligible_owners(self) -> set[str]:
-        """Members that may own duties: alive or under suspicion, and settled."""
+        """Return the names of the members that may own duties: alive or suspected, and settled."""
         names = {name for name in self.table.live.items if self.table.members[name].ready}
         if self.local.can_own:
             names.add(self.local.name)
         return names
 
     def in_minority(self, now: float) -> bool:
-        """Whether this side sees under half of the members known within the retention."""
+        """Whether fewer than half of the members known within the retention time are live from here."""
         return 2 * self.table.live_count < self.table.count_known(now, self.settings.dead_retention_ms)
 
     # Life cycle of this member.
 
     def start(self, now: float, seeds: Iterable[Address]) -> None:
-        """Join by the seeds. Until that is complete, or for the settle time, this member owns no duty."""
+        """Join through the seeds. This member owns no duty until the join is complete or the settle time has passed."""
         self.table.seeds = [address for address in seeds if address != self.local.address]
         self.gossip.announce(self.local)
         self.anti_entropy.contact_seeds()
@@ -126,18 +126,18 @@
         self.anti_entropy.schedule_join_retry(now)
 
     def leave(self) -> None:
-        """Announce the departure; nothing is owned from now on."""
+        """Announce the departure; from now on this member owns no duty."""
         if self.local.has_left:
             return
         self.local.has_left = True
         self.local.ready = False
-        farewell = Dead(self.local.name, self.local.incarnation, self.local.name)
-        # To more members than one round would reach, since nobody is here to repeat it.
+        departure = Dead(self.local.name, self.local.incarnation, self.local.name)
+        # Sent to more members than one gossip round reaches, since this member will not be there to repeat it.
         for name in self.table.live.sample(self.rng, self.gossip.transmit_limit):
-            self.send(self.table.members[name].address, [farewell], piggyback=True)
+            self.send(self.table.members[name].address, [departure], piggyback=True)
 
     def on_stall(self, stall_ms: float) -> None:
-        """This process did not run for so long: what it missed says nothing about others."""
+        """Handle a stall of this process: answers missed in that time are no evidence against other members."""
         self.counters.stalls += 1
         self.health.record_failure()
         self.detector.cancel_probe()
@@ -151,7 +151,7 @@
             self.states.make_ready(now)
 
     def _rejoin(self, now: float) -> None:
-        """Try again after yielding the name."""
+        """Join again after yielding the name."""
         self.states.renew(self.local.incarnation)
         self.anti_entropy.contact_seeds()
         self.timers.call_at(now + self.settings.settle_time_ms, self._on_settled)
@@ -167,12 +167,12 @@
     # Messages.
 
     def handle(self, now: float, sender: str, run_id: int, address: Address, messages: list[Message]) -> None:
-        """Handle the messages of one datagram. Kinds that are not membership's are passed over."""
+        """Handle the messages of one datagram. Messages of types that do not concern membership are ignored."""
         if self.local.has_left:
             return
         if sender == self.local.name:
             if run_id != self.local.run_id:
-                self.conflicts.record_sign(now, run_id, address)
+                self.conflicts.record_sighting(now, run_id, address)
             return
         replies = self._check_sender(now, sender, run_id)
         records = []
@@ -211,7 +211,10 @@
                 self.anti_entropy.on_bucket_request(now, address, message)
 
     def _check_sender(self, now: float, sender: str, run_id: int) -> list[Message]:
-        """What to ask of a sender that is not as the table has it; seldom, since its answer may say no more."""
+        """Return requests to a sender that differs from its row in the table.
+
+        Rate-limited per sender, since the answer may not resolve the difference.
+        """
         member = self.table.get(sender)
         if (
             member is not None
@@ -225,8 +228,10 @@
         if member is None:
             return [record_request]
         dead = Dead(sender, member.incarnation, self.local.name)
-        if member.run_id != run_id:  # its clock may be behind that of the run we know: it must outdo that
+        # If the clock of the new run is behind that of the known run, its incarnation is too low to be applied here.
+        # The claim that it is dead makes it announce itself with a higher one.
+        if member.run_id != run_id:
             return [record_request, dead]
-        # It lives; let it refute with a higher incarnation.
+        # The sender is alive: make it refute the state recorded here with a higher incarnation.
         suspect = Suspect(sender, member.incarnation, self.local.name)
         return [dead if member.state == MemberState.DEAD else suspect]
--- a/decklb/cluster/messages.py
+++ b/decklb/cluster/messages.py
@@ -1,9 +1,9 @@
 """Wire format between members: messages, the envelope around them, and their MessagePack codec.
 
-A datagram is one envelope with any number of messages, sealed by `sealing`. Messages and the envelope are MessagePack
-arrays: a class's tag number and the order of its fields are the wire form and never change within a version. Decoding
-checks every bound given here; an unknown version or tag rejects the whole datagram. The module keeps no state. `node`
-encodes and decodes envelopes; `membership` and `duties` make and read the messages.
+A datagram is one envelope with up to `MAX_MESSAGES` messages, sealed by `sealing`. Messages and the envelope are
+MessagePack arrays: the tag number of a class and the order of its fields define the wire format and never change within
+a version. Decoding checks every bound given here; a datagram with an unknown version or tag is rejected as a whole. The
+module keeps no state. `node` encodes and decodes envelopes; `membership` and `duties` create and read the messages.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 PROTOCOL_VERSION = 1
 
-# Bytes of a sealed datagram: with UDP and IP headers it stays below the usual MTU of 1500, so that it isn't fragmented.
+# Maximum size of a sealed datagram: with UDP and IP headers it fits the usual MTU of 1500, so it is not fragmented.
 MAX_DATAGRAM_BYTES = 1400
 
-# Messages in one envelope; bounds the work that one datagram can cause.
+# Maximum number of messages in one envelope; bounds the work that one datagram can cause.
 MAX_MESSAGES = 400
 
-# Bytes of a subsystem's payload: it fits into a datagram together with the longest name of a sender.
+# Maximum size of a subsystem's payload: it fits into a datagram even if the sender's name has maximum length.
 MAX_USER_PAYLOAD_BYTES = 1100
 
-# What sealing adds: version (1), key id (4), nonce (12), authentication tag (16).
+# Bytes added by sealing: version (1), key id (4), nonce (12), authentication tag (16).
 SEAL_OVERHEAD_BYTES = 1 + 4 + 12 + 16
 
-# Largest encoding of an envelope without its sender's name and its messages: array header, version, name header, four
+# Maximum encoded size of an envelope without its sender's name and messages: array header, version, name header, four
 # integers of nine bytes, header of the list of messages.
 ENVELOPE_OVERHEAD_BYTES = 1 + 1 + 2 + 4 * 9 + 3
 
@@ -43,7 +43,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; the values are the wire's."""
+    """State of a member; the values are part of the wire format."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -52,27 +52,27 @@
 
 
 class HealthStatus(IntEnum):
-    """Outcome of a health check; the values are the wire's."""
+    """Outcome of a health check; the values are part of the wire format."""
 
     UP = 1
     DOWN = 2
 
 
 class Ping(Struct, array_like=True, tag=1, frozen=True):
-    """Probe of `target`. It is named because its address may have passed to another member."""
+    """A probe of `target`, which is named because another member may have taken over its address."""
 
     sequence: Count
     target: Name
 
 
 class Ack(Struct, array_like=True, tag=2, frozen=True):
-    """The answer to a ping, or to a ping request whose target answered."""
+    """The answer to a ping, or to a ping request if the target answered."""
 
     sequence: Count
 
 
 class Nack(Struct, array_like=True, tag=3, frozen=True):
-    """The answer to a ping request whose target has not answered (Lifeguard)."""
+    """The answer to a ping request if the target has not answered (Lifeguard)."""
 
     sequence: Count
 
@@ -87,7 +87,7 @@
 
 
 class Alive(Struct, array_like=True, tag=5, frozen=True):
-    """A member's announcement of itself. `run_id` identifies one run of its process; the lower of two is the older."""
+    """A member's announcement of itself. `run_id` identifies one run of its process; an older run has a lower id."""
 
     name: Name
     host: Host
@@ -107,7 +107,7 @@
 
 
 class Dead(Struct, array_like=True, tag=7, frozen=True):
-    """The member did not refute a suspicion in time. Reported by the member itself: it has left."""
+    """The member did not refute a suspicion in time, or has left if `reported_by` is the member itself."""
 
     name: Name
     incarnation: Count
@@ -115,17 +115,17 @@
 
 
 class Digest(Struct, array_like=True, tag=8, frozen=True):
-    """Checksums of the sender's member table: 64 buckets, four bytes each, big endian."""
+    """Checksums of the sender's member table: 64 buckets of four bytes each, big-endian."""
 
     checksums: Annotated[bytes, Meta(min_length=256, max_length=256)]
 
 
 class InSync(Struct, array_like=True, tag=9, frozen=True):
-    """The answer to a digest that equals the receiver's own."""
+    """The answer to a digest that equals the answering member's own digest."""
 
 
 class BucketRequest(Struct, array_like=True, tag=10, frozen=True):
-    """Asks for the member records of these buckets, one byte each."""
+    """Requests the member records of these buckets; each byte is a bucket's number."""
 
     buckets: Annotated[bytes, Meta(max_length=64)]
 
@@ -145,7 +145,7 @@
 
 
 class DutyResult(Struct, array_like=True, tag=12, frozen=True):
-    """What the owner of a duty found; `found_at_ms` is its wall clock (Unix ms)."""
+    """The result that the owner of a duty found; `found_at_ms` is the time by the owner's wall clock (Unix ms)."""
 
     kind: Name
     subject: Subject
@@ -156,7 +156,7 @@
 
 
 class DutyDecline(Struct, array_like=True, tag=13, frozen=True):
-    """`declined_by` can't do this duty; others own it for `hold_ms` from `declined_at_ms` (Unix ms) on."""
+    """`declined_by` cannot perform this duty; another member owns it for `hold_ms` from `declined_at_ms` (Unix ms)."""
 
     kind: Name
     subject: Subject
@@ -166,7 +166,7 @@
 
 
 class UserMessage(Struct, array_like=True, tag=14, frozen=True):
-    """A subsystem's payload for its counterpart at another member; carried unread, without a guarantee of delivery."""
+    """An opaque payload from a subsystem to its counterpart at another member; delivery is not guaranteed."""
 
     topic: Name
     payload: Annotated[bytes, Meta(max_length=MAX_USER_PAYLOAD_BYTES)]
@@ -191,16 +191,16 @@
 
 
 class Envelope(Struct, array_like=True, frozen=True):
-    """One datagram, opened.
+    """The content of one datagram.
 
     Attributes:
         version: `PROTOCOL_VERSION`.
         sender: name of the sending member.
-        run_id: the run of the sender's process.
-        sequence: count of the sender's datagrams in this run, from 1.
+        run_id: run of the sender's process.
+        sequence: number of the datagram in this run of the sender, from 1.
         wall_clock_ms: the sender's Unix time.
-        lamport_time: the sender's logical clock.
-        messages: in the order in which they are to be handled.
+        lamport_time: time of the sender's logical clock.
+        messages: messages in the order in which they must be handled.
     """
 
     version: int
@@ -213,7 +213,7 @@
 
 
 class _EncodedEnvelope(Struct, array_like=True, frozen=True):
-    """An `Envelope` whose messages are encoded already: a broadcast is encoded once and sent often."""
+    """An `Envelope` with already encoded messages, since a broadcast is encoded once and sent several times."""
 
     version: int
     sender: str
@@ -229,14 +229,14 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """One message, to be put into envelopes."""
+    """Encode one message for an envelope."""
     return _encoder.encode(message)
 
 
 def encode_envelope(
     sender: str, run_id: int, sequence: int, wall_clock_ms: int, lamport_time: int, messages: list[bytes]
 ) -> bytes:
-    """A whole datagram of encoded messages, not yet sealed."""
+    """Encode an envelope around encoded messages: an unsealed datagram."""
     raw = [Raw(message) for message in messages]
     return _encoder.encode(
         _EncodedEnvelope(PROTOCOL_VERSION, sender, run_id, sequence, wall_clock_ms, lamport_time, raw)
@@ -244,7 +244,7 @@
 
 
 def message_capacity(sender: str) -> int:
-    """Bytes that encoded messages may take in one datagram of this sender."""
+    """Return the bytes available for encoded messages in one datagram of this sender."""
     return MAX_DATAGRAM_BYTES - SEAL_OVERHEAD_BYTES - ENVELOPE_OVERHEAD_BYTES - len(sender.encode())
 
 
@@ -252,7 +252,7 @@
     """Decode an unsealed datagram.
 
     Raises:
-        WireError: with the reason `shape` (not this format, or out of bounds) or `version`.
+        WireError: with the reason `shape` (malformed or out of bounds) or `version`.
     """
     try:
         envelope = _decoder.decode(data)
--- a/decklb/cluster/name_conflict.py
+++ b/decklb/cluster/name_conflict.py
@@ -1,8 +1,8 @@
-"""Two live processes under one member name: noticed, settled and reported here.
+"""Detects, resolves and reports two live processes with the same member name.
 
-Both would refute one another's claims without end. The older run keeps the name; the younger yields: it falls silent
-and tries again after a while. Both sides compare run ids, so that they settle it alike. Called by `membership`, for
-datagrams sent under our name, and by `member_states`, for claims about it.
+Such processes would refute each other's claims forever. The older run keeps the name; the younger one yields: it sends
+nothing for a while and then joins again. Both sides compare the run ids and so come to the same decision. Called by
+`membership` for datagrams sent under this instance's name, and by `member_states` for claims about it.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 from decklb.cluster.messages import MemberState
 from decklb.cluster.timers import TimerQueue
 
-# Signs of another run under our name after which it must be alive; fewer may be echoes of an earlier run of ours.
-SIGNS_REQUIRED = 3
+# Number of sightings after which another run with this instance's name is considered alive. Fewer may be caused by
+# messages about an earlier run of this instance that are still in circulation.
+MIN_SIGHTINGS = 3
 
-# For which a yielding instance stays silent before it tries again.
-YIELD_MS = 60_000.0
+# How long a yielding instance sends nothing before it joins again.
+YIELD_DURATION_MS = 60_000.0
 
 
 class NameConflicts:
-    """Counts the signs of each other run under the local member's name."""
+    """Counts the sightings of each other run with the local member's name."""
 
     def __init__(
         self,
@@ -32,21 +33,21 @@
         counters: MembershipCounters,
         rejoin: Callable[[float], None],
     ) -> None:
-        """`rejoin` is called when a yielding instance is to try again."""
+        """Create the detector; `rejoin` is called when a yielding instance may join again."""
         self.local = local
         self.timers = timers
         self.events = events
         self.counters = counters
         self.rejoin = rejoin
-        self._signs: dict[int, int] = {}  # by run id
+        self._sightings: dict[int, int] = {}  # by run id
 
-    def record_sign(self, now: float, run_id: int, address: Address) -> None:
-        """Another run uses our name at `address`."""
-        signs = self._signs.get(run_id, 0) + 1
-        self._signs[run_id] = signs
-        if signs < SIGNS_REQUIRED or self.local.is_yielding:
+    def record_sighting(self, now: float, run_id: int, address: Address) -> None:
+        """Record a sighting of another run with this instance's name at `address`."""
+        sightings = self._sightings.get(run_id, 0) + 1
+        self._sightings[run_id] = sightings
+        if sightings < MIN_SIGHTINGS or self.local.is_yielding:
             return
-        self._signs.clear()
+        self._sightings.clear()
         self.counters.name_conflicts += 1
         if run_id < self.local.run_id:
             self._yield(now)
@@ -55,9 +56,9 @@
     def _yield(self, now: float) -> None:
         self.local.is_yielding = True
         self.local.ready = False
-        self.timers.call_at(now + YIELD_MS, self._try_again)
+        self.timers.call_at(now + YIELD_DURATION_MS, self._end_yield)
         self.events.member_changed(now, self.local, MemberState.ALIVE)
 
-    def _try_again(self, now: float) -> None:
+    def _end_yield(self, now: float) -> None:
         self.local.is_yielding = False
         self.rejoin(now)
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -1,8 +1,8 @@
-"""One instance of the cluster without its I/O: datagrams and time go in, datagrams and duties to run come out.
+"""One member of the cluster without I/O: its inputs are datagrams and time, its outputs datagrams and duties to run.
 
-Wires membership, the schedulers of duties, sealing and the replay window. `runtime` drives it with sockets, the lab
-with a simulated network. Both call `receive`, `tick` (no later than `next_due`) and `on_run_ended`, and then empty
-`outgoing`, `runs_to_start`, `health_updates`, `user_messages` and `notices`.
+Connects membership, the duty schedulers, sealing and the replay window. `runtime` drives a node with sockets, the lab
+with a simulated network. Both call `receive`, `tick` (no later than `next_due`) and `on_run_ended`, and then process
+and empty `outgoing`, `runs_to_start`, `health_updates`, `user_messages` and `notices`.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
 from decklb.cluster.timers import Timer, TimerQueue
 from decklb.cluster.verdicts import UPDATE_INTERVAL_MS, HealthUpdate, VerdictTable
 
-# Probe intervals by which a timer may be late before this process takes itself for stalled.
+# Delay of a timer, in probe intervals, above which this process is considered to have been stalled.
 STALL_INTERVALS = 2.0
 
-# A run id is the Unix time of the start in ms and this many random bits, within the 53 bits of the wire form.
+# A run id consists of the start time in Unix ms and this many random bits, cut to the 53 bits of the wire format.
 RUN_ID_RANDOM_BITS = 10
 MAX_RUN_ID = (1 << 53) - 1
 
-# Gossip intervals from a change of members to the new assignment of duties: changes come in bursts, and one assignment
-# for all of them moves each duty at most once.
-REASSIGN_DELAY = 2
+# Delay from a change of members to the reassignment of duties, in gossip intervals: changes come in bursts, and one
+# reassignment for all of them moves each duty at most once.
+REASSIGN_DELAY_INTERVALS = 2
 
-# Between looks at the health updates that are due.
+# Time between two collections of due health updates.
 UPDATE_CHECK_INTERVAL_MS = UPDATE_INTERVAL_MS / 4
 
 
@@ -63,7 +63,7 @@
 
 
 class ReceivedUserMessage(NamedTuple):
-    """A subsystem's message from its counterpart at another member."""
+    """A message for a subsystem from its counterpart at another member."""
 
     topic: str
     sender: str
@@ -74,13 +74,13 @@
     """A member of the cluster.
 
     Attributes:
-        outgoing: datagrams to be sent.
-        runs_to_start: runs of duties to be started; the schedulers hold this list and append to it.
-        health_updates: what the dispatcher is to be told.
-        user_messages: received for other subsystems.
-        notices: to be logged.
-        dropped: datagrams that could not be opened or read, by reason.
-        schedulers: of the duties, by kind.
+        outgoing: datagrams to send.
+        runs_to_start: runs of duties to start; the schedulers hold a reference to this list and append to it.
+        health_updates: updates for the dispatcher.
+        user_messages: messages received for other subsystems.
+        notices: events to log.
+        dropped: number of rejected datagrams, by reason.
+        schedulers: duty schedulers, by kind of duty.
     """
 
     def __init__(
@@ -95,18 +95,19 @@
         wall_clock_ms: float,
         rankings: Mapping[str, Ranking] | None = None,
     ) -> None:
-        """Make a node that has not started.
+        """Create a node; `start` makes it join.
 
         Args:
             membership: settings of the membership.
             duties: settings of each kind of duty.
-            name: of this member.
-            address: where other members reach it.
+            name: name of this member.
+            address: address at which other members reach this one.
             sealer: seals and opens datagrams.
             rng: source of all random choices.
             now: local monotonic ms.
-            wall_clock_ms: Unix time.
-            rankings: by kind; may be shared by many nodes of one process, as they depend on names alone.
+            wall_clock_ms: Unix time in ms.
+            rankings: rankings by kind of duty; nodes of one process may share them, as they depend only on names and
+                weights.
         """
         self.settings = membership
         self.sealer = sealer
@@ -125,13 +126,13 @@
         self.lamport_clock = LamportClock()
         self.membership = self._make_membership(name, address, now, wall_clock_ms)
         self.schedulers = {duty.kind: self._make_scheduler(duty, rankings or {}) for duty in duties}
-        self._listed: dict[str, Collection[str]] = {}  # by kind: subjects whose verdicts are reported
+        self._listed: dict[str, Collection[str]] = {}  # subjects whose verdicts are reported, by kind of duty
         self._reassign_timer: Timer | None = None
         if self.schedulers:
             self.timers.call_at(now + UPDATE_INTERVAL_MS * rng.random(), self._collect_health_updates)
 
     def _make_membership(self, name: str, address: Address, now: float, wall_clock_ms: float) -> Membership:
-        # The older of two runs has the lower id, and no two have the same.
+        # Starts with the time, so that the older of two runs has the lower id; the random bits make ids differ.
         run_id = (int(wall_clock_ms) << RUN_ID_RANDOM_BITS | self.rng.getrandbits(RUN_ID_RANDOM_BITS)) & MAX_RUN_ID
         local = LocalMember(
             name,
@@ -162,17 +163,17 @@
         )
 
     def wall_clock_ms(self, now: float) -> float:
-        """Unix time in ms at a moment of the monotonic clock."""
+        """Convert a time of the monotonic clock to Unix ms."""
         return now + self._wall_clock_offset
 
-    # Driven from outside.
+    # Called by the driver.
 
     def start(self, now: float, seeds: Collection[Address]) -> None:
-        """Join the cluster by its seeds."""
+        """Join the cluster through the seeds."""
         self.membership.start(now, seeds)
 
     def next_due(self) -> float:
-        """When `tick` is to be called next."""
+        """Return when `tick` must be called next."""
         return self.timers.next_due()
 
     def tick(self, now: float, wall_clock_ms: float) -> None:
@@ -180,14 +181,14 @@
         self._wall_clock_offset = wall_clock_ms - now
         late_ms = now - self.timers.next_due()
         if late_ms > STALL_INTERVALS * self.settings.probe_interval_ms:
-            # Stopped, swapped out or starved: nothing that was missed meanwhile speaks against others.
+            # The process was stopped, swapped out or starved of CPU: answers it missed are no evidence against others.
             self.membership.on_stall(late_ms)
             self.notices.append(notices.process_stalled(late_ms))
         self.timers.now = now
         self.timers.run_due(now)
 
     def receive(self, now: float, wall_clock_ms: float, data: bytes, address: Address) -> None:
-        """Handle a datagram. What can't be opened or read is counted and dropped, and never answered."""
+        """Handle a datagram. A datagram that is rejected is counted and dropped without an answer."""
         self._wall_clock_offset = wall_clock_ms - now
         try:
             envelope = self._unseal(data, wall_clock_ms)
@@ -214,10 +215,10 @@
         return envelope
 
     def send_user_message(self, now: float, topic: str, payload: bytes, to: str = "") -> None:
-        """Send a subsystem's message to a member, or to all others that are not known to be gone.
+        """Send a subsystem's message to a member, or (`to` empty) to all other live members.
 
-        Each goes in a datagram of its own: a member of an older version refuses it whole, and must lose nothing else by
-        that.
+        The message is sent in a datagram of its own: a member of an older version that does not know the message type
+        rejects the whole datagram, and no other message must be lost with it.
         """
         self.timers.now = now
         if self.membership.local.is_yielding:
@@ -229,33 +230,33 @@
             self._send_datagram(members[name].address, [message])
 
     def known_members(self) -> list[str]:
-        """All members that have not left; dead ones are known for a while too."""
+        """Return the names of all members that have not left, including recently dead ones."""
         return [member.name for member in self.membership.members.values() if member.state != MemberState.LEFT]
 
     def on_run_ended(self, now: float, kind: str, subject: str, ok: bool) -> None:
-        """A duty of `runs_to_start` has been run."""
+        """Handle the end of a run from `runs_to_start`."""
         self.timers.now = now
         self.schedulers[kind].on_run_ended(now, subject, ok)
 
     def set_subjects(self, now: float, kind: str, warming_until: Mapping[str, float], listed: Collection[str]) -> None:
-        """Replace the subjects of a kind.
+        """Replace the subjects of a kind of duty.
 
         Args:
             now: local monotonic ms.
-            kind: of duty.
+            kind: kind of duty.
             warming_until: all subjects, each with the end of its warm-up (Unix ms).
-            listed: those whose verdicts are reported: of engines, those that the endpoint list calls up.
+            listed: subjects whose verdicts are reported; for engines, those that are up in the endpoint list.
         """
         self._listed[kind] = frozenset(listed)
         self.timers.now = now
         self.schedulers[kind].set_subjects(now, warming_until)
 
     def set_sealer(self, sealer: Sealer) -> None:
-        """Use another ring of keys, or the same with another salt."""
+        """Replace the sealer, to use other keys or another salt."""
         self.sealer = sealer
 
     def leave(self, now: float) -> None:
-        """Own nothing from now on, and tell the others."""
+        """Leave the cluster: tell the other members and own no duty from now on."""
         self.timers.now = now
         self.membership.leave()
         for scheduler in self.schedulers.values():
@@ -264,20 +265,20 @@
     # Sending.
 
     def _send(self, address: Address, messages: Sequence[Message], *, piggyback: bool) -> None:
-        """Send messages in as many datagrams as they need; broadcasts may fill the rest of the last one."""
-        if self.membership.local.is_yielding:  # the other run of this name speaks for it
+        """Send messages in as many datagrams as needed; with `piggyback`, broadcasts fill the rest of the last one."""
+        if self.membership.local.is_yielding:  # the older process with this name keeps sending under it
             return
         capacity = message_capacity(self.membership.local.name)
         body: list[bytes] = []
-        left = capacity
+        remaining = capacity
         for message in map(encode_message, messages):
-            if len(message) > left or len(body) >= MAX_MESSAGES:
+            if len(message) > remaining or len(body) >= MAX_MESSAGES:
                 self._send_datagram(address, body)
-                body, left = [], capacity
+                body, remaining = [], capacity
             body.append(message)
-            left -= len(message)
+            remaining -= len(message)
         if piggyback:
-            body += self.membership.gossip.take(left)[: MAX_MESSAGES - len(body)]
+            body += self.membership.gossip.take(remaining)[: MAX_MESSAGES - len(body)]
         if body:
             self._send_datagram(address, body)
 
@@ -296,7 +297,7 @@
     # Results and declines of duties.
 
     def _apply(self, now: float, report: DutyResult | DutyDecline) -> bool:
-        """Apply a report here; true if it is new, and worth passing on."""
+        """Apply a report to the local scheduler; return whether it is new and should be forwarded."""
         scheduler = self.schedulers.get(report.kind)
         if scheduler is None:
             return False
@@ -305,11 +306,11 @@
         return scheduler.on_decline(now, report)
 
     def _report(self, report: DutyResult | DutyDecline) -> None:
-        """A report of our own, which holds here as it does elsewhere."""
+        """Apply and broadcast a report of this instance."""
         is_new = self._apply(self.timers.now, report)
         if is_new:
             self.notices.append(notices.duty_reported(report))
-        # Declines are repeated now and then, for members that came later.
+        # Declines are also broadcast when repeated, for members that joined after the first report.
         if is_new or isinstance(report, DutyDecline):
             self._broadcast(report)
 
@@ -326,7 +327,7 @@
                 self.notices.append(notices.mass_failure(kind, is_over=was_mass_failure))
         self.timers.call_at(now + UPDATE_CHECK_INTERVAL_MS, self._collect_health_updates)
 
-    # Events of the membership.
+    # Callbacks of the membership.
 
     def _on_member_changed(self, now: float, member: Member, before: MemberState | None) -> None:
         for scheduler in self.schedulers.values():
@@ -344,9 +345,9 @@
         self.schedule_reassignment(now)
 
     def schedule_reassignment(self, now: float) -> None:
-        """Assign the duties anew, soon."""
+        """Reassign the duties after a short delay, once for all changes until then."""
         if self._reassign_timer is None:
-            due = now + REASSIGN_DELAY * self.settings.gossip_interval_ms
+            due = now + REASSIGN_DELAY_INTERVALS * self.settings.gossip_interval_ms
             self._reassign_timer = self.timers.call_at(due, self._reassign)
 
     def _reassign(self, now: float) -> None:
--- a/decklb/cluster/node_status.py
+++ b/decklb/cluster/node_status.py
@@ -1,4 +1,4 @@
-"""What operators see of a node: rows of `decklb members` and counters. Keys are those of the JSON output."""
+"""Status of a node for operators: the rows of `decklb members` and counters, with the keys of the JSON output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def member_rows(membership: Membership, now: float) -> list[dict[str, Any]]:
-    """All members as this instance sees them, by name."""
+    """Return all members as seen from this instance, sorted by name."""
     return [
         {
             "name": member.name,
@@ -28,7 +28,7 @@
 
 
 def node_health(node: Node) -> dict[str, Any]:
-    """Counters of the membership, of datagrams and of each kind of duty."""
+    """Return the counters of the membership, of datagrams and of each kind of duty."""
     membership = node.membership
     counters = membership.counters
     return {
--- a/decklb/cluster/notices.py
+++ b/decklb/cluster/notices.py
@@ -1,6 +1,6 @@
-"""Events for the log: their codes and fields. Decisions append them to a list; `runtime.log_notices` writes them.
+"""Events for the log, each with its code and fields. The decision logic collects them; `runtime.log_notices` logs them.
 
-The codes of the cluster's events are listed in docs/operations/duties.md with what an operator does on each.
+docs/operations/duties.md lists the cluster's event codes and what an operator should do on each.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 @dataclass(slots=True)
 class Notice:
-    """One event: its code and fields."""
+    """One event: its code and its fields."""
 
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
 
 
 def state_name(state: MemberState) -> str:
-    """The state as logs and commands show it."""
+    """Return the name of a state as shown in logs and by commands."""
     return state.name.lower()
 
 
 def member_state_changed(member: Member, before: MemberState | None) -> Notice:
-    """Another member's state has changed, or it is new (`before` is None)."""
+    """Another member's state has changed, or the member is new (`before` is None)."""
     return Notice(
         "member-state-changed",
         {
@@ -44,7 +44,7 @@
 
 
 def name_conflict(name: str, address: Address, is_yielding: bool) -> Notice:
-    """Another live process has our name."""
+    """Another live process has this instance's name."""
     host, port = address
     return Notice("name-conflict", {"member": name, "yielding": is_yielding, "other_address": f"{host}:{port}"})
 
@@ -65,5 +65,5 @@
 
 
 def mass_failure(kind: str, is_over: bool) -> Notice:
-    """Most subjects came to be down at once, or no longer are."""
+    """Most subjects have been reported down at once, or that is over."""
     return Notice("mass-failure-cleared" if is_over else "mass-failure-suspected", {"kind": kind})
--- a/decklb/cluster/probe_ring.py
+++ b/decklb/cluster/probe_ring.py
@@ -1,4 +1,4 @@
-"""The order in which the failure detector probes members: a randomised round robin (SWIM, section 4.3)."""
+"""The order in which the failure detector probes members: a randomized round robin (SWIM, section 4.3)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ProbeRing:
-    """Names still to be probed in this round, last one first; each member is probed within two rounds."""
+    """The members left to probe in the current round, in reverse order. Each member is probed within two rounds."""
 
     def __init__(self, table: MemberTable, rng: random.Random) -> None:
         self.table = table
@@ -17,15 +17,15 @@
         self._names: list[str] = []
 
     def insert(self, name: str) -> None:
-        """Put a new member at a random place of this round."""
+        """Insert a new member at a random position of the current round."""
         self._names.insert(self.rng.randint(0, len(self._names)), name)
 
     def repeat(self, name: str) -> None:
-        """Probe this member next."""
+        """Make this member the next one to probe."""
         self._names.append(name)
 
     def next(self) -> Member | None:
-        """The member to probe now; None without live members."""
+        """Return the member to probe now; None if there are no other live members."""
         live = self.table.live
         while self._names:
             name = self._names.pop()
--- a/decklb/cluster/random_set.py
+++ b/decklb/cluster/random_set.py
@@ -1,4 +1,4 @@
-"""A set of names that can be sampled in constant time. `member_table` keeps its live and dead members in two."""
+"""A set of names with random sampling in constant time. `member_table` has one of live and one of dead members."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RandomSet:
-    """A set with its items in a list.
+    """A set that also keeps its items in a list.
 
     Attributes:
-        items: in an order that depends on the history of additions and removals; read only.
+        items: the items, in an order that depends on the history of additions and removals; read-only for callers.
     """
 
     def __init__(self) -> None:
@@ -23,13 +23,13 @@
         return item in self._index
 
     def add(self, item: str) -> None:
-        """Add an item; nothing happens if it is there."""
+        """Add an item unless it is in the set."""
         if item not in self._index:
             self._index[item] = len(self.items)
             self.items.append(item)
 
     def discard(self, item: str) -> None:
-        """Remove an item, if it is there; the last one takes its place."""
+        """Remove an item if it is in the set; the last item takes its position in the list."""
         index = self._index.pop(item, None)
         if index is not None:
             last = self.items.pop()
@@ -38,5 +38,5 @@
                 self._index[last] = index
 
     def sample(self, rng: random.Random, count: int) -> list[str]:
-        """At most `count` different items."""
+        """Return `count` different items at random, or all if there are fewer."""
         return rng.sample(self.items, min(count, len(self.items)))
--- a/decklb/cluster/rendezvous.py
+++ b/decklb/cluster/rendezvous.py
@@ -1,11 +1,13 @@
 """Assignment of duties to members: weighted rendezvous hashing over the members that may own them.
 
-Thaler, Ravishankar: "Using Name-Based Mappings to Increase Hit Rates" (1998); weights after Schindelhauer and
-Schomaker (2005): each member scores each duty with -weight / ln(u), u being a hash of both in (0, 1), and the highest
-owns it. So a member that goes loses only its own duties, and one that comes takes only its share.
-
-Scores depend on names and weights alone, not on who is alive, so the best few members of each duty are kept and walked
-through. One ranking a kind of duty, owned by its scheduler in `duties`.
+Thaler, Ravishankar: "Using Name-Based Mappings to Increase Hit Rates" (1998); weights follow Schindelhauer and
+Schomaker (2005). The score of a member for a duty is -weight / ln(u), where u is a hash of both names in (0, 1); the
+member with the highest score owns the duty. So when a member leaves only its own duties move, and a member that joins
+takes over only its share.
+
+Scores depend only on names and weights, not on which members are alive. So the members with the highest scores are
+stored for each duty, and the owner is the first of them that is eligible. The scheduler of each kind of duty has one
+ranking.
 """
 
 from __future__ import annotations
@@ -18,31 +20,33 @@
 
 import xxhash
 
-# Members kept for each duty, the best ones; only where all of them are gone are the others' scores needed.
+# Number of top-ranked members stored for each duty. The scores of the others are computed only if none of these is
+# eligible.
 BEST_MEMBERS = 8
 
 HASH_RANGE = 18446744073709551616.0  # 2^64
 
 
 def score(seed: int, weight: float, duty: str) -> float:
-    """A member's score for a duty; `seed` is the hash of the member's name."""
+    """Return a member's score for a duty; `seed` is the hash of the member's name."""
     uniform = (xxhash.xxh64_intdigest(duty.encode(), seed) + 0.5) / HASH_RANGE
     return -weight / math.log(uniform)
 
 
 class RankedMember(NamedTuple):
-    """A member's score for one duty; compares by the score, then by the name."""
+    """A member's score for one duty; ordered by score, then by name."""
 
     score: float
     name: str
 
 
 class Ranking:
-    """The best members for each duty, among all members that are known, alive or not.
+    """The top-ranked members for each duty, among all known members whether alive or not.
 
     Attributes:
-        kind: hashed with the names, so that duties of different kinds on one subject have owners of their own.
-        weights: all known members and their weights.
+        kind: kind of duty; part of the hash, so that duties of different kinds on one subject have different owners.
+        best_members: number of top-ranked members stored for each duty.
+        weights: weights of all known members, by name.
     """
 
     def __init__(self, kind: str = "", best_members: int = BEST_MEMBERS) -> None:
@@ -50,20 +54,21 @@
         self.best_members = best_members
         self.weights: dict[str, float] = {}
         self._seeds: dict[str, int] = {}  # by member
-        self._best: dict[str, list[RankedMember]] = {}  # by duty, highest score last
-        self._ranked_duties: dict[str, set[str]] = {}  # by member: duties among whose best it is
-        # By member: duties whose first choice it is, each with the names of its best; None until it is needed.
+        self._best: dict[str, list[RankedMember]] = {}  # top-ranked members by duty, highest score last
+        self._ranked_duties: dict[str, set[str]] = {}  # by member: duties for which it is top-ranked
+        # By member: duties for which it ranks first, each with the names of all its top-ranked members. Computed when
+        # first needed after a change; None until then.
         self._first_choices: dict[str, list[tuple[str, tuple[str, ...]]]] | None = None
 
     def __contains__(self, duty: str) -> bool:
         return duty in self._best
 
     def duties(self) -> Collection[str]:
-        """All duties."""
+        """Return all duties."""
         return self._best.keys()
 
     def add_member(self, member: str, weight: float) -> None:
-        """Add a member, or change its weight; costs one hash a duty."""
+        """Add a member or change its weight; computes one hash per duty."""
         if self.weights.get(member) == weight:
             return
         if member in self.weights:
@@ -82,7 +87,7 @@
                     self._ranked_duties[last].discard(duty)
 
     def remove_member(self, member: str) -> None:
-        """Forget a member; the best of its duties are computed anew."""
+        """Remove a member; the duties for which it was top-ranked are ranked again."""
         if self.weights.pop(member, None) is None:
             return
         del self._seeds[member]
@@ -112,7 +117,7 @@
             self._rank(duty)
 
     def owner(self, duty: str, eligible: Collection[str], declined: Collection[str] = ()) -> str | None:
-        """The best eligible member that does not decline the duty; where all decline, the best eligible one."""
+        """Return the best eligible member that has not declined the duty; if all have, the best eligible member."""
         for _, name in reversed(self._best[duty]):
             if name in eligible and name not in declined:
                 return name
@@ -123,9 +128,10 @@
         return max(candidates, key=lambda name: (score(self._seeds[name], self.weights[name], duty), name))
 
     def duties_of(self, member: str, eligible: Collection[str], declined: Mapping[str, Collection[str]]) -> set[str]:
-        """The duties that a member owns; `declined` are the members that decline each duty.
+        """Return the duties that a member owns; `declined` gives the members that have declined each duty.
 
-        Only duties among whose best the member is are walked through, as far as these decide.
+        Only the duties for which the member is top-ranked are examined, unless none of a duty's top-ranked members is
+        eligible.
         """
         if member not in eligible or member not in self.weights:
             return set()
@@ -143,16 +149,16 @@
         return owned
 
     def _orphaned_duties_of(self, member: str, eligible: Collection[str]) -> set[str]:
-        """Duties that a member owns though it is not among their best, as none of these is eligible."""
-        away = [name for name in self.weights if name not in eligible]
-        if len(away) < self.best_members:
+        """Return the duties that a member owns without being top-ranked, as no top-ranked member is eligible."""
+        ineligible = [name for name in self.weights if name not in eligible]
+        if len(ineligible) < self.best_members:
             return set()
-        first_choices, here = self._duties_by_first_choice(), frozenset(eligible)
+        first_choices, eligible_names = self._duties_by_first_choice(), frozenset(eligible)
         return {
             duty
-            for name in away
+            for name in ineligible
             for duty, best in first_choices.get(name, ())
-            if here.isdisjoint(best) and self.owner(duty, here) == member
+            if eligible_names.isdisjoint(best) and self.owner(duty, eligible_names) == member
         }
 
     def _duties_by_first_choice(self) -> dict[str, list[tuple[str, tuple[str, ...]]]]:
--- a/decklb/cluster/replay_window.py
+++ b/decklb/cluster/replay_window.py
@@ -1,6 +1,6 @@
-"""Drops datagrams that are replayed, or come late: one sliding window for each run of a sender.
+"""Rejects datagrams that are replayed or too late, by a sliding window for each run of a sender.
 
-RFC 4303 (3.4.3) has a window of this kind. Owned by `node`, which checks each opened datagram against it.
+The window is that of RFC 4303, section 3.4.3. Owned by `node`, which checks each opened datagram against it.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from decklb.cluster.errors import WireError
 from decklb.cluster.messages import Envelope
 
-# Datagrams by which one may be overtaken and still be accepted.
+# A datagram is accepted only if its sequence number is less than this far behind the highest one received.
 WINDOW_SIZE = 1024
 
-# Runs of senders whose windows are kept; beyond that the one not heard for longest is forgotten.
+# Maximum number of windows, one for each run of a sender; above it the least recently used one is dropped.
 MAX_SENDERS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class _Window:
-    """The highest sequence seen, and a bit for each of those below it: bit n is set if highest - n has been seen."""
+    """The highest sequence number received, and a bit mask: bit n is set if number highest - n has been received."""
 
     highest: int
     seen: int
@@ -34,12 +34,13 @@
         self._windows: OrderedDict[tuple[str, int], _Window] = OrderedDict()  # by sender and run
 
     def check(self, envelope: Envelope, wall_clock_ms: float) -> None:
-        """Accept a datagram once.
+        """Accept each datagram once.
 
-        The sender's clock guards where a window can't: after our own restart nothing has been seen.
+        The check of the sender's clock rejects old datagrams even after a restart of this instance, when the windows
+        are empty.
 
         Raises:
-            WireError: with the reason `skew` (its clock differs too much) or `replay`.
+            WireError: with the reason `skew` (the sender's clock differs too much) or `replay`.
         """
         skew_ms = envelope.wall_clock_ms - wall_clock_ms
         if abs(skew_ms) > self.max_clock_skew_ms:
@@ -52,7 +53,7 @@
 
 
 def _accept(window: _Window | None, sequence: int) -> _Window:
-    """The window after this sequence. Raises WireError if it has been seen, or is too old to tell."""
+    """Return the window after this sequence number. Raises WireError if it is a repetition or below the window."""
     if window is None:
         return _Window(sequence, 1)
     ahead = sequence - window.highest
--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -1,7 +1,7 @@
-"""The cluster's I/O: a node on a real UDP socket, clock and key file, with its health checks and log lines.
+"""The I/O of the cluster: runs a node on a UDP socket, makes its health checks, reads the key file and writes the log.
 
-Made by `daemon.assembly`, or by `middleware.members` for an application's processes. Other subsystems subscribe to
-their user messages here. All decisions are taken by `node`.
+Created by `daemon.assembly`, or by `middleware.members` for the processes of an application. Other subsystems send and
+receive their user messages here. `node` makes all decisions.
 """
 
 from __future__ import annotations
@@ -28,12 +28,13 @@
 from decklb.core.ports import Clock, Timer
 from decklb.wire.health_check import HealthChecker
 
-# Between the last datagrams and the closing of the socket, so that they leave it.
+# Delay between the last datagrams and the closing of the socket, so that they are sent before.
 CLOSE_DELAY_MS = 100.0
 
-# Largest datagram read: above the largest that members send, so that a longer one is seen as such and dropped.
+# Bytes read of a datagram: more than members send, so that an oversized datagram is recognized as such and dropped.
 MAX_PACKET_BYTES = 2048
 
+# Size of the random seed of the node's random number generator.
 SEED_BYTES = 16
 
 UserMessageHandler = Callable[[str, bytes], None]  # sender, payload
@@ -44,19 +45,19 @@
     return time.time() * 1000.0
 
 
-def log_notices(part: str, notices: Iterable[Notice]) -> None:
-    """Log each notice as one line with its event code and fields."""
+def log_notices(subsystem: str, notices: Iterable[Notice]) -> None:
+    """Log each notice of a subsystem as one line with its event code and fields."""
     for notice in notices:
         text = " ".join(f"{key}={value}" for key, value in notice.fields.items())
-        logger.info(part + ": {what} {text}", event=notice.event, what=notice.event, text=text, **notice.fields)
+        logger.info(subsystem + ": {what} {text}", event=notice.event, what=notice.event, text=text, **notice.fields)
 
 
 class ClusterService(DatagramProtocol):
-    """One member of the cluster on its socket.
+    """Runs one member of the cluster on a UDP socket.
 
     Attributes:
-        node: takes the decisions.
-        addresses: where the engines are, by id.
+        node: makes the decisions.
+        addresses: addresses of the engines, by engine id.
     """
 
     transport: Any = None
@@ -66,31 +67,31 @@
         reactor: Any,
         clock: Clock,
         settings: ClusterSettings,
-        prober: HealthChecker,
+        health_checker: HealthChecker,
         on_health_update: Callable[[str, bool], None],
     ) -> None:
-        """Make a member that has not started.
+        """Create a member; `start` makes it join.
 
         Args:
-            reactor: Twisted's.
-            clock: the process's.
-            settings: this instance's.
-            prober: makes the health checks of engines.
+            reactor: Twisted reactor.
+            clock: clock of the process.
+            settings: cluster settings of this instance.
+            health_checker: makes the health checks of engines.
             on_health_update: called with an engine's id and whether it is up.
 
         Raises:
-            KeyFileError: if the key file can't be used.
+            KeyFileError: if the key file cannot be used.
         """
         self.reactor = reactor
         self.clock = clock
         self.settings = settings
-        self.prober = prober
+        self.health_checker = health_checker
         self.on_health_update = on_health_update
         self.addresses: Mapping[str, Address] = {}
         self._timer: Timer | None = None
         self._timer_due = float("inf")
         self._is_closed = False
-        self._is_pumping = False
+        self._is_processing = False
         self._handlers: dict[str, UserMessageHandler] = {}  # by topic
         self.node = Node(
             settings.membership,
@@ -111,14 +112,14 @@
     # Life cycle.
 
     def start(self) -> None:
-        """Open the socket. Raises what Twisted raises when the address can't be had."""
+        """Open the socket. Raises Twisted's error if the address cannot be bound."""
         host, port = self.settings.bind_address
         self.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_PACKET_BYTES)
 
     def startProtocol(self) -> None:
-        """Join: the socket is open."""
+        """Join the cluster; Twisted calls this when the socket is open."""
         logger.info(
-            "cluster member {member} on {address}, advertised as {advertised}, {seeds} seeds",
+            "cluster member {member} listens on {address}, advertised as {advertised}, {seeds} seeds",
             event="cluster-listening",
             member=self.settings.member,
             address="{}:{}".format(*self.settings.bind_address),
@@ -126,15 +127,15 @@
             seeds=len(self.settings.seeds),
         )
         self.node.start(self.clock.now(), self.settings.seeds)
-        self._pump()
+        self._process_outputs()
 
     def reload(self) -> None:
-        """Read the key file anew. One that can't be used changes nothing and is logged."""
+        """Read the key file again. If it cannot be used the old keys stay in use and the error is logged."""
         try:
             self.node.set_sealer(self._make_sealer())
         except KeyFileError as error:
             logger.error(
-                "key file rejected, the old keys stay in use: {error}", event="key-file-rejected", error=str(error)
+                "key file rejected, keeping the old keys: {error}", event="key-file-rejected", error=str(error)
             )
             return
         logger.info("key file loaded", event="key-file-loaded")
@@ -144,12 +145,12 @@
         if self._is_closed:
             return
         self.node.leave(self.clock.now())
-        self._pump()
+        self._process_outputs()
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self.prober.close()
+        self.health_checker.close()
         if self.transport is not None:
             self.clock.call_later(CLOSE_DELAY_MS, self.transport.stopListening)
 
@@ -162,66 +163,66 @@
 
         Args:
             warming_until: all engines, each with the end of its warm-up (Unix ms).
-            listed: those that the endpoint list calls up.
-            addresses: where they are.
+            listed: engines that are up in the endpoint list.
+            addresses: addresses of the engines.
         """
         self.addresses = addresses
         if self.settings.health_checks is not None:
             self.node.set_subjects(self.clock.now(), self.settings.health_checks.kind, warming_until, listed)
-        self._pump()
+        self._process_outputs()
 
     def subscribe(self, topic: str, handler: UserMessageHandler) -> None:
-        """Call the handler with each user message of a topic."""
+        """Call `handler` with the sender and payload of each user message of a topic."""
         self._handlers[topic] = handler
 
     def unsubscribe(self, topic: str) -> None:
-        """Drop the user messages of a topic."""
+        """Remove the handler of a topic; its user messages are dropped from now on."""
         self._handlers.pop(topic, None)
 
     def send_user_message(self, topic: str, payload: bytes, to: str = "") -> None:
-        """Send a subsystem's message to a member, or to all others; see `Node.send_user_message`."""
+        """Send a subsystem's message to a member, or to all other members; see `Node.send_user_message`."""
         if not self._is_closed and self.transport is not None:
             self.node.send_user_message(self.clock.now(), topic, payload, to)
-            self._pump()
+            self._process_outputs()
 
     def member_rows(self) -> list[dict[str, Any]]:
-        """All members, for `decklb members`."""
+        """Return all members, for `decklb members`."""
         return member_rows(self.node.membership, self.clock.now())
 
     def duty_rows(self) -> list[dict[str, Any]]:
-        """All duties of all kinds, for `decklb duties`."""
+        """Return the duties of all kinds, for `decklb duties`."""
         now = self.clock.now()
         return [row for scheduler in self.node.schedulers.values() for row in duty_rows(scheduler, now)]
 
     def health(self) -> dict[str, Any]:
-        """Counters, for `decklb members`."""
+        """Return the counters, for `decklb members`."""
         return node_health(self.node)
 
     # Events of the socket and the clock.
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Handle a datagram, from a member or from anybody."""
+        """Handle a datagram, which may come from outside the cluster."""
         if not self._is_closed:
             self.node.receive(self.clock.now(), wall(), datagram, (addr[0], addr[1]))
-            self._pump()
+            self._process_outputs()
 
     def connectionRefused(self) -> None:
-        """Nobody listens there; the failure detector finds that out."""
+        """No process listens at the destination; ignored, since the failure detector notices that."""
 
     def _tick(self) -> None:
         self._timer, self._timer_due = None, float("inf")
         self.node.tick(self.clock.now(), wall())
         if self.node.sealer.needs_new_salt:
             self.reload()
-        self._pump()
+        self._process_outputs()
 
-    # Carrying out what the node asks for.
+    # Processing of the node's outputs.
 
-    def _pump(self) -> None:
-        """Empty the node's lists, and come back when it is due."""
-        if self._is_pumping:  # a health check that ends at once comes back here
+    def _process_outputs(self) -> None:
+        """Process and empty the node's output lists, and set the timer for its next tick."""
+        if self._is_processing:  # called recursively by a health check that ends at once
             return
-        self._is_pumping = True
+        self._is_processing = True
         node = self.node
         while node.outgoing or node.runs_to_start or node.health_updates or node.notices or node.user_messages:
             self._deliver_user_messages()
@@ -232,7 +233,7 @@
                 self.on_health_update(update.subject, update.is_up)
             notices, node.notices = node.notices, []
             log_notices("cluster", notices)
-        self._is_pumping = False
+        self._is_processing = False
         self._arm_timer()
 
     def _deliver_user_messages(self) -> None:
@@ -250,12 +251,12 @@
     def _send(self, datagram: Datagram) -> None:
         try:
             self.transport.write(datagram.data, datagram.address)
-        except OSError as error:  # a full buffer or no route: as good as lost
+        except OSError as error:  # full buffer or no route; treated like a lost datagram
             logger.debug("datagram not sent: {error}", event="datagram-not-sent", error=str(error))
 
     def _start_runs(self) -> None:
         runs = list(self.node.runs_to_start)
-        self.node.runs_to_start.clear()  # the list stays the same: the node's schedulers hold it
+        self.node.runs_to_start.clear()  # cleared, not replaced, since the node's schedulers append to this list
         for run in runs:
             self._check_health(run)
 
@@ -265,12 +266,12 @@
         if address is None or settings is None:
             self._on_run_ended(run, False)
             return
-        self.prober.check(run.subject, address, settings.timeout_ms, lambda ok: self._on_run_ended(run, ok))
+        self.health_checker.check(run.subject, address, settings.timeout_ms, lambda ok: self._on_run_ended(run, ok))
 
     def _on_run_ended(self, run: DutyRun, ok: bool) -> None:
         if not self._is_closed:
             self.node.on_run_ended(self.clock.now(), run.kind, run.subject, ok)
-            self._pump()
+            self._process_outputs()
 
     def _arm_timer(self) -> None:
         due = self.node.next_due()
--- a/decklb/cluster/sealing.py
+++ b/decklb/cluster/sealing.py
@@ -1,10 +1,11 @@
-"""Authenticated encryption of datagrams under a ring of keys. Free of I/O and of randomness.
+"""Authenticated encryption of datagrams with a ring of keys. Does no I/O and generates no random numbers.
 
-AES-256-GCM (NIST SP 800-38D). A sealed datagram is: version (1 byte), key id (4), nonce (12), ciphertext with its tag
-(16). The nonce is a salt of 8 random bytes, new with each ring, and a counter, so that no two members seal under one
-nonce: at a thousand members two salts are alike once in 10^13 starts.
+AES-256-GCM (NIST SP 800-38D). A sealed datagram consists of version (1 byte), key id (4), nonce (12) and ciphertext
+with its authentication tag (16). The nonce consists of a salt of 8 random bytes, which changes each time the ring is
+loaded, and a counter. So no two members use the same nonce: with a thousand members two salts are equal once in 10^13
+starts.
 
-Used by `node` for datagrams, and by the handoff for its streams under a name of their own.
+Used by `node` for datagrams, and by the handoff subsystem for its streams under a cluster name of their own.
 """
 
 from __future__ import annotations
@@ -26,34 +27,34 @@
 NONCE_BYTES = SALT_BYTES + COUNTER_BYTES
 HEADER_BYTES = 1 + KEY_ID_BYTES
 
-# Datagrams that may be sealed under one salt.
+# Maximum number of datagrams sealed with one salt.
 MAX_SEALED = 1 << 8 * COUNTER_BYTES
 
 
 def key_id(key: bytes) -> bytes:
-    """A short name of a key that reveals nothing of it."""
+    """Return a short id of a key that reveals nothing about the key."""
     return blake2b(key, digest_size=KEY_ID_BYTES, person=b"decklb-key").digest()
 
 
 class Sealer:
-    """Seals under the first key of a ring; opens what any of them sealed."""
+    """Seals with the first key of a ring; opens datagrams sealed with any of its keys."""
 
     def __init__(self, cluster_name: str, keys: list[bytes], salt: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> None:
-        """Make a sealer.
+        """Create a sealer.
 
         Args:
-            cluster_name: authenticated with each datagram, so that clusters under one key don't mix.
-            keys: the ring, the key that seals first.
+            cluster_name: authenticated with each datagram, so that clusters with the same key stay separate.
+            keys: the ring, starting with the key that seals.
             salt: random bytes, never used before with these keys.
-            max_bytes: largest sealed datagram that is opened.
+            max_bytes: maximum size of a sealed datagram that is opened.
 
         Raises:
-            ValueError: if the ring is empty, or a key or the salt has another length.
+            ValueError: if the ring is empty, or a key or the salt has the wrong length.
         """
         if not keys or any(len(key) != KEY_BYTES for key in keys):
-            raise ValueError(f"a ring has at least one key, each of {KEY_BYTES} bytes")
+            raise ValueError(f"a ring needs at least one key, each of {KEY_BYTES} bytes")
         if len(salt) != SALT_BYTES:
-            raise ValueError(f"a salt has {SALT_BYTES} bytes")
+            raise ValueError(f"a salt must have {SALT_BYTES} bytes")
         self._cluster_name = cluster_name.encode()
         self._sealing_key = key_id(keys[0])
         self._ciphers = {key_id(key): AESGCM(key) for key in keys}
@@ -62,9 +63,9 @@
         self._sealed = 0
 
     def seal(self, plain: bytes) -> bytes:
-        """Seal a datagram. Raises OverflowError when the salt is used up: a sealer with another one is needed."""
+        """Seal a datagram. Raises OverflowError if all nonces of the salt are used: a new salt is needed then."""
         if self._sealed >= MAX_SEALED:
-            raise OverflowError("nonces are used up")
+            raise OverflowError("all nonces of this salt are used")
         header = bytes([SEAL_VERSION]) + self._sealing_key
         nonce = self._salt + self._sealed.to_bytes(COUNTER_BYTES, "big")
         self._sealed += 1
@@ -90,7 +91,7 @@
         nonce = data[HEADER_BYTES : HEADER_BYTES + NONCE_BYTES]
         cipher = self._ciphers.get(header[1:])
         if cipher is None:
-            raise WireError("key", "sealed under a key that is not in the ring")
+            raise WireError("key", "sealed with a key that is not in the ring")
         try:
             return cipher.decrypt(nonce, data[HEADER_BYTES + NONCE_BYTES :], header + self._cluster_name)
         except InvalidTag as error:
--- a/decklb/cluster/settings.py
+++ b/decklb/cluster/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the cluster: membership, one kind of duty, and this instance's place in it. All times are milliseconds.
+"""Settings of the cluster: membership, kinds of duty, and this instance's addresses. All times are milliseconds.
 
-Read from the `<cluster>` and `<probing>` elements by `config.sections.cluster`, which maps their attributes to these
-fields; the errors raised here name the attributes. Immutable; they hold no state.
+`config.sections.cluster` reads them from the `<cluster>` and `<probing>` elements and maps the attributes to these
+fields; the error messages here use the names of the attributes. Instances are immutable.
 """
 
 from __future__ import annotations
@@ -11,24 +11,27 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """How members watch one another. All members of a cluster should have the same values.
+    """Settings of failure detection and dissemination. Except for `weight` all members should have the same values.
 
     Attributes:
-        cluster_name: bound into the seal of each datagram, so that clusters under one key don't mix.
-        weight: this member's share of duties, relative to the others'.
-        probe_interval_ms: between probes of members.
-        probe_timeout_ms: wait for a direct answer, before others are asked to ping the member.
-        gossip_interval_ms: between rounds of gossip, while there are broadcasts to send.
-        gossip_fanout: members sent to in one round.
-        indirect_probes: members asked to ping one that did not answer directly.
-        suspicion_multiplier: probe intervals, times log10 of the members, that a suspect has to refute where many
-            members suspect it independently.
-        suspicion_max_multiplier: times that timeout, where no other member suspects it.
-        retransmit_base: times that a member sends a broadcast, beside 1.5 times the logarithm of the members.
-        push_pull_interval_ms: between anti-entropy exchanges.
-        settle_time_ms: after the start, during which this member owns no duty, unless it has synchronised before.
-        dead_retention_ms: for which a dead member is kept in the table and counts as a known one.
-        max_clock_skew_ms: by which a sender's clock may differ before its datagram is dropped as a possible replay.
+        cluster_name: authenticated with each datagram, so that clusters with the same key stay separate.
+        weight: this member's share of duties, relative to other members.
+        probe_interval_ms: time between two probes.
+        probe_timeout_ms: time to wait for a direct answer before other members are asked to ping the target.
+        gossip_interval_ms: time between two gossip rounds while there are broadcasts to send.
+        gossip_fanout: number of receivers in one gossip round.
+        indirect_probes: number of members asked to ping a target that has not answered directly.
+        suspicion_multiplier: shortest suspicion timeout, which applies when several members suspect a member
+            independently, in probe intervals times log10 of the number of members.
+        suspicion_max_multiplier: longest suspicion timeout, which applies when only one member suspects a member, as a
+            multiple of the shortest.
+        retransmit_base: how often a member sends a broadcast, in addition to 1.5 times the natural logarithm of the
+            number of members.
+        push_pull_interval_ms: time between two anti-entropy exchanges.
+        settle_time_ms: time after the start during which this member owns no duty, unless its table is in sync earlier.
+        dead_retention_ms: how long a dead member stays in the table and counts as a known member.
+        max_clock_skew_ms: difference between the clocks of sender and receiver above which a datagram is dropped, since
+            it may be a replay.
     """
 
     cluster_name: str = "decklb"
@@ -67,21 +70,21 @@
 
 @dataclass(frozen=True, slots=True)
 class DutySettings:
-    """One kind of periodic duty.
+    """Settings of one kind of periodic duty.
 
     Attributes:
-        kind: name of the kind; part of the wire form and of the hash that assigns owners.
-        period_ms: between two runs of one duty.
-        timeout_ms: after which a run has failed.
-        max_concurrent: runs at a time on one instance.
-        failures_to_decline: consecutive failures after which the owner declines the duty, so that another tries.
-        max_declines: members that may decline a duty before the next one's failure is believed.
-        decline_hold_ms: for which a member that declined does not own the duty; doubles with each repetition.
-        warming_up_factor: times the period, for a subject that has just started.
-        minority_factor: times the period, on a side that sees under half of the known members.
-        repeat_interval_ms: between repetitions of failures and declines, for members that came later.
-        mass_failure_hold_ms: for which a sudden verdict that most subjects are down has no effect.
-        mass_failure_ratio: share of all subjects from which on such a verdict counts as sudden.
+        kind: name of the kind; part of the wire format and of the hash that assigns owners.
+        period_ms: time between two runs of one duty.
+        timeout_ms: time after which a run counts as failed.
+        max_concurrent: maximum number of simultaneous runs on one instance.
+        failures_to_decline: consecutive failures after which the owner declines the duty, so that another member tries.
+        max_declines: number of members that may decline a duty; a failure at the next owner is then trusted.
+        decline_hold_ms: how long a member that declined does not own the duty; doubles with each repetition.
+        warming_up_factor: factor on the period for a subject that is warming up.
+        minority_factor: factor on the period while fewer than half of the known members are live from here.
+        repeat_interval_ms: time between repeated reports of failures and declines, for members that joined later.
+        mass_failure_hold_ms: how long a mass failure (most subjects newly reported down) has no effect.
+        mass_failure_ratio: fraction of the subjects that must be down for a mass failure.
     """
 
     kind: str = "probe"
@@ -107,22 +110,22 @@
 
     @property
     def result_ttl_ms(self) -> float:
-        """How long a result counts without being repeated."""
+        """How long a result is valid unless it is repeated."""
         return 3 * self.repeat_interval_ms
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """One instance's place in the cluster.
+    """Cluster settings of one instance.
 
     Attributes:
         member: unique name of this instance.
         bind_address: UDP address to listen on.
         key_file: path of the key file.
         seeds: addresses of members to contact at the start.
-        membership: how members watch one another.
-        health_checks: the shared health checks of engines; None where they are off.
-        advertise_address: address given to other members, where a NAT or a proxy stands between.
+        membership: settings of failure detection and dissemination.
+        health_checks: settings of the shared health checks of engines; None if they are off.
+        advertise_address: address given to other members if it differs from `bind_address`, as behind a NAT or proxy.
     """
 
     member: str
@@ -135,5 +138,5 @@
 
     @property
     def advertised_address(self) -> tuple[str, int]:
-        """Where other members send datagrams for this one."""
+        """Address to which other members send datagrams for this one."""
         return self.advertise_address or self.bind_address
--- a/decklb/cluster/timers.py
+++ b/decklb/cluster/timers.py
@@ -1,6 +1,6 @@
-"""A queue of timers on a clock that the caller moves. It never waits or calls by itself, so a run can be simulated.
+"""A timer queue whose clock is advanced by the caller. It neither waits nor runs by itself, so time can be simulated.
 
-One queue serves all parts of a node. `node` moves it; membership and duties schedule on it.
+All components of a node share one queue: `node` runs it, and membership and the duty schedulers add timers to it.
 """
 
 from __future__ import annotations
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-Callback = Callable[[float], None]  # called with the time of the run, ms
+Callback = Callable[[float], None]  # called with the current time in ms
 
 
 class Timer:
-    """A callback that is still to be made."""
+    """A scheduled callback."""
 
     __slots__ = ("due_ms", "callback")
 
@@ -21,15 +21,15 @@
         self.callback: Callback | None = callback
 
     def cancel(self) -> None:
-        """Never make the callback. Harmless when it has been made."""
+        """Cancel the callback; has no effect if it has already run."""
         self.callback = None
 
 
 class TimerQueue:
-    """A heap of timers, earliest first; timers due at one moment run in the order in which they were made.
+    """A heap of timers, earliest first; timers due at the same time run in the order in which they were added.
 
     Attributes:
-        now: time of the event that is being handled, monotonic ms; set by whoever drives the queue.
+        now: time of the event that is being handled, monotonic ms; set by the caller that runs the queue.
     """
 
     def __init__(self, now: float = 0.0) -> None:
@@ -38,20 +38,20 @@
         self._count = 0
 
     def call_at(self, due_ms: float, callback: Callback) -> Timer:
-        """Make the callback in the first run at or after `due_ms`."""
+        """Schedule the callback for the first call of `run_due` at or after `due_ms`."""
         timer = Timer(due_ms, callback)
         self._count += 1
         heappush(self._heap, (due_ms, self._count, timer))
         return timer
 
     def next_due(self) -> float:
-        """When the next timer is due; infinity for none."""
+        """Return when the next timer is due; infinity if there is none."""
         while self._heap and self._heap[0][2].callback is None:
             heappop(self._heap)
         return self._heap[0][0] if self._heap else float("inf")
 
     def run_due(self, now: float) -> None:
-        """Make the callbacks that are due. A timer made meanwhile waits for the next run, even if it is due at once."""
+        """Run the callbacks that are due. A timer added by one of them waits for the next call, even if already due."""
         due = []
         while self.next_due() <= now:
             due.append(heappop(self._heap)[2])
--- a/decklb/cluster/verdicts.py
+++ b/decklb/cluster/verdicts.py
@@ -1,8 +1,8 @@
-"""Shared health-check verdicts: the newest result held of each subject, and what follows from them at this instance.
+"""Shared health-check verdicts: the newest result on each subject, and the updates for the dispatcher that follow.
 
-A result of a higher term outdoes one of a lower; a result that is not repeated expires. A sudden verdict that most
-subjects are down is held back for a while. One table a kind of duty, owned by its scheduler in `duties`; `node` asks it
-regularly for the updates that the dispatcher is to be told.
+A result with a higher term replaces one with a lower term; a result that is not repeated expires. If most subjects are
+reported down at once (a mass failure), these verdicts are held back for a while. The scheduler of each kind of duty has
+one table; `node` regularly collects the updates for the dispatcher from it.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from decklb.cluster.messages import DutyResult, HealthStatus
 from decklb.cluster.settings import DutySettings
 
-# Between repetitions of an update that still holds, so that the decision module does not forget it.
+# Time between repetitions of an update that is still valid, since the policy forgets updates that are not repeated.
 UPDATE_INTERVAL_MS = 1000.0
 
 
 class HealthUpdate(NamedTuple):
-    """What the dispatcher is to be told of a subject."""
+    """An update for the dispatcher: whether a subject is up."""
 
     kind: str
     subject: str
@@ -29,15 +29,15 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The newest result on one subject. Times in ms.
+    """The newest result on one subject.
 
     Attributes:
-        term: of the owner that found it.
-        found_at_ms: the owner's wall clock.
-        owner: name of the member.
-        status: None where the result has expired.
-        last_received: when the result came, local monotonic time.
-        status_since: when the status began here, local monotonic time.
+        term: term of the owner that found the result.
+        found_at_ms: time of the result by the owner's wall clock (Unix ms).
+        owner: name of the owner.
+        status: the found status; None after the result has expired.
+        last_received: when the result was received, local monotonic ms.
+        status_since: when the subject's status last changed at this instance, local monotonic ms.
     """
 
     term: int
@@ -49,17 +49,17 @@
 
     @property
     def order(self) -> tuple[int, int, str]:
-        """By which results on one subject are ordered; the highest is the newest."""
+        """Sort key of the results on one subject; the highest is the newest."""
         return self.term, self.found_at_ms, self.owner
 
 
 class VerdictTable:
-    """The verdicts of one kind of duty, as this instance holds them.
+    """The verdicts of one kind of duty, as known to this instance.
 
     Attributes:
         by_subject: the newest verdict on each subject.
-        outdated_results: count of results dropped as older than the one held.
-        mass_failure_since: when most subjects came to be down; None while they are not.
+        outdated_results: number of results dropped because a newer one was known.
+        mass_failure_since: when most subjects were first down at once; None while they are not.
     """
 
     def __init__(self, settings: DutySettings) -> None:
@@ -68,19 +68,19 @@
         self.outdated_results = 0
         self.mass_failure_since: float | None = None
         self._down: set[str] = set()
-        self._down_updated: dict[str, float] = {}  # subjects reported down to the dispatcher, and when last
+        self._down_updated: dict[str, float] = {}  # by subject reported down to the dispatcher: time of the last update
 
     def term(self, subject: str) -> int:
-        """The highest term heard of; 0 for none."""
+        """Return the term of the newest result on a subject; 0 if there is none."""
         verdict = self.by_subject.get(subject)
         return verdict.term if verdict else 0
 
     def is_down(self, subject: str) -> bool:
-        """Whether the newest result is that it is down."""
+        """Return whether the newest result on a subject is DOWN and has not expired."""
         return subject in self._down
 
     def apply(self, now: float, result: DutyResult) -> bool:
-        """Hold a result if it is newer than the current one; true if it is."""
+        """Store a result if it is newer than the current one; return whether it is."""
         current = self.by_subject.get(result.subject)
         order = (result.term, result.found_at_ms, result.owner)
         if current is not None and order <= current.order:
@@ -92,18 +92,18 @@
         return True
 
     def retain(self, subjects: Collection[str]) -> None:
-        """Forget all other subjects."""
+        """Remove the verdicts on all other subjects."""
         for subject in [known for known in self.by_subject if known not in subjects]:
             del self.by_subject[subject]
             self._down.discard(subject)
 
     def take_updates(self, now: float, listed: Collection[str]) -> list[HealthUpdate]:
-        """What the dispatcher is to be told now.
+        """Return the updates that are due for the dispatcher.
 
         Args:
             now: local monotonic ms.
-            listed: subjects that the endpoint list calls up. Only these are reported, so that a result never lets in
-                what the list calls draining or gone.
+            listed: subjects that are up in the endpoint list. Only these are reported, so that a result never makes an
+                engine usable that is draining or removed by the list.
         """
         self._expire(now)
         down = self._credible_down(now, listed)
@@ -127,9 +127,9 @@
             self._down.discard(subject)
 
     def _credible_down(self, now: float, listed: Collection[str]) -> set[str]:
-        """Listed subjects that are down, without those of a mass failure that is still held back.
+        """Return the listed subjects that are down, without those held back because of a mass failure.
 
-        Where most come to be down at once it is, more often than the engines, the way to them that has failed.
+        If most subjects go down at once, a failure of the network path to them is more likely than that of the engines.
         """
         down = {subject for subject in self._down if subject in listed}
         if not down or len(down) < self.settings.mass_failure_ratio * len(listed):
--- a/tests/test_cluster_keyfile.py
+++ b/tests/test_cluster_keyfile.py
@@ -47,10 +47,10 @@
 @pytest.mark.parametrize(
     ("text", "words"),
     [
-        ("", "no key file"),
+        ("", "not a valid key file"),
         ('{"version":2,"keys":[]}', "version 2"),
         ('{"version":1,"keys":[]}', "1 to 8"),
-        ('{"version":1,"keys":[{"key":"!!","made":""}]}', "no key file"),
+        ('{"version":1,"keys":[{"key":"!!","made":""}]}', "not a valid key file"),
         ('{"version":1,"keys":[{"key":"AAAA","made":""}]}', "32 bytes"),
     ],
     ids=["empty", "version", "no-keys", "not-base64", "short-key"],
