--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -40,8 +40,8 @@
 UserMessageHandler = Callable[[str, bytes], None]  # sender, payload
 
 
-def wall() -> float:
-    """Unix time in ms."""
+def unix_time_ms() -> float:
+    """Return the current Unix time in ms."""
     return time.time() * 1000.0
 
 
@@ -101,7 +101,7 @@
             self._make_sealer(),
             random.Random(os.urandom(SEED_BYTES)),
             clock.now(),
-            wall(),
+            unix_time_ms(),
         )
 
     def _make_sealer(self) -> Sealer:
@@ -203,7 +203,7 @@
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         """Handle a datagram, which may come from outside the cluster."""
         if not self._is_closed:
-            self.node.receive(self.clock.now(), wall(), datagram, (addr[0], addr[1]))
+            self.node.receive(self.clock.now(), unix_time_ms(), datagram, (addr[0], addr[1]))
             self._process_outputs()
 
     def connectionRefused(self) -> None:
@@ -211,7 +211,7 @@
 
     def _tick(self) -> None:
         self._timer, self._timer_due = None, float("inf")
-        self.node.tick(self.clock.now(), wall())
+        self.node.tick(self.clock.now(), unix_time_ms())
         if self.node.sealer.needs_new_salt:
             self.reload()
         self._process_outputs()
--- a/decklb/maintenance/runtime.py
+++ b/decklb/maintenance/runtime.py
@@ -16,7 +16,7 @@
 from loguru import logger
 from twisted.internet.defer import Deferred
 
-from decklb.cluster.runtime import ClusterService, log_notices, wall
+from decklb.cluster.runtime import ClusterService, log_notices, unix_time_ms
 from decklb.core.dispatcher import Dispatcher
 from decklb.core.ports import Clock, Timer
 from decklb.interface import Endpoint
@@ -125,18 +125,20 @@
     def cancel(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
         """End the job named by `job` at once; see request_maintenance for the result."""
         job_id = str(request.get("job", ""))
-        return self._propose(lambda deadline, on_result: self.orchestrator.cancel(job_id, wall(), deadline, on_result))
+        return self._propose(
+            lambda deadline, on_result: self.orchestrator.cancel(job_id, unix_time_ms(), deadline, on_result)
+        )
 
     def mark_returned(self, request: Mapping[str, Any]) -> Deferred[dict[str, int]]:
         """The work on the machine named by `machine` is done; see request_maintenance for the result."""
         name = str(request.get("machine", ""))
         return self._propose(
-            lambda deadline, on_result: self.orchestrator.mark_returned(name, wall(), deadline, on_result)
+            lambda deadline, on_result: self.orchestrator.mark_returned(name, unix_time_ms(), deadline, on_result)
         )
 
     def status(self) -> dict[str, Any]:
         """The plan, for operators."""
-        return self.orchestrator.status(self.clock.now(), wall())
+        return self.orchestrator.status(self.clock.now(), unix_time_ms())
 
     def close(self) -> None:
         """End with the program."""
@@ -196,7 +198,7 @@
             now, self.cluster.node.membership.live_names(), self.cluster.node.known_members()
         )
         checked = self.orchestrator.checked_engines()
-        self.orchestrator.tick(now, wall(), self._observe(now, checked))
+        self.orchestrator.tick(now, unix_time_ms(), self._observe(now, checked))
         self._check_health(checked)
         self._send_and_log()
         self._follow_plan(now)
