--- a/tests/cluster_builders.py
+++ b/tests/cluster_builders.py
@@ -1,4 +1,4 @@
-"""Keys, datagrams and nodes for the tests of the cluster."""
+"""Keys, datagrams and nodes for the tests of the cluster subsystem."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 def envelope(body=(), sender="b", run_id=7, sequence=1, wall_ms=WALL_MS, lamport_time=0):
-    """An unsealed datagram of another member."""
+    """Build an unsealed datagram from another member."""
     encoded = [messages.encode_message(message) for message in body]
     return messages.encode_envelope(sender, run_id, sequence, wall_ms, lamport_time, encoded)
 
 
 def sealer(key=KEY):
-    """Seals as another member does."""
+    """Build the sealer of another member."""
     return Sealer(CLUSTER, [key], SALT)
 
 
 def node(**duty):
-    """The member "a", which has not started; with a kind of duty if there are settings for one."""
+    """Build the member "a", not started; with one kind of duty if settings for it are given."""
     return Node(
         MembershipSettings(),
         [DutySettings(**duty)] if duty else [],
--- a/tests/test_cluster_keyfile.py
+++ b/tests/test_cluster_keyfile.py
@@ -1,4 +1,4 @@
-"""The key file and the commands that make and rotate it."""
+"""The key file and the commands that create it and rotate its keys."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     return tmp_path / "k.json"
 
 
-def run_keys(*words):
-    return CliRunner().invoke(main, ["keys", *map(str, words)])
+def run_keys(*arguments):
+    return CliRunner().invoke(main, ["keys", *map(str, arguments)])
 
 
 def secrets(path):
     return [key.secret for key in keyfile.read(str(path))]
 
 
-def test_a_key_file_is_made_once_readable_by_its_owner_alone(path):
+def test_a_key_file_is_created_readable_by_its_owner_only_and_never_overwritten(path):
     assert run_keys("new", path).exit_code == 0
     assert path.stat().st_mode & 0o777 == 0o600
     assert run_keys("new", path).exit_code == 1
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         ("", "not a valid key file"),
         ('{"version":2,"keys":[]}', "version 2"),
@@ -55,14 +55,14 @@
     ],
     ids=["empty", "version", "no-keys", "not-base64", "short-key"],
 )
-def test_faults_of_the_file_are_named(path, text, words):
+def test_the_error_names_the_fault_of_an_invalid_file(path, text, message):
     path.write_text(text)
     path.chmod(0o600)
-    with pytest.raises(KeyFileError, match=words):
+    with pytest.raises(KeyFileError, match=message):
         keyfile.read(str(path))
 
 
-def test_a_file_that_others_may_read_is_refused(path):
+def test_a_file_that_other_users_can_read_is_rejected(path):
     run_keys("new", path)
     path.chmod(0o640)
     with pytest.raises(KeyFileError, match="chmod 0600"):
--- a/tests/test_cluster_lamport_clock.py
+++ b/tests/test_cluster_lamport_clock.py
@@ -1,11 +1,11 @@
-"""The logical clock of terms."""
+"""The logical clock that issues terms."""
 
 from __future__ import annotations
 
 from decklb.cluster.lamport_clock import LamportClock
 
 
-def test_terms_rise_above_all_times_heard_of():
+def test_new_terms_are_above_all_received_times():
     clock = LamportClock()
     clock.observe(7)
     assert (clock.next_term(), clock.next_term()) == (8, 9)
--- a/tests/test_cluster_node.py
+++ b/tests/test_cluster_node.py
@@ -1,4 +1,4 @@
-"""What a node does with datagrams that it can't accept."""
+"""A node drops and counts datagrams that it cannot accept, and never answers them."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.cluster_builders import OTHER_KEY, PEER, WALL_MS, envelope, node, sealer
 
 
-# Each with the reason under which it is counted.
-def foreign_datagrams():
+def unacceptable_datagrams():
+    """Yield datagrams, each with the reason under which it is counted."""
     yield "size", b""
     yield "size", bytes(33)
     yield "size", bytes(1401)
@@ -39,8 +39,10 @@
     yield "skew", seal(envelope(wall_ms=0))
 
 
-@pytest.mark.parametrize(("reason", "data"), list(foreign_datagrams()), ids=lambda x: x if isinstance(x, str) else "")
-def test_foreign_datagrams_are_counted_and_never_answered(reason, data):
+@pytest.mark.parametrize(
+    ("reason", "data"), list(unacceptable_datagrams()), ids=lambda x: x if isinstance(x, str) else ""
+)
+def test_unacceptable_datagrams_are_counted_and_never_answered(reason, data):
     member = node()
     member.receive(0.0, WALL_MS, data, PEER)
     assert member.dropped == {reason: 1} and member.received == 0 and not member.outgoing
@@ -57,7 +59,7 @@
 def test_damaged_datagrams_are_counted_and_do_no_harm():
     rng, member = random.Random(4), node(period_ms=1000.0)
     seal = sealer().seal
-    whole = envelope(
+    intact = envelope(
         [
             m.Alive("b", "127.0.0.1", 9, 5, 7, True, 1.0),
             m.Suspect("a", 3, "b"),
@@ -67,7 +69,7 @@
         ]
     )
     for i in range(3000):
-        data = bytearray(whole)
+        data = bytearray(intact)
         for _ in range(rng.randint(1, 6)):
             data[rng.randrange(len(data))] = rng.randrange(256)
         member.receive(float(i), WALL_MS + i, seal(bytes(data[: rng.randint(1, len(data))])), PEER)
--- a/tests/test_cluster_simulation.py
+++ b/tests/test_cluster_simulation.py
@@ -1,4 +1,4 @@
-"""The real nodes on a simulated network: deaths, returns, partitions, pauses, a name in use twice; any mix of these."""
+"""Real nodes on a simulated network: crashes, restarts, partitions, pauses, duplicate names, random mixes of these."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 from tests.standins import ROOT
 
 SECOND = 1000.0
-# With these, a death is known everywhere within 1.5 s of suspicion, 1.5 s of probing and news: call it six.
+# Time within which all members know of a death under these settings: at most 1.5 s of suspicion and 1.5 s of probing
+# and gossip, doubled for safety.
 KNOWN = 6 * SECOND
 MEMBERSHIP = MembershipSettings(push_pull_interval_ms=2000.0)
 DUTY = DutySettings(
@@ -31,20 +32,20 @@
 
 
 class Members(unittest.TestCase):
-    def test_join_from_nothing_under_loss(self):
+    def test_members_join_under_packet_loss(self):
         c = cluster(8, warm=False, faults=Faults(loss=0.2, duplicate=0.1))
         c.world.run(MEMBERSHIP.settle_time_ms + KNOWN)
         self.assertTrue(c.views_agree())
         self.assertEqual(c.one_owner(), [])
 
-    def test_alone_owns_all_after_settling_not_before(self):
+    def test_a_single_member_owns_all_duties_after_settling_and_none_before(self):
         c = cluster(1, warm=False)
         c.world.run(MEMBERSHIP.settle_time_ms - 1)
         self.assertEqual(len(c.one_owner()), 30)
         c.world.run(MEMBERSHIP.settle_time_ms + SECOND)
         self.assertEqual(c.one_owner(), [])
 
-    def test_death_is_known_and_nobody_else_dies(self):
+    def test_a_death_is_detected_and_no_other_member_is_declared_dead(self):
         c = cluster(9, faults=Faults(loss=0.1))
         c.world.run(5 * SECOND)
         c.world.kill(c.host("m4"))
@@ -53,7 +54,7 @@
         self.assertEqual(c.one_owner(), [])
         self.assertEqual({name for _, _, name in c.deaths}, {"m4"})
 
-    def test_a_departure_is_known_at_once(self):
+    def test_a_departure_is_known_immediately(self):
         c = cluster()
         c.world.run(2 * SECOND)
         leaving = c.host("m2")
@@ -65,51 +66,52 @@
         self.assertEqual((c.one_owner(), c.deaths), ([], []))
         self.assertFalse(any(h.node.membership.in_minority(h.now()) for h in c.live()))
 
-    def test_return_is_not_mistaken_for_the_dead(self):
-        for gap in (0.0, 800.0, KNOWN):  # before anybody suspects, while suspected, after its death is known
-            for back in (0.0, 20 * SECOND):  # its clock may be behind that of its earlier life
+    def test_a_restarted_member_is_not_mistaken_for_its_dead_run(self):
+        # The restart comes before the member is suspected, while it is suspected, or after its death is known.
+        for gap in (0.0, 800.0, KNOWN):
+            for back in (0.0, 20 * SECOND):  # ms by which the clock of the new run is behind that of the old one
                 with self.subTest(gap=gap, back=back):
                     c = cluster(5, seed=int(gap))
                     c.world.run(2 * SECOND)
                     before = c.owners()
                     c.world.kill(c.host("m3"))
                     c.world.run(2 * SECOND + gap)
-                    fresh = c.start(3, wall_back=back)
+                    restarted = c.start(3, wall_back=back)
                     c.world.run(c.world.now + 3 * KNOWN)
                     self.assertTrue(c.views_agree())
                     self.assertEqual((c.one_owner(), c.owners()), ([], before))
-                    self.assertEqual(fresh.node.membership.counters.name_conflicts, 0)
+                    self.assertEqual(restarted.node.membership.counters.name_conflicts, 0)
 
-    def test_a_returning_instance_takes_nothing_until_it_heard_the_members(self):
+    def test_a_restarted_member_owns_no_duty_until_it_has_synchronized_with_the_others(self):
         c = cluster()
         c.world.run(2 * SECOND)
         c.world.kill(c.host("m0"))
         c.world.run(2 * SECOND + KNOWN)
         c.world.cut = lambda source, target: c.address(0) in (source, target)
-        fresh = c.start(0)
+        restarted = c.start(0)
         c.world.run(c.world.now + MEMBERSHIP.settle_time_ms - 100.0)
-        self.assertFalse(any(d.is_owned for d in c.book(fresh).duties.values()))
+        self.assertFalse(any(d.is_owned for d in c.book(restarted).duties.values()))
         c.heal()
         c.world.run(c.world.now + KNOWN)
         self.assertEqual(c.one_owner(), [])
 
-    def test_a_name_in_use_twice_is_reported_and_the_older_keeps_it(self):
+    def test_a_duplicate_name_is_reported_and_the_older_process_keeps_it(self):
         c = cluster()
         c.world.run(5 * SECOND)
-        second = c.start(7, name="m1", address=("10.9.9.9", 7946))
+        younger = c.start(7, name="m1", address=("10.9.9.9", 7946))
         c.world.run(c.world.now + 5 * KNOWN)
-        first = next(h for h in c.hosts if h.name == "m1" and h is not second)
-        self.assertTrue(second.node.membership.local.is_yielding)
-        self.assertFalse(first.node.membership.local.is_yielding)
-        self.assertFalse(any(d.is_owned for d in c.book(second).duties.values()))
-        self.assertGreaterEqual(second.node.membership.counters.name_conflicts, 1)
-        c.world.kill(second)
-        c.hosts.remove(second)
+        older = next(h for h in c.hosts if h.name == "m1" and h is not younger)
+        self.assertTrue(younger.node.membership.local.is_yielding)
+        self.assertFalse(older.node.membership.local.is_yielding)
+        self.assertFalse(any(d.is_owned for d in c.book(younger).duties.values()))
+        self.assertGreaterEqual(younger.node.membership.counters.name_conflicts, 1)
+        c.world.kill(younger)
+        c.hosts.remove(younger)
         c.world.run(c.world.now + 2 * KNOWN)
         self.assertEqual(c.one_owner(), [])
-        self.assertEqual(c.host("m0").node.membership.members["m1"].address, first.address)
+        self.assertEqual(c.host("m0").node.membership.members["m1"].address, older.address)
 
-    def test_a_stalled_process_accuses_nobody(self):
+    def test_a_stalled_process_declares_no_member_dead(self):
         c = cluster(5)
         c.world.run(3 * SECOND)
         c.world.pause(c.host("m1"), 30 * SECOND)
@@ -118,10 +120,10 @@
         self.assertGreaterEqual(paused.counters.stalls, 1)
         c.world.run(33 * SECOND + KNOWN)
         self.assertTrue(c.views_agree())
-        self.assertEqual({name for _, _, name in c.deaths}, {"m1"})  # it accused nobody
+        self.assertEqual({name for _, _, name in c.deaths}, {"m1"})  # only the stalled member was declared dead
         self.assertEqual(c.one_owner(), [])
 
-    def test_after_a_one_way_cut_nobody_is_wrongly_dead(self):
+    def test_after_a_one_way_partition_no_live_member_is_held_dead(self):
         c = cluster(7)
         c.world.run(2 * SECOND)
         c.part({"m3"}, one_way=True)
@@ -133,7 +135,7 @@
 
 
 class Duties(unittest.TestCase):
-    def test_partition_one_owner_a_side_slow_minority_one_after(self):
+    def test_each_side_of_a_partition_has_one_owner_and_after_healing_only_one_is_left(self):
         c = cluster(7, seed=3)
         c.world.run(4 * SECOND)
         side = {"m0", "m1"}
@@ -151,68 +153,70 @@
         self.assertTrue(all(after[k] >= v for k, v in before.items()))
         self.assertFalse(any(c.book(h).in_minority for h in c.hosts))
 
-    def test_results_of_the_older_term_are_dropped(self):
+    def test_after_a_partition_all_members_keep_the_result_with_the_highest_term(self):
         c = cluster(4, seed=5)
         c.world.run(4 * SECOND)
         c.part({"m0", "m1"})
         c.world.run(4 * SECOND + KNOWN)
-        c.down = {"motor-1"}  # both sides find it down, each with a term of its own
+        c.down = {"motor-1"}  # both sides find it down, each with its own term
         c.world.run(c.world.now + 14 * DUTY.period_ms)
         c.heal()
         c.world.run(c.world.now + 4 * DUTY.period_ms)
-        held = {(v.term, v.owner, v.status) for v in (c.book(h).verdicts.by_subject["motor-1"] for h in c.hosts)}
-        self.assertEqual(len(held), 1, held)
+        known_verdicts = {
+            (v.term, v.owner, v.status) for v in (c.book(h).verdicts.by_subject["motor-1"] for h in c.hosts)
+        }
+        self.assertEqual(len(known_verdicts), 1, known_verdicts)
 
-    def test_a_duty_whose_route_is_cut_is_declined_and_stays_with_the_next(self):
+    def test_an_owner_that_cannot_reach_the_engine_declines_and_the_next_owner_keeps_the_duty(self):
         c = cluster(4, seed=2)
         c.world.run(2 * SECOND)
         owner = c.owners()["motor-7"][0]
         c.unreachable = {(owner, "motor-7")}
         c.world.run(8 * DUTY.period_ms)
-        new = c.owners()["motor-7"]
-        self.assertEqual(len(new), 1)
-        self.assertNotEqual(new, [owner])
+        new_owners = c.owners()["motor-7"]
+        self.assertEqual(len(new_owners), 1)
+        self.assertNotEqual(new_owners, [owner])
         self.assertFalse(any(c.book(h).verdicts.is_down("motor-7") for h in c.hosts))
         self.assertEqual(c.probed, [])
         c.world.run(12 * DUTY.period_ms)
-        self.assertEqual(c.owners()["motor-7"], new)
+        self.assertEqual(c.owners()["motor-7"], new_owners)
 
-    def test_a_dead_engine_needs_two_witnesses_and_all_hear(self):
+    def test_an_engine_is_reported_down_only_after_all_permitted_declines_and_to_all_members(self):
         c = cluster(4, seed=2)
         c.world.run(2 * SECOND)
         c.down = {"motor-7"}
         c.world.run(8 * DUTY.period_ms)
-        witnesses = {r.host for r in c.runs if r.subject == "motor-7" and r.at > 2 * SECOND}
-        self.assertEqual(len(witnesses), DUTY.max_declines + 1)
+        checkers = {r.host for r in c.runs if r.subject == "motor-7" and r.at > 2 * SECOND}
+        self.assertEqual(len(checkers), DUTY.max_declines + 1)
         self.assertEqual({(h, s, up) for _, h, s, up in c.probed}, {(h.name, "motor-7", False) for h in c.hosts})
         c.down = set()
         c.world.run(11 * DUTY.period_ms)
         self.assertEqual([up for _, h, s, up in c.probed if h == "m0"][-1], True)
 
-    def test_a_mass_failure_has_no_effect_until_its_hold_is_over(self):
+    def test_a_mass_failure_has_no_effect_until_its_hold_has_ended(self):
         c = cluster(3, engines=10)
         c.world.run(2 * SECOND)
         c.down = set(c.engines)
         c.world.run(2 * SECOND + 10 * DUTY.period_ms)
-        some = c.book(c.host("m0"))
-        self.assertIsNotNone(some.verdicts.mass_failure_since)
-        until = some.verdicts.mass_failure_since + DUTY.mass_failure_hold_ms
-        early = [s for at, h, s, _ in c.probed if h == "m0" and some.verdicts.mass_failure_since <= at < until]
-        few = {s for at, h, s, _ in c.probed if h == "m0" and at < some.verdicts.mass_failure_since}
-        self.assertLess(len(few), DUTY.mass_failure_ratio * 10)
-        self.assertLessEqual(set(early), few)
+        scheduler = c.book(c.host("m0"))
+        self.assertIsNotNone(scheduler.verdicts.mass_failure_since)
+        until = scheduler.verdicts.mass_failure_since + DUTY.mass_failure_hold_ms
+        during = [s for at, h, s, _ in c.probed if h == "m0" and scheduler.verdicts.mass_failure_since <= at < until]
+        before = {s for at, h, s, _ in c.probed if h == "m0" and at < scheduler.verdicts.mass_failure_since}
+        self.assertLess(len(before), DUTY.mass_failure_ratio * 10)
+        self.assertLessEqual(set(during), before)
         self.assertEqual({s for at, h, s, _ in c.probed if h == "m0" and at >= until}, set(c.engines))
 
-    def test_the_experiments_figures_are_within_their_bounds(self):
-        x = run(Experiment(instances=9, engines=60, periods=16, loss=0.1, kill=1, partition=0.4, seed=3))
-        self.assertEqual((x["per_period_mean"], x["per_period_max"], x["false_deaths"]), (1.0, 1, 0))
-        self.assertLessEqual(x["takeover_periods_max"], 3.0)
-        self.assertLessEqual(x["doubled_after_heal_periods"], 2.0)
-        self.assertLessEqual(x["one_owner_after_heal_periods"], 2.0)
-        self.assertEqual((x["parted_max_per_side"], x["moved_per_change"]), (1, 1.0))
-        self.assertEqual((x["not_one_owner_at_end"], x["wrongly_dead_at_end"]), (0, 0))
+    def test_the_figures_of_the_experiment_are_within_their_bounds(self):
+        figures = run(Experiment(instances=9, engines=60, periods=16, loss=0.1, kill=1, partition=0.4, seed=3))
+        self.assertEqual((figures["per_period_mean"], figures["per_period_max"], figures["false_deaths"]), (1.0, 1, 0))
+        self.assertLessEqual(figures["takeover_periods_max"], 3.0)
+        self.assertLessEqual(figures["doubled_after_heal_periods"], 2.0)
+        self.assertLessEqual(figures["one_owner_after_heal_periods"], 2.0)
+        self.assertEqual((figures["parted_max_per_side"], figures["moved_per_change"]), (1, 1.0))
+        self.assertEqual((figures["not_one_owner_at_end"], figures["wrongly_dead_at_end"]), (0, 0))
 
-    def test_same_seed_same_run_whatever_the_hash_seed(self):
+    def test_the_same_seed_gives_the_same_run_with_any_hash_seed(self):
         command = [
             sys.executable,
             "-m",
@@ -232,14 +236,19 @@
             "--join",
             "--json",
         ]
-        found = []
-        for seed in ("1", "2"):
-            out = subprocess.run(
-                command, cwd=ROOT, env=os.environ | {"PYTHONHASHSEED": seed}, capture_output=True, text=True, check=True
+        results = []
+        for hash_seed in ("1", "2"):
+            output = subprocess.run(
+                command,
+                cwd=ROOT,
+                env=os.environ | {"PYTHONHASHSEED": hash_seed},
+                capture_output=True,
+                text=True,
+                check=True,
             ).stdout
-            found.append({k: v for k, v in json.loads(out).items() if k != "took_s"})
-        self.assertEqual(found[0], found[1])
-        self.assertGreater(found[0]["datagrams"], 500)
+            results.append({k: v for k, v in json.loads(output).items() if k != "took_s"})
+        self.assertEqual(results[0], results[1])
+        self.assertGreater(results[0]["datagrams"], 500)
 
 
 NAMES = st.integers(0, 4)
@@ -254,7 +263,7 @@
 )
 
 
-class AnyMixOfFaults(unittest.TestCase):
+class RandomFaultSequences(unittest.TestCase):
     @settings(max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
     @given(st.lists(st.tuples(FAULT, st.floats(0.0, 9000.0)), min_size=1, max_size=8), st.integers(0, 99))
     def test_after_quiet_one_live_owner_and_nobody_wrongly_dead(self, schedule, seed):
@@ -265,7 +274,7 @@
             self.act(c, what, which)
             c.world.run(c.world.now + wait)
             found = c.terms()
-            # A host that came back has forgotten; all others' terms only rise.
+            # A restarted host has lost its terms; at all other hosts terms only rise.
             self.assertTrue(all(found[k] >= v for k, v in terms.items() if k in found and k[0] not in c.returned))
             terms = found
             c.returned = set()
--- a/tests/test_cluster_suspicion.py
+++ b/tests/test_cluster_suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspect has to refute."""
+"""The timeout within which a suspected member has to refute the suspicion."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 SETTINGS = MembershipSettings(probe_interval_ms=1000.0, suspicion_multiplier=4.0, suspicion_max_multiplier=6.0)
 
 
-def test_the_timeout_shrinks_as_others_confirm():
+def test_the_timeout_shrinks_as_other_members_confirm():
     suspicion = Suspicion.start(SETTINGS, 0.0, 100, "a")
     deadlines = [suspicion.deadline()]
     for reporter in ("a", "b", "c", "d", "e"):
@@ -16,8 +16,8 @@
         deadlines.append(suspicion.deadline())
     assert (deadlines[0], deadlines[-1]) == (48_000.0, 8000.0)
     assert deadlines == sorted(deadlines, reverse=True)
-    assert deadlines[0] == deadlines[1]  # the same member reports it again
+    assert deadlines[0] == deadlines[1]  # a repeated report by the same member does not count
 
 
-def test_of_two_members_nobody_can_confirm_and_the_shortest_timeout_holds():
+def test_with_two_members_the_shortest_timeout_applies_since_nobody_can_confirm():
     assert Suspicion.start(SETTINGS, 0.0, 2, "a").deadline() == 4000.0
--- a/tests/test_cluster_timers.py
+++ b/tests/test_cluster_timers.py
@@ -1,4 +1,4 @@
-"""The queue of timers."""
+"""The timer queue."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from decklb.cluster.timers import TimerQueue
 
 
-def test_cancelled_timers_never_run_and_nested_ones_wait_for_the_next_run():
+def test_cancelled_timers_never_run_and_timers_added_by_callbacks_wait_for_the_next_run():
     timers, called = TimerQueue(), []
     timers.call_at(5.0, lambda now: called.append("b"))
     timers.call_at(3.0, lambda now: (called.append("a"), timers.call_at(now, lambda _: called.append("c"))))
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -1,6 +1,6 @@
-"""The cluster's bytes and decisions, compared with those recorded in `tests/golden/cluster.json`.
+"""Compares the cluster's encoded bytes and decisions with those recorded in `tests/golden/cluster.json`.
 
-The record was made before the package was renamed. It is written anew, after a change of the protocol that is meant, by
+The record was made before the package was renamed. After an intended change of the protocol, write a new one with
 `python -m tests.test_cluster_wire_format`.
 """
 
@@ -30,14 +30,14 @@
 RECORD = ROOT / "tests" / "golden" / "cluster.json"
 KEYS = [bytes(range(32)), bytes(range(32, 64))]
 SALT = bytes(range(100, 108))
-WALL = 1_700_000_000_123
+WALL_MS = 1_700_000_000_123
 
 MESSAGES = [
     m.Ping(sequence=7, target="b"),
     m.Ack(sequence=1 << 40),
     m.Nack(sequence=0),
     m.PingRequest(sequence=300, target="b", host="10.0.0.2", port=7946),
-    m.Alive(name="a", host="10.0.0.1", port=7946, incarnation=WALL, run_id=WALL << 10, ready=True, weight=2.5),
+    m.Alive(name="a", host="10.0.0.1", port=7946, incarnation=WALL_MS, run_id=WALL_MS << 10, ready=True, weight=2.5),
     m.Suspect(name="b", incarnation=5, reported_by="a"),
     m.Dead(name="b", incarnation=6, reported_by="b"),
     m.Digest(checksums=bytes(range(256))),
@@ -54,14 +54,14 @@
         state=m.MemberState.LEFT,
         state_age_ms=12_345,
     ),
-    m.DutyResult(kind="probe", subject="engine-1", term=77, owner="a", found_at_ms=WALL, status=m.HealthStatus.DOWN),
-    m.DutyDecline(kind="probe", subject="engine-2", declined_by="c", declined_at_ms=WALL, hold_ms=300_000),
+    m.DutyResult(kind="probe", subject="engine-1", term=77, owner="a", found_at_ms=WALL_MS, status=m.HealthStatus.DOWN),
+    m.DutyDecline(kind="probe", subject="engine-2", declined_by="c", declined_at_ms=WALL_MS, hold_ms=300_000),
     m.UserMessage(topic="handoff", payload=b"\x00\xff"),
 ]
 
 
 def datagram() -> bytes:
-    return m.encode_envelope("member-1", 99, 3, WALL, 12, [m.encode_message(x) for x in MESSAGES])
+    return m.encode_envelope("member-1", 99, 3, WALL_MS, 12, [m.encode_message(x) for x in MESSAGES])
 
 
 def message_bytes() -> list[str]:
@@ -79,36 +79,36 @@
     keyfile.write(path, ring)
     assert os.stat(path).st_mode & 0o777 == 0o600
     assert keyfile.read(path) == ring
-    fresh = keyfile.Key(bytes(32), "later")
+    new_key = keyfile.Key(bytes(32), "later")
     return {
         "text": Path(path).read_text(),
         "names": [k.name for k in ring],
-        "rotated": {step: [k.name for k in keyfile.rotate(ring, step, fresh)] for step in keyfile.RotationStep},
+        "rotated": {step: [k.name for k in keyfile.rotate(ring, step, new_key)] for step in keyfile.RotationStep},
     }
 
 
 def broadcast_rounds() -> list[list[str]]:
-    """What a queue hands out, round by round, as pieces of different sizes are told and replaced."""
+    """Return what a queue sends per round while broadcasts of different sizes are added and replaced."""
     queue = BroadcastQueue()
     rounds = []
     for i in range(12):
         queue.add(f"member-{i % 7}", bytes([i]) * (1 + 37 * i % 90))
-        rounds.append([piece.hex() for piece in queue.take(150, 3)])
+        rounds.append([message.hex() for message in queue.take(150, 3)])
     while len(queue):
-        rounds.append([piece.hex() for piece in queue.take(150, 3)])
+        rounds.append([message.hex() for message in queue.take(150, 3)])
     return rounds
 
 
-def suspicion_ends() -> list[list[float]]:
-    found = []
+def suspicion_deadlines() -> list[list[float]]:
+    deadlines_by_size = []
     for members in (2, 3, 9, 300):
         suspicion = Suspicion.start(MembershipSettings(), 1000.0, members, "a")
-        ends = [suspicion.deadline()]
-        for by in "abcde":
-            suspicion.confirm(by)
-            ends.append(suspicion.deadline())
-        found.append(ends)
-    return found
+        deadlines = [suspicion.deadline()]
+        for reporter in "abcde":
+            suspicion.confirm(reporter)
+            deadlines.append(suspicion.deadline())
+        deadlines_by_size.append(deadlines)
+    return deadlines_by_size
 
 
 def owners() -> dict[str, list[str]]:
@@ -122,7 +122,10 @@
 
 
 def simulated(seed: int) -> dict[str, object]:
-    """A cluster under faults of each kind: how many datagrams it sent and a digest of all, with who ran what when."""
+    """Simulate a cluster under every kind of fault.
+
+    Returns the numbers of datagrams, runs and deaths, and a digest over all datagrams, runs, events and final states.
+    """
     membership = MembershipSettings(push_pull_interval_ms=2000.0, dead_retention_ms=40_000.0)
     duty = DutySettings(
         period_ms=4000.0,
@@ -138,13 +141,13 @@
     sent = 0
     transmit = world._transmit
 
-    def tap(source, target, data):
+    def record_and_transmit(source, target, data):
         nonlocal sent
         sent += 1
         digest.update(f"{world.now!r} {source} {target} ".encode() + data)
         transmit(source, target, data)
 
-    world._transmit = tap
+    world._transmit = record_and_transmit
     world.run(8000.0)
     cluster.down = {"motor-3"}
     cluster.unreachable = {("m1", "motor-5")}
@@ -157,7 +160,7 @@
     cluster.start(4, wall_back=30_000.0 * (seed % 2))
     world.run(45_000.0)
     world.pause(cluster.host("m2"), 6000.0)
-    twin = cluster.start(9, name="m1", address=("10.9.9.9", 7946))
+    younger = cluster.start(9, name="m1", address=("10.9.9.9", 7946))
     world.run(65_000.0)
     leaving = cluster.host("m5")
     leaving.node.leave(leaving.now())
@@ -167,7 +170,7 @@
     world.run(75_000.0)
     cluster.heal()
     world.run(130_000.0)
-    assert twin.node.membership.local.is_yielding
+    assert younger.node.membership.local.is_yielding
     for run in cluster.runs:
         digest.update(f"{run.at!r} {run.host} {run.subject} {run.term}".encode())
     for event in [*cluster.deaths, *cluster.probed]:
@@ -190,7 +193,7 @@
         "key_file": key_file(folder),
         "transmissions": [transmit_limit(6, members) for members in (1, 2, 10, 100, 1000)],
         "broadcasts": broadcast_rounds(),
-        "suspicion_ends_ms": suspicion_ends(),
+        "suspicion_ends_ms": suspicion_deadlines(),
         "phases": [phase_of("probe", f"engine-{i}") for i in range(4)],
         "owners": owners(),
         "simulated": {str(seed): simulated(seed) for seed in (1, 2, 3)},
@@ -206,34 +209,41 @@
     assert m.encode_message(MESSAGES[i]).hex() == recorded()["messages"][i]
 
 
-def test_all_kinds_of_message_are_recorded():
+def test_all_message_types_are_recorded():
     assert {type(x) for x in MESSAGES} == set(m.Message.__args__)
     assert [bytes.fromhex(x)[1] for x in recorded()["messages"]] == list(range(1, len(MESSAGES) + 1))
 
 
-def test_an_envelope_of_all_messages_has_its_bytes_and_is_read_back():
+def test_an_envelope_of_all_messages_has_its_recorded_bytes_and_decodes():
     assert datagram().hex() == recorded()["envelope"]
-    found = m.decode_envelope(bytes.fromhex(recorded()["envelope"]))
-    assert (found.version, found.sender, found.run_id, found.sequence, found.wall_clock_ms, found.lamport_time) == (
+    decoded = m.decode_envelope(bytes.fromhex(recorded()["envelope"]))
+    assert (
+        decoded.version,
+        decoded.sender,
+        decoded.run_id,
+        decoded.sequence,
+        decoded.wall_clock_ms,
+        decoded.lamport_time,
+    ) == (
         1,
         "member-1",
         99,
         3,
-        WALL,
+        WALL_MS,
         12,
     )
-    assert found.messages == MESSAGES
+    assert decoded.messages == MESSAGES
     assert [m.message_capacity("a"), m.message_capacity("x" * 64)] == recorded()["payload_bytes"]
 
 
-def test_a_sealed_datagram_has_its_bytes_and_opens():
+def test_a_sealed_datagram_has_its_recorded_bytes_and_opens():
     assert sealed() == recorded()["sealed"]
     opener = Sealer("decklb", [KEYS[1], KEYS[0]], bytes(8))
     assert opener.open(bytes.fromhex(recorded()["sealed"][0])) == datagram()
     assert [key_id(k).hex() for k in KEYS] == recorded()["key_names"]
 
 
-def test_the_key_file_has_its_text_and_is_read_back(tmp_path):
+def test_the_key_file_has_its_recorded_text_and_is_readable(tmp_path):
     assert key_file(tmp_path) == recorded()["key_file"]
     path = tmp_path / "old.json"
     path.write_text(recorded()["key_file"]["text"])
@@ -241,13 +251,13 @@
     assert [k.secret for k in keyfile.read(str(path))] == KEYS
 
 
-def test_broadcasts_go_out_in_the_recorded_order():
+def test_broadcasts_are_sent_in_the_recorded_order():
     assert broadcast_rounds() == recorded()["broadcasts"]
     assert [transmit_limit(6, members) for members in (1, 2, 10, 100, 1000)] == recorded()["transmissions"]
 
 
-def test_suspicions_end_at_the_recorded_times():
-    assert suspicion_ends() == recorded()["suspicion_ends_ms"]
+def test_suspicions_have_the_recorded_deadlines():
+    assert suspicion_deadlines() == recorded()["suspicion_ends_ms"]
 
 
 def test_duties_have_the_recorded_phases_and_owners():
--- a/tests/test_shared_health_checks_program.py
+++ b/tests/test_shared_health_checks_program.py
@@ -1,4 +1,4 @@
-"""Three real instances over real sockets share the health checks of stand-in engines; one is killed and returns."""
+"""Three real instances share the health checks of stand-in engines over real sockets; one is killed and restarted."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ENGINES = 12
 
 
-class Trio:
-    """Three programs, their engines and their folder."""
+class ThreeInstances:
+    """Three instances of the program, their engines and the folder of their files."""
 
     def __init__(self):
         self.loop, self.folder = Loop(), tempfile.TemporaryDirectory()
@@ -45,12 +45,14 @@
         )
         return Program({"known": known(*[e.port for e in self.engines])}, xml)
 
-    def alive(self, i):
+    def settled_members(self, i):
+        """Return the names of the alive and settled members as seen by instance `i`."""
         return {
             m["name"] for m in query(self.socket(i), "members")["members"] if m["state"] == "alive" and m["settled"]
         }
 
     def owners(self, i):
+        """Return the owner of each duty as seen by instance `i`."""
         return {r["subject"]: r["owner"] for r in query(self.socket(i), "duties")}
 
     def close(self):
@@ -62,72 +64,83 @@
         self.folder.cleanup()
 
 
-def per_window(pings, start, count, phase):
-    """Pings in each of `count` periods, cut half a period from when they are due."""
-    found = [0] * count
+def pings_per_period(pings, start, count, phase):
+    """Count the pings in each of `count` periods, which begin and end half a period from when the pings are due."""
+    counts = [0] * count
     for at in pings:
-        k = int((at - start - phase + PERIOD / 2) // PERIOD)
-        if 0 <= k < count:
-            found[k] += 1
-    return found
+        index = int((at - start - phase + PERIOD / 2) // PERIOD)
+        if 0 <= index < count:
+            counts[index] += 1
+    return counts
 
 
 class SharedHealthChecks(unittest.TestCase):
     def setUp(self):
-        self.trio = Trio()
-        self.addCleanup(self.trio.close)
-        self.formed()
-
-    def formed(self, names=("m0", "m1", "m2")):
-        some = int(names[0][1])
-        wait_for(lambda: all(self.trio.alive(int(n[1])) == set(names) for n in names), "one view")
-        wait_for(lambda: all(self.trio.owners(int(n[1])) == self.trio.owners(some) for n in names), "one split")
-
-    def test_each_engine_is_checked_once_a_period_and_taken_over(self):
-        trio, engines = self.trio, self.trio.engines
-        owners = trio.owners(0)
+        self.cluster = ThreeInstances()
+        self.addCleanup(self.cluster.close)
+        self.wait_until_agreed()
+
+    def wait_until_agreed(self, names=("m0", "m1", "m2")):
+        """Wait until these instances have the same view of the members and of the owners."""
+        first = int(names[0][1])
+        wait_for(lambda: all(self.cluster.settled_members(int(n[1])) == set(names) for n in names), "same members")
+        wait_for(
+            lambda: all(self.cluster.owners(int(n[1])) == self.cluster.owners(first) for n in names), "same owners"
+        )
+
+    def test_each_engine_is_checked_once_per_period_and_the_duties_of_a_killed_instance_are_taken_over(self):
+        cluster, engines = self.cluster, self.cluster.engines
+        owners = cluster.owners(0)
         self.assertEqual(set(owners.values()), {"m0", "m1", "m2"})
         start = time.monotonic() + PERIOD / 2
-        marks = [len(e.pings) for e in engines]
-        wait_for(lambda: min(len(e.pings) - n for e, n in zip(engines, marks, strict=True)) >= 7, "seven periods")
+        counts_before = [len(e.pings) for e in engines]
+        wait_for(
+            lambda: min(len(e.pings) - n for e, n in zip(engines, counts_before, strict=True)) >= 7, "seven periods"
+        )
         counts = []
         for e in engines:
             phase = next(at for at in e.pings if at > start) - start
-            counts += per_window(e.pings, start, 6, phase)
+            counts += pings_per_period(e.pings, start, 6, phase)
         self.assertTrue(0.97 <= sum(counts) / len(counts) <= 1.03, counts)
         self.assertLessEqual(max(counts), 2)
 
-        victim = trio.programs[1]
+        victim = cluster.programs[1]
         killed = time.monotonic()
         victim.process.kill()
         victim.process.wait()
-        lost = [e for e, name in zip(engines, owners.values(), strict=True) if name == "m1"]
-        wait_for(lambda: all(e.pings[-1] > killed + 0.1 for e in lost), "taken over")
-        waits = [(next(at for at in e.pings if at > killed + 0.1) - killed) / PERIOD for e in lost]
+        orphaned = [e for e, name in zip(engines, owners.values(), strict=True) if name == "m1"]
+        wait_for(lambda: all(e.pings[-1] > killed + 0.1 for e in orphaned), "takeover")
+        waits = [(next(at for at in e.pings if at > killed + 0.1) - killed) / PERIOD for e in orphaned]
         self.assertLess(max(waits), 3.0)
-        self.formed(("m0", "m2"))
-
-        trio.programs[1].stop()
-        trio.programs[1] = trio.start(1)
-        self.formed()
-        self.assertEqual(trio.owners(2), owners)  # only its share, and all of it
-        back = time.monotonic()
-        marks = [len(e.pings) for e in engines]
-        wait_for(lambda: min(len(e.pings) - n for e, n in zip(engines, marks, strict=True)) >= 4, "four periods")
+        self.wait_until_agreed(("m0", "m2"))
+
+        cluster.programs[1].stop()
+        cluster.programs[1] = cluster.start(1)
+        self.wait_until_agreed()
+        self.assertEqual(cluster.owners(2), owners)  # m1 owns the same duties as before
+        rejoined = time.monotonic()
+        counts_before = [len(e.pings) for e in engines]
+        wait_for(
+            lambda: min(len(e.pings) - n for e, n in zip(engines, counts_before, strict=True)) >= 4, "four periods"
+        )
         for e in engines:
-            gaps = [b - a for a, b in zip(e.pings, e.pings[1:], strict=False) if a > back + PERIOD]
-            self.assertGreater(min(gaps), PERIOD / 2, "a duty is still done twice a period after its owner is back")
-
-    def test_operators_see_members_and_duties_and_keys_rotate_under_way(self):
-        trio = self.trio
-        run = [sys.executable, "-m", "decklb"]
-        out = subprocess.run(
-            [*run, "members", "--socket", trio.socket(0)], cwd=ROOT, capture_output=True, text=True, check=True
+            gaps = [b - a for a, b in zip(e.pings, e.pings[1:], strict=False) if a > rejoined + PERIOD]
+            self.assertGreater(min(gaps), PERIOD / 2, "a duty still runs twice one period after its owner has returned")
+
+    def test_commands_show_members_and_duties_and_keys_rotate_without_interruption(self):
+        cluster = self.cluster
+        program_command = [sys.executable, "-m", "decklb"]
+        output = subprocess.run(
+            [*program_command, "members", "--socket", cluster.socket(0)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
         ).stdout
-        self.assertIn("m2", out)
+        self.assertIn("m2", output)
         rows = json.loads(
             subprocess.run(
-                [*run, "duties", "--json", "--own", "--socket", trio.socket(0)],
+                [*program_command, "duties", "--json", "--own", "--socket", cluster.socket(0)],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
@@ -135,41 +148,53 @@
             ).stdout
         )
         self.assertTrue(rows and all(r["own"] and r["owner"] == "m0" for r in rows))
-        self.assertEqual(os.stat(trio.socket(0)).st_mode & 0o777, 0o600)
+        self.assertEqual(os.stat(cluster.socket(0)).st_mode & 0o777, 0o600)
         for step in ("add", "promote", "drop"):
             subprocess.run(
-                [*run, "keys", "rotate", trio.keys, "--step", step], cwd=ROOT, check=True, capture_output=True
+                [*program_command, "keys", "rotate", cluster.keys, "--step", step],
+                cwd=ROOT,
+                check=True,
+                capture_output=True,
             )
-            for program in trio.programs:
-                marks = sum("key file loaded" in line for line in program.lines)
+            for program in cluster.programs:
+                counts_before = sum("key file loaded" in line for line in program.lines)
                 program.process.send_signal(signal.SIGHUP)
-                wait_for(lambda p=program, n=marks: sum("key file loaded" in x for x in p.lines) > n, "key file loaded")
-        heard = query(trio.socket(0), "members")["health"]["received"]
-        wait_for(lambda: query(trio.socket(0), "members")["health"]["received"] > heard + 20, "talk under the new key")
-        self.formed()
-
-    def test_an_engine_that_answers_nobody_is_left_out_and_comes_back(self):
-        trio = self.trio
-        trio.engines[0].deaf = True
+                wait_for(
+                    lambda p=program, n=counts_before: sum("key file loaded" in x for x in p.lines) > n,
+                    "key file loaded",
+                )
+        received = query(cluster.socket(0), "members")["health"]["received"]
+        wait_for(
+            lambda: query(cluster.socket(0), "members")["health"]["received"] > received + 20,
+            "datagrams with the new key",
+        )
+        self.wait_until_agreed()
+
+    def test_an_unresponsive_engine_is_reported_down_to_all_and_up_again_after_recovery(self):
+        cluster = self.cluster
+        cluster.engines[0].deaf = True
         wait_for(
             lambda: all(
-                any(r["subject"] == "s-0" and r["down"] for r in query(trio.socket(i), "duties")) for i in range(3)
+                any(r["subject"] == "s-0" and r["down"] for r in query(cluster.socket(i), "duties")) for i in range(3)
             ),
-            "told to all",
+            "report of the failure at all instances",
+        )
+        cluster.engines[0].deaf = False
+        wait_for(
+            lambda: not any(r["down"] for i in range(3) for r in query(cluster.socket(i), "duties")),
+            "report of the recovery",
         )
-        trio.engines[0].deaf = False
-        wait_for(lambda: not any(r["down"] for i in range(3) for r in query(trio.socket(i), "duties")), "told again")
 
-    def test_a_drain_hands_over_at_once(self):
-        trio = self.trio
-        trio.programs[1].process.send_signal(signal.SIGTERM)
+    def test_a_draining_instance_hands_over_its_duties_immediately(self):
+        cluster = self.cluster
+        cluster.programs[1].process.send_signal(signal.SIGTERM)
         wait_for(
             lambda: (
-                next(m["state"] for m in query(trio.socket(0), "members")["members"] if m["name"] == "m1") == "left"
+                next(m["state"] for m in query(cluster.socket(0), "members")["members"] if m["name"] == "m1") == "left"
             ),
             "leave",
         )
-        wait_for(lambda: set(trio.owners(0).values()) == {"m0", "m2"}, "new owners")
+        wait_for(lambda: set(cluster.owners(0).values()) == {"m0", "m2"}, "new owners")
 
 
 class PostgresHealthChecks(unittest.TestCase):
