--- a/tests/test_cluster_simulation.py
+++ b/tests/test_cluster_simulation.py
@@ -20,7 +20,7 @@
 SECOND = 1000.0
 # Time within which all members know of a death under these settings: at most 1.5 s of suspicion and 1.5 s of probing
 # and gossip, doubled for safety.
-KNOWN = 6 * SECOND
+DETECTION_TIME = 6 * SECOND
 MEMBERSHIP = MembershipSettings(push_pull_interval_ms=2000.0)
 DUTY = DutySettings(
     period_ms=4000.0, timeout_ms=500.0, mass_failure_hold_ms=8000.0, decline_hold_ms=60_000.0, repeat_interval_ms=5000.0
@@ -34,7 +34,7 @@
 class Members(unittest.TestCase):
     def test_members_join_under_packet_loss(self):
         c = cluster(8, warm=False, faults=Faults(loss=0.2, duplicate=0.1))
-        c.world.run(MEMBERSHIP.settle_time_ms + KNOWN)
+        c.world.run(MEMBERSHIP.settle_time_ms + DETECTION_TIME)
         self.assertTrue(c.views_agree())
         self.assertEqual(c.one_owner(), [])
 
@@ -49,7 +49,7 @@
         c = cluster(9, faults=Faults(loss=0.1))
         c.world.run(5 * SECOND)
         c.world.kill(c.host("m4"))
-        c.world.run(5 * SECOND + KNOWN)
+        c.world.run(5 * SECOND + DETECTION_TIME)
         self.assertTrue(c.views_agree())
         self.assertEqual(c.one_owner(), [])
         self.assertEqual({name for _, _, name in c.deaths}, {"m4"})
@@ -68,7 +68,7 @@
 
     def test_a_restarted_member_is_not_mistaken_for_its_dead_run(self):
         # The restart comes before the member is suspected, while it is suspected, or after its death is known.
-        for gap in (0.0, 800.0, KNOWN):
+        for gap in (0.0, 800.0, DETECTION_TIME):
             for back in (0.0, 20 * SECOND):  # ms by which the clock of the new run is behind that of the old one
                 with self.subTest(gap=gap, back=back):
                     c = cluster(5, seed=int(gap))
@@ -77,7 +77,7 @@
                     c.world.kill(c.host("m3"))
                     c.world.run(2 * SECOND + gap)
                     restarted = c.start(3, wall_back=back)
-                    c.world.run(c.world.now + 3 * KNOWN)
+                    c.world.run(c.world.now + 3 * DETECTION_TIME)
                     self.assertTrue(c.views_agree())
                     self.assertEqual((c.one_owner(), c.owners()), ([], before))
                     self.assertEqual(restarted.node.membership.counters.name_conflicts, 0)
@@ -86,20 +86,20 @@
         c = cluster()
         c.world.run(2 * SECOND)
         c.world.kill(c.host("m0"))
-        c.world.run(2 * SECOND + KNOWN)
+        c.world.run(2 * SECOND + DETECTION_TIME)
         c.world.cut = lambda source, target: c.address(0) in (source, target)
         restarted = c.start(0)
         c.world.run(c.world.now + MEMBERSHIP.settle_time_ms - 100.0)
         self.assertFalse(any(d.is_owned for d in c.book(restarted).duties.values()))
         c.heal()
-        c.world.run(c.world.now + KNOWN)
+        c.world.run(c.world.now + DETECTION_TIME)
         self.assertEqual(c.one_owner(), [])
 
     def test_a_duplicate_name_is_reported_and_the_older_process_keeps_it(self):
         c = cluster()
         c.world.run(5 * SECOND)
         younger = c.start(7, name="m1", address=("10.9.9.9", 7946))
-        c.world.run(c.world.now + 5 * KNOWN)
+        c.world.run(c.world.now + 5 * DETECTION_TIME)
         older = next(h for h in c.hosts if h.name == "m1" and h is not younger)
         self.assertTrue(younger.node.membership.local.is_yielding)
         self.assertFalse(older.node.membership.local.is_yielding)
@@ -107,7 +107,7 @@
         self.assertGreaterEqual(younger.node.membership.counters.name_conflicts, 1)
         c.world.kill(younger)
         c.hosts.remove(younger)
-        c.world.run(c.world.now + 2 * KNOWN)
+        c.world.run(c.world.now + 2 * DETECTION_TIME)
         self.assertEqual(c.one_owner(), [])
         self.assertEqual(c.host("m0").node.membership.members["m1"].address, older.address)
 
@@ -118,19 +118,19 @@
         c.world.run(33 * SECOND + 600.0)
         paused = c.host("m1").node.membership
         self.assertGreaterEqual(paused.counters.stalls, 1)
-        c.world.run(33 * SECOND + KNOWN)
+        c.world.run(33 * SECOND + DETECTION_TIME)
         self.assertTrue(c.views_agree())
         self.assertEqual({name for _, _, name in c.deaths}, {"m1"})  # only the stalled member was declared dead
         self.assertEqual(c.one_owner(), [])
 
-    def test_after_a_one_way_partition_no_live_member_is_held_dead(self):
+    def test_after_a_one_way_partition_no_live_member_is_considered_dead(self):
         c = cluster(7)
         c.world.run(2 * SECOND)
         c.part({"m3"}, one_way=True)
         c.world.run(30 * SECOND)
         self.assertLessEqual({name for _, who, name in c.deaths if who != "m3"}, {"m3"})
         c.heal()
-        c.world.run(30 * SECOND + 2 * KNOWN)
+        c.world.run(30 * SECOND + 2 * DETECTION_TIME)
         self.assertEqual((c.wrongly_dead(), c.one_owner()), ([], []))
 
 
@@ -140,7 +140,7 @@
         c.world.run(4 * SECOND)
         side = {"m0", "m1"}
         c.part(side)
-        c.world.run(4 * SECOND + 4 * KNOWN)
+        c.world.run(4 * SECOND + 4 * DETECTION_TIME)
         for names in (side, {h.name for h in c.hosts} - side):
             owners = [d for n in names for d, x in c.book(c.host(n)).duties.items() if x.is_owned]
             self.assertEqual(sorted(owners), sorted(c.engines))
@@ -157,7 +157,7 @@
         c = cluster(4, seed=5)
         c.world.run(4 * SECOND)
         c.part({"m0", "m1"})
-        c.world.run(4 * SECOND + KNOWN)
+        c.world.run(4 * SECOND + DETECTION_TIME)
         c.down = {"motor-1"}  # both sides find it down, each with its own term
         c.world.run(c.world.now + 14 * DUTY.period_ms)
         c.heal()
@@ -266,38 +266,40 @@
 class RandomFaultSequences(unittest.TestCase):
     @settings(max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
     @given(st.lists(st.tuples(FAULT, st.floats(0.0, 9000.0)), min_size=1, max_size=8), st.integers(0, 99))
-    def test_after_quiet_one_live_owner_and_nobody_wrongly_dead(self, schedule, seed):
+    def test_after_faults_end_each_duty_has_one_live_owner_and_no_live_member_is_considered_dead(self, schedule, seed):
         c = cluster(5, engines=12, seed=seed, drift=1e-4, skew_ms=20.0)
         c.world.run(SECOND)
         terms = {}
-        for (what, which), wait in schedule:
-            self.act(c, what, which)
+        for (fault, target), wait in schedule:
+            self.inject(c, fault, target)
             c.world.run(c.world.now + wait)
-            found = c.terms()
+            new_terms = c.terms()
             # A restarted host has lost its terms; at all other hosts terms only rise.
-            self.assertTrue(all(found[k] >= v for k, v in terms.items() if k in found and k[0] not in c.returned))
-            terms = found
+            self.assertTrue(
+                all(new_terms[k] >= v for k, v in terms.items() if k in new_terms and k[0] not in c.returned)
+            )
+            terms = new_terms
             c.returned = set()
         c.heal()
         c.world.faults.loss = 0.0
         for i in range(5):
             if c.address(i) not in c.world.hosts:
                 c.start(i)
-        c.world.run(c.world.now + 12 * SECOND + 3 * KNOWN)
+        c.world.run(c.world.now + 12 * SECOND + 3 * DETECTION_TIME)
         self.assertEqual((c.wrongly_dead(), c.one_owner()), ([], []))
         self.assertTrue(c.views_agree())
 
-    def act(self, c, what, which):
-        if what == "kill" and len(c.live()) > 1 and c.address(which) in c.world.hosts:
-            c.world.kill(c.host(f"m{which}"))
-        elif what == "return" and c.address(which) not in c.world.hosts:
-            c.start(which)
-            c.returned.add(f"m{which}")
-        elif what == "pause" and c.address(which) in c.world.hosts and not c.host(f"m{which}").paused:
-            c.world.pause(c.host(f"m{which}"), 7 * SECOND)
-        elif what in ("part", "one-way"):
-            c.part({f"m{i}" for i in which}, one_way=what == "one-way")
-        elif what == "heal":
+    def inject(self, c, fault, target):
+        if fault == "kill" and len(c.live()) > 1 and c.address(target) in c.world.hosts:
+            c.world.kill(c.host(f"m{target}"))
+        elif fault == "return" and c.address(target) not in c.world.hosts:
+            c.start(target)
+            c.returned.add(f"m{target}")
+        elif fault == "pause" and c.address(target) in c.world.hosts and not c.host(f"m{target}").paused:
+            c.world.pause(c.host(f"m{target}"), 7 * SECOND)
+        elif fault in ("part", "one-way"):
+            c.part({f"m{i}" for i in target}, one_way=fault == "one-way")
+        elif fault == "heal":
             c.heal()
-        elif what == "loss":
-            c.world.faults.loss = which
+        elif fault == "loss":
+            c.world.faults.loss = target
