--- a/decklb/cluster/broadcast_queue.py
+++ b/decklb/cluster/broadcast_queue.py
@@ -18,12 +18,12 @@
 
 
 def transmit_limit(retransmit_base: int, members: int) -> int:
-    """Return how often each member sends a broadcast.
+    """Return how many times each member sends a broadcast.
 
     If each member sends a broadcast k times to random receivers, a member misses it with probability e^-k. So k grows
-    with the logarithm of the number of members (SWIM, section 4.1), and `retransmit_base` is large enough that a
-    refutation arrives in spite of 10% packet loss. With k = 4 * log10(n) and nine members, 2.7% of the members missed a
-    broadcast, and live members were declared dead.
+    with the logarithm of the number of members (SWIM, section 4.1), and `retransmit_base` is added so that refutations
+    arrive in spite of 10% packet loss. With k = 4 * log10(n) and nine members, 2.7% of the members missed a broadcast,
+    and live members were declared dead.
     """
     return retransmit_base + math.ceil(1.5 * math.log(members + 1))
 
--- a/decklb/cluster/declines.py
+++ b/decklb/cluster/declines.py
@@ -10,7 +10,8 @@
 import math
 from collections.abc import Collection
 
-# Two reports of a decline whose holds end within this time are the same decline, computed from different clocks.
+# A report whose hold ends less than this later than the recorded one is about the same decline: the end of a hold is
+# computed from the wall clocks of two members, which differ.
 SAME_DECLINE_MS = 1000.0
 
 
--- a/decklb/cluster/duties.py
+++ b/decklb/cluster/duties.py
@@ -45,7 +45,7 @@
         declines: which members decline which duties.
         eligible: members that may own duties.
         warming_until: all subjects, each with the end of its warm-up (Unix ms).
-        in_minority: whether fewer than half of the known members are live from here.
+        in_minority: whether this instance sees fewer than half of the known members as live.
         running: number of runs in progress.
     """
 
@@ -112,15 +112,15 @@
 
     def update_ownership(self, now: float, eligible: Collection[str], in_minority: bool) -> None:
         """Acquire and release duties after a change of members, subjects or declines."""
-        before, self.eligible = self.eligible, frozenset(eligible)
-        self.declines.forget_members(before - self.eligible - {self.member})
+        eligible_before, self.eligible = self.eligible, frozenset(eligible)
+        self.declines.forget_members(eligible_before - self.eligible - {self.member})
         declined = self.declines.active(now)
         assigned = self.ranking.duties_of(self.member, self.eligible, declined)
         owned = {subject for subject, duty in self.duties.items() if duty.is_owned}
         for subject in sorted(owned - assigned):
             self._release(self.duties[subject])
-        self._acquire_all(now, assigned - owned, before, declined)
-        if self.eligible - before:
+        self._acquire_all(now, assigned - owned, eligible_before, declined)
+        if self.eligible - eligible_before:
             self._on_members_returned(now, owned & assigned)
         if in_minority != self.in_minority:
             self.in_minority = in_minority
@@ -130,13 +130,13 @@
         self._arm_hold_timer(now)
 
     def _acquire_all(
-        self, now: float, subjects: set[str], before: frozenset[str], declined: Mapping[str, Collection[str]]
+        self, now: float, subjects: set[str], eligible_before: frozenset[str], declined: Mapping[str, Collection[str]]
     ) -> None:
         # All duties acquired together share one term, since terms are compared only within a subject.
         term = self.lamport_clock.next_term() if subjects else 0
         for subject in sorted(subjects):
             # If the last owner is gone the duty runs soon, so that its result is not delayed by another period.
-            last_owner = self.ranking.owner(subject, before) if before else None
+            last_owner = self.ranking.owner(subject, eligible_before) if eligible_before else None
             is_orphaned = last_owner is not None and last_owner not in self.eligible
             self._acquire(now, subject, term, is_orphaned, subject in declined)
 
@@ -148,7 +148,7 @@
         duty.term = term
         duty.consecutive_failures = 0
         duty.is_second_opinion = is_second_opinion
-        duty.failure_reported = -math.inf
+        duty.last_reported = -math.inf
         self.counters.gained += 1
         self._schedule(now, duty, promptly=is_orphaned or is_second_opinion)
 
@@ -245,7 +245,7 @@
         others = self.eligible - declined_by - {self.member}
         if self.member not in declined_by and len(declined_by) < self.settings.max_declines and others:
             self._decline(now, duty.subject)
-        elif not self.verdicts.is_down(duty.subject) or now - duty.failure_reported >= self.settings.repeat_interval_ms:
+        elif not self.verdicts.is_down(duty.subject) or now - duty.last_reported >= self.settings.repeat_interval_ms:
             self._report_status(now, duty, HealthStatus.DOWN)
 
     def _decline(self, now: float, subject: str) -> None:
@@ -258,8 +258,8 @@
         self.report(DutyDecline(self.settings.kind, subject, self.member, int(self.wall_clock(now)), hold_ms))
 
     def _report_status(self, now: float, duty: Duty, status: HealthStatus) -> None:
-        duty.failure_reported = now
-        if self.verdicts.term(duty.subject) >= duty.term:  # another owner had a higher term; this result must exceed it
+        duty.last_reported = now
+        if self.verdicts.term(duty.subject) >= duty.term:  # a new result needs a higher term than the stored one
             duty.term = self.lamport_clock.next_term()
         found_at_ms = int(self.wall_clock(now))
         self.report(DutyResult(self.settings.kind, duty.subject, duty.term, self.member, found_at_ms, status))
--- a/decklb/cluster/duty.py
+++ b/decklb/cluster/duty.py
@@ -42,7 +42,7 @@
         consecutive_failures: number of failed runs since the last success.
         last_ok: whether the last run succeeded; None before the first run.
         last_ended: end of the last run.
-        failure_reported: when a status was last reported to the members.
+        last_reported: when a status was last reported to the members.
     """
 
     subject: str
@@ -56,7 +56,7 @@
     consecutive_failures: int = 0
     last_ok: bool | None = None
     last_ended: float = 0.0
-    failure_reported: float = -math.inf
+    last_reported: float = -math.inf
 
 
 @dataclass(slots=True)
--- a/decklb/cluster/failure_detector.py
+++ b/decklb/cluster/failure_detector.py
@@ -2,7 +2,7 @@
 
 Described in SWIM, section 3.1; nacks, local health and buddy system are Lifeguard's. A member that answers neither
 directly nor through others is reported to `member_states` as suspected. The detector owns the probe in progress and the
-pings relayed for other members; `membership` starts it and passes in answers to pings and ping requests.
+pings relayed for other members; `membership` starts it and passes in acks, nacks and ping requests.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
         self.send = send
         self.counters = counters
         self._probe: Probe | None = None
-        self._failed_once = ""  # member whose first failed probe is being repeated; empty for none
+        self._failed_once = ""  # member that is probed again after one failed probe; empty for none
         self._relayed: dict[int, RelayedPing] = {}  # by the sequence number of the ping sent from here
         self._sequence = 0
 
@@ -144,8 +144,8 @@
             self._handle_failure(now, target)
 
     def _handle_failure(self, now: float, target: Member) -> None:
-        # A first failure is not broadcast; the target is probed again first. Otherwise every lost datagram would cause
-        # a suspicion and a refutation at all members, whose number, and traffic, would grow with the cluster.
+        # After a first failure the target is only probed again. Otherwise every lost datagram would cause a suspicion
+        # and a refutation that are broadcast to all members, and each member's traffic would grow with the cluster.
         if target.state == MemberState.ALIVE and self._failed_once != target.name:
             self._failed_once = target.name
             self.ring.repeat(target.name)
--- a/decklb/cluster/gossip.py
+++ b/decklb/cluster/gossip.py
@@ -40,7 +40,7 @@
 
     @property
     def transmit_limit(self) -> int:
-        """How often this member sends one broadcast."""
+        """How many times this member sends one broadcast."""
         return transmit_limit(self.settings.retransmit_base, self.table.live_count)
 
     def announce(self, member: Member) -> None:
@@ -59,7 +59,7 @@
             self.timers.call_at(first_round, self._run_round)
 
     def take(self, capacity: int) -> list[bytes]:
-        """Return encoded broadcasts that fit into `capacity` bytes; none while no other member is known."""
+        """Return encoded broadcasts that fit into `capacity` bytes. They stay queued while no other member is known."""
         if not self.table.live and not self.table.seeds:
             return []
         return self.queue.take(capacity, self.transmit_limit)
--- a/decklb/cluster/member.py
+++ b/decklb/cluster/member.py
@@ -66,7 +66,7 @@
     """This instance's own row. Its `incarnation` starts above that of earlier runs.
 
     Attributes:
-        is_synced: whether the table has been equal to another member's since the start.
+        is_synced: whether the table has at any time since the start been equal to another member's.
         has_left: whether this instance has left the cluster.
         is_yielding: whether this instance sends nothing because an older process has the same name.
     """
--- a/decklb/cluster/member_table.py
+++ b/decklb/cluster/member_table.py
@@ -16,7 +16,7 @@
 from decklb.cluster.random_set import RandomSet
 
 # Number of buckets of the digest. Each adds four bytes to the digest; a difference in one bucket costs the transfer of
-# about n/64 of n member records.
+# about 1/64 of all member records.
 BUCKETS = 64
 
 CHECKSUM_BYTES = 4
@@ -99,7 +99,7 @@
         return bytes(i for i in range(BUCKETS) if remote_checksums[i] != self.checksums[i])
 
     def in_buckets(self, buckets: Collection[int]) -> list[Member]:
-        """Return the members that belong to some buckets."""
+        """Return the members that belong to the given buckets."""
         return [member for member in self.members.values() if bucket_of(member.name) in buckets]
 
     def count_known(self, now: float, retention_ms: float) -> int:
--- a/decklb/cluster/membership.py
+++ b/decklb/cluster/membership.py
@@ -109,7 +109,7 @@
         return names
 
     def in_minority(self, now: float) -> bool:
-        """Whether fewer than half of the members known within the retention time are live from here."""
+        """Whether this instance sees fewer than half of the members known within the retention time as live."""
         return 2 * self.table.live_count < self.table.count_known(now, self.settings.dead_retention_ms)
 
     # Life cycle of this member.
@@ -211,9 +211,9 @@
                 self.anti_entropy.on_bucket_request(now, address, message)
 
     def _check_sender(self, now: float, sender: str, run_id: int) -> list[Message]:
-        """Return requests to a sender that differs from its row in the table.
+        """Return messages that make a sender report its state if its row is missing, outdated, suspected or dead.
 
-        Rate-limited per sender, since the answer may not resolve the difference.
+        Rate-limited per sender, since the answer may leave the row as it is.
         """
         member = self.table.get(sender)
         if (
--- a/decklb/cluster/replay_window.py
+++ b/decklb/cluster/replay_window.py
@@ -11,7 +11,7 @@
 from decklb.cluster.errors import WireError
 from decklb.cluster.messages import Envelope
 
-# A datagram is accepted only if its sequence number is less than this far behind the highest one received.
+# A datagram is rejected if its sequence number is this much or more below the highest one received.
 WINDOW_SIZE = 1024
 
 # Maximum number of windows, one for each run of a sender; above it the least recently used one is dropped.
--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -28,7 +28,7 @@
 from decklb.core.ports import Clock, Timer
 from decklb.wire.health_check import HealthChecker
 
-# Delay between the last datagrams and the closing of the socket, so that they are sent before.
+# Delay before the socket is closed, so that the last datagrams are still sent.
 CLOSE_DELAY_MS = 100.0
 
 # Bytes read of a datagram: more than members send, so that an oversized datagram is recognized as such and dropped.
--- a/decklb/cluster/sealing.py
+++ b/decklb/cluster/sealing.py
@@ -56,26 +56,26 @@
         if len(salt) != SALT_BYTES:
             raise ValueError(f"a salt must have {SALT_BYTES} bytes")
         self._cluster_name = cluster_name.encode()
-        self._sealing_key = key_id(keys[0])
+        self._sealing_key_id = key_id(keys[0])
         self._ciphers = {key_id(key): AESGCM(key) for key in keys}
         self._salt = salt
         self._max_bytes = max_bytes
-        self._sealed = 0
+        self._sealed_count = 0
 
     def seal(self, plain: bytes) -> bytes:
         """Seal a datagram. Raises OverflowError if all nonces of the salt are used: a new salt is needed then."""
-        if self._sealed >= MAX_SEALED:
+        if self._sealed_count >= MAX_SEALED:
             raise OverflowError("all nonces of this salt are used")
-        header = bytes([SEAL_VERSION]) + self._sealing_key
-        nonce = self._salt + self._sealed.to_bytes(COUNTER_BYTES, "big")
-        self._sealed += 1
-        cipher = self._ciphers[self._sealing_key]
+        header = bytes([SEAL_VERSION]) + self._sealing_key_id
+        nonce = self._salt + self._sealed_count.to_bytes(COUNTER_BYTES, "big")
+        self._sealed_count += 1
+        cipher = self._ciphers[self._sealing_key_id]
         return header + nonce + cipher.encrypt(nonce, plain, header + self._cluster_name)
 
     @property
     def needs_new_salt(self) -> bool:
         """Whether half of the salt's nonces are used."""
-        return self._sealed >= MAX_SEALED // 2
+        return self._sealed_count >= MAX_SEALED // 2
 
     def open(self, data: bytes) -> bytes:
         """Open a sealed datagram.
--- a/decklb/cluster/settings.py
+++ b/decklb/cluster/settings.py
@@ -25,8 +25,8 @@
             independently, in probe intervals times log10 of the number of members.
         suspicion_max_multiplier: longest suspicion timeout, which applies when only one member suspects a member, as a
             multiple of the shortest.
-        retransmit_base: how often a member sends a broadcast, in addition to 1.5 times the natural logarithm of the
-            number of members.
+        retransmit_base: how many times a member sends a broadcast, in addition to 1.5 times the natural logarithm of
+            the number of members.
         push_pull_interval_ms: time between two anti-entropy exchanges.
         settle_time_ms: time after the start during which this member owns no duty, unless its table is in sync earlier.
         dead_retention_ms: how long a dead member stays in the table and counts as a known member.
@@ -81,7 +81,7 @@
         max_declines: number of members that may decline a duty; a failure at the next owner is then trusted.
         decline_hold_ms: how long a member that declined does not own the duty; doubles with each repetition.
         warming_up_factor: factor on the period for a subject that is warming up.
-        minority_factor: factor on the period while fewer than half of the known members are live from here.
+        minority_factor: factor on the period while this instance sees fewer than half of the known members as live.
         repeat_interval_ms: time between repeated reports of failures and declines, for members that joined later.
         mass_failure_hold_ms: how long a mass failure (most subjects newly reported down) has no effect.
         mass_failure_ratio: fraction of the subjects that must be down for a mass failure.
--- a/tests/test_cluster_node.py
+++ b/tests/test_cluster_node.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from decklb.cluster import messages as m
+from decklb.cluster import messages
 from decklb.cluster.messages import HealthStatus
 from tests.cluster_builders import OTHER_KEY, PEER, WALL_MS, envelope, node, sealer
 
@@ -49,7 +49,7 @@
 
 
 def test_a_replayed_datagram_is_not_answered_again():
-    member, data = node(), sealer().seal(envelope([m.Ping(1, "a")]))
+    member, data = node(), sealer().seal(envelope([messages.Ping(1, "a")]))
     member.receive(0.0, WALL_MS, data, PEER)
     answers = len(member.outgoing)
     member.receive(1.0, WALL_MS + 1, data, PEER)
@@ -61,11 +61,11 @@
     seal = sealer().seal
     intact = envelope(
         [
-            m.Alive("b", "127.0.0.1", 9, 5, 7, True, 1.0),
-            m.Suspect("a", 3, "b"),
-            m.Digest(bytes(256)),
-            m.DutyResult("probe", "e", 3, "b", WALL_MS, HealthStatus.DOWN),
-            m.MemberRecord("c", "h", 2, 1, 1, True, 1.0, 2, 5),
+            messages.Alive("b", "127.0.0.1", 9, 5, 7, True, 1.0),
+            messages.Suspect("a", 3, "b"),
+            messages.Digest(bytes(256)),
+            messages.DutyResult("probe", "e", 3, "b", WALL_MS, HealthStatus.DOWN),
+            messages.MemberRecord("c", "h", 2, 1, 1, True, 1.0, 2, 5),
         ]
     )
     for i in range(3000):
--- a/tests/test_cluster_verdicts.py
+++ b/tests/test_cluster_verdicts.py
@@ -24,9 +24,8 @@
         self.assertFalse(self.apply_result(1, "e1", HealthStatus.DOWN, term=4, at=99))
         self.assertFalse(self.apply_result(1, "e1", HealthStatus.DOWN, term=5, at=0))
         self.assertTrue(self.apply_result(1, "e1", HealthStatus.DOWN, term=5, at=2))
-        self.assertFalse(
-            self.apply_result(1, "e1", HealthStatus.DOWN, term=5, at=2)
-        )  # a repetition is not counted as outdated
+        # A repetition is not counted as outdated.
+        self.assertFalse(self.apply_result(1, "e1", HealthStatus.DOWN, term=5, at=2))
         self.assertEqual((self.table.term("e1"), self.table.outdated_results), (5, 2))
 
     def test_a_failure_is_repeated_until_recovery_and_expires_without_repetition(self):
@@ -38,9 +37,8 @@
         self.assertEqual(self.table.take_updates(1500, self.listed), [("probe", "e1", True)])
         self.apply_result(2000, "e1", HealthStatus.DOWN, at=3)
         self.table.take_updates(2000, self.listed)
-        self.assertEqual(
-            self.table.take_updates(5001, self.listed), []
-        )  # not repeated for three intervals: unknown, not up
+        # Not repeated for three intervals: the status is unknown, not up.
+        self.assertEqual(self.table.take_updates(5001, self.listed), [])
         self.assertFalse(self.table.is_down("e1"))
 
     def test_engines_that_are_not_up_in_the_endpoint_list_are_never_reported_up(self):
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -13,8 +13,7 @@
 
 import pytest
 
-from decklb.cluster import keyfile
-from decklb.cluster import messages as m
+from decklb.cluster import keyfile, messages
 from decklb.cluster.broadcast_queue import BroadcastQueue, transmit_limit
 from decklb.cluster.duty import phase_of
 from decklb.cluster.duty_status import duty_rows
@@ -33,17 +32,19 @@
 WALL_MS = 1_700_000_000_123
 
 MESSAGES = [
-    m.Ping(sequence=7, target="b"),
-    m.Ack(sequence=1 << 40),
-    m.Nack(sequence=0),
-    m.PingRequest(sequence=300, target="b", host="10.0.0.2", port=7946),
-    m.Alive(name="a", host="10.0.0.1", port=7946, incarnation=WALL_MS, run_id=WALL_MS << 10, ready=True, weight=2.5),
-    m.Suspect(name="b", incarnation=5, reported_by="a"),
-    m.Dead(name="b", incarnation=6, reported_by="b"),
-    m.Digest(checksums=bytes(range(256))),
-    m.InSync(),
-    m.BucketRequest(buckets=bytes([0, 9, 63])),
-    m.MemberRecord(
+    messages.Ping(sequence=7, target="b"),
+    messages.Ack(sequence=1 << 40),
+    messages.Nack(sequence=0),
+    messages.PingRequest(sequence=300, target="b", host="10.0.0.2", port=7946),
+    messages.Alive(
+        name="a", host="10.0.0.1", port=7946, incarnation=WALL_MS, run_id=WALL_MS << 10, ready=True, weight=2.5
+    ),
+    messages.Suspect(name="b", incarnation=5, reported_by="a"),
+    messages.Dead(name="b", incarnation=6, reported_by="b"),
+    messages.Digest(checksums=bytes(range(256))),
+    messages.InSync(),
+    messages.BucketRequest(buckets=bytes([0, 9, 63])),
+    messages.MemberRecord(
         name="c",
         host="h.example",
         port=1,
@@ -51,21 +52,23 @@
         run_id=9,
         ready=False,
         weight=1.0,
-        state=m.MemberState.LEFT,
+        state=messages.MemberState.LEFT,
         state_age_ms=12_345,
     ),
-    m.DutyResult(kind="probe", subject="engine-1", term=77, owner="a", found_at_ms=WALL_MS, status=m.HealthStatus.DOWN),
-    m.DutyDecline(kind="probe", subject="engine-2", declined_by="c", declined_at_ms=WALL_MS, hold_ms=300_000),
-    m.UserMessage(topic="handoff", payload=b"\x00\xff"),
+    messages.DutyResult(
+        kind="probe", subject="engine-1", term=77, owner="a", found_at_ms=WALL_MS, status=messages.HealthStatus.DOWN
+    ),
+    messages.DutyDecline(kind="probe", subject="engine-2", declined_by="c", declined_at_ms=WALL_MS, hold_ms=300_000),
+    messages.UserMessage(topic="handoff", payload=b"\x00\xff"),
 ]
 
 
 def datagram() -> bytes:
-    return m.encode_envelope("member-1", 99, 3, WALL_MS, 12, [m.encode_message(x) for x in MESSAGES])
+    return messages.encode_envelope("member-1", 99, 3, WALL_MS, 12, [messages.encode_message(x) for x in MESSAGES])
 
 
 def message_bytes() -> list[str]:
-    return [m.encode_message(x).hex() for x in MESSAGES]
+    return [messages.encode_message(x).hex() for x in MESSAGES]
 
 
 def sealed() -> list[str]:
@@ -187,7 +190,7 @@
     return {
         "messages": message_bytes(),
         "envelope": datagram().hex(),
-        "payload_bytes": [m.message_capacity("a"), m.message_capacity("x" * 64)],
+        "payload_bytes": [messages.message_capacity("a"), messages.message_capacity("x" * 64)],
         "sealed": sealed(),
         "key_names": [key_id(k).hex() for k in KEYS],
         "key_file": key_file(folder),
@@ -206,17 +209,17 @@
 
 @pytest.mark.parametrize("i", range(len(MESSAGES)), ids=[type(x).__name__ for x in MESSAGES])
 def test_each_message_has_its_recorded_bytes(i):
-    assert m.encode_message(MESSAGES[i]).hex() == recorded()["messages"][i]
+    assert messages.encode_message(MESSAGES[i]).hex() == recorded()["messages"][i]
 
 
 def test_all_message_types_are_recorded():
-    assert {type(x) for x in MESSAGES} == set(m.Message.__args__)
+    assert {type(x) for x in MESSAGES} == set(messages.Message.__args__)
     assert [bytes.fromhex(x)[1] for x in recorded()["messages"]] == list(range(1, len(MESSAGES) + 1))
 
 
 def test_an_envelope_of_all_messages_has_its_recorded_bytes_and_decodes():
     assert datagram().hex() == recorded()["envelope"]
-    decoded = m.decode_envelope(bytes.fromhex(recorded()["envelope"]))
+    decoded = messages.decode_envelope(bytes.fromhex(recorded()["envelope"]))
     assert (
         decoded.version,
         decoded.sender,
@@ -233,7 +236,7 @@
         12,
     )
     assert decoded.messages == MESSAGES
-    assert [m.message_capacity("a"), m.message_capacity("x" * 64)] == recorded()["payload_bytes"]
+    assert [messages.message_capacity("a"), messages.message_capacity("x" * 64)] == recorded()["payload_bytes"]
 
 
 def test_a_sealed_datagram_has_its_recorded_bytes_and_opens():
