--- a/tests/test_cluster_simulation.py
+++ b/tests/test_cluster_simulation.py
@@ -27,185 +27,189 @@
 )
 
 
-def cluster(instances=5, engines=30, seed=1, faults=None, warm=True, **clocks):
+def make_cluster(instances=5, engines=30, seed=1, faults=None, warm=True, **clocks):
     return Cluster.make(seed, instances, engines, MEMBERSHIP, DUTY, faults, shared=False, warm=warm, **clocks)
 
 
 class Members(unittest.TestCase):
     def test_members_join_under_packet_loss(self):
-        c = cluster(8, warm=False, faults=Faults(loss=0.2, duplicate=0.1))
-        c.world.run(MEMBERSHIP.settle_time_ms + DETECTION_TIME)
-        self.assertTrue(c.views_agree())
-        self.assertEqual(c.one_owner(), [])
+        cluster = make_cluster(8, warm=False, faults=Faults(loss=0.2, duplicate=0.1))
+        cluster.world.run(MEMBERSHIP.settle_time_ms + DETECTION_TIME)
+        self.assertTrue(cluster.views_agree())
+        self.assertEqual(cluster.one_owner(), [])
 
     def test_a_single_member_owns_all_duties_after_settling_and_none_before(self):
-        c = cluster(1, warm=False)
-        c.world.run(MEMBERSHIP.settle_time_ms - 1)
-        self.assertEqual(len(c.one_owner()), 30)
-        c.world.run(MEMBERSHIP.settle_time_ms + SECOND)
-        self.assertEqual(c.one_owner(), [])
+        cluster = make_cluster(1, warm=False)
+        cluster.world.run(MEMBERSHIP.settle_time_ms - 1)
+        self.assertEqual(len(cluster.one_owner()), 30)
+        cluster.world.run(MEMBERSHIP.settle_time_ms + SECOND)
+        self.assertEqual(cluster.one_owner(), [])
 
     def test_a_death_is_detected_and_no_other_member_is_declared_dead(self):
-        c = cluster(9, faults=Faults(loss=0.1))
-        c.world.run(5 * SECOND)
-        c.world.kill(c.host("m4"))
-        c.world.run(5 * SECOND + DETECTION_TIME)
-        self.assertTrue(c.views_agree())
-        self.assertEqual(c.one_owner(), [])
-        self.assertEqual({name for _, _, name in c.deaths}, {"m4"})
+        cluster = make_cluster(9, faults=Faults(loss=0.1))
+        cluster.world.run(5 * SECOND)
+        cluster.world.kill(cluster.host("m4"))
+        cluster.world.run(5 * SECOND + DETECTION_TIME)
+        self.assertTrue(cluster.views_agree())
+        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual({name for _, _, name in cluster.deaths}, {"m4"})
 
     def test_a_departure_is_known_immediately(self):
-        c = cluster()
-        c.world.run(2 * SECOND)
-        leaving = c.host("m2")
+        cluster = make_cluster()
+        cluster.world.run(2 * SECOND)
+        leaving = cluster.host("m2")
         leaving.node.leave(leaving.now())
-        c.world.pump(leaving)
-        c.world.kill(leaving)
-        c.world.run(3 * SECOND)
-        self.assertTrue(c.views_agree())
-        self.assertEqual((c.one_owner(), c.deaths), ([], []))
-        self.assertFalse(any(h.node.membership.in_minority(h.now()) for h in c.live()))
+        cluster.world.pump(leaving)
+        cluster.world.kill(leaving)
+        cluster.world.run(3 * SECOND)
+        self.assertTrue(cluster.views_agree())
+        self.assertEqual((cluster.one_owner(), cluster.deaths), ([], []))
+        self.assertFalse(any(h.node.membership.in_minority(h.now()) for h in cluster.live()))
 
     def test_a_restarted_member_is_not_mistaken_for_its_dead_run(self):
         # The restart comes before the member is suspected, while it is suspected, or after its death is known.
         for gap in (0.0, 800.0, DETECTION_TIME):
             for back in (0.0, 20 * SECOND):  # ms by which the clock of the new run is behind that of the old one
                 with self.subTest(gap=gap, back=back):
-                    c = cluster(5, seed=int(gap))
-                    c.world.run(2 * SECOND)
-                    before = c.owners()
-                    c.world.kill(c.host("m3"))
-                    c.world.run(2 * SECOND + gap)
-                    restarted = c.start(3, wall_back=back)
-                    c.world.run(c.world.now + 3 * DETECTION_TIME)
-                    self.assertTrue(c.views_agree())
-                    self.assertEqual((c.one_owner(), c.owners()), ([], before))
+                    cluster = make_cluster(5, seed=int(gap))
+                    cluster.world.run(2 * SECOND)
+                    before = cluster.owners()
+                    cluster.world.kill(cluster.host("m3"))
+                    cluster.world.run(2 * SECOND + gap)
+                    restarted = cluster.start(3, wall_back=back)
+                    cluster.world.run(cluster.world.now + 3 * DETECTION_TIME)
+                    self.assertTrue(cluster.views_agree())
+                    self.assertEqual((cluster.one_owner(), cluster.owners()), ([], before))
                     self.assertEqual(restarted.node.membership.counters.name_conflicts, 0)
 
     def test_a_restarted_member_owns_no_duty_until_it_has_synchronized_with_the_others(self):
-        c = cluster()
-        c.world.run(2 * SECOND)
-        c.world.kill(c.host("m0"))
-        c.world.run(2 * SECOND + DETECTION_TIME)
-        c.world.cut = lambda source, target: c.address(0) in (source, target)
-        restarted = c.start(0)
-        c.world.run(c.world.now + MEMBERSHIP.settle_time_ms - 100.0)
-        self.assertFalse(any(d.is_owned for d in c.book(restarted).duties.values()))
-        c.heal()
-        c.world.run(c.world.now + DETECTION_TIME)
-        self.assertEqual(c.one_owner(), [])
+        cluster = make_cluster()
+        cluster.world.run(2 * SECOND)
+        cluster.world.kill(cluster.host("m0"))
+        cluster.world.run(2 * SECOND + DETECTION_TIME)
+        cluster.world.cut = lambda source, target: cluster.address(0) in (source, target)
+        restarted = cluster.start(0)
+        cluster.world.run(cluster.world.now + MEMBERSHIP.settle_time_ms - 100.0)
+        self.assertFalse(any(d.is_owned for d in cluster.book(restarted).duties.values()))
+        cluster.heal()
+        cluster.world.run(cluster.world.now + DETECTION_TIME)
+        self.assertEqual(cluster.one_owner(), [])
 
     def test_a_duplicate_name_is_reported_and_the_older_process_keeps_it(self):
-        c = cluster()
-        c.world.run(5 * SECOND)
-        younger = c.start(7, name="m1", address=("10.9.9.9", 7946))
-        c.world.run(c.world.now + 5 * DETECTION_TIME)
-        older = next(h for h in c.hosts if h.name == "m1" and h is not younger)
+        cluster = make_cluster()
+        cluster.world.run(5 * SECOND)
+        younger = cluster.start(7, name="m1", address=("10.9.9.9", 7946))
+        cluster.world.run(cluster.world.now + 5 * DETECTION_TIME)
+        older = next(h for h in cluster.hosts if h.name == "m1" and h is not younger)
         self.assertTrue(younger.node.membership.local.is_yielding)
         self.assertFalse(older.node.membership.local.is_yielding)
-        self.assertFalse(any(d.is_owned for d in c.book(younger).duties.values()))
+        self.assertFalse(any(d.is_owned for d in cluster.book(younger).duties.values()))
         self.assertGreaterEqual(younger.node.membership.counters.name_conflicts, 1)
-        c.world.kill(younger)
-        c.hosts.remove(younger)
-        c.world.run(c.world.now + 2 * DETECTION_TIME)
-        self.assertEqual(c.one_owner(), [])
-        self.assertEqual(c.host("m0").node.membership.members["m1"].address, older.address)
+        cluster.world.kill(younger)
+        cluster.hosts.remove(younger)
+        cluster.world.run(cluster.world.now + 2 * DETECTION_TIME)
+        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual(cluster.host("m0").node.membership.members["m1"].address, older.address)
 
     def test_a_stalled_process_declares_no_member_dead(self):
-        c = cluster(5)
-        c.world.run(3 * SECOND)
-        c.world.pause(c.host("m1"), 30 * SECOND)
-        c.world.run(33 * SECOND + 600.0)
-        paused = c.host("m1").node.membership
+        cluster = make_cluster(5)
+        cluster.world.run(3 * SECOND)
+        cluster.world.pause(cluster.host("m1"), 30 * SECOND)
+        cluster.world.run(33 * SECOND + 600.0)
+        paused = cluster.host("m1").node.membership
         self.assertGreaterEqual(paused.counters.stalls, 1)
-        c.world.run(33 * SECOND + DETECTION_TIME)
-        self.assertTrue(c.views_agree())
-        self.assertEqual({name for _, _, name in c.deaths}, {"m1"})  # only the stalled member was declared dead
-        self.assertEqual(c.one_owner(), [])
+        cluster.world.run(33 * SECOND + DETECTION_TIME)
+        self.assertTrue(cluster.views_agree())
+        self.assertEqual({name for _, _, name in cluster.deaths}, {"m1"})  # only the stalled member was declared dead
+        self.assertEqual(cluster.one_owner(), [])
 
     def test_after_a_one_way_partition_no_live_member_is_considered_dead(self):
-        c = cluster(7)
-        c.world.run(2 * SECOND)
-        c.part({"m3"}, one_way=True)
-        c.world.run(30 * SECOND)
-        self.assertLessEqual({name for _, who, name in c.deaths if who != "m3"}, {"m3"})
-        c.heal()
-        c.world.run(30 * SECOND + 2 * DETECTION_TIME)
-        self.assertEqual((c.wrongly_dead(), c.one_owner()), ([], []))
+        cluster = make_cluster(7)
+        cluster.world.run(2 * SECOND)
+        cluster.part({"m3"}, one_way=True)
+        cluster.world.run(30 * SECOND)
+        self.assertLessEqual({name for _, who, name in cluster.deaths if who != "m3"}, {"m3"})
+        cluster.heal()
+        cluster.world.run(30 * SECOND + 2 * DETECTION_TIME)
+        self.assertEqual((cluster.wrongly_dead(), cluster.one_owner()), ([], []))
 
 
 class Duties(unittest.TestCase):
     def test_each_side_of_a_partition_has_one_owner_and_after_healing_only_one_is_left(self):
-        c = cluster(7, seed=3)
-        c.world.run(4 * SECOND)
+        cluster = make_cluster(7, seed=3)
+        cluster.world.run(4 * SECOND)
         side = {"m0", "m1"}
-        c.part(side)
-        c.world.run(4 * SECOND + 4 * DETECTION_TIME)
-        for names in (side, {h.name for h in c.hosts} - side):
-            owners = [d for n in names for d, x in c.book(c.host(n)).duties.items() if x.is_owned]
-            self.assertEqual(sorted(owners), sorted(c.engines))
-        self.assertEqual({h.name for h in c.hosts if c.book(h).in_minority}, side)
-        before = c.terms()
-        c.heal()
-        c.world.run(c.world.now + 2 * DUTY.period_ms)
-        self.assertEqual((c.one_owner(), c.wrongly_dead()), ([], []))
-        after = c.terms()
+        cluster.part(side)
+        cluster.world.run(4 * SECOND + 4 * DETECTION_TIME)
+        for names in (side, {h.name for h in cluster.hosts} - side):
+            owners = [d for n in names for d, x in cluster.book(cluster.host(n)).duties.items() if x.is_owned]
+            self.assertEqual(sorted(owners), sorted(cluster.engines))
+        self.assertEqual({h.name for h in cluster.hosts if cluster.book(h).in_minority}, side)
+        before = cluster.terms()
+        cluster.heal()
+        cluster.world.run(cluster.world.now + 2 * DUTY.period_ms)
+        self.assertEqual((cluster.one_owner(), cluster.wrongly_dead()), ([], []))
+        after = cluster.terms()
         self.assertTrue(all(after[k] >= v for k, v in before.items()))
-        self.assertFalse(any(c.book(h).in_minority for h in c.hosts))
+        self.assertFalse(any(cluster.book(h).in_minority for h in cluster.hosts))
 
     def test_after_a_partition_all_members_keep_the_result_with_the_highest_term(self):
-        c = cluster(4, seed=5)
-        c.world.run(4 * SECOND)
-        c.part({"m0", "m1"})
-        c.world.run(4 * SECOND + DETECTION_TIME)
-        c.down = {"motor-1"}  # both sides find it down, each with its own term
-        c.world.run(c.world.now + 14 * DUTY.period_ms)
-        c.heal()
-        c.world.run(c.world.now + 4 * DUTY.period_ms)
+        cluster = make_cluster(4, seed=5)
+        cluster.world.run(4 * SECOND)
+        cluster.part({"m0", "m1"})
+        cluster.world.run(4 * SECOND + DETECTION_TIME)
+        cluster.down = {"motor-1"}  # both sides find it down, each with its own term
+        cluster.world.run(cluster.world.now + 14 * DUTY.period_ms)
+        cluster.heal()
+        cluster.world.run(cluster.world.now + 4 * DUTY.period_ms)
         known_verdicts = {
-            (v.term, v.owner, v.status) for v in (c.book(h).verdicts.by_subject["motor-1"] for h in c.hosts)
+            (v.term, v.owner, v.status) for v in (cluster.book(h).verdicts.by_subject["motor-1"] for h in cluster.hosts)
         }
         self.assertEqual(len(known_verdicts), 1, known_verdicts)
 
     def test_an_owner_that_cannot_reach_the_engine_declines_and_the_next_owner_keeps_the_duty(self):
-        c = cluster(4, seed=2)
-        c.world.run(2 * SECOND)
-        owner = c.owners()["motor-7"][0]
-        c.unreachable = {(owner, "motor-7")}
-        c.world.run(8 * DUTY.period_ms)
-        new_owners = c.owners()["motor-7"]
+        cluster = make_cluster(4, seed=2)
+        cluster.world.run(2 * SECOND)
+        owner = cluster.owners()["motor-7"][0]
+        cluster.unreachable = {(owner, "motor-7")}
+        cluster.world.run(8 * DUTY.period_ms)
+        new_owners = cluster.owners()["motor-7"]
         self.assertEqual(len(new_owners), 1)
         self.assertNotEqual(new_owners, [owner])
-        self.assertFalse(any(c.book(h).verdicts.is_down("motor-7") for h in c.hosts))
-        self.assertEqual(c.probed, [])
-        c.world.run(12 * DUTY.period_ms)
-        self.assertEqual(c.owners()["motor-7"], new_owners)
+        self.assertFalse(any(cluster.book(h).verdicts.is_down("motor-7") for h in cluster.hosts))
+        self.assertEqual(cluster.probed, [])
+        cluster.world.run(12 * DUTY.period_ms)
+        self.assertEqual(cluster.owners()["motor-7"], new_owners)
 
     def test_an_engine_is_reported_down_only_after_all_permitted_declines_and_to_all_members(self):
-        c = cluster(4, seed=2)
-        c.world.run(2 * SECOND)
-        c.down = {"motor-7"}
-        c.world.run(8 * DUTY.period_ms)
-        checkers = {r.host for r in c.runs if r.subject == "motor-7" and r.at > 2 * SECOND}
+        cluster = make_cluster(4, seed=2)
+        cluster.world.run(2 * SECOND)
+        cluster.down = {"motor-7"}
+        cluster.world.run(8 * DUTY.period_ms)
+        checkers = {r.host for r in cluster.runs if r.subject == "motor-7" and r.at > 2 * SECOND}
         self.assertEqual(len(checkers), DUTY.max_declines + 1)
-        self.assertEqual({(h, s, up) for _, h, s, up in c.probed}, {(h.name, "motor-7", False) for h in c.hosts})
-        c.down = set()
-        c.world.run(11 * DUTY.period_ms)
-        self.assertEqual([up for _, h, s, up in c.probed if h == "m0"][-1], True)
+        self.assertEqual(
+            {(h, s, up) for _, h, s, up in cluster.probed}, {(h.name, "motor-7", False) for h in cluster.hosts}
+        )
+        cluster.down = set()
+        cluster.world.run(11 * DUTY.period_ms)
+        self.assertEqual([up for _, h, s, up in cluster.probed if h == "m0"][-1], True)
 
     def test_a_mass_failure_has_no_effect_until_its_hold_has_ended(self):
-        c = cluster(3, engines=10)
-        c.world.run(2 * SECOND)
-        c.down = set(c.engines)
-        c.world.run(2 * SECOND + 10 * DUTY.period_ms)
-        scheduler = c.book(c.host("m0"))
+        cluster = make_cluster(3, engines=10)
+        cluster.world.run(2 * SECOND)
+        cluster.down = set(cluster.engines)
+        cluster.world.run(2 * SECOND + 10 * DUTY.period_ms)
+        scheduler = cluster.book(cluster.host("m0"))
         self.assertIsNotNone(scheduler.verdicts.mass_failure_since)
         until = scheduler.verdicts.mass_failure_since + DUTY.mass_failure_hold_ms
-        during = [s for at, h, s, _ in c.probed if h == "m0" and scheduler.verdicts.mass_failure_since <= at < until]
-        before = {s for at, h, s, _ in c.probed if h == "m0" and at < scheduler.verdicts.mass_failure_since}
+        during = [
+            s for at, h, s, _ in cluster.probed if h == "m0" and scheduler.verdicts.mass_failure_since <= at < until
+        ]
+        before = {s for at, h, s, _ in cluster.probed if h == "m0" and at < scheduler.verdicts.mass_failure_since}
         self.assertLess(len(before), DUTY.mass_failure_ratio * 10)
         self.assertLessEqual(set(during), before)
-        self.assertEqual({s for at, h, s, _ in c.probed if h == "m0" and at >= until}, set(c.engines))
+        self.assertEqual({s for at, h, s, _ in cluster.probed if h == "m0" and at >= until}, set(cluster.engines))
 
     def test_the_figures_of_the_experiment_are_within_their_bounds(self):
         figures = run(Experiment(instances=9, engines=60, periods=16, loss=0.1, kill=1, partition=0.4, seed=3))
@@ -267,39 +271,43 @@
     @settings(max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
     @given(st.lists(st.tuples(FAULT, st.floats(0.0, 9000.0)), min_size=1, max_size=8), st.integers(0, 99))
     def test_after_faults_end_each_duty_has_one_live_owner_and_no_live_member_is_considered_dead(self, schedule, seed):
-        c = cluster(5, engines=12, seed=seed, drift=1e-4, skew_ms=20.0)
-        c.world.run(SECOND)
+        cluster = make_cluster(5, engines=12, seed=seed, drift=1e-4, skew_ms=20.0)
+        cluster.world.run(SECOND)
         terms = {}
         for (fault, target), wait in schedule:
-            self.inject(c, fault, target)
-            c.world.run(c.world.now + wait)
-            new_terms = c.terms()
+            self.inject(cluster, fault, target)
+            cluster.world.run(cluster.world.now + wait)
+            new_terms = cluster.terms()
             # A restarted host has lost its terms; at all other hosts terms only rise.
             self.assertTrue(
-                all(new_terms[k] >= v for k, v in terms.items() if k in new_terms and k[0] not in c.returned)
+                all(new_terms[k] >= v for k, v in terms.items() if k in new_terms and k[0] not in cluster.returned)
             )
             terms = new_terms
-            c.returned = set()
-        c.heal()
-        c.world.faults.loss = 0.0
+            cluster.returned = set()
+        cluster.heal()
+        cluster.world.faults.loss = 0.0
         for i in range(5):
-            if c.address(i) not in c.world.hosts:
-                c.start(i)
-        c.world.run(c.world.now + 12 * SECOND + 3 * DETECTION_TIME)
-        self.assertEqual((c.wrongly_dead(), c.one_owner()), ([], []))
-        self.assertTrue(c.views_agree())
+            if cluster.address(i) not in cluster.world.hosts:
+                cluster.start(i)
+        cluster.world.run(cluster.world.now + 12 * SECOND + 3 * DETECTION_TIME)
+        self.assertEqual((cluster.wrongly_dead(), cluster.one_owner()), ([], []))
+        self.assertTrue(cluster.views_agree())
 
-    def inject(self, c, fault, target):
-        if fault == "kill" and len(c.live()) > 1 and c.address(target) in c.world.hosts:
-            c.world.kill(c.host(f"m{target}"))
-        elif fault == "return" and c.address(target) not in c.world.hosts:
-            c.start(target)
-            c.returned.add(f"m{target}")
-        elif fault == "pause" and c.address(target) in c.world.hosts and not c.host(f"m{target}").paused:
-            c.world.pause(c.host(f"m{target}"), 7 * SECOND)
+    def inject(self, cluster, fault, target):
+        if fault == "kill" and len(cluster.live()) > 1 and cluster.address(target) in cluster.world.hosts:
+            cluster.world.kill(cluster.host(f"m{target}"))
+        elif fault == "return" and cluster.address(target) not in cluster.world.hosts:
+            cluster.start(target)
+            cluster.returned.add(f"m{target}")
+        elif (
+            fault == "pause"
+            and cluster.address(target) in cluster.world.hosts
+            and not cluster.host(f"m{target}").paused
+        ):
+            cluster.world.pause(cluster.host(f"m{target}"), 7 * SECOND)
         elif fault in ("part", "one-way"):
-            c.part({f"m{i}" for i in target}, one_way=fault == "one-way")
+            cluster.part({f"m{i}" for i in target}, one_way=fault == "one-way")
         elif fault == "heal":
-            c.heal()
+            cluster.heal()
         elif fault == "loss":
-            c.world.faults.loss = target
+            cluster.world.faults.loss = target
