--- a/tests/test_cluster_node.py
+++ b/tests/test_cluster_node.py
@@ -1,4 +1,4 @@
-"""What a node does with datagrams that it can't accept."""
+"""A node drops and counts datagrams that it cannot accept, and never answers them."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 
-from decklb.cluster import messages as m
+from decklb.cluster import messages
 from decklb.cluster.messages import HealthStatus
 from tests.cluster_builders import OTHER_KEY, PEER, WALL_MS, envelope, node, sealer
 
 
-# Each with the reason under which it is counted.
-def foreign_datagrams():
+def unacceptable_datagrams():
+    """Yield datagrams, each with the reason under which it is counted."""
     yield "size", b""
     yield "size", bytes(33)
     yield "size", bytes(1401)
@@ -39,15 +39,17 @@
     yield "skew", seal(envelope(wall_ms=0))
 
 
-@pytest.mark.parametrize(("reason", "data"), list(foreign_datagrams()), ids=lambda x: x if isinstance(x, str) else "")
-def test_foreign_datagrams_are_counted_and_never_answered(reason, data):
+@pytest.mark.parametrize(
+    ("reason", "data"), list(unacceptable_datagrams()), ids=lambda x: x if isinstance(x, str) else ""
+)
+def test_unacceptable_datagrams_are_counted_and_never_answered(reason, data):
     member = node()
     member.receive(0.0, WALL_MS, data, PEER)
     assert member.dropped == {reason: 1} and member.received == 0 and not member.outgoing
 
 
 def test_a_replayed_datagram_is_not_answered_again():
-    member, data = node(), sealer().seal(envelope([m.Ping(1, "a")]))
+    member, data = node(), sealer().seal(envelope([messages.Ping(1, "a")]))
     member.receive(0.0, WALL_MS, data, PEER)
     answers = len(member.outgoing)
     member.receive(1.0, WALL_MS + 1, data, PEER)
@@ -57,17 +59,17 @@
 def test_damaged_datagrams_are_counted_and_do_no_harm():
     rng, member = random.Random(4), node(period_ms=1000.0)
     seal = sealer().seal
-    whole = envelope(
+    intact = envelope(
         [
-            m.Alive("b", "127.0.0.1", 9, 5, 7, True, 1.0),
-            m.Suspect("a", 3, "b"),
-            m.Digest(bytes(256)),
-            m.DutyResult("probe", "e", 3, "b", WALL_MS, HealthStatus.DOWN),
-            m.MemberRecord("c", "h", 2, 1, 1, True, 1.0, 2, 5),
+            messages.Alive("b", "127.0.0.1", 9, 5, 7, True, 1.0),
+            messages.Suspect("a", 3, "b"),
+            messages.Digest(bytes(256)),
+            messages.DutyResult("probe", "e", 3, "b", WALL_MS, HealthStatus.DOWN),
+            messages.MemberRecord("c", "h", 2, 1, 1, True, 1.0, 2, 5),
         ]
     )
     for i in range(3000):
-        data = bytearray(whole)
+        data = bytearray(intact)
         for _ in range(rng.randint(1, 6)):
             data[rng.randrange(len(data))] = rng.randrange(256)
         member.receive(float(i), WALL_MS + i, seal(bytes(data[: rng.randint(1, len(data))])), PEER)
