--- a/decklb/lab/emulation/__init__.py
+++ b/decklb/lab/emulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated time, network, engines and clients around the real decision modules; free of sockets and real clocks."""
+"""Simulated time, network, engines and clients that run the real decision modules without sockets or real clocks."""
--- a/decklb/lab/emulation/emulated_world.py
+++ b/decklb/lab/emulation/emulated_world.py
@@ -1,7 +1,7 @@
-"""The definition of one emulated world: its workload, managers, engines, network and injected faults, all immutable.
+"""Immutable definition of an emulated world: its workload, managers, engines, network and injected faults.
 
-Experiments build an `EmulatedWorld` from their file; the emulator plays it. It also makes the settings that each
-emulated manager is given. Times are simulated milliseconds.
+Experiments build an `EmulatedWorld` from their file, and the emulator runs it. The world also creates the settings of
+each emulated manager. Times are simulated milliseconds.
 """
 
 from __future__ import annotations
@@ -14,32 +14,33 @@
 from decklb.lab.emulation.engine_model import EngineSpec
 from decklb.lab.emulation.workload import RequestClass, Workload
 
-ENGINE_KIND = "k"  # the only kind of engine in an emulated world
+ENGINE_KIND = "k"  # all engines of an emulated world are of this kind
 DRAIN_GRACE_MS = 2000.0
-SETTLE_MS = 300.0  # how long managers wait after an uncertain outcome
+KEY_HOLD_DOWN_MS = 300.0  # ms for which managers block an ordering key after an uncertain outcome
 
 
 class FaultKind(Enum):
-    """What an injected fault does. Values are those of the experiment's file."""
+    """Kind of an injected fault. The values are those of the experiment file."""
 
-    KILL = "kill"  # engines end and reset their connections
-    VANISH = "vanish"  # engines end and nothing answers
-    DRAIN = "drain"  # the endpoint list calls engines draining, then they end
-    SLOW = "slow"  # engines take `slowdown` times as long
+    KILL = "kill"  # engines stop and reset their connections
+    VANISH = "vanish"  # engines stop without resetting connections; nothing answers any more
+    DRAIN = "drain"  # the endpoint list marks engines as draining, then they stop
+    SLOW = "slow"  # engines are slower by the factor `slowdown`
     MANAGER = "manager"  # managers are killed
 
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """A fault that strikes some engines or managers at once.
+    """A fault that affects some engines or managers at the same time.
 
     Attributes:
-        at_ms: When it strikes.
-        kind: What it does.
-        duration_ms: After which its victims come back (an engine with its warm-up, under its own name); 0 for never.
-        victim_share: Share of engines or managers that are struck, drawn by seed.
-        victim_count: Their number; where it is 0, `victim_share` decides.
-        slowdown: Times as long that slow engines take.
+        at_ms: Time of the fault.
+        kind: Kind of the fault.
+        duration_ms: Time in ms until the victims recover; engines restart under the same name and have to warm up
+            again. 0: never.
+        victim_share: Fraction of the engines or managers that are affected; the victims are drawn at random.
+        victim_count: Number of victims; 0: determined by `victim_share`.
+        slowdown: Factor by which slow engines take longer.
     """
 
     at_ms: float
@@ -50,34 +51,35 @@
     slowdown: float = 1.0
 
     def victims(self, candidates: int) -> int:
-        """Return how many of so many engines or managers are struck."""
+        """Return the number of victims among that many engines or managers."""
         return min(candidates, self.victim_count or round(self.victim_share * candidates))
 
 
 @dataclass(frozen=True, slots=True)
 class EmulatedWorld:
-    """What is emulated.
+    """Everything that defines an emulated run, apart from the seed.
 
     Attributes:
         workload: Arrivals, classes and tenants.
-        managers, engines: How many.
-        engine_spec: What all engines are like.
-        duration_ms: Over which requests arrive.
-        warm_up_ms: At the start, in which nothing is counted.
-        policy: Name of the managers' policy, of `policies.POLICIES`.
-        network_delay_ms: Mean delay of a message between manager and engine, one way.
-        network_jitter: Share of the delay by which it varies, either way.
-        message_loss: Share of attempts' messages that are lost, either way.
-        list_delay_ms: Mean time until a manager has a change of the endpoint list.
-        partial_update_share: Share of updates that name only what changed.
-        tick_ms: Of the managers' policies.
-        max_attempts: For each request.
-        retry_budget_floor, retry_budget_ratio, retry_budget_window_ms: The managers' retry budget.
-        max_retry_after_ms: That managers tell clients to wait; 0 for no such word.
-        faults: What goes wrong.
-        speed_sigma: Sigma of a lognormal factor on engines' speed.
-        health_check_period_ms: Between health checks of an engine, shared by the managers' cluster; 0 for none.
-        max_recorded_requests: Rows kept at most.
+        managers, engines: Number of managers and of engines.
+        engine_spec: Properties of every engine.
+        duration_ms: Time in ms during which requests arrive.
+        warm_up_ms: Time in ms at the start that is excluded from the figures.
+        policy: Name of the managers' policy, a key of `policies.POLICIES`.
+        network_delay_ms: Mean one-way delay of a message between manager and engine in ms.
+        network_jitter: Maximum deviation from that delay, as a fraction of it.
+        message_loss: Probability that a message of an attempt is lost, in each direction.
+        list_delay_ms: Mean delay in ms until a manager receives a change of the endpoint list.
+        partial_update_share: Fraction of the updates that contain only the changed entries.
+        tick_ms: Tick of the managers' policies in ms.
+        max_attempts: Maximum number of attempts of one request.
+        retry_budget_floor, retry_budget_ratio, retry_budget_window_ms: Retry budget of the managers.
+        max_retry_after_ms: Longest delay in ms after which managers tell clients to retry; 0: they state no delay.
+        faults: Faults to inject.
+        speed_sigma: Sigma of the lognormal factor on the engines' speed.
+        health_check_period_ms: Time in ms between two health checks of an engine, which the managers share through
+            their cluster; 0: no health checks.
+        max_recorded_requests: Maximum number of requests that are stored as rows.
     """
 
     workload: Workload
@@ -104,7 +106,7 @@
     max_recorded_requests: int = 100_000
 
     def settings(self, manager: int) -> Settings:
-        """Return the settings of one manager; the engines' true speeds are not among them."""
+        """Return the settings of one manager; they do not reveal the engines' true speeds."""
         spec = self.engine_spec
         return Settings(
             {c.name: _class_settings(c) for c in self.workload.classes},
@@ -124,7 +126,7 @@
             retry_budget_floor=self.retry_budget_floor,
             retry_budget_ratio=self.retry_budget_ratio,
             retry_budget_window_ms=self.retry_budget_window_ms,
-            key_hold_down_ms=SETTLE_MS,
+            key_hold_down_ms=KEY_HOLD_DOWN_MS,
             tick_ms=self.tick_ms,
         )
 
--- a/decklb/lab/emulation/emulator.py
+++ b/decklb/lab/emulation/emulator.py
@@ -1,8 +1,8 @@
-"""Plays one emulated world with one seed: clients, managers, network, engines, endpoint list and injected faults.
+"""Runs one emulated world with one seed: clients, managers, network, engines, endpoint list and injected faults.
 
-`Run` owns the run: it makes arrivals come when they are due, sends updates of the endpoint list to the managers, and
-injects faults. Experiments and tests create it and call `run`. Times are simulated milliseconds. Nothing of a run
-depends on anything but its `EmulatedWorld` and the seed.
+`Run` submits the requests at their arrival times, sends updates of the endpoint list to the managers and injects the
+faults. Experiments and tests create it and call `run`. Times are simulated milliseconds. Apart from figures of real
+time, the results depend on the `EmulatedWorld` and the seed only.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from decklb.lab.emulation.run_records import RunTotals
 from decklb.lab.emulation.shared_health_checks import SharedHealthChecks
 
-WIND_DOWN_MS = 2000.0  # after the last deadline, in which all must be over
-DRAIN_MS = 2000.0  # that a draining engine stays up once every manager can know of it
-NEVER_LEAVES_MS = 1e12  # from which on a drawn moment of leaving stands for never
+WIND_DOWN_MS = 2000.0  # ms simulated after the last deadline; every request must have ended by then
+DRAIN_MS = 2000.0  # ms that a draining engine stays up after the last manager has been notified
+NEVER_LEAVES_MS = 1e12  # a client with a patience of at least this many ms never leaves
 
 
 class Run:
     """One run of a world with one seed.
 
     Attributes:
-        context: What managers and clients share.
-        managers: All managers by number, those that are killed included.
-        health_checks: The health checks that managers share; None where the world has none.
+        context: State shared with managers and clients.
+        managers: All managers, indexed by number, including killed ones.
+        health_checks: The health checks shared by the managers; None if the world has none.
     """
 
     def __init__(self, world: EmulatedWorld, seed: int) -> None:
@@ -41,21 +41,21 @@
         self.loop, self.streams, self.arrivals = context.loop, context.streams, context.arrivals
         self.checker, self.records, self.engines = context.checker, context.records, context.engines
         for engine in self.engines.values():
-            engine.on_crash = lambda engine=engine: self._engine_crashed(engine)  # type: ignore[misc]
+            engine.on_crash = lambda engine=engine: self._on_engine_crash(engine)  # type: ignore[misc]
         self.health_checks: SharedHealthChecks | None = None
         if world.health_check_period_ms:
-            self.health_checks = SharedHealthChecks(world, self.loop, self.streams, self.engines, self._health_checked)
+            self.health_checks = SharedHealthChecks(world, self.loop, self.streams, self.engines, self._on_health_check)
         self.managers = [Manager(context, number, self.health_checks) for number in range(world.managers)]
         self._next_arrival = 0
         self._list_rng = random.Random(self.streams.number("list"))
 
     def run(self) -> dict[str, Any]:
-        """Play to the end and return the summary, one row of figures."""
+        """Run the simulation to its end and return the summary, one row of figures."""
         started = time.perf_counter()
         for manager in self.managers:
             manager.start()
         if len(self.arrivals):
-            self.loop.call_later(float(self.arrivals.time_ms[0]), self._arrive)
+            self.loop.call_later(float(self.arrivals.time_ms[0]), self._handle_arrival)
         for number, fault in enumerate(self.world.faults):
             self.loop.call_later(fault.at_ms, lambda n=number, f=fault: self._inject(n, f))  # type: ignore[misc]
         self.records.start()
@@ -73,7 +73,7 @@
             seed=self.seed,
             health_checks=None if self.health_checks is None else self.health_checks.started,
             violations={str(rule): count for rule, count in self.checker.violations.items()},
-            loop_calls=self.loop.made,
+            loop_calls=self.loop.calls_made,
             steps=sum(manager.steps for manager in self.managers),
             step_seconds=sum(manager.step_seconds for manager in self.managers),
             run_seconds=run_seconds,
@@ -81,11 +81,13 @@
 
     # Requests.
 
-    def _arrive(self) -> None:
+    def _handle_arrival(self) -> None:
         index = self._next_arrival
         self._next_arrival += 1
         if self._next_arrival < len(self.arrivals):
-            self.loop.call_later(float(self.arrivals.time_ms[self._next_arrival]) - self.loop.now(), self._arrive)
+            self.loop.call_later(
+                float(self.arrivals.time_ms[self._next_arrival]) - self.loop.now(), self._handle_arrival
+            )
         client = Client(self.context, index, self._submit)
         self.records.request_arrived(index)
         if self.arrivals.leave_after_ms[index] < NEVER_LEAVES_MS:
@@ -93,25 +95,30 @@
         self._submit(client)
 
     def _submit(self, client: Client) -> None:
-        """Submit a client's request to its own manager, or to the next that is up."""
-        if client.over:
+        """Submit a client's request to the manager assigned to it or, if that one is down, to the next that is up."""
+        if client.finished:
             return
         arrivals, index = self.arrivals, client.index
         spec = self.world.workload.classes[arrivals.class_index[index]]
         manager = self._manager_for(index)
-        left_ms = client.issued_ms + spec.deadline_ms - self.loop.now()
-        if manager is None or left_ms <= 0:
-            client.lost()
+        time_left_ms = client.issued_ms + spec.deadline_ms - self.loop.now()
+        if manager is None or time_left_ms <= 0:
+            client.mark_lost()
             return
         client.submissions += 1
         request_id = f"{index:x}.{client.submissions}"
         tenant = self.world.workload.tenants[arrivals.tenant_index[index]].name
         key = f"{spec.name}/{arrivals.key[index]}" if arrivals.key[index] >= 0 else None
-        incoming = IncomingRequest(request_id, spec.name, tenant, left_ms, b"", int(arrivals.table_group[index]), key)
-        manager.submit(client, incoming)
+        incoming_request = IncomingRequest(
+            request_id, spec.name, tenant, time_left_ms, b"", int(arrivals.table_group[index]), key
+        )
+        manager.submit(client, incoming_request)
 
     def _manager_for(self, index: int) -> Manager | None:
-        """Return the manager of a request: requests of one key share one while it is up."""
+        """Return the manager for a request, None if all are down.
+
+        Requests with the same ordering key go to the same manager while it is up.
+        """
         count = len(self.managers)
         first = int(self.arrivals.manager_draw[index] * count)
         if self.arrivals.key[index] >= 0:
@@ -122,7 +129,7 @@
     # The endpoint list.
 
     def _publish(self, changed: list[Engine]) -> None:
-        """Send an update of the list to each manager, late, and to some with the changed engines alone."""
+        """Send each manager an update after a random delay: the complete list or only the changed engines."""
         for manager in self.managers:
             changed_only = self._list_rng.random() < self.world.partial_update_share
             entries = [self.context.endpoint(e) for e in (changed if changed_only else self.engines.values())]
@@ -131,12 +138,12 @@
             delay_ms = self.world.list_delay_ms * (0.5 + self._list_rng.random())
             self.loop.call_later(delay_ms, partial(manager.update_endpoints, entries, not changed_only))
 
-    def _engine_crashed(self, engine: Engine) -> None:
+    def _on_engine_crash(self, engine: Engine) -> None:
         self.checker.engine_crashed(engine.name)
         self._publish([engine])
         self.loop.call_later(self.world.engine_spec.restart_ms + 1.0, lambda: self._publish([engine]))
 
-    def _health_checked(self, number: int, engine: str, up: bool) -> None:
+    def _on_health_check(self, number: int, engine: str, up: bool) -> None:
         self.managers[number].health_check_result(engine, up)
 
     # Faults.
@@ -150,7 +157,7 @@
         engines = list(self.engines.values())
         victims = rng.sample(engines, fault.victims(len(engines)))
         for engine in victims:
-            self._strike_engine(engine, fault)
+            self._inject_engine_fault(engine, fault)
         if fault.kind is not FaultKind.SLOW:
             self._publish(victims)
 
@@ -160,7 +167,7 @@
             if fault.duration_ms:
                 self.loop.call_later(fault.duration_ms, manager.start)
 
-    def _strike_engine(self, engine: Engine, fault: InjectedFault) -> None:
+    def _inject_engine_fault(self, engine: Engine, fault: InjectedFault) -> None:
         if fault.kind is FaultKind.SLOW:
             previous = engine.slowdown
             engine.set_slowdown(previous * fault.slowdown)
--- a/decklb/lab/emulation/managers_and_clients.py
+++ b/decklb/lab/emulation/managers_and_clients.py
@@ -1,8 +1,8 @@
-"""Emulated managers, each with the real dispatcher and a policy, and the clients of their requests.
+"""Emulated managers, each with the real dispatcher and a policy, and the clients that submit requests to them.
 
-A `Manager` is the engine client (`core.ports`) of its own dispatcher and carries attempts over the emulated network; a
-`Client` is the sink of one request's answers and retries as real clients do. Both are made by `emulator.Run`. What they
-see they report to the run's checker and records.
+A `Manager` is the engine client of its own dispatcher (through `ManagerPort`) and carries attempts over the emulated
+network. A `Client` is the response sink (`core.ports`) of one request and retries like a real client. `emulator.Run`
+creates both. They report all events to the run's invariant checker and records.
 """
 
 from __future__ import annotations
@@ -21,20 +21,24 @@
 from decklb.lab.emulation.run_context import RunContext
 from decklb.lab.emulation.shared_health_checks import SharedHealthChecks
 
-MIN_CLIENT_BACKOFF_MS = 50.0  # before a client asks again, also where its manager has gone
+MIN_CLIENT_BACKOFF_MS = 50.0  # minimum delay in ms before a client submits a rejected request again
 
 
 class Client:
-    """One request of the workload, from its first submission to its final answer; the dispatcher's sink.
+    """The client of one request of the workload, from the first submission to the final answer; a response sink.
 
     Attributes:
-        submissions: How often it has been submitted to a manager.
-        attempts: Attempts that managers made for it, over all submissions.
-        issued_ms: When the client first asked.
-        over: Whether it has its final answer, has given up, or was lost with its manager.
+        run: Shared state of the run.
+        index: Index of the request in the arrivals.
+        submissions: Number of times that the request has been submitted to a manager.
+        attempts: Number of attempts that managers made for it, over all submissions.
+        issued_ms: Time of the first submission.
+        manager: Manager of the latest submission.
+        request: The dispatcher's request of the latest submission.
+        finished: The client has its final answer, has given up, or lost the request when its manager was killed.
     """
 
-    __slots__ = ("run", "index", "submissions", "issued_ms", "manager", "request", "attempts", "over", "_submit")
+    __slots__ = ("run", "index", "submissions", "issued_ms", "manager", "request", "attempts", "finished", "_submit")
 
     def __init__(self, run: RunContext, index: int, submit: Callable[[Client], None]) -> None:
         self.run, self.index, self._submit = run, index, submit
@@ -42,41 +46,41 @@
         self.issued_ms = run.loop.now()
         self.manager: Manager | None = None
         self.request: Request | None = None
-        self.over = False
+        self.finished = False
 
     def served(self, result: bytes) -> None:
-        """Take the complete result."""
+        """Record that the request was served."""
         self._finish("served")
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Retry after the backoff, in ms, while retries and time are left."""
-        if self.over:  # its manager was killed; calls that were under way there don't count
+        """Submit the request again after a delay, if the client has retries and time left."""
+        if self.finished:  # the manager was killed, so its pending calls are ignored
             return
         run = self.run
         spec = run.world.workload.classes[run.arrivals.class_index[self.index]]
-        wait_ms = max(retry_after_ms, MIN_CLIENT_BACKOFF_MS)
-        left_ms = self.issued_ms + spec.deadline_ms - run.loop.now()
-        if self.submissions <= run.world.workload.client_retries and left_ms > wait_ms:
+        delay_ms = max(retry_after_ms, MIN_CLIENT_BACKOFF_MS)
+        time_left_ms = self.issued_ms + spec.deadline_ms - run.loop.now()
+        if self.submissions <= run.world.workload.client_retries and time_left_ms > delay_ms:
             self._report_answer("refused")
-            run.loop.call_later(wait_ms, lambda: self._submit(self))
+            run.loop.call_later(delay_ms, lambda: self._submit(self))
         else:
             self._finish("refused")
 
     def failed(self) -> None:
-        """Take a final failure, after which the request may have run."""
+        """Record that the request failed; it may have been executed."""
         self._finish("failed")
 
     def leave(self) -> None:
-        """Give up, as the client's patience is over."""
-        if self.over:
+        """Abandon the request, since the client does not wait any longer."""
+        if self.finished:
             return
         if self.manager is not None and self.request is not None and not self.request.answered:
             self.manager.abandon(self.request)
         self._record_end("left")
 
-    def lost(self) -> None:
-        """End without an answer: its manager was killed."""
-        if not self.over:
+    def mark_lost(self) -> None:
+        """Record that the request was lost because its manager was killed."""
+        if not self.finished:
             self._record_end("lost")
 
     def _report_answer(self, kind: str) -> None:
@@ -85,25 +89,29 @@
             self.attempts += len(self.request.attempts)
 
     def _finish(self, kind: str) -> None:
-        if not self.over:
+        if not self.finished:
             self._report_answer(kind)
             self._record_end(kind)
 
     def _record_end(self, kind: str) -> None:
-        self.over = True
+        self.finished = True
         self.run.records.request_ended(self.index, kind, self.issued_ms, self.submissions, self.attempts)
 
 
 class Manager:
-    """One emulated manager process, which may be killed and started again under its number.
+    """One emulated manager process, which may be killed and started again under the same number.
 
     Attributes:
-        incarnation: How often it has started; callbacks of earlier ones are dropped.
-        clients: Clients whose requests are open here, by request id.
-        listed_phases: Phase of each engine in the endpoint list as this manager holds it.
-        list_updated_ms: When that list last changed here.
+        run: Shared state of the run.
+        number: Number of the manager, from 0.
+        health_checks: The health checks shared by all managers, if there are any.
+        incarnation: Number of starts so far; callbacks of earlier incarnations are ignored.
+        up: The manager is running.
+        clients: Clients with an open request at this manager, by request id.
+        listed_phases: Phase of each engine in this manager's copy of the endpoint list.
+        list_updated_ms: Time of the last update of that copy.
         step_seconds: Real time spent in steps of the policy.
-        steps: How many steps the policy has taken.
+        steps: Number of steps of the policy.
     """
 
     def __init__(self, run: RunContext, number: int, health_checks: SharedHealthChecks | None) -> None:
@@ -117,11 +125,11 @@
         self.steps = 0
 
     def start(self) -> None:
-        """Start with empty state and the endpoint list as it is."""
+        """Start with empty state and the current endpoint list."""
         run = self.run
         self.incarnation, self.up, self.clients = self.incarnation + 1, True, {}
         settings = run.world.settings(self.number)
-        # The stream's name fixes the draws of a seed and stays as it is.
+        # The name of the stream must not change: it determines the random numbers of a seed.
         seed = run.streams.number(f"manager {self.number} life {self.incarnation}")
         self.rng = random.Random(seed)
         self.core = Dispatcher(settings, seed, run.loop, ManagerPort(self))
@@ -139,69 +147,73 @@
     def _time_steps(self) -> None:
         step = self.core.gateway.step
 
-        def timed(now: float, events: list[api.Event]) -> list[api.Action]:
+        def timed_step(now: float, events: list[api.Event]) -> list[api.Action]:
             started = time.perf_counter()
             actions = step(now, events)
             self.step_seconds += time.perf_counter() - started
             self.steps += 1
             return actions
 
-        self.core.gateway.step = timed  # type: ignore[method-assign]
+        self.core.gateway.step = timed_step  # type: ignore[method-assign]
 
     def kill(self) -> None:
-        """End without notice; queries that it sent go on running."""
+        """Stop without notice; the queries that it has sent continue to run."""
         self.up = False
         self.run.checker.manager_died(self.number)
         if self.health_checks is not None:
             self.health_checks.kill(self.number)
         clients, self.clients = list(self.clients.values()), {}
         for client in clients:
-            client.lost()
+            client.mark_lost()
 
     def update_endpoints(self, entries: list[Endpoint], complete: bool) -> None:
-        """Take an update of the endpoint list; an incomplete one names only what changed."""
+        """Process an update of the endpoint list: the complete list or only the changed entries."""
         if not self.up:
             return
         if complete:
             self.listed_phases.clear()
         self.listed_phases |= {entry.engine_id: entry.phase for entry in entries}
-        self.listed_phases = {n: phase for n, phase in self.listed_phases.items() if phase is not Phase.REMOVED}
+        self.listed_phases = {name: phase for name, phase in self.listed_phases.items() if phase is not Phase.REMOVED}
         self.list_updated_ms = self.run.loop.now()
         self.core.post_event(api.EndpointsUpdated(entries, complete))
         if self.health_checks is not None:
             self.health_checks.set_targets(self.number, self.listed_phases)
 
     def health_check_result(self, engine: str, up: bool) -> None:
-        """Take what the managers' cluster found out about an engine."""
+        """Pass the result of a shared health check to the dispatcher."""
         if self.up:
             self.core.health_checked(engine, Outcome.SUCCESS if up else Outcome.UNREACHABLE)
 
-    def submit(self, client: Client, work: IncomingRequest) -> None:
-        """Take a client's request."""
+    def submit(self, client: Client, incoming_request: IncomingRequest) -> None:
+        """Pass a client's request to the dispatcher."""
         client.manager = self
-        request = client.request = self.core.submit(work, client)
+        request = client.request = self.core.submit(incoming_request, client)
         self.clients[request.request_id] = client
         self.run.checker.request_arrived(
-            self.run.loop.now(), self.number, request.request_id, work.request_class, work.ordering_key
+            self.run.loop.now(),
+            self.number,
+            request.request_id,
+            incoming_request.request_class,
+            incoming_request.ordering_key,
         )
 
     def answered(self, request: Request, kind: str) -> None:
-        """Forget a request whose client has its answer."""
+        """Remove a request whose client has received an answer."""
         if self.up:
             self.run.checker.request_answered(self.number, request.request_id, kind)
         self.clients.pop(request.request_id, None)
 
     def abandon(self, request: Request) -> None:
-        """Forget a request whose client has gone."""
+        """Remove a request whose client has left."""
         if self.up:
             self.run.checker.client_left(self.number, request.request_id)
             self.clients.pop(request.request_id, None)
             self.core.abandon(request)
 
-    # The dispatcher's engine client, reached through `ManagerPort`.
+    # Engine client of the dispatcher, called through `ManagerPort`.
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send one attempt to its engine over the network."""
+        """Send one attempt to its engine over the emulated network."""
         run, incarnation = self.run, self.incarnation
         client = self.clients.get(attempt.request.request_id)
         engine = run.engines[attempt.engine_id]
@@ -212,7 +224,7 @@
             attempt.engine_id,
             self._knows_draining(attempt.engine_id),
         )
-        if client is None:  # answered between decision and send; the dispatcher lets none through
+        if client is None:  # already answered; the dispatcher should never send such an attempt
             return attempt.end(Outcome.NEVER_SENT)
         query = run.query(client.index, attempt.number)
         attempt.handle = query
@@ -229,7 +241,7 @@
                 run.loop.call_later(run.one_way_delay_ms(self.rng), lambda: receive(outcome))
 
         def deliver() -> None:
-            if query.state is not QueryState.OVER:  # not cancelled on the way
+            if query.state is not QueryState.OVER:  # not cancelled while the message was in transit
                 engine.submit(query)
 
         query.on_end = answer
@@ -237,12 +249,12 @@
             run.loop.call_later(run.one_way_delay_ms(self.rng), deliver)
 
     def _knows_draining(self, engine: str) -> bool:
-        # Events reach the policy once a tick: only after that it knows of the update.
+        # The policy receives events once per tick, so it may not know of an update before a tick has passed.
         known = self.run.loop.now() - self.list_updated_ms > self.run.world.tick_ms
         return known and self.listed_phases.get(engine) is not Phase.UP
 
     def abandon_attempt(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel an attempt; `freed` is called when its engine has received that."""
+        """Cancel an attempt; `freed` is called when its engine has received the cancellation."""
         run, incarnation, query = self.run, self.incarnation, attempt.handle
         engine = run.engines[attempt.engine_id]
         outcome = Outcome.TIMED_OUT if attempt.timed_out else Outcome.CANCELLED
@@ -261,20 +273,20 @@
 
 
 class ManagerPort:
-    """The engine client's port of one incarnation of a manager; calls of a killed one are dropped."""
+    """The engine client of one incarnation of a manager; calls after that incarnation was killed are ignored."""
 
     def __init__(self, manager: Manager) -> None:
         self.manager, self.incarnation = manager, manager.incarnation
 
-    def _current(self) -> bool:
+    def _is_current(self) -> bool:
         return self.manager.up and self.manager.incarnation == self.incarnation
 
     def start(self, attempt: Attempt) -> None:
-        """Send one attempt."""
-        if self._current():
+        """Start one attempt."""
+        if self._is_current():
             self.manager.start_attempt(attempt)
 
     def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel one attempt."""
-        if self._current():
+        if self._is_current():
             self.manager.abandon_attempt(attempt, freed)
--- a/decklb/lab/emulation/policies.py
+++ b/decklb/lab/emulation/policies.py
@@ -1,8 +1,8 @@
-"""Policies that experiments compare: the real decision module, and plain ones behind the same `step`.
+"""Policies that experiments compare: the real decision module, and baselines with the same `step` interface.
 
-The plain ones keep the rules that bind them (class, number and budget of attempts, order by key, the endpoint list) and
-choose an engine by one idea each. They know no queues, weights or limits: what arrives is sent. Emulated managers make
-the policy that their world names, from POLICIES, and own it.
+The baselines obey the same rules (effect of a class, maximum attempts, retry budget, order by key, endpoint list), but
+each selects engines by one simple method. They send every request on arrival: they have no queues, no priorities and
+no concurrency limits. Each emulated manager creates the policy that its world names from POLICIES.
 """
 
 from __future__ import annotations
@@ -19,75 +19,79 @@
 from decklb.policy.gateway import Gateway
 from decklb.policy.records import NEVER_EXECUTED
 
-MAX_RETRY_SHARE = 0.9  # of a request's time, after which it is not retried any more
-MIN_WEIGHT = 1e-9  # so that an engine without weight can still be drawn
+MAX_RETRY_FRACTION = 0.9  # fraction of a request's time budget after which it is not retried
+MIN_WEIGHT = 1e-9  # lower bound of an engine's weight: random.choices fails if all weights are 0
 
-ExpectedMs = Callable[[str, float, int], float]  # engine, work in ms, threads -> ms that a query would take
+ExpectedDuration = Callable[[str, float, int], float]  # engine id, work in ms, threads -> duration of a query in ms
 
 
 class Policy(Protocol):
-    """What the dispatcher asks of a decision module."""
+    """The decision module as the dispatcher calls it."""
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take events, return actions."""
+        """Process a batch of events and return the resulting actions."""
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request without a final answer, or with an attempt in flight.
+    """A request that has no final answer yet or has an attempt in flight.
 
     Attributes:
-        arrival: The event it came by.
-        spec: Of its class.
-        arrived_ms: When it came.
-        tried: Engines of its attempts, in order.
-        in_flight: Attempts that have not ended.
-        may_have_run: Whether an attempt ended in a way that leaves this open.
-        done: Whether it has its final answer.
+        arrival: The event that announced the request.
+        spec: The request's class.
+        arrived_ms: Time of arrival.
+        tried_engines: Engines of its attempts so far, in order.
+        in_flight: Number of attempts that have not ended.
+        may_have_run: An attempt ended in a way that does not rule out that it was executed.
+        done: The request has received its final answer.
     """
 
     arrival: api.RequestArrived
     spec: api.RequestClass
     arrived_ms: float
-    tried: list[str] = field(default_factory=list)
+    tried_engines: list[str] = field(default_factory=list)
     in_flight: int = 0
     may_have_run: bool = False
     done: bool = False
 
 
-class PlainPolicy:
-    """Sends each request at once to the engine that `pick` names.
+class BaselinePolicy:
+    """Sends each request on arrival to the engine that `pick` selects.
 
     Attributes:
-        settings, rng: Given and seeded by the manager.
-        open: Open requests by id.
-        endpoints: The endpoint list by engine; `usable` are those of it that are up.
-        in_flight: This manager's attempts in flight, by engine.
-        key_queues: Open requests of each key, in order; only the first may be sent.
-        taken_ms, retried_ms: Moments of requests and retries within the retry budget's window.
-        deadlines: Heap of when to give up requests that wait behind others of their key, and their ids.
-        actions: Of the step under way, which is at `now`.
+        settings: Settings of the manager.
+        rng: Random generator, seeded by the manager.
+        open_requests: Open requests by id.
+        endpoints: Endpoint list by engine id.
+        usable: Entries of the endpoint list that are up.
+        in_flight: Number of this manager's attempts in flight, by engine.
+        key_queues: Ids of the open requests of each ordering key, in order of arrival; only the first may be sent.
+        arrival_times_ms: Arrival times within the window of the retry budget.
+        retry_times_ms: Times of retries within the window of the retry budget.
+        deadlines: Heap of (time, request id): when to give up a request that waits for others of its key.
+        actions: Actions of the current step.
+        now: Time of the current step.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
-        self.open: dict[str, OpenRequest] = {}
+        self.open_requests: dict[str, OpenRequest] = {}
         self.endpoints: dict[str, api.Endpoint] = {}
         self.usable: list[api.Endpoint] = []
         self.in_flight: dict[str, int] = {}
         self.key_queues: dict[str, deque[str]] = {}
-        self.taken_ms: deque[float] = deque()
-        self.retried_ms: deque[float] = deque()
+        self.arrival_times_ms: deque[float] = deque()
+        self.retry_times_ms: deque[float] = deque()
         self.deadlines: list[tuple[float, str]] = []
         self.actions: list[api.Action] = []
         self.now = 0.0
 
     def pick(self, request: OpenRequest) -> str:
-        """Return the engine for a request, one of those that are usable."""
+        """Select one of the usable engines for a request."""
         raise NotImplementedError
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take events, return actions."""
+        """Process a batch of events and return the resulting actions."""
         self.now, self.actions = now, []
         self._expire_waiting()
         for event in events:
@@ -98,17 +102,20 @@
                     self._attempt_ended(event)
                 case api.EndpointsUpdated(failed=False):
                     self._endpoints_updated(event)
-                case api.ClientGone() if event.request_id in self.open:
-                    self._close(self.open[event.request_id])
+                case api.ClientGone() if event.request_id in self.open_requests:
+                    self._close(self.open_requests[event.request_id])
                 case api.ShutdownStarted():
-                    for request in [request for request in self.open.values() if not request.done]:
+                    for request in [request for request in self.open_requests.values() if not request.done]:
                         self._answer(request)
         return self.actions
 
     def _expire_waiting(self) -> None:
-        """Answer requests whose time is over; those that wait for their key have no attempt whose end would tell."""
+        """Answer the requests that ran out of time while waiting for their key.
+
+        They have no attempt whose timeout would end them.
+        """
         while self.deadlines and self.deadlines[0][0] <= self.now:
-            request = self.open.get(heappop(self.deadlines)[1])
+            request = self.open_requests.get(heappop(self.deadlines)[1])
             if request is not None and not request.done and not request.in_flight:
                 self._answer(request)
 
@@ -119,17 +126,19 @@
         self.usable = [endpoint for endpoint in self.endpoints.values() if endpoint.phase is Phase.UP]
 
     def _request_arrived(self, event: api.RequestArrived) -> None:
-        self.taken_ms.append(self.now)
-        request = self.open[event.request_id] = OpenRequest(event, self.settings.classes[event.request_class], self.now)
+        self.arrival_times_ms.append(self.now)
+        request = self.open_requests[event.request_id] = OpenRequest(
+            event, self.settings.classes[event.request_class], self.now
+        )
         if request.spec.ordered_by_key and event.ordering_key is not None:
             queue = self.key_queues.setdefault(event.ordering_key, deque())
             queue.append(event.request_id)
             if len(queue) > 1:
-                self._wait_for_key(event)
+                self._queue_behind_key(event)
                 return
         self._send(request)
 
-    def _wait_for_key(self, event: api.RequestArrived) -> None:
+    def _queue_behind_key(self, event: api.RequestArrived) -> None:
         tick = self.settings.tick_ms
         heappush(self.deadlines, (self.now + event.time_left_ms - 4 * tick, event.request_id))
         self.actions.append(api.SetTimer(max(tick, event.time_left_ms - 3 * tick), "due"))
@@ -138,7 +147,7 @@
         if not self.usable:
             return self._answer(request)
         engine = self.pick(request)
-        request.tried.append(engine)
+        request.tried_engines.append(engine)
         request.in_flight += 1
         self.in_flight[engine] = self.in_flight.get(engine, 0) + 1
         time_left = request.arrival.time_left_ms - (self.now - request.arrived_ms)
@@ -146,7 +155,7 @@
 
     def _attempt_ended(self, event: api.AttemptEnded) -> None:
         self.in_flight[event.engine_id] = self.in_flight.get(event.engine_id, 0) - 1
-        request = self.open.get(event.request_id)
+        request = self.open_requests.get(event.request_id)
         if request is None:
             return
         request.in_flight -= 1
@@ -154,15 +163,15 @@
         if request.done or event.request_finished:
             self._close(request)
         elif self._may_retry(request):
-            self.retried_ms.append(self.now)
+            self.retry_times_ms.append(self.now)
             self._send(request)
         else:
             self._answer(request)
 
     def _may_retry(self, request: OpenRequest) -> bool:
-        if len(request.tried) >= self.settings.max_attempts:
+        if len(request.tried_engines) >= self.settings.max_attempts:
             return False
-        if self.now - request.arrived_ms > MAX_RETRY_SHARE * request.arrival.time_left_ms:
+        if self.now - request.arrived_ms > MAX_RETRY_FRACTION * request.arrival.time_left_ms:
             return False
         if request.may_have_run and request.spec.effect is not Effect.SAFE:
             return False
@@ -172,16 +181,16 @@
         settings = self.settings
         if settings.retry_budget_ratio is None:
             return True
-        # A tick to the safe side at both ends of the window: what is decided now goes out a little later.
+        # A margin of one tick at both ends of the window, since attempts are sent slightly after the decision.
         start_ms = self.now - settings.retry_budget_window_ms
-        _drop_before(self.taken_ms, start_ms + 2 * settings.tick_ms)
-        _drop_before(self.retried_ms, start_ms - settings.tick_ms)
-        return len(self.retried_ms) + 1 <= settings.retry_budget_floor + settings.retry_budget_ratio * len(
-            self.taken_ms
+        _drop_before(self.arrival_times_ms, start_ms + 2 * settings.tick_ms)
+        _drop_before(self.retry_times_ms, start_ms - settings.tick_ms)
+        return len(self.retry_times_ms) + 1 <= settings.retry_budget_floor + settings.retry_budget_ratio * len(
+            self.arrival_times_ms
         )
 
     def _answer(self, request: OpenRequest) -> None:
-        """Reject a request that did no harm, and fail any other."""
+        """Reject a request that is safe to retry, and fail any other."""
         request_id = request.arrival.request_id
         if not request.may_have_run or request.spec.effect is Effect.SAFE:
             self.actions.append(api.Reject(request_id, self.settings.max_retry_after_ms))
@@ -191,10 +200,10 @@
 
     def _close(self, request: OpenRequest) -> None:
         request.done = True
-        if request.in_flight > 0:  # its key waits for the attempt that is in flight
+        if request.in_flight > 0:  # the key stays blocked until the attempt in flight has ended
             return
         request_id, key = request.arrival.request_id, request.arrival.ordering_key
-        self.open.pop(request_id, None)
+        self.open_requests.pop(request_id, None)
         queue = self.key_queues.get(key) if key is not None and request.spec.ordered_by_key else None
         if key is None or queue is None or request_id not in queue:
             return
@@ -202,73 +211,73 @@
         queue.remove(request_id)
         if not queue:
             del self.key_queues[key]
-        elif was_first and queue[0] in self.open:
-            self._send(self.open[queue[0]])
+        elif was_first and queue[0] in self.open_requests:
+            self._send(self.open_requests[queue[0]])
 
 
-def _drop_before(moments: deque[float], start_ms: float) -> None:
-    while moments and moments[0] < start_ms:
-        moments.popleft()
+def _drop_before(times_ms: deque[float], start_ms: float) -> None:
+    while times_ms and times_ms[0] < start_ms:
+        times_ms.popleft()
 
 
-class Random(PlainPolicy):
-    """Chooses any usable engine."""
+class Random(BaselinePolicy):
+    """Selects a usable engine at random."""
 
     def pick(self, request: OpenRequest) -> str:
-        """Draw one."""
+        """Draw a usable engine, all with the same probability."""
         return self.rng.choice(self.usable).engine_id
 
 
-class RoundRobin(PlainPolicy):
-    """Chooses each usable engine in turn."""
+class RoundRobin(BaselinePolicy):
+    """Selects the usable engines in turn."""
 
     sent = 0
 
     def pick(self, request: OpenRequest) -> str:
-        """Return the next one."""
+        """Return the next usable engine."""
         self.sent += 1
         return self.usable[self.sent % len(self.usable)].engine_id
 
 
-class LeastOutstanding(PlainPolicy):
-    """Chooses the engine with the fewest attempts of this manager in flight."""
+class LeastOutstanding(BaselinePolicy):
+    """Selects the engine with the fewest attempts of this manager in flight."""
 
     def pick(self, request: OpenRequest) -> str:
-        """Return it; ties are drawn."""
+        """Return the engine with the fewest attempts in flight; ties are broken at random."""
         fewest = min(self.in_flight.get(endpoint.engine_id, 0) for endpoint in self.usable)
         candidates = [e for e in self.usable if self.in_flight.get(e.engine_id, 0) == fewest]
         return self.rng.choice(candidates).engine_id
 
 
-class PowerOfTwo(PlainPolicy):
-    """Chooses the less loaded of two drawn engines (Mitzenmacher, 2001)."""
+class PowerOfTwo(BaselinePolicy):
+    """Selects the less loaded of two random engines (Mitzenmacher, 2001)."""
 
     def pick(self, request: OpenRequest) -> str:
-        """Compare them by this manager's attempts in flight."""
-        drawn = self.rng.sample(self.usable, min(2, len(self.usable)))
-        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint.engine_id, 0)).engine_id
+        """Draw two engines and return the one with fewer attempts of this manager in flight."""
+        candidates = self.rng.sample(self.usable, min(2, len(self.usable)))
+        return min(candidates, key=lambda endpoint: self.in_flight.get(endpoint.engine_id, 0)).engine_id
 
 
-class Weighted(PlainPolicy):
-    """Draws engines by the weights in the endpoint list."""
+class Weighted(BaselinePolicy):
+    """Selects engines at random, weighted by the capacity hints in the endpoint list."""
 
     def pick(self, request: OpenRequest) -> str:
-        """Draw one."""
+        """Draw a usable engine with a probability in proportion to its capacity hint."""
         weights = [max(MIN_WEIGHT, endpoint.capacity_hint) for endpoint in self.usable]
         return self.rng.choices(self.usable, weights)[0].engine_id
 
 
-class Oracle(PlainPolicy):
-    """Sees the true state of all engines, as no real policy can; an upper bound to compare with.
+class Oracle(BaselinePolicy):
+    """Selects by the true state of all engines, which no real policy can know; an upper bound for comparison.
 
     Attributes:
-        expected_ms: Set by the manager to look into the engines' models.
+        expected_ms: Function that reads the engine models; set by the manager.
     """
 
-    expected_ms: ExpectedMs = staticmethod(lambda engine, work_ms, threads: 0.0)
+    expected_ms: ExpectedDuration = staticmethod(lambda engine, work_ms, threads: 0.0)
 
     def pick(self, request: OpenRequest) -> str:
-        """Return the engine where the request would end first; ties are drawn."""
+        """Return the engine at which the request would finish first; ties are broken at random."""
         threads = request.spec.threads
         return min(
             self.usable,
--- a/decklb/lab/emulation/run_context.py
+++ b/decklb/lab/emulation/run_context.py
@@ -1,7 +1,7 @@
-"""What the parts of one emulated run share: world, simulated time, random streams, arrivals, engines, checker, records.
+"""State shared by the parts of one emulated run: world, simulated time, random streams, arrivals, engines, records.
 
-Made by `emulator.Run`; managers and clients get it in place of one another. It also holds the model of the network
-between managers and engines, which delays and loses messages.
+`emulator.Run` creates the context and passes it to managers and clients, which therefore need no references to each
+other. The context also models the network between managers and engines, which delays and loses messages.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from decklb.lab.emulation.simulated_loop import Loop
 from decklb.lab.emulation.workload import PLAN_DRAWS, Arrivals, draw
 
-E = 2.718281828  # not math.e: figures for a seed depend on each of its digits
+EULER = 2.718281828  # differs from math.e in later digits; the results of a seed depend on every digit
 
 
 class RunContext:
@@ -34,17 +34,17 @@
 
     def _engines(self) -> dict[str, Engine]:
         world = self.world
-        factors = self.streams.get("speeds").standard_normal(world.engines)
+        normals = self.streams.get("speeds").standard_normal(world.engines)
         engines = {}
         for index in range(world.engines):
             name = f"e{index}"
             engine = engines[name] = Engine(self.loop, name, world.engine_spec)
-            slowdown = float(pow(E, world.speed_sigma * factors[index])) if world.speed_sigma else 1.0
+            slowdown = float(pow(EULER, world.speed_sigma * normals[index])) if world.speed_sigma else 1.0
             engine.set_slowdown(slowdown)
         return engines
 
     def one_way_delay_ms(self, rng: random.Random) -> float:
-        """Draw the delay of one message between a manager and an engine."""
+        """Draw the one-way delay in ms of a message between a manager and an engine."""
         world = self.world
         return world.network_delay_ms * (1.0 + world.network_jitter * (2.0 * rng.random() - 1.0))
 
@@ -53,14 +53,14 @@
         return self.world.message_loss > 0 and rng.random() < self.world.message_loss
 
     def endpoint(self, engine: Engine) -> Endpoint:
-        """Return an engine's entry of the endpoint list, as the list's owner sees the engine now."""
+        """Return an engine's current entry in the endpoint list, as the service directory publishes it."""
         phase = Phase.DRAINING if engine.draining else Phase.UP if engine.up or engine.unreachable else Phase.REMOVED
         return Endpoint(engine.name, "", "k", 0, phase, float(engine.spec.cores), max(0.0, engine.started_ms))
 
     def query(self, index: int, attempt: int) -> Query:
         """Return the query of one attempt of a request.
 
-        Plans are drawn anew for each attempt, and the same ones for any policy.
+        Each attempt has its own random draw for the query plan; the draws are the same for every policy.
         """
         arrivals = self.arrivals
         spec = self.world.workload.classes[arrivals.class_index[index]]
--- a/decklb/lab/emulation/simulated_loop.py
+++ b/decklb/lab/emulation/simulated_loop.py
@@ -1,7 +1,8 @@
-"""A discrete-event loop on simpy: a simulated clock that jumps from call to call, behind the core's `Clock` port.
+"""A discrete-event loop on simpy: a simulated clock that advances from call to call and implements `core.ports.Clock`.
 
-Everything of an emulated run is scheduled here; nothing waits in real time. Measured on 3 managers and 8 engines, simpy
-takes about a fifth of a run (`decklb lab bench --profile`; docs/lab.md), so no heap of our own stands in for it.
+Everything in an emulated run is scheduled on this loop; nothing waits in real time. Measured with 3 managers and 8
+engines, simpy takes about a fifth of the run time (`decklb lab bench --profile`; docs/lab.md), so a scheduler of our
+own would gain little.
 """
 
 from __future__ import annotations
@@ -11,47 +12,47 @@
 import simpy
 
 
-class Call:
-    """A scheduled call that can be cancelled. `call` is None once it is."""
+class ScheduledCall:
+    """A scheduled call that can be cancelled; a cancelled call has no `callback`."""
 
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Never make the call."""
-        self.call = None
+        """Cancel the call."""
+        self.callback = None
 
 
 class Loop:
-    """A simulated clock in ms, and the calls scheduled on it; calls of one moment come in the order of scheduling.
+    """A simulated clock in ms with scheduled calls; calls that are due at the same time run in order of scheduling.
 
     Attributes:
-        made: Calls made so far.
+        calls_made: Number of calls made so far.
     """
 
     def __init__(self) -> None:
         self._environment = simpy.Environment()
-        self.made = 0
+        self.calls_made = 0
 
     def now(self) -> float:
-        """Return the simulated time, in ms."""
+        """Return the simulated time in ms."""
         return float(self._environment.now)
 
-    def call_later(self, delay: float, call: Callable[[], None]) -> Call:
-        """Make a call once, after that many ms."""
-        scheduled = Call(call)
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> ScheduledCall:
+        """Schedule one call of `callback` after `delay_ms`."""
+        scheduled_call = ScheduledCall(callback)
 
-        def due(_event: object) -> None:
-            if scheduled.call is not None:
-                self.made += 1
-                scheduled.call()
+        def make_call(_event: object) -> None:
+            if scheduled_call.callback is not None:
+                self.calls_made += 1
+                scheduled_call.callback()
 
-        self._environment.timeout(max(0.0, delay)).callbacks.append(due)
-        return scheduled
+        self._environment.timeout(max(0.0, delay_ms)).callbacks.append(make_call)
+        return scheduled_call
 
     def run(self, until: float) -> None:
-        """Make all calls before a moment, and set the clock to it."""
+        """Make all calls that are due before a simulated time in ms and advance the clock to that time."""
         if until > self._environment.now:
             self._environment.run(until=until)
