--- a/decklb/lab/emulation/simulated_network.py
+++ b/decklb/lab/emulation/simulated_network.py
@@ -1,8 +1,8 @@
-"""A deterministic network of hosts with real cluster nodes: seeded loss, delay, duplication, cuts, pauses, clock drift.
+"""A deterministic network of hosts with real cluster nodes, with loss, delay, duplication, partitions and clock drift.
 
-`SimulatedNetwork` owns the hosts and carries their datagrams on a simulated loop; the simulated cluster and the
-emulator's shared health checks use it. The same seed gives the same run. Times are simulated milliseconds; each host
-has clocks of its own that drift.
+`SimulatedNetwork` runs the hosts and carries their datagrams on a simulated loop; the simulated cluster and the
+emulator's shared health checks use it. The same seed yields the same run. Times are simulated milliseconds; each host
+has its own clocks, which may drift.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from decklb.lab.emulation.simulated_loop import Loop
 
 Address = tuple[str, int]
-EPOCH = 1_700_000_000_000.0  # Unix time, in ms, at which the simulation begins
+EPOCH = 1_700_000_000_000.0  # Unix time in ms at the start of the simulation
 NEVER = float("inf")
-RECEIVE_BUFFER = 512  # datagrams that a paused host's socket holds
-RETRY_WHILE_PAUSED_MS = 5.0  # between looks whether a host that must take a result still is paused
-# Timers come a hair late, so that rounding of a drifting clock never asks for the same moment again.
+RECEIVE_BUFFER = 512  # number of datagrams that the socket of a paused host can hold
+RETRY_WHILE_PAUSED_MS = 5.0  # interval in ms at which a result for a paused host is delivered again
+# Timers fire this much late: otherwise rounding of a drifting clock could schedule the same time over and over.
 CLOCK_MARGIN_MS = 1e-6
 
 
@@ -29,22 +29,23 @@
 class Faults:
     """What the network does to every datagram."""
 
-    loss: float = 0.0  # share that never arrives
-    duplicate: float = 0.0  # share that arrives twice
+    loss: float = 0.0  # probability that a datagram is lost
+    duplicate: float = 0.0  # probability that a datagram is duplicated
     min_delay_ms: float = 0.2  # datagrams that differ in delay arrive out of order
     max_delay_ms: float = 2.0
 
 
 class Host:
-    """One instance on the network, with clocks that drift and may be wrong.
+    """One instance on the network, with its own clocks.
 
     Attributes:
-        drift: By which share its clocks run fast, or slow where below 0.
-        skew_ms: By which its wall clock is ahead.
-        started_ms: When it started, in simulated time.
-        paused: Whether it does nothing, as a stopped process.
-        timer_ms: When its node's next timer is due, in simulated time.
-        buffered: Datagrams that arrived while it was paused, with their sources.
+        drift: Relative error of the rate of its clocks; above 0 they run fast, below 0 slow.
+        skew_ms: Offset of its wall clock; above 0 it is ahead.
+        started_ms: Simulated time of its start.
+        up: It has not been killed.
+        paused: It does nothing, like a process stopped by a signal.
+        timer_ms: Simulated time at which the next timer of its node is due.
+        buffered: Datagrams that arrived during the pause, with their sources.
         node: The real cluster node.
     """
 
@@ -66,66 +67,68 @@
         self.node = make_node(self)
 
     def now(self) -> float:
-        """Return its monotonic clock, in ms."""
+        """Return the time of its monotonic clock in ms."""
         return (self.network.now - self.started_ms) * (1.0 + self.drift)
 
     def wall(self) -> float:
-        """Return its wall clock, in Unix ms."""
+        """Return the time of its wall clock as Unix time in ms."""
         return EPOCH + self.network.now * (1.0 + self.drift) + self.skew_ms
 
     def simulated_ms(self, local_ms: float) -> float:
-        """Return the simulated time at a moment of its monotonic clock."""
+        """Convert a time of its monotonic clock to simulated time."""
         return self.started_ms + local_ms / (1.0 + self.drift)
 
 
 class SimulatedNetwork:
-    """Hosts, the network between them and the simulated loop that moves both.
+    """Hosts, the network between them and the simulated loop that runs both.
 
     Attributes:
-        hosts: By address; a host that was killed is not among them.
-        faults: What happens to every datagram.
-        cut: Whether datagrams from the first address to the second are lost.
-        run_duty: Called to carry out a duty of a host; returns how long it takes, in ms, and whether it succeeds.
+        loop: The simulated loop.
+        rng: Random generator of the network's faults.
+        hosts: Running hosts by address.
+        faults: Faults that apply to every datagram.
+        cut: Function that returns whether all datagrams from the first address to the second are lost.
+        run_duty: Called to run a duty of a host; returns its duration in ms and whether it succeeds.
         on_notice: Called with each notice of a node: host, event, fields.
-        on_health_check: Called with each health check's result: host, subject, whether it is up.
-        delivered: Datagrams that nodes received.
+        on_health_check: Called with the result of each health check: host, subject, whether the subject is up.
+        delivered: Number of datagrams that nodes have received.
     """
 
     def __init__(self, seed: int, faults: Faults | None = None, loop: Loop | None = None) -> None:
-        """`loop`: where given, the simulated loop of another simulation, to share its time."""
+        """Create an empty network; `loop` is the loop of another simulation if both are to share simulated time."""
         self.loop = loop or Loop()
         self.rng = random.Random(seed)
         self.faults = faults or Faults()
         self.hosts: dict[Address, Host] = {}
         self.cut: Callable[[Address, Address], bool] = lambda source, target: False
-        self.run_duty: Callable[[Host, DutyRun], tuple[float, bool]] = lambda host, start: (1.0, True)
+        self.run_duty: Callable[[Host, DutyRun], tuple[float, bool]] = lambda host, duty_run: (1.0, True)
         self.on_notice: Callable[[Host, str, dict[str, object]], None] = lambda host, event, fields: None
         self.on_health_check: Callable[[Host, str, bool], None] = lambda host, subject, up: None
         self.delivered = 0
 
     @property
     def now(self) -> float:
-        """Return the simulated time, in ms."""
+        """Return the simulated time in ms."""
         return self.loop.now()
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
-        """Make a call after that many ms."""
-        self.loop.call_later(delay, call)
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Schedule one call of `callback` after `delay_ms`."""
+        self.loop.call_later(delay_ms, callback)
 
     def add(self, host: Host, seeds: list[Address]) -> Host:
-        """Start a host, in place of one that had its address."""
+        """Start a host; it replaces a host with the same address."""
         self.hosts[host.address] = host
         host.node.start(host.now(), seeds)
         self.pump(host)
         return host
 
     def kill(self, host: Host) -> None:
-        """End a host without notice."""
+        """Stop a host without notice."""
         host.up = False
         self.hosts.pop(host.address, None)
 
     def pause(self, host: Host, duration_ms: float) -> None:
-        """Let a host do nothing for a while; datagrams wait in its socket."""
+        """Pause a host; datagrams for it wait in its socket."""
         host.paused = True
         self.after(duration_ms, lambda: self._resume(host))
 
@@ -133,14 +136,14 @@
         host.paused = False
         if not host.up:
             return
-        # As in a real process: timers that came due run before what has waited in the socket.
+        # As in a real process, expired timers run before the datagrams in the socket are read.
         self._tick(host)
         buffered, host.buffered = host.buffered, []
         for data, source in buffered[:RECEIVE_BUFFER]:
             self._deliver(host.address, data, source)
 
     def run(self, until: float) -> None:
-        """Play all that happens before a moment."""
+        """Run the simulation until a simulated time in ms."""
         self.loop.run(until)
 
     def _transmit(self, source: Address, target: Address, data: bytes) -> None:
@@ -166,18 +169,18 @@
         self.pump(host)
 
     def pump(self, host: Host) -> None:
-        """Carry out what a node asks for, and set the timer for when it is due next."""
+        """Carry out the actions that a node has queued and schedule its next timer."""
         node = host.node
         if node.outgoing:
-            out, node.outgoing = node.outgoing, []
-            for target, data in out:
+            datagrams, node.outgoing = node.outgoing, []
+            for target, data in datagrams:
                 self._transmit(host.address, target, data)
         if node.runs_to_start:
-            starts = list(node.runs_to_start)
-            node.runs_to_start.clear()  # the list is the node's own: its duties append to it
-            for start in starts:
-                duration_ms, succeeded = self.run_duty(host, start)
-                self.after(duration_ms, partial(self._duty_ended, host, start, succeeded))
+            duty_runs = list(node.runs_to_start)
+            node.runs_to_start.clear()  # cleared in place, since the node's schedulers hold a reference to this list
+            for duty_run in duty_runs:
+                duration_ms, succeeded = self.run_duty(host, duty_run)
+                self.after(duration_ms, partial(self._duty_ended, host, duty_run, succeeded))
         if node.notices:
             notices, node.notices = node.notices, []
             for notice in notices:
@@ -192,7 +195,7 @@
             self.loop.call_later(due_ms - self.now, lambda: self._timer_fired(host, due_ms))
 
     def _timer_fired(self, host: Host, due_ms: float) -> None:
-        if due_ms == host.timer_ms:  # not set anew meanwhile
+        if due_ms == host.timer_ms:  # otherwise an earlier timer has been set meanwhile
             host.timer_ms = NEVER
             self._tick(host)
 
@@ -201,11 +204,11 @@
             host.node.tick(host.now() + CLOCK_MARGIN_MS, host.wall())
             self.pump(host)
 
-    def _duty_ended(self, host: Host, start: DutyRun, succeeded: bool) -> None:
+    def _duty_ended(self, host: Host, duty_run: DutyRun, succeeded: bool) -> None:
         if not host.up:
             return
         if host.paused:
-            self.after(RETRY_WHILE_PAUSED_MS, partial(self._duty_ended, host, start, succeeded))
+            self.after(RETRY_WHILE_PAUSED_MS, partial(self._duty_ended, host, duty_run, succeeded))
             return
-        host.node.on_run_ended(host.now(), start.kind, start.subject, succeeded)
+        host.node.on_run_ended(host.now(), duty_run.kind, duty_run.subject, succeeded)
         self.pump(host)
