--- a/decklb/lab/emulation/simulated_cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -1,7 +1,8 @@
-"""A simulated cluster: hosts with real cluster nodes that share health checks of engines, and checks of its invariants.
+"""A simulated cluster: hosts with real cluster nodes that share the health checks of engines.
 
-`Cluster` owns the simulated network, its hosts and a record of duties run, deaths and health checks' results. Tests of
-the cluster and the experiment on shared duties play it. Times are simulated milliseconds.
+`Cluster` contains the simulated network, its hosts, a record of the duties run, of deaths and of health check results,
+and the checks of the cluster's invariants. The cluster's tests and the experiment on shared duties run it. Times are
+simulated milliseconds.
 """
 
 from __future__ import annotations
@@ -19,25 +20,25 @@
 from decklb.cluster.settings import DutySettings, MembershipSettings
 from decklb.lab.emulation.simulated_network import EPOCH, Address, Faults, Host, SimulatedNetwork
 
-MAX_SEED_MEMBERS = 3  # that hosts join through
+MAX_SEED_MEMBERS = 3  # maximum number of hosts that others contact to join
 CLUSTER_PORT = 7946
 
 
 class SharedRanking(Ranking):
-    """One ranking of owners for all nodes of a simulation, as it depends on names alone; saves memory at scale."""
+    """One ranking of owners shared by all nodes of a simulation, to save memory; a ranking depends on names only."""
 
     def remove(self, member: str) -> None:
-        """Keep the member: other nodes may not have removed it."""
+        """Do nothing, as other nodes may still rank the member."""
 
     def set_duties(self, duties: Iterable[str]) -> None:
-        """Set the duties once: all nodes have the same ones."""
+        """Set the duties on the first call only, as they are the same at all nodes."""
         if not self.duties():
             super().set_duties(duties)
 
 
 @dataclass(slots=True)
 class RecordedRun:
-    """One health check that a host ran for the cluster: when it began, on which engine, under which term."""
+    """A health check that a host ran for the cluster: start time, host, engine and term."""
 
     at: float
     host: str
@@ -47,24 +48,24 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """Hosts with cluster nodes on one simulated network, and what they did.
+    """Hosts with cluster nodes on one simulated network, and a record of what they did.
 
     Attributes:
         world: The simulated network.
         membership, duty: Settings of all nodes.
         engines: Subjects of the health checks.
-        hosts: All that were started, by address the latest.
+        hosts: The latest host of each address, including killed ones.
         runs: Health checks that hosts ran.
-        deaths: When, which host declared dead, whom.
-        probed: Results that nodes handed on: when, host, engine, whether it is up.
-        down: Engines that answer nobody.
-        unreachable: Pairs of host and engine whose route is cut.
-        ranking: Shared by all nodes, where it is.
-        warm_at: Moment at which each engine is warm; 0 for engines that are.
-        seeds: Addresses that hosts join through.
-        drift, skew_ms: Of the hosts' clocks at most, either way.
-        returned: For tests: hosts that started anew since they last looked.
-        check_ms: That a health check of a live engine takes.
+        deaths: Members declared dead: time, reporting host, name of the member.
+        probed: Health check results passed on by nodes: time, host, engine, whether it is up.
+        down: Engines that answer no health check.
+        unreachable: Pairs of host and engine between which the connection is cut.
+        ranking: Ranking shared by all nodes; None if each node has its own.
+        warm_at: Time at which each engine has warmed up; 0 if it already has.
+        seeds: Addresses that hosts contact to join.
+        drift, skew_ms: Maximum drift and skew of the hosts' clocks, in both directions.
+        returned: Used by tests: hosts that restarted since the test's last check.
+        check_ms: Duration of a health check of a running engine in ms.
     """
 
     world: SimulatedNetwork
@@ -102,19 +103,19 @@
         """Start a cluster.
 
         Args:
-            seed: Of all draws.
-            instances: Hosts.
-            engines: Subjects of the health checks.
-            membership: Its settings, of all nodes.
-            duty: Settings of the health checks, of all nodes.
-            faults: What the network does to datagrams.
-            shared: Whether all nodes use one ranking.
-            warm: Whether all know all already, as after a long time without change.
-            drift: Of the hosts' clocks at most, either way.
-            skew_ms: Of the hosts' clocks at most, either way.
+            seed: Seed of all random draws.
+            instances: Number of hosts.
+            engines: Number of engines to check.
+            membership: Membership settings of all nodes.
+            duty: Settings of the health checks at all nodes.
+            faults: Faults of the network.
+            shared: Whether all nodes use the same ranking object.
+            warm: Whether all hosts already know each other, as after a long time without changes.
+            drift: Maximum drift of the hosts' clocks, in both directions.
+            skew_ms: Maximum skew of the hosts' wall clocks in ms, in both directions.
         """
         world = SimulatedNetwork(seed, faults)
-        made = cls(
+        cluster = cls(
             world,
             membership,
             duty,
@@ -123,26 +124,33 @@
             drift=drift,
             skew_ms=skew_ms,
         )
-        made.warm_at = dict.fromkeys(made.engines, 0.0)
-        if made.ranking is not None:
+        cluster.warm_at = dict.fromkeys(cluster.engines, 0.0)
+        if cluster.ranking is not None:
             for i in range(instances):
-                made.ranking.add_member(f"m{i}", membership.weight)
-        world.run_duty, world.on_notice = made._run_duty, made._on_notice
-        world.on_health_check = made._on_health_check
-        made.seeds = [made.address(i) for i in range(min(MAX_SEED_MEMBERS, instances))]
+                cluster.ranking.add_member(f"m{i}", membership.weight)
+        world.run_duty, world.on_notice = cluster._run_duty, cluster._on_notice
+        world.on_health_check = cluster._on_health_check
+        cluster.seeds = [cluster.address(i) for i in range(min(MAX_SEED_MEMBERS, instances))]
         for i in range(instances):
-            made.start(i)
+            cluster.start(i)
         if warm:
-            made._introduce()
-        return made
+            cluster._introduce_all()
+        return cluster
 
     @staticmethod
     def address(number: int) -> Address:
-        """Return the address of a host by its number."""
+        """Return the address of the host with that number."""
         return f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", CLUSTER_PORT
 
     def start(self, number: int, name: str = "", address: Address | None = None, wall_back: float = 0.0) -> Host:
-        """Start a host by its number, for the first time or again; `wall_back` sets its wall clock back, in ms."""
+        """Start or restart a host by its number.
+
+        Args:
+            number: Number of the host.
+            name: Name of the host; empty: derived from the number.
+            address: Address of the host; None: derived from the number.
+            wall_back: Time in ms by which its wall clock is set back.
+        """
         rng = random.Random(f"{self.world.rng.random()}/{number}")
         sealer = Sealer(self.membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         rankings = {self.duty.kind: self.ranking} if self.ranking is not None else None
@@ -158,51 +166,59 @@
         self.hosts = [other for other in self.hosts if other.address != host.address] + [host]
         return self.world.add(host, self.seeds)
 
-    def _introduce(self) -> None:
-        rows = [
+    def _introduce_all(self) -> None:
+        """Tell every host about all others, as if the cluster had already converged."""
+        records = [
             MemberRecord(
-                v.name, *v.address, v.incarnation, v.run_id, True, v.weight, state=MemberState.ALIVE, state_age_ms=0
+                local.name,
+                *local.address,
+                local.incarnation,
+                local.run_id,
+                True,
+                local.weight,
+                state=MemberState.ALIVE,
+                state_age_ms=0,
             )
-            for v in (h.node.membership.local for h in self.hosts)
+            for local in (host.node.membership.local for host in self.hosts)
         ]
         for host in self.hosts:
             view = host.node.membership
             view.local.ready = view.local.is_synced = True
             view.table.update_checksum(view.local)
             view.gossip.queue.drop(view.local.name)
-            view.anti_entropy.on_records(host.now(), host.address, rows)
-            for row in rows:
-                view.gossip.queue.drop(row.name)
+            view.anti_entropy.on_records(host.now(), host.address, records)
+            for record in records:
+                view.gossip.queue.drop(record.name)
             host.node.schedule_reassignment(host.now())
             self.world.pump(host)
 
     def host(self, name: str) -> Host:
-        """Return a host by name."""
+        """Return the host with that name."""
         return next(h for h in self.hosts if h.name == name)
 
     def live(self) -> list[Host]:
-        """Return the hosts that are up."""
+        """Return the running hosts."""
         return [h for h in self.hosts if h.up]
 
-    def part(self, first: Iterable[str], one_way: bool = False) -> None:
-        """Cut these from the rest; `one_way`: only what they send is lost."""
-        side = {self.host(n).address for n in first}
+    def partition(self, side_names: Iterable[str], one_way: bool = False) -> None:
+        """Partition these hosts from the others; with `one_way`, only the datagrams that they send are lost."""
+        side = {self.host(n).address for n in side_names}
         if one_way:
             self.world.cut = lambda source, target: source in side and target not in side
         else:
             self.world.cut = lambda source, target: (source in side) != (target in side)
 
     def heal(self) -> None:
-        """Let datagrams pass between all hosts again."""
+        """End the partition."""
         self.world.cut = lambda source, target: False
 
-    def book(self, host: Host) -> DutyScheduler:
-        """Return the duties of one host."""
+    def scheduler(self, host: Host) -> DutyScheduler:
+        """Return the duty scheduler of a host."""
         return host.node.schedulers[self.duty.kind]
 
-    def _run_duty(self, host: Host, start: DutyRun) -> tuple[float, bool]:
-        self.runs.append(RecordedRun(self.world.now, host.name, start.subject, start.term))
-        if start.subject in self.down or (host.name, start.subject) in self.unreachable:
+    def _run_duty(self, host: Host, duty_run: DutyRun) -> tuple[float, bool]:
+        self.runs.append(RecordedRun(self.world.now, host.name, duty_run.subject, duty_run.term))
+        if duty_run.subject in self.down or (host.name, duty_run.subject) in self.unreachable:
             return self.duty.timeout_ms, False
         return self.check_ms, True
 
@@ -213,28 +229,28 @@
     def _on_health_check(self, host: Host, subject: str, up: bool) -> None:
         self.probed.append((self.world.now, host.name, subject, up))
 
-    # What must hold.
+    # Invariants and measurements.
 
     def owners(self) -> dict[str, list[str]]:
-        """Return, for each duty, the live hosts that believe to own it."""
+        """Return, for each duty, the running hosts that consider themselves its owner."""
         found: dict[str, list[str]] = {e: [] for e in self.engines}
         for host in self.live():
-            for duty in self.book(host).duties.values():
+            for duty in self.scheduler(host).duties.values():
                 if duty.is_owned:
                     found[duty.subject].append(host.name)
         return found
 
-    def one_owner(self) -> list[str]:
-        """Return duties without exactly one live owner."""
+    def duties_without_single_owner(self) -> list[str]:
+        """Return the duties that do not have exactly one owner among the running hosts."""
         return [s for s, names in self.owners().items() if len(names) != 1]
 
     def views_agree(self) -> bool:
-        """Whether all live hosts hold exactly each other alive."""
+        """Return whether every running host considers exactly the running hosts alive."""
         names = {h.name for h in self.live()}
         return all({n for n in [*h.node.membership.live_names(), h.name]} == names for h in self.live())
 
     def wrongly_dead(self) -> list[tuple[str, str]]:
-        """Return pairs of live hosts of which the first holds the second dead."""
+        """Return pairs of running hosts of which the first considers the second dead."""
         up = {h.name for h in self.live()}
         return [
             (h.name, m.name)
@@ -244,32 +260,32 @@
         ]
 
     def terms(self) -> dict[tuple[str, str], int]:
-        """Return the highest term that each host has received of each subject: these may only rise."""
+        """Return the highest term that each host has received for each subject; these must never decrease."""
         found = {}
         for host in self.live():
-            for subject, verdict in self.book(host).verdicts.by_subject.items():
+            for subject, verdict in self.scheduler(host).verdicts.by_subject.items():
                 found[host.name, subject] = verdict.term
         return found
 
     def phase(self, subject: str) -> float:
-        """Return the offset within its period, in ms of simulated time, at which a duty is due."""
+        """Return the offset in ms within a period of simulated time at which a duty is due."""
         return (phase_of(self.duty.kind, subject) * self.duty.period_ms - EPOCH) % self.duty.period_ms
 
-    def counts(self, start: float, end: float) -> dict[str, list[int]]:
-        """Return how often each duty ran in each complete period between two moments.
+    def runs_per_period(self, start: float, end: float) -> dict[str, list[int]]:
+        """Return how often each duty ran in each complete period between two simulated times in ms.
 
-        Periods are cut half a period from the duty's due moment, so that with clocks that differ a little no run is
-        counted in the neighbouring period.
+        Periods begin half a period away from the time at which the duty is due, so that small differences between
+        clocks do not move a run into the neighbouring period.
         """
         period = self.duty.period_ms
-        runs_by_period: dict[str, list[int]] = {}
-        first_cut: dict[str, float] = {}
+        runs_per_period: dict[str, list[int]] = {}
+        first_start: dict[str, float] = {}
         for subject in self.engines:
-            cut = (self.phase(subject) + period / 2) % period
-            first_cut[subject] = start + (cut - start) % period
-            runs_by_period[subject] = [0] * max(0, int((end - first_cut[subject]) // period))
+            offset = (self.phase(subject) + period / 2) % period
+            first_start[subject] = start + (offset - start) % period
+            runs_per_period[subject] = [0] * max(0, int((end - first_start[subject]) // period))
         for run in self.runs:
-            index = int((run.at - first_cut[run.subject]) // period)
-            if 0 <= index < len(runs_by_period[run.subject]):
-                runs_by_period[run.subject][index] += 1
-        return runs_by_period
+            index = int((run.at - first_start[run.subject]) // period)
+            if 0 <= index < len(runs_per_period[run.subject]):
+                runs_per_period[run.subject][index] += 1
+        return runs_per_period
--- a/decklb/lab/experiments/shared_duties.py
+++ b/decklb/lab/experiments/shared_duties.py
@@ -72,7 +72,7 @@
     _steady(c, warm, warm + quarter * period, out)
     _killed(c, x.kill, quarter * period, out)
     _parted(c, x.partition, quarter * period, (x.periods - 3 * quarter) * period, out)
-    out["not_one_owner_at_end"] = len(c.one_owner())
+    out["not_one_owner_at_end"] = len(c.duties_without_single_owner())
     out["wrongly_dead_at_end"] = len(c.wrongly_dead())
     out["datagrams"] = world.delivered
     out["simulated_s"] = round(world.now / 1000, 1)
@@ -84,11 +84,11 @@
     sent = sum(h.node.sent_bytes for h in c.live())
     c.world.run(end)
     sent = sum(h.node.sent_bytes for h in c.live()) - sent
-    counts = [n for row in c.counts(start, end).values() for n in row]
+    counts = [n for row in c.runs_per_period(start, end).values() for n in row]
     out["per_period_mean"] = round(sum(counts) / max(1, len(counts)), 4)
     out["per_period_max"] = max(counts, default=0)
     out["bytes_per_member_per_s"] = round(sent / len(c.live()) / ((end - start) / 1000))
-    owned = [sum(d.is_owned for d in c.book(h).duties.values()) for h in c.live()]
+    owned = [sum(d.is_owned for d in c.scheduler(h).duties.values()) for h in c.live()]
     out["owned_most_over_mean"] = round(max(owned) / (len(c.engines) / len(owned)), 3)
     out["false_deaths"] = len(c.deaths)
 
@@ -128,7 +128,7 @@
     out["one_owner_after_heal_periods"] = 0.0
     if not side or len(side) == len(live):
         return world.run(world.now + span + after)
-    c.part(side)
+    c.partition(side)
     start = world.now
     world.run(start + span)
     # In the second half of the parting each side has settled for itself: who has done each duty there?
@@ -137,13 +137,13 @@
         if r.at >= start + span / 2:
             owners[r.subject, r.host in side].add(r.host)
     out["parted_max_per_side"] = max((len(names) for names in owners.values()), default=0)
-    out["minority_slowed"] = sum(c.book(h).in_minority for h in live)
+    out["minority_slowed"] = sum(c.scheduler(h).in_minority for h in live)
     c.heal()
     healed, until = world.now, world.now + after
     single = 0.0
     while world.now < until:  # when is there one owner, for good?
         world.run(min(until, world.now + period / 10))
-        if c.one_owner():
+        if c.duties_without_single_owner():
             single = (world.now - healed) / period
     out["one_owner_after_heal_periods"] = round(single, 2)
     out["doubled_after_heal_periods"] = round(_doubled(c, healed), 2)
--- a/tests/test_cluster_simulation.py
+++ b/tests/test_cluster_simulation.py
@@ -35,14 +35,14 @@
         c = cluster(8, warm=False, faults=Faults(loss=0.2, duplicate=0.1))
         c.world.run(MEMBERSHIP.settle_time_ms + KNOWN)
         self.assertTrue(c.views_agree())
-        self.assertEqual(c.one_owner(), [])
+        self.assertEqual(c.duties_without_single_owner(), [])
 
     def test_alone_owns_all_after_settling_not_before(self):
         c = cluster(1, warm=False)
         c.world.run(MEMBERSHIP.settle_time_ms - 1)
-        self.assertEqual(len(c.one_owner()), 30)
+        self.assertEqual(len(c.duties_without_single_owner()), 30)
         c.world.run(MEMBERSHIP.settle_time_ms + SECOND)
-        self.assertEqual(c.one_owner(), [])
+        self.assertEqual(c.duties_without_single_owner(), [])
 
     def test_death_is_known_and_nobody_else_dies(self):
         c = cluster(9, faults=Faults(loss=0.1))
@@ -50,7 +50,7 @@
         c.world.kill(c.host("m4"))
         c.world.run(5 * SECOND + KNOWN)
         self.assertTrue(c.views_agree())
-        self.assertEqual(c.one_owner(), [])
+        self.assertEqual(c.duties_without_single_owner(), [])
         self.assertEqual({name for _, _, name in c.deaths}, {"m4"})
 
     def test_a_departure_is_known_at_once(self):
@@ -62,7 +62,7 @@
         c.world.kill(leaving)
         c.world.run(3 * SECOND)
         self.assertTrue(c.views_agree())
-        self.assertEqual((c.one_owner(), c.deaths), ([], []))
+        self.assertEqual((c.duties_without_single_owner(), c.deaths), ([], []))
         self.assertFalse(any(h.node.membership.in_minority(h.now()) for h in c.live()))
 
     def test_return_is_not_mistaken_for_the_dead(self):
@@ -77,7 +77,7 @@
                     fresh = c.start(3, wall_back=back)
                     c.world.run(c.world.now + 3 * KNOWN)
                     self.assertTrue(c.views_agree())
-                    self.assertEqual((c.one_owner(), c.owners()), ([], before))
+                    self.assertEqual((c.duties_without_single_owner(), c.owners()), ([], before))
                     self.assertEqual(fresh.node.membership.counters.name_conflicts, 0)
 
     def test_a_returning_instance_takes_nothing_until_it_heard_the_members(self):
@@ -88,10 +88,10 @@
         c.world.cut = lambda source, target: c.address(0) in (source, target)
         fresh = c.start(0)
         c.world.run(c.world.now + MEMBERSHIP.settle_time_ms - 100.0)
-        self.assertFalse(any(d.is_owned for d in c.book(fresh).duties.values()))
+        self.assertFalse(any(d.is_owned for d in c.scheduler(fresh).duties.values()))
         c.heal()
         c.world.run(c.world.now + KNOWN)
-        self.assertEqual(c.one_owner(), [])
+        self.assertEqual(c.duties_without_single_owner(), [])
 
     def test_a_name_in_use_twice_is_reported_and_the_older_keeps_it(self):
         c = cluster()
@@ -101,12 +101,12 @@
         first = next(h for h in c.hosts if h.name == "m1" and h is not second)
         self.assertTrue(second.node.membership.local.is_yielding)
         self.assertFalse(first.node.membership.local.is_yielding)
-        self.assertFalse(any(d.is_owned for d in c.book(second).duties.values()))
+        self.assertFalse(any(d.is_owned for d in c.scheduler(second).duties.values()))
         self.assertGreaterEqual(second.node.membership.counters.name_conflicts, 1)
         c.world.kill(second)
         c.hosts.remove(second)
         c.world.run(c.world.now + 2 * KNOWN)
-        self.assertEqual(c.one_owner(), [])
+        self.assertEqual(c.duties_without_single_owner(), [])
         self.assertEqual(c.host("m0").node.membership.members["m1"].address, first.address)
 
     def test_a_stalled_process_accuses_nobody(self):
@@ -119,17 +119,17 @@
         c.world.run(33 * SECOND + KNOWN)
         self.assertTrue(c.views_agree())
         self.assertEqual({name for _, _, name in c.deaths}, {"m1"})  # it accused nobody
-        self.assertEqual(c.one_owner(), [])
+        self.assertEqual(c.duties_without_single_owner(), [])
 
     def test_after_a_one_way_cut_nobody_is_wrongly_dead(self):
         c = cluster(7)
         c.world.run(2 * SECOND)
-        c.part({"m3"}, one_way=True)
+        c.partition({"m3"}, one_way=True)
         c.world.run(30 * SECOND)
         self.assertLessEqual({name for _, who, name in c.deaths if who != "m3"}, {"m3"})
         c.heal()
         c.world.run(30 * SECOND + 2 * KNOWN)
-        self.assertEqual((c.wrongly_dead(), c.one_owner()), ([], []))
+        self.assertEqual((c.wrongly_dead(), c.duties_without_single_owner()), ([], []))
 
 
 class Duties(unittest.TestCase):
@@ -137,30 +137,30 @@
         c = cluster(7, seed=3)
         c.world.run(4 * SECOND)
         side = {"m0", "m1"}
-        c.part(side)
+        c.partition(side)
         c.world.run(4 * SECOND + 4 * KNOWN)
         for names in (side, {h.name for h in c.hosts} - side):
-            owners = [d for n in names for d, x in c.book(c.host(n)).duties.items() if x.is_owned]
+            owners = [d for n in names for d, x in c.scheduler(c.host(n)).duties.items() if x.is_owned]
             self.assertEqual(sorted(owners), sorted(c.engines))
-        self.assertEqual({h.name for h in c.hosts if c.book(h).in_minority}, side)
+        self.assertEqual({h.name for h in c.hosts if c.scheduler(h).in_minority}, side)
         before = c.terms()
         c.heal()
         c.world.run(c.world.now + 2 * DUTY.period_ms)
-        self.assertEqual((c.one_owner(), c.wrongly_dead()), ([], []))
+        self.assertEqual((c.duties_without_single_owner(), c.wrongly_dead()), ([], []))
         after = c.terms()
         self.assertTrue(all(after[k] >= v for k, v in before.items()))
-        self.assertFalse(any(c.book(h).in_minority for h in c.hosts))
+        self.assertFalse(any(c.scheduler(h).in_minority for h in c.hosts))
 
     def test_results_of_the_older_term_are_dropped(self):
         c = cluster(4, seed=5)
         c.world.run(4 * SECOND)
-        c.part({"m0", "m1"})
+        c.partition({"m0", "m1"})
         c.world.run(4 * SECOND + KNOWN)
         c.down = {"motor-1"}  # both sides find it down, each with a term of its own
         c.world.run(c.world.now + 14 * DUTY.period_ms)
         c.heal()
         c.world.run(c.world.now + 4 * DUTY.period_ms)
-        held = {(v.term, v.owner, v.status) for v in (c.book(h).verdicts.by_subject["motor-1"] for h in c.hosts)}
+        held = {(v.term, v.owner, v.status) for v in (c.scheduler(h).verdicts.by_subject["motor-1"] for h in c.hosts)}
         self.assertEqual(len(held), 1, held)
 
     def test_a_duty_whose_route_is_cut_is_declined_and_stays_with_the_next(self):
@@ -172,7 +172,7 @@
         new = c.owners()["motor-7"]
         self.assertEqual(len(new), 1)
         self.assertNotEqual(new, [owner])
-        self.assertFalse(any(c.book(h).verdicts.is_down("motor-7") for h in c.hosts))
+        self.assertFalse(any(c.scheduler(h).verdicts.is_down("motor-7") for h in c.hosts))
         self.assertEqual(c.probed, [])
         c.world.run(12 * DUTY.period_ms)
         self.assertEqual(c.owners()["motor-7"], new)
@@ -194,7 +194,7 @@
         c.world.run(2 * SECOND)
         c.down = set(c.engines)
         c.world.run(2 * SECOND + 10 * DUTY.period_ms)
-        some = c.book(c.host("m0"))
+        some = c.scheduler(c.host("m0"))
         self.assertIsNotNone(some.verdicts.mass_failure_since)
         until = some.verdicts.mass_failure_since + DUTY.mass_failure_hold_ms
         early = [s for at, h, s, _ in c.probed if h == "m0" and some.verdicts.mass_failure_since <= at < until]
@@ -275,7 +275,7 @@
             if c.address(i) not in c.world.hosts:
                 c.start(i)
         c.world.run(c.world.now + 12 * SECOND + 3 * KNOWN)
-        self.assertEqual((c.wrongly_dead(), c.one_owner()), ([], []))
+        self.assertEqual((c.wrongly_dead(), c.duties_without_single_owner()), ([], []))
         self.assertTrue(c.views_agree())
 
     def act(self, c, what, which):
@@ -287,7 +287,7 @@
         elif what == "pause" and c.address(which) in c.world.hosts and not c.host(f"m{which}").paused:
             c.world.pause(c.host(f"m{which}"), 7 * SECOND)
         elif what in ("part", "one-way"):
-            c.part({f"m{i}" for i in which}, one_way=what == "one-way")
+            c.partition({f"m{i}" for i in which}, one_way=what == "one-way")
         elif what == "heal":
             c.heal()
         elif what == "loss":
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -150,7 +150,7 @@
     cluster.unreachable = {("m1", "motor-5")}
     world.kill(cluster.host("m4"))
     world.run(20_000.0)
-    cluster.part({"m0", "m1"})
+    cluster.partition({"m0", "m1"})
     world.run(35_000.0)
     cluster.heal()
     cluster.down = set()
@@ -163,7 +163,7 @@
     leaving.node.leave(leaving.now())
     world.pump(leaving)
     world.kill(leaving)
-    cluster.part({"m3"}, one_way=True)
+    cluster.partition({"m3"}, one_way=True)
     world.run(75_000.0)
     cluster.heal()
     world.run(130_000.0)
@@ -174,7 +174,7 @@
         digest.update(repr(event).encode())
     for host in cluster.hosts:
         members = member_rows(host.node.membership, host.now())
-        duties = duty_rows(cluster.book(host), host.now())
+        duties = duty_rows(cluster.scheduler(host), host.now())
         digest.update(json.dumps([members, duties]).encode())
         digest.update(json.dumps(node_health(host.node)).encode())
     return {"datagrams": sent, "runs": len(cluster.runs), "deaths": len(cluster.deaths), "digest": digest.hexdigest()}
