--- a/decklb/lab/checks/zone_verdict.py
+++ b/decklb/lab/checks/zone_verdict.py
@@ -1,7 +1,7 @@
-"""Judges a zone fault run: callers' answers, engines' logs and managers' decisions side by side. Free of I/O.
+"""Judges a zone fault run by comparing the answers to callers, the engines' logs and the managers' decisions. No I/O.
 
-Used by the zone and maintenance fault runs, which collect the records. Times are seconds from the start of the load
-unless a name says otherwise.
+The zone fault runs collect the records; the maintenance fault runs use the record of calls. Times are seconds from the
+start of the load unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from decklb.locality.spillover import ZoneStatus, usable_capacity
 from decklb.locality.zone_state import ZoneState
 
-LOAD_WINDOW_S = 1.0  # over which the load of a returning zone is taken
-RECOVERY_SLACK_S = 1.0  # after the end of a fault in which a zone may still be held out
+LOAD_WINDOW_S = 1.0  # length of the window over which the load on a returning zone is averaged
+RECOVERY_SLACK_S = 1.0  # time after the end of a fault during which a manager may still declare the zone out
 
 
 @dataclass(slots=True)
@@ -24,14 +24,14 @@
     """One request as its caller saw it.
 
     Attributes:
-        key: Of the request.
-        zone: Of the caller.
-        manager: That it was sent to.
-        at: When it was sent.
-        work: Of the statement, in ms.
-        answer: `served`, the SQLSTATE of an error, or empty where none came in time.
-        took: Seconds to the answer.
-        row: That came with it.
+        key: Key of the request.
+        zone: Zone of the caller.
+        manager: Manager that it was sent to.
+        at: Time at which it was sent.
+        work: Work of the statement in ms.
+        answer: `served`, the SQLSTATE of an error, or empty if no answer arrived in time.
+        took: Seconds until the answer.
+        row: Result row of the answer.
     """
 
     key: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneStateChange:
-    """A manager's log line: the state in which it holds a zone from a moment on."""
+    """A log line of a manager: from this time on it considers a zone to be in this state."""
 
     manager: str
     zone: str
@@ -56,24 +56,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneFault:
-    """What a case broke, and when.
+    """The fault that a case injected.
 
     Attributes:
-        lost_zones: Zones that were lost as a whole.
-        struck_zones: Zones that anything struck.
-        liars: Managers that report falsely; their own decisions are not judged.
-        struck, mended: When the fault began and ended.
+        lost_zones: Zones that failed completely.
+        affected_zones: Zones with any fault.
+        false_reporters: Managers that send false reports; their own decisions are not judged.
+        started, ended: Start and end of the fault.
     """
 
     lost_zones: Collection[str]
-    struck_zones: Collection[str]
-    liars: Collection[str]
-    struck: float
-    mended: float
+    affected_zones: Collection[str]
+    false_reporters: Collection[str]
+    started: float
+    ended: float
 
 
 class ExecutionStart(NamedTuple):
-    """Where and when a statement began to run, and its work in ms."""
+    """Start of an execution: time, zone and work of the statement in ms."""
 
     at: float
     zone: str
@@ -82,25 +82,26 @@
 
 @dataclass(slots=True)
 class ZoneVerdict:
-    """One run in figures.
+    """Figures of one run.
 
     Attributes:
-        case, way, seed: Of the run; `way` says whether managers decide in common or alone.
-        requests, served: Numbers of requests.
-        errors: Rejected or failed.
-        lost: Without any answer in time.
-        overlapping: Keys that ran at two engines at one moment.
+        case, seed: Case and seed of the run.
+        way: How managers judge the zones: in common or each on its own.
+        requests, served: Number of requests and of served ones.
+        errors: Number of requests that were rejected or failed.
+        lost: Number of requests without an answer in time.
+        overlapping: Number of keys whose executions overlapped in time.
         attempts: Highest number of executions of one key.
-        stayed: Executions, for callers whose zone was well, in that zone.
-        left: And elsewhere.
-        out_ms: From the loss until each manager held the zone out.
-        undecided: Managers that never did while it was lost.
-        wrong: Times that a manager came to hold a zone out that was well.
-        changes: Of states, over all managers and zones.
-        flood: Highest load on a returning zone over what it bears.
-        slow_ms: What served requests took while the fault lasted.
-        faults: Tracebacks and faults of the decision module in the logs.
-        late_ms: By which the proxy, or a manager that nobody stopped, was late at worst.
+        stayed: Executions in the zone of the caller, for callers whose zone had no fault.
+        left: Executions in another zone, for the same callers.
+        out_ms: Times in ms from the loss of a zone until a manager declared it out, one for each manager.
+        undecided: Number of managers that did not declare a lost zone out while the fault lasted.
+        wrong: Number of times that a manager declared a zone out that was not lost.
+        changes: Number of changes of state, over all managers and zones.
+        flood: Highest load on a returning zone in relation to its usable capacity.
+        slow_ms: Durations in ms of served requests that were sent during the fault.
+        faults: Number of tracebacks and failures of the decision module in the logs.
+        late_ms: Maximum delay in ms of the proxy or of a manager that was not paused on purpose.
     """
 
     case: str
@@ -125,53 +126,54 @@
 
     @property
     def left_share(self) -> float:
-        """Share of executions that left their caller's zone."""
+        """Fraction of the executions outside the zone of the caller."""
         return self.left / max(1, self.left + self.stayed)
 
     def count_answers(self, calls: Iterable[CallRecord], fault: ZoneFault) -> None:
-        """Count how requests ended."""
+        """Count the requests by result."""
         for call in calls:
             self.requests += 1
             self.served += call.answer == "served"
             self.errors += call.answer not in ("served", "")
             self.lost += call.answer == ""
-            if call.answer == "served" and fault.struck <= call.at < fault.mended:
+            if call.answer == "served" and fault.started <= call.at < fault.ended:
                 self.slow_ms.append(1000 * call.took)
 
     def count_executions(self, executions: Executions) -> None:
-        """Count one key's executions, and whether two overlapped."""
+        """Count the executions of one key and check whether two of them overlapped."""
         self.attempts = max(self.attempts, len(executions))
-        spans = sorted((events[0].at, events[-1].at) for events in executions.values() if len(events) > 1)
-        self.overlapping += any(later[0] < earlier[1] for earlier, later in zip(spans, spans[1:], strict=False))
+        intervals = sorted((events[0].at, events[-1].at) for events in executions.values() if len(events) > 1)
+        self.overlapping += any(later[0] < earlier[1] for earlier, later in zip(intervals, intervals[1:], strict=False))
 
     def count_zone(self, execution: ExecutionStart, home_zone: str, fault: ZoneFault) -> None:
-        """Count whether an execution stayed in its caller's zone, where that zone was well."""
-        # Whoever spilled may come back only as the zone's recovery ramp lets it.
-        if home_zone not in fault.struck_zones or execution.at < fault.struck:
+        """Count whether an execution stayed in the caller's zone, provided that zone had no fault."""
+        # After a fault in the caller's zone, its requests return only gradually, along the recovery ramp, so executions
+        # elsewhere are expected and not counted.
+        if home_zone not in fault.affected_zones or execution.at < fault.started:
             self.stayed += execution.zone == home_zone
             self.left += execution.zone != home_zone
 
     def count_decisions(
         self, managers: Collection[str], changes: Collection[ZoneStateChange], fault: ZoneFault
     ) -> None:
-        """Count when managers held lost zones out, and when they held others out."""
+        """Record when managers declared lost zones out, and count the zones that they wrongly declared out."""
         for manager in sorted(managers):
-            if fault.lost_zones and manager not in fault.liars:
-                held_out = [
+            if fault.lost_zones and manager not in fault.false_reporters:
+                out_times = [
                     change.at
                     for change in changes
                     if change.manager == manager
                     and change.zone in fault.lost_zones
                     and change.state == "out"
-                    and fault.struck <= change.at < fault.mended
+                    and fault.started <= change.at < fault.ended
                 ]
-                self.out_ms += [1000 * (held_out[0] - fault.struck)] if held_out else []
-                self.undecided += not held_out
+                self.out_ms += [1000 * (out_times[0] - fault.started)] if out_times else []
+                self.undecided += not out_times
         for change in changes:
             self.changes += 1
-            in_fault = fault.struck <= change.at < fault.mended + RECOVERY_SLACK_S
+            in_fault = fault.started <= change.at < fault.ended + RECOVERY_SLACK_S
             rightly_out = change.zone in fault.lost_zones and in_fault
-            self.wrong += change.state == "out" and not rightly_out and change.manager not in fault.liars
+            self.wrong += change.state == "out" and not rightly_out and change.manager not in fault.false_reporters
 
 
 def judge(
@@ -189,16 +191,16 @@
     """Fill the verdict of one run.
 
     Args:
-        verdict: With the run's case, way and seed.
+        verdict: Empty verdict with case, way and seed of the run.
         calls: All requests.
-        events: All lines of the engines' logs, on the machine's clock.
+        events: All events in the engines' logs, on the machine's clock.
         changes: All decisions that managers logged, in order.
-        home: Zone of each manager, and of its callers.
-        zone_of: Returns an engine's zone.
-        fault: What was broken, and when.
-        load_started: When the load began, on the machine's clock.
-        capacity: Of one zone, in cores.
-        settings: Of the managers.
+        home: Zone of each manager and of its callers.
+        zone_of: Returns the zone of an engine.
+        fault: The injected fault.
+        load_started: Start of the load on the machine's clock.
+        capacity: Capacity of one zone in cores.
+        settings: Locality settings of the managers.
     """
     calls, changes = list(calls), list(changes)
     verdict.count_answers(calls, fault)
@@ -215,7 +217,7 @@
     verdict.count_decisions(managers, changes, fault)
     if fault.lost_zones:
         verdict.flood = max(
-            _return_load(starts, zone, changes, fault.mended, capacity, settings) for zone in fault.lost_zones
+            _return_load(starts, zone, changes, fault.ended, capacity, settings) for zone in fault.lost_zones
         )
     return verdict
 
@@ -224,34 +226,35 @@
     starts: list[ExecutionStart],
     zone: str,
     changes: list[ZoneStateChange],
-    mended: float,
+    fault_ended: float,
     capacity: float,
     settings: LocalitySettings,
 ) -> float:
-    """Return the highest load on a returning zone over what it bears, each on the mean of a window.
+    """Return the highest ratio of load to usable capacity of a returning zone, each averaged over a window.
 
-    Windows begin at each execution from the zone's first return on, and end within its recovery ramp.
+    A window starts at each execution after the end of the fault and must end within the recovery ramp, which begins
+    with the zone's first return.
     """
-    returns = [c.at for c in changes if c.zone == zone and c.state == "returning" and c.at >= mended]
-    if not returns:
+    return_times = [c.at for c in changes if c.zone == zone and c.state == "returning" and c.at >= fault_ended]
+    if not return_times:
         return 0.0
-    returned = min(returns)
-    ramp_end = returned + settings.recovery_ramp_ms / 1000
-    executions = sorted((start.at, start.work) for start in starts if start.zone == zone and start.at >= mended)
-    worst = 0.0
+    returned_at = min(return_times)
+    ramp_end = returned_at + settings.recovery_ramp_ms / 1000
+    executions = sorted((start.at, start.work) for start in starts if start.zone == zone and start.at >= fault_ended)
+    max_ratio = 0.0
     for at, _ in executions:
         end = at + LOAD_WINDOW_S
         if end > ramp_end:
             continue
-        load = sum(work for began, work in executions if at <= began < end) / 1000 / LOAD_WINDOW_S
-        place = ZoneStatus("", capacity, 0.0, ZoneState.RETURNING, 1000 * returned)
-        bearable_twice = usable_capacity(place, 1000 * at, settings) + usable_capacity(place, 1000 * end, settings)
-        worst = max(worst, 2 * load / bearable_twice)
-    return round(worst, 3)
+        load = sum(work for started, work in executions if at <= started < end) / 1000 / LOAD_WINDOW_S
+        status = ZoneStatus("", capacity, 0.0, ZoneState.RETURNING, 1000 * returned_at)
+        capacity_sum = usable_capacity(status, 1000 * at, settings) + usable_capacity(status, 1000 * end, settings)
+        max_ratio = max(max_ratio, 2 * load / capacity_sum)
+    return round(max_ratio, 3)
 
 
 def table(verdicts: Iterable[ZoneVerdict]) -> list[dict[str, object]]:
-    """Return a row of sums for each case and way. The names of its columns are those of the command's output."""
+    """Return one row of sums for each case and way. The keys are the column names of the command's output."""
     groups: dict[tuple[str, str], list[ZoneVerdict]] = {}
     for verdict in verdicts:
         groups.setdefault((verdict.case, verdict.way), []).append(verdict)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -38,7 +38,7 @@
             changes,
             HOME,
             zone_of,
-            ZoneFault(out, out, liars=(), struck=3.0, mended=9.0),
+            ZoneFault(out, out, false_reporters=(), started=3.0, ended=9.0),
             100.0,
             16.0,
             LocalitySettings(recovery_ramp_ms=8000.0),
