--- a/decklb/lab/checks/__init__.py
+++ b/decklb/lab/checks/__init__.py
@@ -1,1 +1,1 @@
-"""What a run must satisfy: invariants checked as it goes on, and verdicts on its records. Free of I/O."""
+"""Checks of runs: invariants checked during a run, and verdicts on the records of a finished run. No I/O."""
--- a/decklb/lab/checks/execution_verdict.py
+++ b/decklb/lab/checks/execution_verdict.py
@@ -1,8 +1,8 @@
-"""Judges a handoff run: each request's answers at its client beside the executions that engines logged. Free of I/O.
+"""Judges a handoff run by comparing the answers that clients received with the executions that engines logged. No I/O.
 
-Used by the fault runs between real processes and by the simulated handoff, which collect client records and execution
-events. What must hold: every request gets a final answer in time, never two different ones; what may run at most once
-runs once; no two managers run one request at the same time.
+The fault runs between real processes and the simulated handoff collect the client records and execution events. The
+rules: every request gets a final answer in time and never two different ones; a request of an at-most-once class is
+executed at most once; two managers never execute the same request at the same time.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 from typing import NamedTuple
 
 WAIT_PERCENTILES = (50, 99)
-COUNTED = ("requests", "served", "failed", "refused", "came_back")
-LISTED = ("lost", "doubled", "repeated", "overlapping")
+COUNT_FIELDS = ("requests", "served", "failed", "refused", "came_back")
+LIST_FIELDS = ("lost", "doubled", "repeated", "overlapping")
 
 
 class FinalAnswer(NamedTuple):
-    """An answer after which a client does not ask again."""
+    """An answer that settles the request: served or failed."""
 
-    kind: str  # served or failed
+    kind: str  # "served" or "failed"
     row: str
-    at_s: float
+    at_s: float  # time at which the client received it
 
     @property
     def content(self) -> tuple[str, str]:
-        """What it says, which must be the same however often it is asked for."""
+        """The content of the answer, which must be the same for every repeat of the request."""
         return self.kind, self.row
 
 
 @dataclass(slots=True)
 class ClientRecord:
-    """One request as its client saw it. Times are seconds of the machine's monotonic clock.
+    """One request as its client saw it. Times are seconds of the clock of the run.
 
     Attributes:
         key: Idempotency key of the request.
-        class_name: Of its class.
-        sent_s: When it was first sent.
-        due_s: Its deadline and the slack in which an answer still counts.
-        final_answers: In the order they came.
-        tries: How often it was sent.
-        unanswered_tries: Tries that ended without an answer: lost connections, silent managers.
-        last: What the last try was answered.
-        path: Each try, for people: whom it asked, when, for how long, and its answer.
+        class_name: Name of its class.
+        sent_s: Time of the first try.
+        due_s: Deadline plus the slack within which an answer still counts.
+        final_answers: Final answers in order of arrival.
+        tries: Number of times that it was sent.
+        unanswered_tries: Number of tries without an answer, as the connection was lost or the manager did not answer.
+        last: Result of the latest try, for reports; in the simulation the manager that it was sent to.
+        path: Description of each try for reports: manager, time, duration and answer.
     """
 
     key: str
@@ -58,7 +58,7 @@
 
     @property
     def answered_in_time(self) -> bool:
-        """Whether its first final answer came before it was due."""
+        """Whether the first final answer arrived in time."""
         return bool(self.final_answers) and self.final_answers[0].at_s <= self.due_s
 
 
@@ -67,12 +67,12 @@
     """A line of an engine's log: an execution started or ended.
 
     Attributes:
-        what: start or end.
-        key: Of the request.
+        what: "start" or "end".
+        key: Idempotency key of the request.
         run: Number of the execution at its engine.
         manager: Index of the manager that sent it.
-        at: When, on the clock of the run.
-        engine: Where.
+        at: Time on the clock of the run.
+        engine: Name of the engine.
     """
 
     what: str
@@ -83,11 +83,11 @@
     engine: str
 
 
-Executions = dict[tuple[str, int], list[ExecutionEvent]]  # events of each, by engine and number
+Executions = dict[tuple[str, int], list[ExecutionEvent]]  # events of each execution, by engine and number
 
 
 def executions_by_key(events: Iterable[ExecutionEvent]) -> dict[str, Executions]:
-    """Return each request's executions."""
+    """Group the events by request and execution."""
     by_key: dict[str, Executions] = {}
     for event in events:
         by_key.setdefault(event.key, {}).setdefault((event.engine, event.run), []).append(event)
@@ -96,18 +96,20 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Counts of one run, and descriptions of what must not be.
+    """Counts of one run, and descriptions of violated rules.
 
     Attributes:
-        requests, served, failed: Numbers of requests.
-        refused: Never executed, and told to come back until the end.
-        lost: Without a final answer in time.
-        doubled: With two different final answers.
-        repeated: To run at most once, and yet executed twice.
-        overlapping: Executed for two managers at once.
-        came_back: Final answers that another try than the first brought.
-        waits: Seconds to the final answer of those that lost a manager.
-        late_ms: By which the proxy process itself was late at worst.
+        requests: Number of requests.
+        served, failed: Number of requests with such a final answer in time.
+        refused: Number of requests that were never executed and got no final answer: the client was told to retry until
+            the end.
+        lost: Descriptions of requests that were executed or answered, but got no final answer in time.
+        doubled: Descriptions of requests with different final answers.
+        repeated: Descriptions of at-most-once requests that were executed more than once.
+        overlapping: Keys of requests that two managers executed at the same time.
+        came_back: Number of final answers that arrived after more than one try.
+        waits: Seconds to the final answer of requests with an unanswered try.
+        late_ms: Maximum delay in ms of the proxy process itself.
     """
 
     requests: int = 0
@@ -124,11 +126,11 @@
 
     @property
     def clean(self) -> bool:
-        """Whether no rule was broken."""
+        """Whether no rule was violated."""
         return not (self.lost or self.doubled or self.repeated or self.overlapping)
 
     def count_answer(self, client: ClientRecord, executions: Executions) -> None:
-        """Count how a request ended."""
+        """Count a request by its result."""
         self.requests += 1
         if client.answered_in_time:
             answer = client.final_answers[0]
@@ -146,7 +148,7 @@
             self.refused += 1
 
     def check_executions(self, client: ClientRecord, executions: Executions, at_most_once: bool) -> None:
-        """Note a request that was answered or executed as it must not be."""
+        """Record violations by the answers or executions of a request."""
         contents = [answer.content for answer in client.final_answers]
         if len(set(contents)) > 1:
             self.doubled.append(f"{client.key}: {contents}")
@@ -161,8 +163,8 @@
 
     Args:
         clients: All requests of the run.
-        events: All lines of the engines' logs.
-        at_most_once_class: Name of the class of what may run at most once.
+        events: All events in the engines' logs.
+        at_most_once_class: Name of the class whose requests must be executed at most once.
     """
     by_key = executions_by_key(events)
     verdict = Verdict()
@@ -174,25 +176,25 @@
 
 
 def overlaps(executions: list[list[ExecutionEvent]]) -> bool:
-    """Return whether executions for two managers were under way at one moment; one without an end lasts for ever."""
-    spans = sorted(
+    """Return whether executions for two managers overlapped in time; one without an end event lasts forever."""
+    intervals = sorted(
         (events[0].at, events[-1].at if len(events) > 1 else float("inf"), events[0].manager) for events in executions
     )
     return any(
         manager != other_manager and other_start < end
-        for index, (_, end, manager) in enumerate(spans)
-        for other_start, _, other_manager in spans[index + 1 :]
+        for index, (_, end, manager) in enumerate(intervals)
+        for other_start, _, other_manager in intervals[index + 1 :]
     )
 
 
 def total(verdicts: Iterable[Verdict]) -> dict[str, object]:
-    """Return the sum of many runs, for a report."""
+    """Return the sums over many runs for a report."""
     runs = list(verdicts)
     counts: Counter[str] = Counter()
     for verdict in runs:
-        for name in COUNTED:
+        for name in COUNT_FIELDS:
             counts[name] += getattr(verdict, name)
-        for name in LISTED:
+        for name in LIST_FIELDS:
             counts[name] += len(getattr(verdict, name))
     waits = sorted(wait for verdict in runs for wait in verdict.waits)
     percentiles = {
--- a/decklb/lab/emulation/managers_and_clients.py
+++ b/decklb/lab/emulation/managers_and_clients.py
@@ -159,7 +159,7 @@
     def kill(self) -> None:
         """Stop without notice; the queries that it has sent continue to run."""
         self.up = False
-        self.run.checker.manager_died(self.number)
+        self.run.checker.manager_killed(self.number)
         if self.health_checks is not None:
             self.health_checks.kill(self.number)
         clients, self.clients = list(self.clients.values()), {}
--- a/decklb/lab/emulation/run_records.py
+++ b/decklb/lab/emulation/run_records.py
@@ -1,8 +1,8 @@
-"""What one emulated run records: rows of requests, attempts and engine states, and one summary of figures.
+"""Records of one emulated run: rows of requests, attempts and engine states, and one summary of figures.
 
-`Records` is owned by the run's context. Managers and clients report ends of attempts and requests, it looks at the
-engines by itself, and the emulator takes the summary at the end. Names of columns and figures are those of the stored
-tables (`experiments.cell_runner.TABLES`) and stay as they are.
+`Records` belongs to the run's context. Managers and clients report the ends of attempts and requests, the records
+sample the engines periodically, and the emulator reads the summary at the end. The names of columns and figures are
+those of the stored tables (`experiments.cell_runner.TABLES`) and must not change.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 from decklb.lab.emulation.workload import Arrivals, RequestClass
 from decklb.wirehost import WORD_BY_OUTCOME
 
-SAMPLE_PERIOD_MS = 1000.0  # between rows of the engines' states
-MAX_LATENCY_US = 3_600_000_000  # the histograms' highest value: an hour
-HISTOGRAM_DIGITS = 3  # significant figures that histograms keep
-PERCENTILES = ((50.0, "p50"), (95.0, "p95"), (99.0, "p99"))  # and their names in the summary
+SAMPLE_PERIOD_MS = 1000.0  # time between two samples of the engines' states
+MAX_LATENCY_US = 3_600_000_000  # highest value of the histograms: 1 hour
+HISTOGRAM_DIGITS = 3  # precision of the histograms in significant decimal digits
+PERCENTILES = ((50.0, "p50"), (95.0, "p95"), (99.0, "p99"))  # percentiles and their names in the summary
 REQUEST_ENDS = ("served", "refused", "failed", "left", "lost")  # how a request can end, as stored
 
 
 def jain_index(values: list[float]) -> float:
-    """Return fairness of an allocation, 1 where all fare alike (Jain, Chiu, Hawe, 1984)."""
+    """Return the fairness index of an allocation; 1 if all values are equal (Jain, Chiu, Hawe, 1984)."""
     total, squares = sum(values), sum(v * v for v in values)
     return total * total / (len(values) * squares) if squares else 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunTotals:
-    """What the emulator counts itself and hands to the summary.
+    """Figures of the whole run that the emulator passes to the summary.
 
     Attributes:
-        seed: Of the run.
-        health_checks: Health checks started; None where the world has none.
-        violations: Violated invariants by rule.
-        loop_calls: Calls that the simulated loop made.
-        steps: Steps of all managers' policies.
-        step_seconds: Real time spent in these.
-        run_seconds: Real time of the run.
+        seed: Seed of the run.
+        health_checks: Number of health checks started; None if the world has none.
+        violations: Number of violations by invariant.
+        loop_calls: Number of calls that the simulated loop made.
+        steps: Number of policy steps of all managers.
+        step_seconds: Real time spent in these steps.
+        run_seconds: Real time of the whole run.
     """
 
     seed: int
@@ -62,8 +62,8 @@
     """Time integrals of the requests in the system, for Little's law (L = lambda W).
 
     Attributes:
-        area_ms: Integral of their number over time.
-        time_in_system_ms: Sum of the times that ended requests spent in the system.
+        area_ms: Integral over time of the number of requests in the system.
+        time_in_system_ms: Sum of the times that the finished requests spent in the system.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -71,30 +71,31 @@
         self._count = self._since_ms = 0.0
         self.area_ms = self.time_in_system_ms = 0.0
 
-    def change(self, by: float) -> None:
-        """Count a request that came or ended."""
+    def change(self, difference: float) -> None:
+        """Add to the number of requests in the system: 1 for an arrival, -1 for an end."""
         now = self._loop.now()
         self.area_ms += self._count * (now - self._since_ms)
         self._since_ms = now
-        self._count += by
+        self._count += difference
 
 
 class Records:
-    """Rows of every n-th request, so that at most `EmulatedWorld.sample` are kept, and sums over all requests.
+    """Rows of every n-th request and attempt, and sums over all of them.
 
-    Requests and attempts that began in the warm-up are not counted.
+    n is chosen so that at most `EmulatedWorld.max_recorded_requests` requests are stored. Requests and attempts that
+    started during the warm-up are not counted.
 
     Attributes:
-        requests, attempts, engines: Rows in the order of the stored columns.
-        seconds: Weight that was offered and earned, by the second of arrival.
-        ends: Requests by how they ended.
-        outcomes: Attempts by outcome.
+        requests, attempts, engines: Rows; the order of values is that of the stored columns.
+        seconds: Offered and earned weight, by the second of arrival.
+        ends: Number of requests by kind of end.
+        outcomes: Number of attempts by outcome.
     """
 
     def __init__(self, world: EmulatedWorld, loop: Loop, arrivals: Arrivals, engines: Mapping[str, Engine]) -> None:
         self._world, self._loop, self._arrivals, self._engines = world, loop, arrivals, engines
         classes, tenants = world.workload.classes, world.workload.tenants
-        self._every = max(1, -(-len(arrivals) // max(1, world.max_recorded_requests)))
+        self._record_interval = max(1, -(-len(arrivals) // max(1, world.max_recorded_requests)))
         self.requests: list[tuple[Any, ...]] = []
         self.attempts: list[tuple[Any, ...]] = []
         self.engines: list[tuple[Any, ...]] = []
@@ -112,7 +113,7 @@
         self._in_system = RequestsInSystem(loop)
 
     def start(self) -> None:
-        """Begin to sample the engines' states."""
+        """Start the periodic samples of the engines' states."""
         self._loop.call_later(SAMPLE_PERIOD_MS, self._sample_engines)
 
     def _sample_engines(self) -> None:
@@ -129,7 +130,7 @@
             self._loop.call_later(SAMPLE_PERIOD_MS, self._sample_engines)
 
     def request_arrived(self, index: int) -> None:
-        """Count a request that a client is about to submit."""
+        """Count a request before its first submission."""
         self._in_system.change(1.0)
         arrivals = self._arrivals
         if arrivals.time_ms[index] < self._world.warm_up_ms:
@@ -141,14 +142,14 @@
         self._second_of(index)[0] += weight
 
     def request_ended(self, index: int, end: str, issued_ms: float, submissions: int, attempts: int) -> None:
-        """Count a request that is over.
+        """Count a request that has ended.
 
         Args:
-            index: Of the request among the arrivals.
+            index: Index of the request in the arrivals.
             end: One of REQUEST_ENDS.
-            issued_ms: When its client first submitted it.
-            submissions: How often its client submitted it.
-            attempts: Attempts made for it, over all submissions.
+            issued_ms: Time of its first submission.
+            submissions: Number of submissions by its client.
+            attempts: Number of attempts over all submissions.
         """
         self._in_system.change(-1.0)
         arrivals = self._arrivals
@@ -158,7 +159,7 @@
             return
         self.ends[end] += 1
         earned = self._earn(index, took_ms) if end == "served" else 0.0
-        if index % self._every == 0:
+        if index % self._record_interval == 0:
             tenant = self._world.workload.tenants[arrivals.tenant_index[index]].name
             self.requests.append(
                 (
@@ -177,7 +178,7 @@
             )
 
     def _earn(self, index: int, took_ms: float) -> float:
-        """Add what a served request is worth, and return it."""
+        """Add the weight earned by a served request to the sums and return it."""
         arrivals, spec = self._arrivals, self._class_of(index)
         in_time = took_ms <= spec.latency_objective_ms
         earned = spec.priority_weight * (1.0 if in_time else spec.late_priority_weight)
@@ -196,12 +197,12 @@
         return self.seconds.setdefault(int(self._arrivals.time_ms[index] // 1000), [0.0, 0.0])
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Count an attempt that is over."""
+        """Count an attempt that has ended."""
         if attempt.started_at_ms < self._world.warm_up_ms:
             return
         self._attempts_counted += 1
         self.outcomes[WORD_BY_OUTCOME[outcome]] += 1
-        if self._attempts_counted % self._every == 0:
+        if self._attempts_counted % self._record_interval == 0:
             took_ms = self._loop.now() - attempt.started_at_ms
             self.attempts.append(
                 (
@@ -214,10 +215,10 @@
                 )
             )
 
-    # The summary. All figures but those that begin with `cost_` depend on world and seed alone.
+    # The summary. Apart from the figures that start with `cost_`, it depends on the world and the seed only.
 
     def summary(self, totals: RunTotals) -> dict[str, Any]:
-        """Return one row of figures, in the order of the stored columns."""
+        """Return the figures of the run, in the order of the stored columns."""
         return {
             "policy": self._world.policy,
             "seed": totals.seed,
@@ -235,8 +236,8 @@
     def _request_figures(self) -> dict[str, Any]:
         offered, earned = sum(self._offered), sum(self._earned)
         requests = self._requests_counted
-        by_tenant = _ratios(self._tenant_earned, self._tenant_offered)
-        by_class = _ratios(self._earned, self._offered)
+        earned_ratio_by_tenant = _ratios(self._tenant_earned, self._tenant_offered)
+        earned_ratio_by_class = _ratios(self._earned, self._offered)
         return {
             "requests": requests,
             "worth": earned / offered if offered else 0.0,
@@ -244,8 +245,8 @@
             **{end: self.ends[end] for end in REQUEST_ENDS},
             "attempts": self._attempts_counted,
             "attempts_a_request": self._attempts_counted / requests if requests else 0.0,
-            "fairness": jain_index(by_tenant),
-            "least_class": min(by_class, default=0.0),
+            "fairness": jain_index(earned_ratio_by_tenant),
+            "least_class": min(earned_ratio_by_class, default=0.0),
         }
 
     def _latency_figures(self) -> dict[str, float | None]:
@@ -285,4 +286,8 @@
 
 
 def _ratios(earned: list[float], offered: list[float]) -> list[float]:
-    return [part / total for part, total in zip(earned, offered, strict=True) if total]
+    return [
+        earned_weight / offered_weight
+        for earned_weight, offered_weight in zip(earned, offered, strict=True)
+        if offered_weight
+    ]
--- a/decklb/lab/emulation/workload.py
+++ b/decklb/lab/emulation/workload.py
@@ -1,8 +1,9 @@
-"""The workload of an emulated world: classes, tenants, traffic surges, and the requests drawn from them.
+"""Workload of an emulated world: classes, tenants, traffic surges, and the requests generated from them.
 
-Arrivals are open (they do not wait for answers) and drawn ahead of the run into arrays, so that no policy can change
-them. In place of draws a workload may replay a trace: recorded arrivals from a CSV file with the columns of
-TRACE_COLUMNS. Used by the emulator and by load on running programs. Times are milliseconds.
+The workload is open-loop: arrivals do not wait for answers. All requests are generated into arrays before the run, so
+that no policy can influence them. Instead of random requests, a workload can replay a trace: recorded arrivals from a
+CSV file with the columns TRACE_COLUMNS. The emulator and the load generator for running programs use this module.
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 TRACE_COLUMNS = ("time_ms", "class", "tenant", "work_ms", "tables", "key")
 MAX_TRACE_TIME_MS = 1e12
 MAX_TRACE_WORK_MS = 1e9
-MIN_WORK_SHARE = 0.05  # of the class's mean: the least work that is drawn for a query
-PLAN_DRAWS = 4  # drawn plans a request, one for each attempt
+MIN_WORK_FRACTION = 0.05  # minimum work of a query as a fraction of its class's mean
+PLAN_DRAWS = 4  # random draws for query plans per request; attempts use them in turn
 NO_KEY = -1
-ANY_TABLES = -1  # a surge that is not of one table group
+ANY_TABLE_GROUP = -1  # marks a surge that is not limited to one table group
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,26 +33,26 @@
     """One class of requests.
 
     Attributes:
-        name: As the program's settings name it.
-        arrival_share: Of all arrivals; shares of all classes need not add up to 1.
-        mean_work_ms: Mean work of a query, in ms of one thread, all threads together.
-        latency_objective_ms: Within which an answer earns the full weight.
-        deadline_ms: After which an answer earns nothing.
-        priority_weight: What an answer in time is worth.
-        late_priority_weight: Share of that weight that an answer after the objective earns.
-        threads: That a query runs on at an engine.
-        io_share: Share of the work that reads from disk.
-        memory_mb: That a query takes at an engine.
-        work_sigma: Sigma of the lognormal work; 0 for the mean always.
-        tail_share: Share of requests that take `tail_factor` times the work.
-        tail_factor: See above.
-        bad_plan_share: Share of attempts whose plan takes `bad_plan_factor` times the work.
-        bad_plan_factor: See above.
-        effect: Whether a query may be repeated after it may have run.
-        ordered_by_key: Whether requests of one key run one after another.
-        distinct_keys: How many keys are drawn from; 0 for requests without a key.
-        locks_tables: Whether a query is a load that locks its table group.
-        waits_for_loads: Whether a query waits while its table group is locked.
+        name: Name of the class in the settings.
+        arrival_share: Weight among all arrivals; the shares of all classes need not add up to 1.
+        mean_work_ms: Mean execution time of a query in ms, summed over all threads.
+        latency_objective_ms: Time in ms from arrival within which an answer has its full value.
+        deadline_ms: Time in ms after which an answer has no value.
+        priority_weight: Value of an answer within the latency objective.
+        late_priority_weight: Fraction of that value that a later answer still has.
+        threads: Number of threads on which an engine runs one query.
+        io_share: Fraction of the work that reads from disk.
+        memory_mb: Memory in MB that a query uses at an engine.
+        work_sigma: Sigma of the lognormal distribution of the work; 0: always the mean.
+        tail_share: Fraction of the requests whose work is multiplied by `tail_factor`.
+        tail_factor: Factor on the work of these requests.
+        bad_plan_share: Fraction of the attempts whose work is multiplied by `bad_plan_factor`.
+        bad_plan_factor: Factor on the work of these attempts.
+        effect: Whether a query may be executed more than once.
+        ordered_by_key: Whether requests with the same ordering key run one after another.
+        distinct_keys: Number of ordering keys; 0: the requests have no key.
+        locks_tables: Whether a query is a data load, which locks its table group.
+        waits_for_loads: Whether a query waits while a data load locks its table group.
     """
 
     name: str
@@ -78,47 +79,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant, its contracted share, and the share of arrivals that it really sends."""
+    """A tenant with its contracted share of the service and its actual share of the arrivals."""
 
     name: str
     contract_share: float
-    sent_share: float = -1.0  # as contracted where below 0
+    sent_share: float = -1.0  # actual share; below 0: equal to the contracted share
 
     @property
     def arrival_share(self) -> float:
-        """Share of arrivals."""
+        """Actual share of the arrivals."""
         return self.sent_share if self.sent_share >= 0 else self.contract_share
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficSurge:
-    """More arrivals for a while: of one tenant, of one group of tables, or of everybody."""
+    """A temporary increase of the arrival rate: for one tenant, for one table group or for all requests."""
 
     start_ms: float
     duration_ms: float
-    factor: float  # times the plain rate
+    factor: float  # multiple of the normal rate
     tenant: str = ""
-    table_group: int = ANY_TABLES
+    table_group: int = ANY_TABLE_GROUP
 
     @property
-    def of_everybody(self) -> bool:
-        """Whether it raises the rate of all arrivals alike."""
+    def is_global(self) -> bool:
+        """Whether it affects all arrivals."""
         return not self.tenant and self.table_group < 0
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """All arrivals of a world.
+    """Definition of all arrivals of a world.
 
     Attributes:
-        requests_per_second: Mean rate over all managers.
-        classes, tenants: Whose requests arrive.
-        table_groups: Number of table groups, drawn by a Zipf law with exponent `zipf_exponent`.
-        daily_amplitude: Amplitude, 0 to 1, of a sine shape of the rate over `day_length_ms`.
-        surges: Additional arrivals.
-        client_retries: How often a client submits a rejected request again.
-        patience_share: Share of the deadline after which a client leaves; 1 for never before it.
-        trace_path: CSV file that is replayed in place of draws; empty for draws.
+        requests_per_second: Mean arrival rate over all managers.
+        classes, tenants: Classes and tenants of the requests.
+        table_groups: Number of table groups; requests choose theirs by a Zipf distribution.
+        zipf_exponent: Exponent of that distribution.
+        daily_amplitude: Relative amplitude, from 0 to 1, of a sinusoidal variation of the arrival rate.
+        day_length_ms: Period of that variation.
+        surges: Temporary increases of the arrival rate.
+        client_retries: Number of times that a client submits a rejected request again.
+        patience_share: Fraction of the deadline after which a client leaves; 1: clients never leave before it.
+        trace_path: CSV file to replay instead of generating requests; empty: requests are generated.
     """
 
     requests_per_second: float
@@ -136,17 +139,17 @@
 
 @dataclass(slots=True)
 class Arrivals:
-    """Drawn requests: entry i of each array is request i, in the order of time.
+    """The requests of a run as arrays: entry i of each array belongs to request i, in order of arrival.
 
     Attributes:
-        time_ms: Of arrival, from the start of the run.
-        class_index, tenant_index: Among the workload's classes and tenants.
-        work_ms: Work of the query, in ms of one thread.
-        table_group: That the query reads.
-        key: Number of the key; NO_KEY for none.
-        plan_draw: PLAN_DRAWS uniform numbers a request, one for each attempt.
-        manager_draw: Uniform number that chooses the manager.
-        leave_after_ms: After which the client gives up; infinite for never.
+        time_ms: Arrival time from the start of the run.
+        class_index, tenant_index: Indexes into the workload's classes and tenants.
+        work_ms: Work of the query in ms of one thread.
+        table_group: Table group that the query reads or loads data into.
+        key: Number of the ordering key, or NO_KEY.
+        plan_draw: PLAN_DRAWS uniform random numbers per request, which decide about bad plans of its attempts.
+        manager_draw: Uniform random number that selects the manager.
+        leave_after_ms: Time in ms from arrival after which the client leaves; infinite: never.
     """
 
     time_ms: np.ndarray
@@ -164,37 +167,37 @@
 
 
 def draw(workload: Workload, streams: Streams, duration_ms: float) -> Arrivals:
-    """Draw all requests of a run, or read them from the trace.
+    """Generate all requests of a run, or read them from the trace.
 
-    Each concern has its stream of random numbers, so that a change in one leaves the others' draws as they were.
+    Each property has its own random stream, so that a change of one does not affect the random numbers of the others.
 
     Raises:
-        TraceError: The trace can't be read.
+        TraceError: The trace cannot be read.
     """
     if workload.trace_path:
         return _replay(workload, streams)
     times = _poisson_times(streams.get("arrivals"), workload, duration_ms)
     batches = [_draw_batch(workload, streams, "", times)]
     for number, surge in enumerate(workload.surges):
-        if not surge.of_everybody:
+        if not surge.is_global:
             times = _surge_times(streams.get(f"swell {number}"), workload, surge)
             batches.append(_draw_batch(workload, streams, f" of swell {number}", times, surge))
-    return _merged(batches)
+    return _merge(batches)
 
 
 def _rate_factors(workload: Workload, times: np.ndarray) -> np.ndarray:
-    """Return how many times the plain rate holds at each moment, without surges of single tenants or tables."""
+    """Return the factor on the arrival rate at each time, without the surges of single tenants or table groups."""
     factors = 1.0 + workload.daily_amplitude * np.sin(2 * math.pi * times / workload.day_length_ms)
     for surge in workload.surges:
-        if surge.of_everybody:
-            during = (times >= surge.start_ms) & (times < surge.start_ms + surge.duration_ms)
-            factors = factors * np.where(during, surge.factor, 1.0)
+        if surge.is_global:
+            is_active = (times >= surge.start_ms) & (times < surge.start_ms + surge.duration_ms)
+            factors = factors * np.where(is_active, surge.factor, 1.0)
     return factors
 
 
 def _poisson_times(rng: np.random.Generator, workload: Workload, duration_ms: float) -> np.ndarray:
-    """Draw a Poisson process whose rate varies in time, by thinning (Lewis and Shedler, 1979)."""
-    surge_factors = [max(1.0, surge.factor) for surge in workload.surges if surge.of_everybody]
+    """Draw the arrival times of a Poisson process with a varying rate, by thinning (Lewis and Shedler, 1979)."""
+    surge_factors = [max(1.0, surge.factor) for surge in workload.surges if surge.is_global]
     max_factor = (1.0 + workload.daily_amplitude) * math.prod(surge_factors)
     count = rng.poisson(workload.requests_per_second / 1000.0 * max_factor * duration_ms)
     times = np.sort(rng.uniform(0.0, duration_ms, count))
@@ -202,7 +205,7 @@
 
 
 def _surge_times(rng: np.random.Generator, workload: Workload, surge: TrafficSurge) -> np.ndarray:
-    """Draw the additional arrivals of one tenant or one table group."""
+    """Draw the times of the additional arrivals of a surge of one tenant or table group."""
     rate = workload.requests_per_second * surge.factor
     if surge.tenant:
         share = next((t.arrival_share for t in workload.tenants if t.name == surge.tenant), 1.0)
@@ -214,14 +217,14 @@
 def _draw_batch(
     workload: Workload, streams: Streams, suffix: str, times: np.ndarray, surge: TrafficSurge | None = None
 ) -> Arrivals:
-    """Draw what arrives at these moments; `suffix` names the batch's own streams."""
+    """Draw the properties of requests that arrive at these times; `suffix` selects the random streams of the batch."""
     count = len(times)
     class_shares = np.array([spec.arrival_share for spec in workload.classes])
-    class_index = _choices(streams.get("classes" + suffix), class_shares, count)
+    class_index = _draw_indexes(streams.get("classes" + suffix), class_shares, count)
     tenant_shares = np.array([tenant.arrival_share for tenant in workload.tenants])
-    tenant_index = _choices(streams.get("tenants" + suffix), tenant_shares, count)
+    tenant_index = _draw_indexes(streams.get("tenants" + suffix), tenant_shares, count)
     zipf_weights = 1.0 / np.arange(1, workload.table_groups + 1) ** workload.zipf_exponent
-    table_group = _choices(streams.get("tables" + suffix), zipf_weights, count)
+    table_group = _draw_indexes(streams.get("tables" + suffix), zipf_weights, count)
     if surge is not None and surge.tenant:
         tenant_index = np.full(count, [tenant.name for tenant in workload.tenants].index(surge.tenant))
     if surge is not None and surge.table_group >= 0:
@@ -239,24 +242,24 @@
     )
 
 
-def _choices(rng: np.random.Generator, weights: np.ndarray, count: int) -> np.ndarray:
+def _draw_indexes(rng: np.random.Generator, weights: np.ndarray, count: int) -> np.ndarray:
     return rng.choice(len(weights), count, p=weights / weights.sum())
 
 
 def _draw_work_ms(workload: Workload, streams: Streams, suffix: str, class_index: np.ndarray) -> np.ndarray:
-    """Draw lognormal work with the mean of each class, and its tail."""
+    """Draw the work of each request: lognormal with the mean of its class, multiplied in the tail."""
     count = len(class_index)
     normals = streams.get("works" + suffix).standard_normal(count)
     tails = streams.get("tails" + suffix).uniform(size=count)
     work_ms = np.empty(count)
     for index, spec in enumerate(workload.classes):
-        mine = class_index == index
+        of_class = class_index == index
         if spec.work_sigma:
-            lognormal = spec.mean_work_ms * np.exp(spec.work_sigma * normals[mine] - spec.work_sigma**2 / 2)
-            work_ms[mine] = np.maximum(lognormal, MIN_WORK_SHARE * spec.mean_work_ms)
+            lognormal = spec.mean_work_ms * np.exp(spec.work_sigma * normals[of_class] - spec.work_sigma**2 / 2)
+            work_ms[of_class] = np.maximum(lognormal, MIN_WORK_FRACTION * spec.mean_work_ms)
         else:
-            work_ms[mine] = spec.mean_work_ms
-        work_ms[mine & (tails < spec.tail_share)] *= spec.tail_factor
+            work_ms[of_class] = spec.mean_work_ms
+        work_ms[of_class & (tails < spec.tail_share)] *= spec.tail_factor
     return work_ms
 
 
@@ -266,8 +269,8 @@
     keys = np.full(count, NO_KEY)
     for index, spec in enumerate(workload.classes):
         if spec.distinct_keys:
-            mine = class_index == index
-            keys[mine] = (draws[mine] * spec.distinct_keys).astype(int)
+            of_class = class_index == index
+            keys[of_class] = (draws[of_class] * spec.distinct_keys).astype(int)
     return keys
 
 
@@ -278,15 +281,15 @@
     return np.where(workload.patience_share < 1.0, deadlines_ms * workload.patience_share, np.inf)
 
 
-def _merged(batches: list[Arrivals]) -> Arrivals:
-    """Return all batches as one, in the order of time."""
+def _merge(batches: list[Arrivals]) -> Arrivals:
+    """Merge all batches into one, in order of arrival."""
     columns = {f.name: np.concatenate([getattr(batch, f.name) for batch in batches]) for f in fields(Arrivals)}
     order = np.argsort(columns["time_ms"], kind="stable")
     return Arrivals(**{name: values[order] for name, values in columns.items()})
 
 
 class TraceError(ValueError):
-    """A trace that can't be read; the message names file and line."""
+    """A trace cannot be read; the message names the file and line."""
 
 
 def _replay(workload: Workload, streams: Streams) -> Arrivals:
@@ -305,14 +308,14 @@
         streams.get("managers").uniform(size=len(rows)),
         _leave_after_ms(workload, class_index),
     )
-    return _merged([recorded])
+    return _merge([recorded])
 
 
 def read_trace(workload: Workload) -> Iterator[tuple[float, int, int, float, int, int]]:
     """Yield recorded arrivals: time in ms, class index, tenant index, work in ms, table group, key.
 
     Raises:
-        TraceError: File or line can't be read.
+        TraceError: The file or one of its lines cannot be read.
     """
     path = workload.trace_path
     class_index = {spec.name: i for i, spec in enumerate(workload.classes)}
@@ -321,12 +324,12 @@
         with Path(path).open(newline="") as file:
             reader = csv.DictReader(file)
             if reader.fieldnames is None or set(TRACE_COLUMNS) - set(reader.fieldnames):
-                raise TraceError(f"{path}:1: columns {', '.join(TRACE_COLUMNS)} would be right")
+                raise TraceError(f"{path}:1: columns {', '.join(TRACE_COLUMNS)} are required")
             for row in reader:
                 try:
                     yield _trace_row(row, class_index, tenant_index)
                 except KeyError as error:
-                    raise TraceError(f"{path}:{reader.line_num}: nobody defines {error}") from error
+                    raise TraceError(f"{path}:{reader.line_num}: undefined class or tenant {error}") from error
                 except (ValueError, TypeError) as error:
                     raise TraceError(f"{path}:{reader.line_num}: {error}") from error
     except OSError as error:
@@ -338,7 +341,7 @@
 ) -> tuple[float, int, int, float, int, int]:
     time_ms, work_ms = float(row["time_ms"]), float(row["work_ms"])
     if not (0 <= time_ms < MAX_TRACE_TIME_MS and 0 < work_ms < MAX_TRACE_WORK_MS):
-        raise ValueError("time_ms from 0 and work_ms above 0 would be right")
+        raise ValueError(f"time_ms must be in [0, {MAX_TRACE_TIME_MS:g}) and work_ms in (0, {MAX_TRACE_WORK_MS:g})")
     return (
         time_ms,
         class_index[row["class"]],
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -198,8 +198,8 @@
             for text, words in (
                 ("time_ms\n1\n", ":1: columns"),
                 ("{h}x,consulta,cusco,50,3,\n", ":2: could not"),
-                ("{h}1,nobody,cusco,50,3,\n", ":2: nobody defines 'nobody'"),
-                ("{h}1,consulta,cusco,-50,3,\n", ":2: time_ms from 0"),
+                ("{h}1,nobody,cusco,50,3,\n", ":2: undefined class or tenant 'nobody'"),
+                ("{h}1,consulta,cusco,-50,3,\n", ":2: time_ms must be in "),
             ):
                 path.write_text(text.replace("{h}", "time_ms,class,tenant,work_ms,tables,key\n"))
                 with self.assertRaisesRegex(TraceError, words):
