--- a/decklb/lab/emulation/simulated_handoff.py
+++ b/decklb/lab/emulation/simulated_handoff.py
@@ -86,8 +86,8 @@
         self,
         seed: int,
         members: int = 3,
-        span: float = 8000.0,
-        rate: float = 10.0,
+        load_duration_ms: float = 8000.0,
+        requests_per_second: float = 10.0,
         settings: HandoffSettings = SETTINGS,
         coordinator: type[HandoffCoordinator] = HandoffCoordinator,
         harsh: bool = False,
@@ -97,8 +97,8 @@
         Args:
             seed: Seed of all random draws.
             members: Number of members.
-            span: Time in ms during which clients send requests.
-            rate: Requests per second.
+            load_duration_ms: Time in ms during which clients send requests.
+            requests_per_second: Mean rate of new requests.
             settings: Handoff settings of all members.
             coordinator: Class of the members' coordinators.
             harsh: Whether there are more faults than the replicas can tolerate.
@@ -118,7 +118,9 @@
         for name in self.names:
             self.members[name] = SimulatedMember(self, name)
         arrival_ms = warm_up_ms
-        while (arrival_ms := arrival_ms + self.rng.expovariate(rate / 1000.0)) < warm_up_ms + span:
+        while (
+            arrival_ms := arrival_ms + self.rng.expovariate(requests_per_second / 1000.0)
+        ) < warm_up_ms + load_duration_ms:
             self.at(arrival_ms, self._new_client)
         # A paused member cannot cancel its executions. A long one would overlap with the execution after a takeover,
         # so runs with long statements have no pauses.
@@ -127,11 +129,11 @@
         if not self.long_statements:
             self.fault_kinds += ("held-up",)
         for _ in range(HARSH_FAULTS if harsh else 1):
-            start = warm_up_ms + self.rng.uniform(0, span if harsh else span / 2)
+            start = warm_up_ms + self.rng.uniform(0, load_duration_ms if harsh else load_duration_ms / 2)
             self.at(
                 start, partial(self._inject_fault, self.rng.choice(self.names), self.rng.uniform(*FAULT_DURATION_MS))
             )
-        self.end = warm_up_ms + span + settings.record_lifetime_ms
+        self.end = warm_up_ms + load_duration_ms + settings.record_lifetime_ms
 
     def at(self, time_ms: float, callback: Callable[[], None]) -> None:
         """Schedule a call of `callback` at a simulated time in ms."""
--- a/decklb/lab/emulation/simulated_quorum_register.py
+++ b/decklb/lab/emulation/simulated_quorum_register.py
@@ -42,28 +42,34 @@
 
     Attributes:
         seed: Seed of the run.
-        done: Changes that were acknowledged to their proposers.
+        acknowledged: Changes that were acknowledged to their proposers.
         final: The value at the end.
         lost: Acknowledged changes that are missing in the final value.
-        twice: Changes that the final value contains more than once.
-        forked: Number of committed values that are not a prefix of the final one.
-        stuck: Number of changes that were still open at the end, apart from those of members that restarted.
+        duplicated: Changes that the final value contains more than once.
+        diverged: Number of committed values that are not a prefix of the final one.
+        unfinished: Number of changes that were still open at the end, apart from those of members that restarted.
     """
 
     seed: int
-    done: list[int] = field(default_factory=list)
+    acknowledged: list[int] = field(default_factory=list)
     final: Value = ()
     lost: list[int] = field(default_factory=list)
-    twice: list[int] = field(default_factory=list)
-    forked: int = 0
-    stuck: int = 0
+    duplicated: list[int] = field(default_factory=list)
+    diverged: int = 0
+    unfinished: int = 0
 
 
 class RegisterSimulation:
     """Members, the messages between them, and random faults."""
 
     def __init__(
-        self, seed: int, members: int, harsh: bool, pace: float = 150.0, slow: float = 0.0, kept: bool = False
+        self,
+        seed: int,
+        members: int,
+        harsh: bool,
+        mean_interval_ms: float = 150.0,
+        extra_delay_ms: float = 0.0,
+        keeps_state: bool = False,
     ) -> None:
         """Set up a run.
 
@@ -71,13 +77,18 @@
             seed: Seed of all random draws.
             members: Number of members.
             harsh: Whether faults are more frequent.
-            pace: Mean time between changes in ms.
-            slow: Delay in ms of every message in addition to the random one, as between members short of CPU time.
-            kept: Whether members store their acceptor state. In such runs, all members may restart at the same time.
+            mean_interval_ms: Mean time between changes in ms.
+            extra_delay_ms: Additional delay in ms of every message, as between members that are short of CPU time.
+            keeps_state: Whether members store their acceptor state; if so, all members may restart at the same time.
         """
         self.rng, self.verdict, self.now = random.Random(seed), RegisterVerdict(seed), 0.0
         self.names = [f"m{i}" for i in range(members)]
-        self.harsh, self.pace_ms, self.extra_delay_ms, self.keeps_state = harsh, pace, slow, kept
+        self.harsh, self.mean_interval_ms, self.extra_delay_ms, self.keeps_state = (
+            harsh,
+            mean_interval_ms,
+            extra_delay_ms,
+            keeps_state,
+        )
         self.disks: dict[str, AcceptorState] = {}
         self.nodes = {name: self._make_node(name) for name in self.names}
         self.paused_until = dict.fromkeys(
@@ -97,7 +108,7 @@
             quiet = self.now > END_MS - QUIET_MS
             if self.now >= next_change and not quiet:
                 self._propose_change(self.rng.choice(self.names))
-                next_change = self.now + self.rng.expovariate(1 / self.pace_ms)
+                next_change = self.now + self.rng.expovariate(1 / self.mean_interval_ms)
             if heal_at and self.now >= heal_at:
                 self.partitioned.clear()
                 heal_at = 0.0
@@ -136,12 +147,12 @@
         number = next(self._change_numbers)
         self.open_changes[number] = name
 
-        def acknowledged(_value: Value | Exception) -> None:
+        def on_acknowledged(_value: Value | Exception) -> None:
             self.open_changes.pop(number, None)
-            self.verdict.done.append(number)
+            self.verdict.acknowledged.append(number)
 
         # A retried change may already have been applied, so it appends its number only if that is missing.
-        self.nodes[name].propose(lambda value: value if number in value else (*value, number), acknowledged)
+        self.nodes[name].propose(lambda value: value if number in value else (*value, number), on_acknowledged)
 
     def _inject_fault(self) -> None:
         name = self.rng.choice(self.names)
@@ -198,8 +209,8 @@
     def _judge(self) -> RegisterVerdict:
         verdict = self.verdict
         final = verdict.final = max((node.committed for node in self.nodes.values()), key=len)
-        verdict.lost = [number for number in verdict.done if number not in final]
-        verdict.twice = [number for number in set(final) if final.count(number) > 1]
-        verdict.forked = sum(value != final[: len(value)] for value in self.committed_values)
-        verdict.stuck = len(self.open_changes)
+        verdict.lost = [number for number in verdict.acknowledged if number not in final]
+        verdict.duplicated = [number for number in set(final) if final.count(number) > 1]
+        verdict.diverged = sum(value != final[: len(value)] for value in self.committed_values)
+        verdict.unfinished = len(self.open_changes)
         return verdict
--- a/tests/test_lab_recorded_figures.py
+++ b/tests/test_lab_recorded_figures.py
@@ -137,7 +137,7 @@
     "handoff, harsh": lambda: plain([play_handoff(seed, harsh=True) for seed in (1, 2)]),
     "handoff, total": lambda: plain(total(play_handoff(seed) for seed in (4, 5))),
     "quorum register": lambda: plain([RegisterSimulation(seed, 5, harsh=True).run() for seed in (1, 2)]),
-    "quorum register, stored": lambda: plain([RegisterSimulation(3, 3, harsh=False, kept=True).run()]),
+    "quorum register, stored": lambda: plain([RegisterSimulation(3, 3, harsh=False, keeps_state=True).run()]),
     "zones": lambda: [
         digest(zone_agreement.play(case, 2, common, managers=6)) for case in zone_agreement.CASES for common in (0, 1)
     ],
--- a/tests/test_maintenance_register.py
+++ b/tests/test_maintenance_register.py
@@ -27,24 +27,27 @@
     done = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(25)):
         told = RegisterSimulation(seed, members, harsh=True).run()
-        assert (told.lost, told.twice, told.forked, told.stuck) == ([], [], 0, 0), (members, seed)
-        done += len(told.done)
+        assert (told.lost, told.duplicated, told.diverged, told.unfinished) == ([], [], 0, 0), (members, seed)
+        done += len(told.acknowledged)
     assert done > 1000
 
 
 def test_messages_slower_than_a_round_delay_commits_and_do_not_stop_them():
     """Each way 60 ms and more, where a try begins with 100 to 200: with tries of one length none was done."""
-    made = [RegisterSimulation(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
-    assert sum(len(t.done) for t in made) > 60
-    assert [(t.lost, t.twice, t.forked) for t in made] == [([], [], 0)] * 8
+    made = [
+        RegisterSimulation(seed, 5, harsh=False, mean_interval_ms=1000.0, extra_delay_ms=60.0).run()
+        for seed in range(8)
+    ]
+    assert sum(len(t.acknowledged) for t in made) > 60
+    assert [(t.lost, t.duplicated, t.diverged) for t in made] == [([], [], 0)] * 8
 
 
 def test_persisted_state_outlives_a_restart_of_all_members_at_once():
     done = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(12)):
-        told = RegisterSimulation(seed, members, harsh=True, kept=True).run()
-        assert (told.lost, told.twice, told.forked, told.stuck) == ([], [], 0, 0), (members, seed)
-        done += len(told.done)
+        told = RegisterSimulation(seed, members, harsh=True, keeps_state=True).run()
+        assert (told.lost, told.duplicated, told.diverged, told.unfinished) == ([], [], 0, 0), (members, seed)
+        done += len(told.acknowledged)
     assert done > 400
 
 
--- a/tests/test_maintenance_wire_format.py
+++ b/tests/test_maintenance_wire_format.py
@@ -149,10 +149,10 @@
 
 @pytest.mark.parametrize(("members", "seed", "kept"), [(3, 1, False), (5, 2, False), (3, 3, True), (5, 4, True)])
 def test_a_simulated_run_of_the_register_sends_the_same_messages(members, seed, kept):
-    world = TracedWorld(seed, members, harsh=True, kept=kept)
+    world = TracedWorld(seed, members, harsh=True, keeps_state=kept)
     outcome = world.run()
     expected = EXPECTED["register runs"][f"{members} members, seed {seed}, kept {kept}"]
-    assert (len(outcome.done), world.digest.hexdigest()) == tuple(expected)
+    assert (len(outcome.acknowledged), world.digest.hexdigest()) == tuple(expected)
 
 
 def fleet_trace(seed):
