--- a/decklb/lab/emulation/simulated_cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -57,14 +57,14 @@
         hosts: The latest host of each address, including killed ones.
         runs: Health checks that hosts ran.
         deaths: Members declared dead: time, reporting host, name of the member.
-        probed: Health check results passed on by nodes: time, host, engine, whether it is up.
+        health_results: Health check results passed on by nodes: time, host, engine, whether it is up.
         down: Engines that answer no health check.
         unreachable: Pairs of host and engine between which the connection is cut.
         ranking: Ranking shared by all nodes; None if each node has its own.
         warm_at: Time at which each engine has warmed up; 0 if it already has.
         seeds: Addresses that hosts contact to join.
         drift, skew_ms: Maximum drift and skew of the hosts' clocks, in both directions.
-        returned: Used by tests: hosts that restarted since the test's last check.
+        restarted: Used by tests: hosts that restarted since the test's last check.
         check_ms: Duration of a health check of a running engine in ms.
     """
 
@@ -75,7 +75,7 @@
     hosts: list[Host] = field(default_factory=list)
     runs: list[RecordedRun] = field(default_factory=list)
     deaths: list[tuple[float, str, str]] = field(default_factory=list)
-    probed: list[tuple[float, str, str, bool]] = field(default_factory=list)
+    health_results: list[tuple[float, str, str, bool]] = field(default_factory=list)
     down: set[str] = field(default_factory=set)
     unreachable: set[tuple[str, str]] = field(default_factory=set)
     ranking: Ranking | None = None
@@ -83,7 +83,7 @@
     seeds: list[Address] = field(default_factory=list)
     drift: float = 0.0
     skew_ms: float = 0.0
-    returned: set[str] = field(default_factory=set)
+    restarted: set[str] = field(default_factory=set)
     check_ms: float = 5.0
 
     @classmethod
@@ -95,8 +95,8 @@
         membership: MembershipSettings,
         duty: DutySettings,
         faults: Faults | None = None,
-        shared: bool = True,
-        warm: bool = False,
+        shared_ranking: bool = True,
+        converged: bool = False,
         drift: float = 0.0,
         skew_ms: float = 0.0,
     ) -> Cluster:
@@ -109,8 +109,8 @@
             membership: Membership settings of all nodes.
             duty: Settings of the health checks at all nodes.
             faults: Faults of the network.
-            shared: Whether all nodes use the same ranking object.
-            warm: Whether all hosts already know each other, as after a long time without changes.
+            shared_ranking: Whether all nodes use the same ranking object.
+            converged: Whether all hosts already know each other, as after a long time without changes.
             drift: Maximum drift of the hosts' clocks, in both directions.
             skew_ms: Maximum skew of the hosts' wall clocks in ms, in both directions.
         """
@@ -120,7 +120,7 @@
             membership,
             duty,
             [f"motor-{i}" for i in range(engines)],
-            ranking=SharedRanking(duty.kind) if shared else None,
+            ranking=SharedRanking(duty.kind) if shared_ranking else None,
             drift=drift,
             skew_ms=skew_ms,
         )
@@ -133,7 +133,7 @@
         cluster.seeds = [cluster.address(i) for i in range(min(MAX_SEED_MEMBERS, instances))]
         for i in range(instances):
             cluster.start(i)
-        if warm:
+        if converged:
             cluster._introduce_all()
         return cluster
 
@@ -227,7 +227,7 @@
             self.deaths.append((self.world.now, host.name, str(fields["member"])))
 
     def _on_health_check(self, host: Host, subject: str, up: bool) -> None:
-        self.probed.append((self.world.now, host.name, subject, up))
+        self.health_results.append((self.world.now, host.name, subject, up))
 
     # Invariants and measurements.
 
--- a/decklb/lab/experiments/shared_duties.py
+++ b/decklb/lab/experiments/shared_duties.py
@@ -52,7 +52,7 @@
         membership,
         duty,
         Faults(loss=x.loss, duplicate=x.loss / 10),
-        warm=not x.join,
+        converged=not x.join,
         drift=x.drift,
         skew_ms=x.skew_ms,
     )
--- a/tests/test_cluster_simulation.py
+++ b/tests/test_cluster_simulation.py
@@ -27,7 +27,9 @@
 
 
 def cluster(instances=5, engines=30, seed=1, faults=None, warm=True, **clocks):
-    return Cluster.make(seed, instances, engines, MEMBERSHIP, DUTY, faults, shared=False, warm=warm, **clocks)
+    return Cluster.make(
+        seed, instances, engines, MEMBERSHIP, DUTY, faults, shared_ranking=False, converged=warm, **clocks
+    )
 
 
 class Members(unittest.TestCase):
@@ -173,7 +175,7 @@
         self.assertEqual(len(new), 1)
         self.assertNotEqual(new, [owner])
         self.assertFalse(any(c.scheduler(h).verdicts.is_down("motor-7") for h in c.hosts))
-        self.assertEqual(c.probed, [])
+        self.assertEqual(c.health_results, [])
         c.world.run(12 * DUTY.period_ms)
         self.assertEqual(c.owners()["motor-7"], new)
 
@@ -184,10 +186,12 @@
         c.world.run(8 * DUTY.period_ms)
         witnesses = {r.host for r in c.runs if r.subject == "motor-7" and r.at > 2 * SECOND}
         self.assertEqual(len(witnesses), DUTY.max_declines + 1)
-        self.assertEqual({(h, s, up) for _, h, s, up in c.probed}, {(h.name, "motor-7", False) for h in c.hosts})
+        self.assertEqual(
+            {(h, s, up) for _, h, s, up in c.health_results}, {(h.name, "motor-7", False) for h in c.hosts}
+        )
         c.down = set()
         c.world.run(11 * DUTY.period_ms)
-        self.assertEqual([up for _, h, s, up in c.probed if h == "m0"][-1], True)
+        self.assertEqual([up for _, h, s, up in c.health_results if h == "m0"][-1], True)
 
     def test_a_mass_failure_has_no_effect_until_its_hold_is_over(self):
         c = cluster(3, engines=10)
@@ -197,11 +201,11 @@
         some = c.scheduler(c.host("m0"))
         self.assertIsNotNone(some.verdicts.mass_failure_since)
         until = some.verdicts.mass_failure_since + DUTY.mass_failure_hold_ms
-        early = [s for at, h, s, _ in c.probed if h == "m0" and some.verdicts.mass_failure_since <= at < until]
-        few = {s for at, h, s, _ in c.probed if h == "m0" and at < some.verdicts.mass_failure_since}
+        early = [s for at, h, s, _ in c.health_results if h == "m0" and some.verdicts.mass_failure_since <= at < until]
+        few = {s for at, h, s, _ in c.health_results if h == "m0" and at < some.verdicts.mass_failure_since}
         self.assertLess(len(few), DUTY.mass_failure_ratio * 10)
         self.assertLessEqual(set(early), few)
-        self.assertEqual({s for at, h, s, _ in c.probed if h == "m0" and at >= until}, set(c.engines))
+        self.assertEqual({s for at, h, s, _ in c.health_results if h == "m0" and at >= until}, set(c.engines))
 
     def test_the_experiments_figures_are_within_their_bounds(self):
         x = run(Experiment(instances=9, engines=60, periods=16, loss=0.1, kill=1, partition=0.4, seed=3))
@@ -266,9 +270,9 @@
             c.world.run(c.world.now + wait)
             found = c.terms()
             # A host that came back has forgotten; all others' terms only rise.
-            self.assertTrue(all(found[k] >= v for k, v in terms.items() if k in found and k[0] not in c.returned))
+            self.assertTrue(all(found[k] >= v for k, v in terms.items() if k in found and k[0] not in c.restarted))
             terms = found
-            c.returned = set()
+            c.restarted = set()
         c.heal()
         c.world.faults.loss = 0.0
         for i in range(5):
@@ -283,7 +287,7 @@
             c.world.kill(c.host(f"m{which}"))
         elif what == "return" and c.address(which) not in c.world.hosts:
             c.start(which)
-            c.returned.add(f"m{which}")
+            c.restarted.add(f"m{which}")
         elif what == "pause" and c.address(which) in c.world.hosts and not c.host(f"m{which}").paused:
             c.world.pause(c.host(f"m{which}"), 7 * SECOND)
         elif what in ("part", "one-way"):
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -132,7 +132,9 @@
         repeat_interval_ms=5000.0,
     )
     faults = Faults(loss=0.1, duplicate=0.05)
-    cluster = Cluster.make(seed, 6, 20, membership, duty, faults, shared=False, warm=False, drift=1e-4, skew_ms=20.0)
+    cluster = Cluster.make(
+        seed, 6, 20, membership, duty, faults, shared_ranking=False, converged=False, drift=1e-4, skew_ms=20.0
+    )
     world = cluster.world
     digest = hashlib.sha256()
     sent = 0
@@ -170,7 +172,7 @@
     assert twin.node.membership.local.is_yielding
     for run in cluster.runs:
         digest.update(f"{run.at!r} {run.host} {run.subject} {run.term}".encode())
-    for event in [*cluster.deaths, *cluster.probed]:
+    for event in [*cluster.deaths, *cluster.health_results]:
         digest.update(repr(event).encode())
     for host in cluster.hosts:
         members = member_rows(host.node.membership, host.now())
