--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The emulator: against theory, its rules' checkers against broken policies, its tables, its files and their faults."""
+"""Tests of the emulator: queueing theory, invariant checks of faulty policies, stored tables, and errors in files."""
 
 from __future__ import annotations
 
@@ -33,16 +33,17 @@
 
 
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.3), (1, 0.6), (4, 0.7)])
-def test_response_times_as_in_theory(cores, load):
-    f = theory.play(cores, load, 60_000, 3)
-    assert abs(f.response_ms / theory.response(cores, load) - 1) < 0.03
-    assert abs(f.in_system - f.rate_per_ms * f.response_ms) < 1e-9 * f.in_system  # Little's law
-    assert f.unaccounted < 1e-9
+def test_response_times_match_queueing_theory(cores, load):
+    measured = theory.play(cores, load, 60_000, 3)
+    assert abs(measured.response_ms / theory.response(cores, load) - 1) < 0.03
+    # Little's law
+    assert abs(measured.in_system - measured.rate_per_ms * measured.response_ms) < 1e-9 * measured.in_system
+    assert measured.unaccounted < 1e-9
 
 
-def test_sessions_are_lost_as_erlang_says():
-    f = theory.play(8, 0.9, 60_000, 2, sessions=8)
-    assert abs(f.blocked / theory.erlang_b(8, 7.2) - 1) < 0.03
+def test_share_of_rejected_queries_matches_erlang_b():
+    measured = theory.play(8, 0.9, 60_000, 2, sessions=8)
+    assert abs(measured.blocked / theory.erlang_b(8, 7.2) - 1) < 0.03
     assert theory.erlang_b(2, 1.0) == pytest.approx(0.2)
     assert theory.response(1, 0.5) == pytest.approx(200.0)
 
@@ -52,67 +53,71 @@
         self.loop, self.ended = Loop(), []
         self.spec = EngineSpec(cores=2, thrash_threshold=10.0, warm_up_ms=0.0)
 
-    def engine(self, **more):
-        return Engine(self.loop, "e", replace(self.spec, **more))
+    def engine(self, **changes):
+        return Engine(self.loop, "e", replace(self.spec, **changes))
 
-    def query(self, name, work, **more):
+    def query(self, name, work_ms, **options):
         return Query(
-            work,
-            memory_mb=more.pop("memory_mb", 0.0),
-            io_share=more.pop("io_share", 0.0),
+            work_ms,
+            memory_mb=options.pop("memory_mb", 0.0),
+            io_share=options.pop("io_share", 0.0),
             on_end=lambda outcome: self.ended.append((name, outcome, round(self.loop.now(), 6))),
-            **more,
+            **options,
         )
 
-    def test_cores_are_shared(self):
+    def test_queries_share_the_cores(self):
         e = self.engine()
         for name in "abcd":
             e.submit(self.query(name, 100.0))
         e.submit(self.query("wide", 400.0, threads=2))
         self.loop.run(1000.0)
-        # Six threads on two cores: a third of the speed until four have had 100 ms of work each.
+        # Six threads share two cores, so each runs at a third of the speed until four have done 100 ms of work each.
         self.assertEqual(
-            [(n, t) for n, _, t in self.ended],
+            [(name, ended_ms) for name, _, ended_ms in self.ended],
             [("a", 300.0), ("b", 300.0), ("c", 300.0), ("d", 300.0), ("wide", 400.0)],
         )
 
-    def test_thrash_spill_warmth_and_plans_add_work_or_time(self):
+    def test_thrashing_spilling_cache_and_bad_plans_change_the_duration(self):
         e = self.engine(thrash_threshold=1.0, thrash_slope=1.0)
         e.submit(self.query("a", 100.0, threads=4))
         self.loop.run(1000.0)
-        self.assertEqual(self.ended.pop()[2], 100.0)  # 25 ms a thread at a half of the speed, halved again
+        # 25 ms per thread; the speed is halved for lack of cores and halved again by thrashing.
+        self.assertEqual(self.ended.pop()[2], 100.0)
         e = self.engine(memory_mb=100.0, spill_factor=3.0)
         e.submit(self.query("big", 100.0, memory_mb=200.0))
         self.loop.run(2000.0)
-        self.assertEqual(self.ended.pop()[2], 1000.0 + 250.0)  # half of its memory lacks
+        self.assertEqual(self.ended.pop()[2], 1000.0 + 250.0)  # half of its memory is missing
         e = self.engine(cache_saving=0.5)
         for name in ("first", "second"):
             e.submit(self.query(name, 100.0, io_share=0.4, table_group=7, plan_factor=2.0))
             self.loop.run(self.loop.now() + 1000.0)
-        (_, _, one), (_, _, two) = self.ended[-2:]
-        self.assertEqual((one - 2000.0, two - 3000.0), (200.0, 160.0))
+        (_, _, uncached_ms), (_, _, cached_ms) = self.ended[-2:]
+        self.assertEqual((uncached_ms - 2000.0, cached_ms - 3000.0), (200.0, 160.0))
 
-    def test_a_load_holds_its_group(self):
+    def test_a_load_locks_its_table_group(self):
         e = self.engine()
         e.submit(self.query("load", 100.0, locks_tables=True, table_group=1))
         e.submit(self.query("reader", 10.0, waits_for_loads=True, table_group=1))
         e.submit(self.query("other load", 10.0, locks_tables=True, table_group=1))
         e.submit(self.query("elsewhere", 10.0, waits_for_loads=True, table_group=2))
         self.loop.run(500.0)
-        self.assertEqual([n for n, _, _ in self.ended], ["elsewhere", "load", "reader", "other load"])
+        self.assertEqual([name for name, _, _ in self.ended], ["elsewhere", "load", "reader", "other load"])
 
-    def test_called_off_work_is_lost_and_accounted(self):
+    def test_work_of_a_cancelled_query_counts_as_lost(self):
         e = self.engine()
-        q = self.query("a", 100.0)
-        e.submit(q)
+        query = self.query("a", 100.0)
+        e.submit(query)
         self.loop.run(40.0)
-        e.cancel(q)
-        e.cancel(q)
+        e.cancel(query)
+        e.cancel(query)
         self.loop.run(500.0)
         self.assertEqual((self.ended, e.account.lost_ms, e.account.executed_ms), ([], 40.0, 40.0))
 
-    def test_late_in_a_long_run_moments_still_pass(self):
-        """At 40,000,000 ms the clock moves by 7e-9: what was left of a query was less, and its end came for ever."""
+    def test_queries_end_despite_the_clock_resolution_late_in_a_long_run(self):
+        """At 40,000,000 ms the resolution of the clock is 7e-9 ms.
+
+        The remaining work of a query can be less than that; its end was then scheduled forever at the same time.
+        """
         self.loop.run(4e7)
         e = self.engine()
         for i in range(200):
@@ -122,14 +127,15 @@
         self.assertEqual(len(self.ended), 200)
         self.assertLess(abs(e.account.served_ms / e.account.executed_ms - 1), 1e-9)
 
-    def test_deaths_loud_and_silent(self):
+    def test_queries_end_with_the_engine_unless_its_machine_disappears(self):
         e = self.engine()
         e.submit(self.query("a", 100.0))
         self.loop.run(10.0)
         e.stop()
         e.submit(self.query("b", 1.0))
         self.assertEqual(
-            [(n, o) for n, o, _ in self.ended], [("a", Outcome.CONNECTION_RESET), ("b", Outcome.UNREACHABLE)]
+            [(name, outcome) for name, outcome, _ in self.ended],
+            [("a", Outcome.CONNECTION_RESET), ("b", Outcome.UNREACHABLE)],
         )
         e.start()
         e.submit(self.query("c", 100.0))
@@ -138,7 +144,7 @@
         self.loop.run(500.0)
         self.assertEqual(len(self.ended), 2)
 
-    def test_cold_start_is_slow_then_not_and_falls_over(self):
+    def test_a_starting_engine_warms_up_and_crashes_under_overload(self):
         e = self.engine(warm_up_ms=1000.0, initial_capacity=0.25, overload_window_ms=500.0, overload_factor=2.0)
         e.stop()
         e.start()
@@ -152,13 +158,13 @@
         for i in range(12):
             e.submit(self.query(f"q{i}", 100.0))
         self.assertEqual(e.account.crashes, 1)
-        self.assertIn(Outcome.CONNECTION_RESET, {o for _, o, _ in self.ended[1:]})
+        self.assertIn(Outcome.CONNECTION_RESET, {outcome for _, outcome, _ in self.ended[1:]})
 
 
-class Draws(unittest.TestCase):
-    def test_concerns_do_not_disturb_each_other(self):
+class Arrivals(unittest.TestCase):
+    def test_a_change_of_one_property_leaves_other_draws_unchanged(self):
         w = world(3, 8, 100.0, 10_000.0).workload
-        plain, tailed = (
+        original, changed = (
             draw(w, Streams(5), 10_000.0),
             draw(
                 replace(w, zipf_exponent=0.1, surges=(TrafficSurge(2000.0, 1000.0, 5.0, tenant="cusco"),)),
@@ -167,46 +173,49 @@
             ),
         )
         again = draw(w, Streams(5), 10_000.0)
-        self.assertTrue(np.array_equal(plain.work_ms, again.work_ms))
-        self.assertGreater(len(tailed), len(plain))
-        kept = np.isin(tailed.time_ms, plain.time_ms)
-        self.assertTrue(np.array_equal(tailed.work_ms[kept], plain.work_ms))
-        self.assertTrue(np.array_equal(tailed.class_index[kept], plain.class_index))
-        self.assertFalse(np.array_equal(draw(w, Streams(6), 10_000.0).time_ms, plain.time_ms))
-
-    def test_rates_bursts_and_the_daily_shape(self):
+        self.assertTrue(np.array_equal(original.work_ms, again.work_ms))
+        self.assertGreater(len(changed), len(original))
+        common = np.isin(changed.time_ms, original.time_ms)
+        self.assertTrue(np.array_equal(changed.work_ms[common], original.work_ms))
+        self.assertTrue(np.array_equal(changed.class_index[common], original.class_index))
+        self.assertFalse(np.array_equal(draw(w, Streams(6), 10_000.0).time_ms, original.time_ms))
+
+    def test_arrival_rate_follows_surges_and_the_daily_variation(self):
         w = Workload(1000.0, world(1, 1, 1.0, 1.0).workload.classes, (Tenant("t", 1.0),))
-        burst = replace(w, surges=(TrafficSurge(5000.0, 5000.0, 3.0),))
-        a = draw(burst, Streams(1), 20_000.0)
-        inside = ((a.time_ms >= 5000) & (a.time_ms < 10_000)).sum()
-        self.assertAlmostEqual(inside / 15_000, 1.0, delta=0.05)
+        surged = replace(w, surges=(TrafficSurge(5000.0, 5000.0, 3.0),))
+        arrivals = draw(surged, Streams(1), 20_000.0)
+        during_surge = ((arrivals.time_ms >= 5000) & (arrivals.time_ms < 10_000)).sum()
+        self.assertAlmostEqual(during_surge / 15_000, 1.0, delta=0.05)
         day = draw(replace(w, daily_amplitude=0.5, day_length_ms=20_000.0), Streams(1), 20_000.0)
         self.assertGreater((day.time_ms < 10_000).sum() / (day.time_ms >= 10_000).sum(), 1.7)
-        self.assertAlmostEqual(float(a.work_ms[a.class_index == 0].mean()) / 100.0, 1.0, delta=0.05)
+        self.assertAlmostEqual(float(arrivals.work_ms[arrivals.class_index == 0].mean()) / 100.0, 1.0, delta=0.05)
 
-    def test_trace(self):
+    def test_a_trace_is_replayed_and_its_errors_name_the_line(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "t.csv"
             path.write_text(
                 "time_ms,class,tenant,work_ms,tables,key\n20,consulta,cusco,50,3,\n10,carga,ayacucho,80,1,7\n"
             )
             w = replace(world(1, 2, 1.0, 1000.0).workload, trace_path=str(path))
-            a = draw(w, Streams(1), 1000.0)
-            self.assertEqual((list(a.time_ms), list(a.work_ms), list(a.key)), ([10.0, 20.0], [80.0, 50.0], [7, -1]))
+            arrivals = draw(w, Streams(1), 1000.0)
+            self.assertEqual(
+                (list(arrivals.time_ms), list(arrivals.work_ms), list(arrivals.key)),
+                ([10.0, 20.0], [80.0, 50.0], [7, -1]),
+            )
             run = Run(replace(world(1, 2, 1.0, 1000.0), workload=w), 1)
             self.assertEqual(run.run()["served"], 2)
-            for text, words in (
+            for text, message in (
                 ("time_ms\n1\n", ":1: columns"),
                 ("{h}x,consulta,cusco,50,3,\n", ":2: could not"),
                 ("{h}1,nobody,cusco,50,3,\n", ":2: undefined class or tenant 'nobody'"),
                 ("{h}1,consulta,cusco,-50,3,\n", ":2: time_ms must be in "),
             ):
                 path.write_text(text.replace("{h}", "time_ms,class,tenant,work_ms,tables,key\n"))
-                with self.assertRaisesRegex(TraceError, words):
+                with self.assertRaisesRegex(TraceError, message):
                     draw(w, Streams(1), 1000.0)
 
 
-class Emulated(unittest.TestCase):
+class EmulatedRun(unittest.TestCase):
     def test_work_and_requests_are_conserved_through_faults(self):
         w = replace(
             world(4, 10, 300.0, 12_000.0),
@@ -222,88 +231,92 @@
         )
         s = Run(w, 4).run()
         self.assertEqual(s["served"] + s["refused"] + s["failed"] + s["left"] + s["lost"], s["requests"])
-        done = s["work_served"] + s["work_lost"] + s["work_open"]
-        self.assertLess(abs(done / s["work_done"] - 1), 1e-9)
+        accounted = s["work_served"] + s["work_lost"] + s["work_open"]
+        self.assertLess(abs(accounted / s["work_done"] - 1), 1e-9)
         self.assertLess(abs(s["little_l"] / s["little_lw"] - 1), 1e-9)
-        self.assertEqual({k: v for k, v in s.items() if k.startswith("broken_")}, {})
+        self.assertEqual({name: count for name, count in s.items() if name.startswith("broken_")}, {})
         self.assertGreater(s["worth"], 0.5)
 
-    def test_a_warm_up_counts_neither_requests_nor_attempts(self):
+    def test_requests_and_attempts_of_the_warm_up_are_not_counted(self):
         s = Run(replace(world(2, 6, 40.0, 6000.0), warm_up_ms=3000.0, speed_sigma=0.0), 3).run()
         self.assertAlmostEqual(s["attempts_a_request"], 1.0, delta=0.05)
 
-    def test_shared_probing_finds_engines_that_vanish(self):
+    def test_shared_health_checks_detect_engines_whose_machine_disappears(self):
         w = replace(
             world(4, 10, 120.0, 24_000.0),
             faults=(
                 InjectedFault(9000.0, FaultKind.VANISH, 14_000.0, victim_count=3),
                 InjectedFault(12_000.0, FaultKind.MANAGER, 3000.0, victim_count=1),
             ),
-            list_delay_ms=60_000.0,
-        )  # the list says nothing of it in time
-        blind, sighted = Run(w, 2).run(), Run(replace(w, health_check_period_ms=2000.0), 2).run()
-        self.assertEqual((blind["broken"], sighted["broken"]), (0, 0))
-        self.assertAlmostEqual(sighted["probes_an_engine_a_period"], 1.0, delta=0.25)
-        self.assertNotIn("probes_an_engine_a_period", blind)
-        self.assertGreaterEqual(sighted["worth"], blind["worth"])
-
-    def test_impatience_and_client_retries(self):
+            list_delay_ms=60_000.0,  # the endpoint list reports the loss too late
+        )
+        unchecked, checked = Run(w, 2).run(), Run(replace(w, health_check_period_ms=2000.0), 2).run()
+        self.assertEqual((unchecked["broken"], checked["broken"]), (0, 0))
+        self.assertAlmostEqual(checked["probes_an_engine_a_period"], 1.0, delta=0.25)
+        self.assertNotIn("probes_an_engine_a_period", unchecked)
+        self.assertGreaterEqual(checked["worth"], unchecked["worth"])
+
+    def test_impatient_clients_leave(self):
         w = world(2, 2, 160.0, 6000.0)
-        plain = Run(w, 2).run()
-        left = Run(replace(w, workload=replace(w.workload, patience_share=0.2)), 2).run()
-        self.assertEqual(plain["left"], 0)
-        self.assertGreater(left["left"], 0)
-        self.assertEqual((plain["broken"], left["broken"]), (0, 0))
+        patient = Run(w, 2).run()
+        impatient = Run(replace(w, workload=replace(w.workload, patience_share=0.2)), 2).run()
+        self.assertEqual(patient["left"], 0)
+        self.assertGreater(impatient["left"], 0)
+        self.assertEqual((patient["broken"], impatient["broken"]), (0, 0))
 
-    def test_two_policies_see_the_same_world(self):
-        one, two = (Run(world(3, 8, 200.0, 5000.0, p), 9) for p in ("random", "oracle"))
-        self.assertTrue(np.array_equal(one.arrivals.plan_draw, two.arrivals.plan_draw))
-        a, b = one.run(), two.run()
-        self.assertEqual(a["requests"], b["requests"])
-        self.assertGreater(b["worth"], a["worth"])
+    def test_two_policies_get_the_same_requests(self):
+        random_run, oracle_run = (Run(world(3, 8, 200.0, 5000.0, p), 9) for p in ("random", "oracle"))
+        self.assertTrue(np.array_equal(random_run.arrivals.plan_draw, oracle_run.arrivals.plan_draw))
+        random_summary, oracle_summary = random_run.run(), oracle_run.run()
+        self.assertEqual(random_summary["requests"], oracle_summary["requests"])
+        self.assertGreater(oracle_summary["worth"], random_summary["worth"])
 
 
-class Bad(Random):
-    """Breaks one rule, named by `rule`."""
+class FaultyPolicy(Random):
+    """A policy that violates the invariant `rule`."""
 
     rule = ""
 
-    def _request_arrived(self, a):
+    def _request_arrived(self, event):
         if self.rule == "key":
-            self.taken_ms.append(self.now)
-            r = self.open[a.request_id] = policies.OpenRequest(a, self.settings.classes[a.request_class], self.now)
-            return self._send(r)
-        super()._request_arrived(a)
+            self.arrival_times_ms.append(self.now)
+            request = self.open_requests[event.request_id] = policies.OpenRequest(
+                event, self.settings.classes[event.request_class], self.now
+            )
+            return self._send(request)
+        super()._request_arrived(event)
 
-    def _endpoints_updated(self, e):
-        super()._endpoints_updated(e)
+    def _endpoints_updated(self, event):
+        super()._endpoints_updated(event)
         if self.rule == "drain":
             self.usable = list(self.endpoints.values())
 
-    def _may_retry(self, r):
+    def _may_retry(self, request):
         if self.rule == "repeat":
-            return len(r.tried) < 3
+            return len(request.tried_engines) < 3
         if self.rule == "attempts":
             return True
         if self.rule == "ration":
-            return len(r.tried) < 4 and (not r.may_have_run or r.spec.effect is api.Effect.SAFE)
-        return super()._may_retry(r)
+            return len(request.tried_engines) < 4 and (
+                not request.may_have_run or request.spec.effect is api.Effect.SAFE
+            )
+        return super()._may_retry(request)
 
-    def pick(self, r):
+    def pick(self, request):
         if self.rule == "cold":
-            return max(self.usable, key=lambda x: x.started_at_ms).engine_id
-        return super().pick(r)
+            return max(self.usable, key=lambda endpoint: endpoint.started_at_ms).engine_id
+        return super().pick(request)
 
 
 @pytest.mark.parametrize("rule", ["attempts", "repeat", "drain", "cold", "key", "ration"])
-def test_a_policy_that_breaks_a_rule_is_caught(rule, monkeypatch):
-    monkeypatch.setitem(policies.POLICIES, "bad", type("Broken", (Bad,), {"rule": rule}))
-    deaths = tuple(InjectedFault(at, FaultKind.KILL, 1000.0, victim_count=3) for at in (2000.0, 4000.0, 6000.0))
+def test_violations_by_a_faulty_policy_are_detected(rule, monkeypatch):
+    monkeypatch.setitem(policies.POLICIES, "bad", type("Broken", (FaultyPolicy,), {"rule": rule}))
+    kills = tuple(InjectedFault(at_ms, FaultKind.KILL, 1000.0, victim_count=3) for at_ms in (2000.0, 4000.0, 6000.0))
     w = replace(
         world(2, 6, 150.0, 9000.0, "bad"),
         message_loss=0.03,
         engine_spec=EngineSpec(max_sessions=200 if rule == "cold" else 8),
-        faults=(*deaths, InjectedFault(3000.0, FaultKind.DRAIN, 0.0, victim_count=2)),
+        faults=(*kills, InjectedFault(3000.0, FaultKind.DRAIN, 0.0, victim_count=2)),
     )
     if rule == "key":
         w = replace(
@@ -313,31 +326,31 @@
                 classes=tuple(replace(c, distinct_keys=3 if c.distinct_keys else 0) for c in w.workload.classes),
             ),
         )
-    if rule == "repeat":  # the dispatcher holds these back, whatever the policy says; then the checker has to see them
+    if rule == "repeat":  # the dispatcher blocks these retries itself; with that disabled, the checker must see them
         assert Run(w, 1).run().get("broken_repeat", 0) == 0
         monkeypatch.setattr(AttemptRunner, "_repeatable_until", lambda self, request: math.inf)
-    s = Run(w, 1).run()
-    assert s.get(f"broken_{rule}", 0) > 0
-    good = Run(replace(w, policy="random"), 1).run()
-    assert good.get(f"broken_{rule}", 0) == 0 or rule == "cold"
-
-
-def test_answers_and_overlap_are_caught():
-    """The dispatcher lets no policy do these, so the checker is told by hand."""
-    c = Run(world(1, 1, 1.0, 1000.0), 1).checker
-    c.request_arrived(0.0, 0, "a", "consulta", None)
-    c.attempt_sent(1.0, 0, "a", "e0", False)
-    c.attempt_sent(2.0, 0, "a", "e1", False)
-    c.request_answered(0, "a", "served")
-    c.request_answered(0, "a", "failed")
-    c.request_arrived(3.0, 0, "b", "consulta", None)
-    c.run_ended()
-    assert c.violations == {"overlap": 1, "answer": 2}
-    assert set(Rule) >= set(c.violations)
-
-
-SMALL = str(ROOT / "examples" / "small.xml")
-BROKEN = [  # what stands in the example, what in its place, the line, words of the fault
+    faulty = Run(w, 1).run()
+    assert faulty.get(f"broken_{rule}", 0) > 0
+    correct = Run(replace(w, policy="random"), 1).run()
+    assert correct.get(f"broken_{rule}", 0) == 0 or rule == "cold"
+
+
+def test_violations_of_answer_and_overlap_are_detected():
+    """The dispatcher prevents these violations with any policy, so the test calls the checker directly."""
+    checker = Run(world(1, 1, 1.0, 1000.0), 1).checker
+    checker.request_arrived(0.0, 0, "a", "consulta", None)
+    checker.attempt_sent(1.0, 0, "a", "e0", False)
+    checker.attempt_sent(2.0, 0, "a", "e1", False)
+    checker.request_answered(0, "a", "served")
+    checker.request_answered(0, "a", "failed")
+    checker.request_arrived(3.0, 0, "b", "consulta", None)
+    checker.run_ended()
+    assert checker.violations == {"overlap": 1, "answer": 2}
+    assert set(Rule) >= set(checker.violations)
+
+
+SMALL_EXAMPLE = str(ROOT / "examples" / "small.xml")
+FILE_ERRORS = [  # text of the example, its replacement, line of the error, part of the message
     ('span="12s"', 'span="12"', 2, "a duration such as"),
     ("<policy>random", "<policy>best", 13, "best"),
     ('count="1" for', "for", 10, "either share or count"),
@@ -349,42 +362,42 @@
 ]
 
 
-@pytest.mark.parametrize(("old", "new", "line", "words"), BROKEN, ids=[w for *_, w in BROKEN])
-def test_broken_experiments(old, new, line, words, tmp_path):
+@pytest.mark.parametrize(("old", "new", "line", "message"), FILE_ERRORS, ids=[m for *_, m in FILE_ERRORS])
+def test_errors_in_experiment_files_are_reported(old, new, line, message, tmp_path):
     path = tmp_path / "x.xml"
-    text = Path(SMALL).read_text()
+    text = Path(SMALL_EXAMPLE).read_text()
     assert old in text
     path.write_text(text.replace(old, new, 1))
     with pytest.raises(SettingsError) as caught:
         experiment_file.load(str(path))
-    assert [f for f in caught.value.faults if f.line == line and words in f.text], str(caught.value)
+    assert [f for f in caught.value.faults if f.line == line and message in f.text], str(caught.value)
 
 
-def test_run_resume_report_compare_same_bytes_in_one_process_and_many(tmp_path):
+def test_results_are_identical_with_one_or_several_processes_and_after_a_resume(tmp_path):
     one, two = str(tmp_path / "one"), str(tmp_path / "two")
     run = CliRunner().invoke
-    said = run(main, ["lab", "run", SMALL, "--out", one, "--workers", "1", "--quiet"])
-    assert said.exit_code == 0, said.output
-    assert run(main, ["lab", "run", SMALL, "--out", two, "--workers", "3", "--quiet"]).exit_code == 0
-    whole = (Path(one) / "summaries.parquet").read_bytes()
-    assert whole == (Path(two) / "summaries.parquet").read_bytes()
-    # Stopped in the midst: one cell lacks, another was being written; all else is kept.
-    lost, half = sorted((Path(two) / "cells").glob("*.json"))[:2]
-    kept = sorted((Path(two) / "cells").glob("*.json"))[2]
-    before = kept.stat().st_mtime_ns
-    lost.unlink()
-    half.write_text(half.read_text()[:40])
-    assert run(main, ["lab", "run", SMALL, "--out", two, "--workers", "2", "--quiet"]).exit_code == 0
-    assert whole == (Path(two) / "summaries.parquet").read_bytes() and kept.stat().st_mtime_ns == before
-    page = run(main, ["lab", "report", one])
-    assert page.exit_code == 0 and (Path(one) / "report" / "over_time.png").stat().st_size > 5000
+    result = run(main, ["lab", "run", SMALL_EXAMPLE, "--out", one, "--workers", "1", "--quiet"])
+    assert result.exit_code == 0, result.output
+    assert run(main, ["lab", "run", SMALL_EXAMPLE, "--out", two, "--workers", "3", "--quiet"]).exit_code == 0
+    expected = (Path(one) / "summaries.parquet").read_bytes()
+    assert expected == (Path(two) / "summaries.parquet").read_bytes()
+    # As after an interruption: one cell is missing, another incomplete; the other cells must not be run again.
+    missing, incomplete = sorted((Path(two) / "cells").glob("*.json"))[:2]
+    complete = sorted((Path(two) / "cells").glob("*.json"))[2]
+    before = complete.stat().st_mtime_ns
+    missing.unlink()
+    incomplete.write_text(incomplete.read_text()[:40])
+    assert run(main, ["lab", "run", SMALL_EXAMPLE, "--out", two, "--workers", "2", "--quiet"]).exit_code == 0
+    assert expected == (Path(two) / "summaries.parquet").read_bytes() and complete.stat().st_mtime_ns == before
+    report = run(main, ["lab", "report", one])
+    assert report.exit_code == 0 and (Path(one) / "report" / "over_time.png").stat().st_size > 5000
     assert "power-of-two" in (Path(one) / "report" / "index.html").read_text()
-    said = run(main, ["lab", "compare", one, two, "--policy-a", "random", "--policy-b", "decklb"])
-    assert "worth" in said.output and "*" in said.output
+    comparison = run(main, ["lab", "compare", one, two, "--policy-a", "random", "--policy-b", "decklb"])
+    assert "worth" in comparison.output and "*" in comparison.output
     assert run(main, ["lab", "compare", one, two, "--policy-a", "none"]).exit_code == 1
 
 
-def test_bootstrap():
+def test_bootstrap_confidence_interval():
     rng = Streams(1).get("t")
     low, high = statistics.interval(rng.normal(5.0, 1.0, 400), rng)
     assert low < 5.0 < high and high - low == pytest.approx(4 * 0.05, rel=0.3)
--- a/tests/test_lab_recorded_figures.py
+++ b/tests/test_lab_recorded_figures.py
@@ -1,4 +1,4 @@
-"""Figures of seeded experiments of the laboratory, its records and its examples, as recorded in `tests/golden/`."""
+"""Results of seeded laboratory runs, stored records and examples must equal the recordings in `tests/golden/`."""
 
 import dataclasses
 import hashlib
@@ -25,50 +25,52 @@
 from tests.standins import ROOT
 
 GOLDEN = ROOT / "tests" / "golden"
-KILLS = (
+FAULTS = (
     InjectedFault(1000.0, FaultKind.KILL, 1500.0, victim_count=1),
     InjectedFault(1500.0, FaultKind.DRAIN, 1000.0, victim_share=0.2),
     InjectedFault(2000.0, FaultKind.SLOW, 1500.0, victim_count=1, slowdown=3.0),
     InjectedFault(2500.0, FaultKind.MANAGER, 800.0, victim_count=1),
     InjectedFault(3500.0, FaultKind.VANISH, 1500.0, victim_count=1),
 )
-EMULATED = {
+EMULATED_WORLDS = {
     "quiet": lambda: world(2, 4, 100.0, 4000.0),
     "faults": lambda: replace(
-        world(3, 6, 150.0, 6000.0), faults=KILLS, message_loss=0.02, partial_update_share=0.5, warm_up_ms=500.0
+        world(3, 6, 150.0, 6000.0), faults=FAULTS, message_loss=0.02, partial_update_share=0.5, warm_up_ms=500.0
     ),
-    "probing": lambda: replace(world(3, 4, 80.0, 6000.0), health_check_period_ms=500.0, faults=KILLS[:1]),
+    "probing": lambda: replace(world(3, 4, 80.0, 6000.0), health_check_period_ms=500.0, faults=FAULTS[:1]),
     "swells": lambda: with_surges(world(2, 4, 60.0, 4000.0)),
     "sampled": lambda: replace(world(2, 4, 100.0, 3000.0), max_recorded_requests=50),
     **{
-        policy: (lambda policy=policy: replace(world(2, 4, 100.0, 3000.0, policy), faults=KILLS[:2], message_loss=0.01))
+        policy: (
+            lambda policy=policy: replace(world(2, 4, 100.0, 3000.0, policy), faults=FAULTS[:2], message_loss=0.01)
+        )
         for policy in ("random", "round-robin", "least-outstanding", "power-of-two", "weighted", "oracle")
     },
 }
 
 
-def with_surges(start):
+def with_surges(base):
     surges = (
         TrafficSurge(500.0, 1000.0, 2.0),
         TrafficSurge(1000.0, 1500.0, 3.0, tenant="cusco"),
         TrafficSurge(0.0, 2000.0, 0.5, table_group=3),
     )
     return replace(
-        start,
-        workload=replace(start.workload, surges=surges, patience_share=0.4, daily_amplitude=0.5, day_length_ms=3000.0),
+        base,
+        workload=replace(base.workload, surges=surges, patience_share=0.4, daily_amplitude=0.5, day_length_ms=3000.0),
     )
 
 
 def plain(value):
-    """Values without the names of fields: these may change, what they hold may not."""
+    """Convert a value to plain JSON types, without field names: names of fields may change, their values must not."""
     if dataclasses.is_dataclass(value):
         return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
-        return {str(key): plain(each) for key, each in value.items()}
+        return {str(key): plain(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(each) for each in value]
+        return [plain(item) for item in value]
     if isinstance(value, set | frozenset):
         return sorted(map(plain, value))
     if isinstance(value, np.ndarray):
@@ -87,9 +89,9 @@
 
 
 def emulated(name):
-    played = Run(EMULATED[name](), 7)
-    summary = without_costs(played.run())
-    records = played.records
+    emulated_run = Run(EMULATED_WORLDS[name](), 7)
+    summary = without_costs(emulated_run.run())
+    records = emulated_run.records
     tables = {
         "requests": records.requests,
         "attempts": records.attempts,
@@ -104,33 +106,37 @@
 
 
 def example(name):
-    read = experiment_file.load(str(ROOT / "examples" / name))
-    return {"name": read.name, "digest": read.digest, "cells": [cell.name for cell in read.cells()]}
+    experiment = experiment_file.load(str(ROOT / "examples" / name))
+    return {
+        "name": experiment.name,
+        "digest": experiment.digest,
+        "cells": [cell.name for cell in experiment.cells()],
+    }
 
 
 def recorded_columns(folder):
-    """Names and order of columns, of a small experiment's tables and metadata."""
+    """Names and order of the columns in the tables of a small experiment, and the keys of the metadata."""
     import pyarrow.parquet as pq
 
-    read = experiment_file.load(str(ROOT / "examples" / "small.xml"))
-    first = next(read.cells())
+    experiment = experiment_file.load(str(ROOT / "examples" / "small.xml"))
+    first = next(experiment.cells())
     short = replace(first, world=replace(first.world, duration_ms=1500.0))
-    summary = cell_runner.play_and_store(short, str(folder), read.name, read.digest)
-    cell_runner.write_summaries(read, str(folder), [summary])
+    summary = cell_runner.play_and_store(short, str(folder), experiment.name, experiment.digest)
+    cell_runner.write_summaries(experiment, str(folder), [summary])
     files = sorted(folder.rglob("*.parquet"))
-    kept = json.loads((folder / "cells" / f"{first.name}.json").read_text())
+    stored_cell = json.loads((folder / "cells" / f"{first.name}.json").read_text())
     return {
         "columns": {str(file.relative_to(folder)): pq.read_schema(file).names for file in files},
         "metadata": {
             str(file.relative_to(folder)): sorted(key.decode() for key in pq.read_schema(file).metadata)
             for file in files
         },
-        "cell": {"digest": kept["digest"], "keys": list(kept["summary"])},
+        "cell": {"digest": stored_cell["digest"], "keys": list(stored_cell["summary"])},
     }
 
 
-SIMULATED = {
-    "arrivals": lambda: {name: digest(draw(w().workload, Streams(5), 3000.0)) for name, w in EMULATED.items()},
+SIMULATIONS = {
+    "arrivals": lambda: {name: digest(draw(w().workload, Streams(5), 3000.0)) for name, w in EMULATED_WORLDS.items()},
     "duties": lambda: without_costs(run(Experiment(6, 12, 8, loss=0.02, kill=1, partition=0.3, seed=3))),
     "duties, joining": lambda: without_costs(run(Experiment(4, 8, 8, join=True))),
     "handoff": lambda: plain([play_handoff(seed) for seed in (1, 2, 3)]),
@@ -155,20 +161,20 @@
     return json.loads((GOLDEN / name).read_text())
 
 
-@pytest.mark.parametrize("name", EMULATED)
-def test_figures_and_records_of_an_emulated_world_are_as_recorded(name):
+@pytest.mark.parametrize("name", EMULATED_WORLDS)
+def test_figures_and_records_of_an_emulated_world_equal_the_recording(name):
     assert emulated(name) == golden("lab_emulation.json")[name]
 
 
-@pytest.mark.parametrize("name", SIMULATED)
-def test_results_of_a_seeded_simulation_are_as_recorded(name):
-    assert json.loads(json.dumps(plain(SIMULATED[name]()))) == golden("lab_simulations.json")[name]
+@pytest.mark.parametrize("name", SIMULATIONS)
+def test_results_of_a_seeded_simulation_equal_the_recording(name):
+    assert json.loads(json.dumps(plain(SIMULATIONS[name]()))) == golden("lab_simulations.json")[name]
 
 
 @pytest.mark.parametrize("path", sorted(Path(ROOT / "examples").glob("*.xml")), ids=lambda path: path.name)
-def test_an_example_reads_as_the_same_cells_with_the_same_digest(path):
+def test_an_example_yields_the_recorded_cells_and_digest(path):
     assert example(path.name) == golden("lab_examples.json")["examples"][path.name]
 
 
-def test_tables_of_an_experiment_keep_their_columns_and_metadata(tmp_path):
+def test_stored_tables_keep_their_columns_and_metadata(tmp_path):
     assert recorded_columns(tmp_path) == golden("lab_examples.json")["tables"]
