--- a/decklb/lab/emulation/engine_model.py
+++ b/decklb/lab/emulation/engine_model.py
@@ -179,9 +179,8 @@
         self._locks: dict[int, int] = {}  # number of running loads, by table group
         self._cached_groups: OrderedDict[int, None] = OrderedDict()  # least recently used first
         self._virtual_time, self._advanced_ms, self._speed = 0.0, loop.now(), 1.0
-        self._end_heap: list[
-            tuple[float, int, Query]
-        ] = []  # heap ordered by virtual end; cancelled queries are removed lazily
+        # Heap of (virtual end, sequence number, query); cancelled queries are removed lazily.
+        self._end_heap: list[tuple[float, int, Query]] = []
         self._start_sequence = 0  # breaks ties in the heap between queries with the same virtual end
         self._next_end_call: ScheduledCall | None = None
         self._recent_work: deque[tuple[float, float]] = deque()  # (time, work) submitted while warming up
--- a/decklb/lab/emulation/simulated_handoff.py
+++ b/decklb/lab/emulation/simulated_handoff.py
@@ -151,11 +151,11 @@
     def _inject_fault(self, name: str, duration_ms: float) -> None:
         kind = self.rng.choice(self.fault_kinds)
         member = self.members[name]
-        if member.dead or member.paused_until > self.now:
+        if member.killed or member.paused_until > self.now:
             return
         others = [n for n in self.names if n != name]
         if kind == "kill":
-            member.dead, self.unavailable_since[name] = True, self.now
+            member.killed, self.unavailable_since[name] = True, self.now
             for key in list(member.running):
                 member.running[key].cancel()  # engines cancel the work of a lost client, with the usual delay
             for other in others:
@@ -208,14 +208,14 @@
             return
         member = self.members[self.rng.choice(self.names)]
         again = partial(self._send_request, client, deadline, work_ms)
-        if member.dead or self.now < member.paused_until:
+        if member.killed or self.now < member.paused_until:
             return self.at(self.now + 100.0, again)
         client.tries += 1
         this_try, timeout_ms = client.tries, self.rng.choice(CLIENT_TIMEOUT_MS)
         client.last = member.name
 
         def answered(state: str, answer: str) -> None:
-            if this_try != client.tries or member.dead:  # the client has moved on to another try
+            if this_try != client.tries or member.killed:  # the client has moved on to another try
                 return
             if state in ("served", "failed"):
                 client.final_answers.append(FinalAnswer(state, answer, self.now / 1000))
@@ -284,7 +284,7 @@
 
     def __init__(self, simulation: HandoffSimulation, name: str) -> None:
         self.simulation, self.name = simulation, name
-        self.dead, self.paused_until = False, 0.0
+        self.killed, self.paused_until = False, 0.0
         self.clock_offset_ms = simulation.rng.uniform(0, 1e6)
         self.last_arrival_ms: dict[str, float] = {}
         self.incarnation = 1 + simulation.rng.getrandbits(40)
@@ -308,7 +308,7 @@
 
     def tick(self) -> None:
         """Tick the coordinator, unless the member is paused."""
-        if self.dead:
+        if self.killed:
             return
         self.simulation.at(max(self.paused_until, self.simulation.now + TICK_MS), self.tick)
         if self.simulation.now >= self.paused_until:
@@ -318,7 +318,7 @@
     def update_view(self) -> None:
         """Update this member's view of which members are alive, and connect to those that it can reach."""
         simulation = self.simulation
-        if self.dead:
+        if self.killed:
             return
         simulation.at(max(self.paused_until, simulation.now + VIEW_PERIOD_MS), self.update_view)
         alive = {}
@@ -328,7 +328,7 @@
         alive[self.name] = self.incarnation
         self.coordinator.update_members(self.clock(), alive, simulation.names)
         for name, member in simulation.members.items():
-            connectable = not member.dead and (self.name, name) not in simulation.partitioned_pairs
+            connectable = not member.killed and (self.name, name) not in simulation.partitioned_pairs
             if self.name < name and name not in self.last_arrival_ms and connectable:
                 self._connect(member)
         self.pump()
@@ -360,7 +360,7 @@
     def _deliver(self, target: SimulatedMember, message: Any) -> None:
         simulation = self.simulation
         restarted = simulation.members[target.name] is not target
-        if target.name not in self.last_arrival_ms or restarted or target.dead or self.dead:
+        if target.name not in self.last_arrival_ms or restarted or target.killed or self.killed:
             return  # the connection has been lost in the meantime
         if simulation.now < target.paused_until:  # waits in the receive buffer; the order of messages is kept
             return simulation.at(target.paused_until, partial(self._deliver, target, message))
@@ -422,7 +422,7 @@
 
     def _deadline_passed(self, key: str, request: RunningRequest) -> None:
         """Fail a request at its deadline, as the dispatcher does."""
-        if self.dead or request.stopped or self.running.get(key) is not request:
+        if self.killed or request.stopped or self.running.get(key) is not request:
             return
         if self.simulation.now < self.paused_until:
             return self.simulation.at(self.paused_until, partial(self._deadline_passed, key, request))
@@ -440,7 +440,7 @@
         self.pump()
 
     def _execution_ended(self, key: str, request: RunningRequest, row: str) -> None:
-        if self.dead or request.stopped:
+        if self.killed or request.stopped:
             return
         if self.simulation.now < self.paused_until:
             return self.simulation.at(self.paused_until, partial(self._execution_ended, key, request, row))
