--- a/decklb/lab/emulation/managers_and_clients.py
+++ b/decklb/lab/emulation/managers_and_clients.py
@@ -28,7 +28,7 @@
     """The client of one request of the workload, from the first submission to the final answer; a response sink.
 
     Attributes:
-        run: Shared state of the run.
+        context: Shared state of the run.
         index: Index of the request in the arrivals.
         submissions: Number of times that the request has been submitted to a manager.
         attempts: Number of attempts that managers made for it, over all submissions.
@@ -38,12 +38,22 @@
         finished: The client has its final answer, has given up, or lost the request when its manager was killed.
     """
 
-    __slots__ = ("run", "index", "submissions", "issued_ms", "manager", "request", "attempts", "finished", "_submit")
-
-    def __init__(self, run: RunContext, index: int, submit: Callable[[Client], None]) -> None:
-        self.run, self.index, self._submit = run, index, submit
+    __slots__ = (
+        "context",
+        "index",
+        "submissions",
+        "issued_ms",
+        "manager",
+        "request",
+        "attempts",
+        "finished",
+        "_submit",
+    )
+
+    def __init__(self, context: RunContext, index: int, submit: Callable[[Client], None]) -> None:
+        self.context, self.index, self._submit = context, index, submit
         self.submissions, self.attempts = 0, 0
-        self.issued_ms = run.loop.now()
+        self.issued_ms = context.loop.now()
         self.manager: Manager | None = None
         self.request: Request | None = None
         self.finished = False
@@ -56,13 +66,13 @@
         """Submit the request again after a delay, if the client has retries and time left."""
         if self.finished:  # the manager was killed, so its pending calls are ignored
             return
-        run = self.run
-        spec = run.world.workload.classes[run.arrivals.class_index[self.index]]
+        context = self.context
+        spec = context.world.workload.classes[context.arrivals.class_index[self.index]]
         delay_ms = max(retry_after_ms, MIN_CLIENT_BACKOFF_MS)
-        time_left_ms = self.issued_ms + spec.deadline_ms - run.loop.now()
-        if self.submissions <= run.world.workload.client_retries and time_left_ms > delay_ms:
+        time_left_ms = self.issued_ms + spec.deadline_ms - context.loop.now()
+        if self.submissions <= context.world.workload.client_retries and time_left_ms > delay_ms:
             self._report_answer("refused")
-            run.loop.call_later(delay_ms, lambda: self._submit(self))
+            context.loop.call_later(delay_ms, lambda: self._submit(self))
         else:
             self._finish("refused")
 
@@ -95,14 +105,14 @@
 
     def _record_end(self, kind: str) -> None:
         self.finished = True
-        self.run.records.request_ended(self.index, kind, self.issued_ms, self.submissions, self.attempts)
+        self.context.records.request_ended(self.index, kind, self.issued_ms, self.submissions, self.attempts)
 
 
 class Manager:
     """One emulated manager process, which may be killed and started again under the same number.
 
     Attributes:
-        run: Shared state of the run.
+        context: Shared state of the run.
         number: Number of the manager, from 0.
         health_checks: The health checks shared by all managers, if there are any.
         incarnation: Number of starts so far; callbacks of earlier incarnations are ignored.
@@ -114,8 +124,8 @@
         steps: Number of steps of the policy.
     """
 
-    def __init__(self, run: RunContext, number: int, health_checks: SharedHealthChecks | None) -> None:
-        self.run, self.number, self.health_checks = run, number, health_checks
+    def __init__(self, context: RunContext, number: int, health_checks: SharedHealthChecks | None) -> None:
+        self.context, self.number, self.health_checks = context, number, health_checks
         self.incarnation = 0
         self.up = False
         self.clients: dict[str, Client] = {}
@@ -126,23 +136,23 @@
 
     def start(self) -> None:
         """Start with empty state and the current endpoint list."""
-        run = self.run
+        context = self.context
         self.incarnation, self.up, self.clients = self.incarnation + 1, True, {}
-        settings = run.world.settings(self.number)
+        settings = context.world.settings(self.number)
         # The name of the stream must not change: it determines the random numbers of a seed.
-        seed = run.streams.number(f"manager {self.number} life {self.incarnation}")
+        seed = context.streams.number(f"manager {self.number} life {self.incarnation}")
         self.rng = random.Random(seed)
-        self.core = Dispatcher(settings, seed, run.loop, ManagerPort(self))
-        if run.world.policy != "decklb":
-            self.core.gateway = POLICIES[run.world.policy](settings, seed)  # type: ignore[assignment]
+        self.core = Dispatcher(settings, seed, context.loop, ManagerPort(self))
+        if context.world.policy != "decklb":
+            self.core.gateway = POLICIES[context.world.policy](settings, seed)  # type: ignore[assignment]
         if isinstance(self.core.gateway, Oracle):
-            self.core.gateway.expected_ms = lambda engine, work_ms, threads: run.engines[engine].expected_ms(
+            self.core.gateway.expected_ms = lambda engine, work_ms, threads: context.engines[engine].expected_ms(
                 work_ms, threads
             )
         self._time_steps()
         if self.health_checks is not None:
             self.health_checks.start(self.number, self.incarnation)
-        self.update_endpoints([run.endpoint(engine) for engine in run.engines.values()], True)
+        self.update_endpoints([context.endpoint(engine) for engine in context.engines.values()], True)
 
     def _time_steps(self) -> None:
         step = self.core.gateway.step
@@ -159,7 +169,7 @@
     def kill(self) -> None:
         """Stop without notice; the queries that it has sent continue to run."""
         self.up = False
-        self.run.checker.manager_killed(self.number)
+        self.context.checker.manager_killed(self.number)
         if self.health_checks is not None:
             self.health_checks.kill(self.number)
         clients, self.clients = list(self.clients.values()), {}
@@ -174,7 +184,7 @@
             self.listed_phases.clear()
         self.listed_phases |= {entry.engine_id: entry.phase for entry in entries}
         self.listed_phases = {name: phase for name, phase in self.listed_phases.items() if phase is not Phase.REMOVED}
-        self.list_updated_ms = self.run.loop.now()
+        self.list_updated_ms = self.context.loop.now()
         self.core.post_event(api.EndpointsUpdated(entries, complete))
         if self.health_checks is not None:
             self.health_checks.set_targets(self.number, self.listed_phases)
@@ -189,8 +199,8 @@
         client.manager = self
         request = client.request = self.core.submit(incoming_request, client)
         self.clients[request.request_id] = client
-        self.run.checker.request_arrived(
-            self.run.loop.now(),
+        self.context.checker.request_arrived(
+            self.context.loop.now(),
             self.number,
             request.request_id,
             incoming_request.request_class,
@@ -200,13 +210,13 @@
     def answered(self, request: Request, kind: str) -> None:
         """Remove a request whose client has received an answer."""
         if self.up:
-            self.run.checker.request_answered(self.number, request.request_id, kind)
+            self.context.checker.request_answered(self.number, request.request_id, kind)
         self.clients.pop(request.request_id, None)
 
     def abandon(self, request: Request) -> None:
         """Remove a request whose client has left."""
         if self.up:
-            self.run.checker.client_left(self.number, request.request_id)
+            self.context.checker.client_left(self.number, request.request_id)
             self.clients.pop(request.request_id, None)
             self.core.abandon(request)
 
@@ -214,11 +224,11 @@
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Send one attempt to its engine over the emulated network."""
-        run, incarnation = self.run, self.incarnation
+        context, incarnation = self.context, self.incarnation
         client = self.clients.get(attempt.request.request_id)
-        engine = run.engines[attempt.engine_id]
-        run.checker.attempt_sent(
-            run.loop.now(),
+        engine = context.engines[attempt.engine_id]
+        context.checker.attempt_sent(
+            context.loop.now(),
             self.number,
             attempt.request.request_id,
             attempt.engine_id,
@@ -226,37 +236,37 @@
         )
         if client is None:  # already answered; the dispatcher should never send such an attempt
             return attempt.end(Outcome.NEVER_SENT)
-        query = run.query(client.index, attempt.number)
+        query = context.query(client.index, attempt.number)
         attempt.handle = query
 
         def receive(outcome: Outcome) -> None:
             if incarnation != self.incarnation or not self.up or attempt.ended or attempt.abandoned:
                 return
-            run.checker.attempt_ended(self.number, attempt.request.request_id, outcome)
-            run.records.attempt_ended(attempt, outcome)
+            context.checker.attempt_ended(self.number, attempt.request.request_id, outcome)
+            context.records.attempt_ended(attempt, outcome)
             attempt.end(outcome)
 
         def answer(outcome: Outcome) -> None:
-            if not run.loses_message(self.rng):
-                run.loop.call_later(run.one_way_delay_ms(self.rng), lambda: receive(outcome))
+            if not context.loses_message(self.rng):
+                context.loop.call_later(context.one_way_delay_ms(self.rng), lambda: receive(outcome))
 
         def deliver() -> None:
             if query.state is not QueryState.OVER:  # not cancelled while the message was in transit
                 engine.submit(query)
 
         query.on_end = answer
-        if not run.loses_message(self.rng):
-            run.loop.call_later(run.one_way_delay_ms(self.rng), deliver)
+        if not context.loses_message(self.rng):
+            context.loop.call_later(context.one_way_delay_ms(self.rng), deliver)
 
     def _knows_draining(self, engine: str) -> bool:
         # The policy receives events once per tick, so it may not know of an update before a tick has passed.
-        known = self.run.loop.now() - self.list_updated_ms > self.run.world.tick_ms
+        known = self.context.loop.now() - self.list_updated_ms > self.context.world.tick_ms
         return known and self.listed_phases.get(engine) is not Phase.UP
 
     def abandon_attempt(self, attempt: Attempt, freed: Callable[[], None]) -> None:
         """Cancel an attempt; `freed` is called when its engine has received the cancellation."""
-        run, incarnation, query = self.run, self.incarnation, attempt.handle
-        engine = run.engines[attempt.engine_id]
+        context, incarnation, query = self.context, self.incarnation, attempt.handle
+        engine = context.engines[attempt.engine_id]
         outcome = Outcome.TIMED_OUT if attempt.timed_out else Outcome.CANCELLED
 
         def receive_cancel() -> None:
@@ -265,11 +275,11 @@
                     engine.cancel(query)
                 query.state = QueryState.OVER
             if incarnation == self.incarnation and self.up:
-                run.checker.attempt_ended(self.number, attempt.request.request_id, outcome)
-                run.records.attempt_ended(attempt, outcome)
+                context.checker.attempt_ended(self.number, attempt.request.request_id, outcome)
+                context.records.attempt_ended(attempt, outcome)
                 freed()
 
-        run.loop.call_later(run.world.network_delay_ms * (1 + run.world.network_jitter), receive_cancel)
+        context.loop.call_later(context.world.network_delay_ms * (1 + context.world.network_jitter), receive_cancel)
 
 
 class ManagerPort:
--- a/decklb/lab/emulation/simulated_handoff.py
+++ b/decklb/lab/emulation/simulated_handoff.py
@@ -273,7 +273,7 @@
     """One member: its coordinator, its view of the others and the requests that it runs.
 
     Attributes:
-        dead: It was killed; a restart creates a new object with the same name.
+        killed: The process was killed; a restart creates a new object with the same name.
         paused_until: End of its pause; until then it takes no step and incoming messages wait.
         clock_offset_ms: Offset of its own clock from simulated time.
         last_arrival_ms: Arrival time of the last message to each connected peer.
