--- a/tests/test_cluster_simulation.py
+++ b/tests/test_cluster_simulation.py
@@ -28,7 +28,9 @@
 
 
 def make_cluster(instances=5, engines=30, seed=1, faults=None, warm=True, **clocks):
-    return Cluster.make(seed, instances, engines, MEMBERSHIP, DUTY, faults, shared=False, warm=warm, **clocks)
+    return Cluster.make(
+        seed, instances, engines, MEMBERSHIP, DUTY, faults, shared_ranking=False, converged=warm, **clocks
+    )
 
 
 class Members(unittest.TestCase):
@@ -36,14 +38,14 @@
         cluster = make_cluster(8, warm=False, faults=Faults(loss=0.2, duplicate=0.1))
         cluster.world.run(MEMBERSHIP.settle_time_ms + DETECTION_TIME)
         self.assertTrue(cluster.views_agree())
-        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual(cluster.duties_without_single_owner(), [])
 
     def test_a_single_member_owns_all_duties_after_settling_and_none_before(self):
         cluster = make_cluster(1, warm=False)
         cluster.world.run(MEMBERSHIP.settle_time_ms - 1)
-        self.assertEqual(len(cluster.one_owner()), 30)
+        self.assertEqual(len(cluster.duties_without_single_owner()), 30)
         cluster.world.run(MEMBERSHIP.settle_time_ms + SECOND)
-        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual(cluster.duties_without_single_owner(), [])
 
     def test_a_death_is_detected_and_no_other_member_is_declared_dead(self):
         cluster = make_cluster(9, faults=Faults(loss=0.1))
@@ -51,7 +53,7 @@
         cluster.world.kill(cluster.host("m4"))
         cluster.world.run(5 * SECOND + DETECTION_TIME)
         self.assertTrue(cluster.views_agree())
-        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual(cluster.duties_without_single_owner(), [])
         self.assertEqual({name for _, _, name in cluster.deaths}, {"m4"})
 
     def test_a_departure_is_known_immediately(self):
@@ -63,7 +65,7 @@
         cluster.world.kill(leaving)
         cluster.world.run(3 * SECOND)
         self.assertTrue(cluster.views_agree())
-        self.assertEqual((cluster.one_owner(), cluster.deaths), ([], []))
+        self.assertEqual((cluster.duties_without_single_owner(), cluster.deaths), ([], []))
         self.assertFalse(any(h.node.membership.in_minority(h.now()) for h in cluster.live()))
 
     def test_a_restarted_member_is_not_mistaken_for_its_dead_run(self):
@@ -79,7 +81,7 @@
                     restarted = cluster.start(3, wall_back=back)
                     cluster.world.run(cluster.world.now + 3 * DETECTION_TIME)
                     self.assertTrue(cluster.views_agree())
-                    self.assertEqual((cluster.one_owner(), cluster.owners()), ([], before))
+                    self.assertEqual((cluster.duties_without_single_owner(), cluster.owners()), ([], before))
                     self.assertEqual(restarted.node.membership.counters.name_conflicts, 0)
 
     def test_a_restarted_member_owns_no_duty_until_it_has_synchronized_with_the_others(self):
@@ -90,10 +92,10 @@
         cluster.world.cut = lambda source, target: cluster.address(0) in (source, target)
         restarted = cluster.start(0)
         cluster.world.run(cluster.world.now + MEMBERSHIP.settle_time_ms - 100.0)
-        self.assertFalse(any(d.is_owned for d in cluster.book(restarted).duties.values()))
+        self.assertFalse(any(d.is_owned for d in cluster.scheduler(restarted).duties.values()))
         cluster.heal()
         cluster.world.run(cluster.world.now + DETECTION_TIME)
-        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual(cluster.duties_without_single_owner(), [])
 
     def test_a_duplicate_name_is_reported_and_the_older_process_keeps_it(self):
         cluster = make_cluster()
@@ -103,12 +105,12 @@
         older = next(h for h in cluster.hosts if h.name == "m1" and h is not younger)
         self.assertTrue(younger.node.membership.local.is_yielding)
         self.assertFalse(older.node.membership.local.is_yielding)
-        self.assertFalse(any(d.is_owned for d in cluster.book(younger).duties.values()))
+        self.assertFalse(any(d.is_owned for d in cluster.scheduler(younger).duties.values()))
         self.assertGreaterEqual(younger.node.membership.counters.name_conflicts, 1)
         cluster.world.kill(younger)
         cluster.hosts.remove(younger)
         cluster.world.run(cluster.world.now + 2 * DETECTION_TIME)
-        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual(cluster.duties_without_single_owner(), [])
         self.assertEqual(cluster.host("m0").node.membership.members["m1"].address, older.address)
 
     def test_a_stalled_process_declares_no_member_dead(self):
@@ -121,17 +123,17 @@
         cluster.world.run(33 * SECOND + DETECTION_TIME)
         self.assertTrue(cluster.views_agree())
         self.assertEqual({name for _, _, name in cluster.deaths}, {"m1"})  # only the stalled member was declared dead
-        self.assertEqual(cluster.one_owner(), [])
+        self.assertEqual(cluster.duties_without_single_owner(), [])
 
     def test_after_a_one_way_partition_no_live_member_is_considered_dead(self):
         cluster = make_cluster(7)
         cluster.world.run(2 * SECOND)
-        cluster.part({"m3"}, one_way=True)
+        cluster.partition({"m3"}, one_way=True)
         cluster.world.run(30 * SECOND)
         self.assertLessEqual({name for _, who, name in cluster.deaths if who != "m3"}, {"m3"})
         cluster.heal()
         cluster.world.run(30 * SECOND + 2 * DETECTION_TIME)
-        self.assertEqual((cluster.wrongly_dead(), cluster.one_owner()), ([], []))
+        self.assertEqual((cluster.wrongly_dead(), cluster.duties_without_single_owner()), ([], []))
 
 
 class Duties(unittest.TestCase):
@@ -139,31 +141,32 @@
         cluster = make_cluster(7, seed=3)
         cluster.world.run(4 * SECOND)
         side = {"m0", "m1"}
-        cluster.part(side)
+        cluster.partition(side)
         cluster.world.run(4 * SECOND + 4 * DETECTION_TIME)
         for names in (side, {h.name for h in cluster.hosts} - side):
-            owners = [d for n in names for d, x in cluster.book(cluster.host(n)).duties.items() if x.is_owned]
+            owners = [d for n in names for d, x in cluster.scheduler(cluster.host(n)).duties.items() if x.is_owned]
             self.assertEqual(sorted(owners), sorted(cluster.engines))
-        self.assertEqual({h.name for h in cluster.hosts if cluster.book(h).in_minority}, side)
+        self.assertEqual({h.name for h in cluster.hosts if cluster.scheduler(h).in_minority}, side)
         before = cluster.terms()
         cluster.heal()
         cluster.world.run(cluster.world.now + 2 * DUTY.period_ms)
-        self.assertEqual((cluster.one_owner(), cluster.wrongly_dead()), ([], []))
+        self.assertEqual((cluster.duties_without_single_owner(), cluster.wrongly_dead()), ([], []))
         after = cluster.terms()
         self.assertTrue(all(after[k] >= v for k, v in before.items()))
-        self.assertFalse(any(cluster.book(h).in_minority for h in cluster.hosts))
+        self.assertFalse(any(cluster.scheduler(h).in_minority for h in cluster.hosts))
 
     def test_after_a_partition_all_members_keep_the_result_with_the_highest_term(self):
         cluster = make_cluster(4, seed=5)
         cluster.world.run(4 * SECOND)
-        cluster.part({"m0", "m1"})
+        cluster.partition({"m0", "m1"})
         cluster.world.run(4 * SECOND + DETECTION_TIME)
         cluster.down = {"motor-1"}  # both sides find it down, each with its own term
         cluster.world.run(cluster.world.now + 14 * DUTY.period_ms)
         cluster.heal()
         cluster.world.run(cluster.world.now + 4 * DUTY.period_ms)
         known_verdicts = {
-            (v.term, v.owner, v.status) for v in (cluster.book(h).verdicts.by_subject["motor-1"] for h in cluster.hosts)
+            (v.term, v.owner, v.status)
+            for v in (cluster.scheduler(h).verdicts.by_subject["motor-1"] for h in cluster.hosts)
         }
         self.assertEqual(len(known_verdicts), 1, known_verdicts)
 
@@ -176,8 +179,8 @@
         new_owners = cluster.owners()["motor-7"]
         self.assertEqual(len(new_owners), 1)
         self.assertNotEqual(new_owners, [owner])
-        self.assertFalse(any(cluster.book(h).verdicts.is_down("motor-7") for h in cluster.hosts))
-        self.assertEqual(cluster.probed, [])
+        self.assertFalse(any(cluster.scheduler(h).verdicts.is_down("motor-7") for h in cluster.hosts))
+        self.assertEqual(cluster.health_results, [])
         cluster.world.run(12 * DUTY.period_ms)
         self.assertEqual(cluster.owners()["motor-7"], new_owners)
 
@@ -189,27 +192,33 @@
         checkers = {r.host for r in cluster.runs if r.subject == "motor-7" and r.at > 2 * SECOND}
         self.assertEqual(len(checkers), DUTY.max_declines + 1)
         self.assertEqual(
-            {(h, s, up) for _, h, s, up in cluster.probed}, {(h.name, "motor-7", False) for h in cluster.hosts}
+            {(h, s, up) for _, h, s, up in cluster.health_results}, {(h.name, "motor-7", False) for h in cluster.hosts}
         )
         cluster.down = set()
         cluster.world.run(11 * DUTY.period_ms)
-        self.assertEqual([up for _, h, s, up in cluster.probed if h == "m0"][-1], True)
+        self.assertEqual([up for _, h, s, up in cluster.health_results if h == "m0"][-1], True)
 
     def test_a_mass_failure_has_no_effect_until_its_hold_has_ended(self):
         cluster = make_cluster(3, engines=10)
         cluster.world.run(2 * SECOND)
         cluster.down = set(cluster.engines)
         cluster.world.run(2 * SECOND + 10 * DUTY.period_ms)
-        scheduler = cluster.book(cluster.host("m0"))
+        scheduler = cluster.scheduler(cluster.host("m0"))
         self.assertIsNotNone(scheduler.verdicts.mass_failure_since)
         until = scheduler.verdicts.mass_failure_since + DUTY.mass_failure_hold_ms
         during = [
-            s for at, h, s, _ in cluster.probed if h == "m0" and scheduler.verdicts.mass_failure_since <= at < until
+            s
+            for at, h, s, _ in cluster.health_results
+            if h == "m0" and scheduler.verdicts.mass_failure_since <= at < until
         ]
-        before = {s for at, h, s, _ in cluster.probed if h == "m0" and at < scheduler.verdicts.mass_failure_since}
+        before = {
+            s for at, h, s, _ in cluster.health_results if h == "m0" and at < scheduler.verdicts.mass_failure_since
+        }
         self.assertLess(len(before), DUTY.mass_failure_ratio * 10)
         self.assertLessEqual(set(during), before)
-        self.assertEqual({s for at, h, s, _ in cluster.probed if h == "m0" and at >= until}, set(cluster.engines))
+        self.assertEqual(
+            {s for at, h, s, _ in cluster.health_results if h == "m0" and at >= until}, set(cluster.engines)
+        )
 
     def test_the_figures_of_the_experiment_are_within_their_bounds(self):
         figures = run(Experiment(instances=9, engines=60, periods=16, loss=0.1, kill=1, partition=0.4, seed=3))
@@ -280,17 +289,17 @@
             new_terms = cluster.terms()
             # A restarted host has lost its terms; at all other hosts terms only rise.
             self.assertTrue(
-                all(new_terms[k] >= v for k, v in terms.items() if k in new_terms and k[0] not in cluster.returned)
+                all(new_terms[k] >= v for k, v in terms.items() if k in new_terms and k[0] not in cluster.restarted)
             )
             terms = new_terms
-            cluster.returned = set()
+            cluster.restarted = set()
         cluster.heal()
         cluster.world.faults.loss = 0.0
         for i in range(5):
             if cluster.address(i) not in cluster.world.hosts:
                 cluster.start(i)
         cluster.world.run(cluster.world.now + 12 * SECOND + 3 * DETECTION_TIME)
-        self.assertEqual((cluster.wrongly_dead(), cluster.one_owner()), ([], []))
+        self.assertEqual((cluster.wrongly_dead(), cluster.duties_without_single_owner()), ([], []))
         self.assertTrue(cluster.views_agree())
 
     def inject(self, cluster, fault, target):
@@ -298,7 +307,7 @@
             cluster.world.kill(cluster.host(f"m{target}"))
         elif fault == "return" and cluster.address(target) not in cluster.world.hosts:
             cluster.start(target)
-            cluster.returned.add(f"m{target}")
+            cluster.restarted.add(f"m{target}")
         elif (
             fault == "pause"
             and cluster.address(target) in cluster.world.hosts
@@ -306,7 +315,7 @@
         ):
             cluster.world.pause(cluster.host(f"m{target}"), 7 * SECOND)
         elif fault in ("part", "one-way"):
-            cluster.part({f"m{i}" for i in target}, one_way=fault == "one-way")
+            cluster.partition({f"m{i}" for i in target}, one_way=fault == "one-way")
         elif fault == "heal":
             cluster.heal()
         elif fault == "loss":
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -138,7 +138,9 @@
         repeat_interval_ms=5000.0,
     )
     faults = Faults(loss=0.1, duplicate=0.05)
-    cluster = Cluster.make(seed, 6, 20, membership, duty, faults, shared=False, warm=False, drift=1e-4, skew_ms=20.0)
+    cluster = Cluster.make(
+        seed, 6, 20, membership, duty, faults, shared_ranking=False, converged=False, drift=1e-4, skew_ms=20.0
+    )
     world = cluster.world
     digest = hashlib.sha256()
     sent = 0
@@ -156,7 +158,7 @@
     cluster.unreachable = {("m1", "motor-5")}
     world.kill(cluster.host("m4"))
     world.run(20_000.0)
-    cluster.part({"m0", "m1"})
+    cluster.partition({"m0", "m1"})
     world.run(35_000.0)
     cluster.heal()
     cluster.down = set()
@@ -169,18 +171,18 @@
     leaving.node.leave(leaving.now())
     world.pump(leaving)
     world.kill(leaving)
-    cluster.part({"m3"}, one_way=True)
+    cluster.partition({"m3"}, one_way=True)
     world.run(75_000.0)
     cluster.heal()
     world.run(130_000.0)
     assert younger.node.membership.local.is_yielding
     for run in cluster.runs:
         digest.update(f"{run.at!r} {run.host} {run.subject} {run.term}".encode())
-    for event in [*cluster.deaths, *cluster.probed]:
+    for event in [*cluster.deaths, *cluster.health_results]:
         digest.update(repr(event).encode())
     for host in cluster.hosts:
         members = member_rows(host.node.membership, host.now())
-        duties = duty_rows(cluster.book(host), host.now())
+        duties = duty_rows(cluster.scheduler(host), host.now())
         digest.update(json.dumps([members, duties]).encode())
         digest.update(json.dumps(node_health(host.node)).encode())
     return {"datagrams": sent, "runs": len(cluster.runs), "deaths": len(cluster.deaths), "digest": digest.hexdigest()}
--- a/tests/test_maintenance_register.py
+++ b/tests/test_maintenance_register.py
@@ -29,8 +29,11 @@
     committed = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(25)):
         outcome = RegisterSimulation(seed, members, harsh=True).run()
-        assert (outcome.lost, outcome.twice, outcome.forked, outcome.stuck) == ([], [], 0, 0), (members, seed)
-        committed += len(outcome.done)
+        assert (outcome.lost, outcome.duplicated, outcome.diverged, outcome.unfinished) == ([], [], 0, 0), (
+            members,
+            seed,
+        )
+        committed += len(outcome.acknowledged)
     assert committed > 1000
 
 
@@ -39,17 +42,23 @@
 
     Without longer timeouts for repeated rounds no change was ever committed.
     """
-    outcomes = [RegisterSimulation(seed, 5, harsh=False, pace=1000.0, slow=60.0).run() for seed in range(8)]
-    assert sum(len(outcome.done) for outcome in outcomes) > 60
-    assert [(outcome.lost, outcome.twice, outcome.forked) for outcome in outcomes] == [([], [], 0)] * 8
+    outcomes = [
+        RegisterSimulation(seed, 5, harsh=False, mean_interval_ms=1000.0, extra_delay_ms=60.0).run()
+        for seed in range(8)
+    ]
+    assert sum(len(outcome.acknowledged) for outcome in outcomes) > 60
+    assert [(outcome.lost, outcome.duplicated, outcome.diverged) for outcome in outcomes] == [([], [], 0)] * 8
 
 
 def test_persisted_state_survives_a_simultaneous_restart_of_all_members():
     committed = 0
     for members, seed in ((n, s) for n in (3, 5) for s in range(12)):
-        outcome = RegisterSimulation(seed, members, harsh=True, kept=True).run()
-        assert (outcome.lost, outcome.twice, outcome.forked, outcome.stuck) == ([], [], 0, 0), (members, seed)
-        committed += len(outcome.done)
+        outcome = RegisterSimulation(seed, members, harsh=True, keeps_state=True).run()
+        assert (outcome.lost, outcome.duplicated, outcome.diverged, outcome.unfinished) == ([], [], 0, 0), (
+            members,
+            seed,
+        )
+        committed += len(outcome.acknowledged)
     assert committed > 400
 
 
