--- a/decklb/cli/lab/load.py
+++ b/decklb/cli/lab/load.py
@@ -1,4 +1,4 @@
-"""Commands that work in real time on loopback: stand-in engines, and load on a running program."""
+"""Commands that work in real time on loopback: stand-in engines, and load on a running manager."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     from decklb.config import ConfigError
     from decklb.lab.experiments import cell_runner, experiment_file
     from decklb.lab.experiments.experiment import Cell
-    from decklb.lab.experiments.load_generator import Load, target
+    from decklb.lab.experiments.load_generator import LoadRun, target
 
     try:
         experiment, address = experiment_file.load(path), target(where)
@@ -55,8 +55,8 @@
         raise click.ClickException(str(error)) from error
     log.set_up("ERROR", "text")
     reactor: Any = installed_reactor
-    run = Load(reactor, address, front, experiment.world.workload, experiment.world.duration_ms, seed)
-    run.done = reactor.stop
+    run = LoadRun(reactor, address, front, experiment.world.workload, experiment.world.duration_ms, seed)
+    run.on_done = reactor.stop
     reactor.callWhenRunning(run.start)
     reactor.run()
     summary = run.summary()
--- a/decklb/lab/experiments/local_trial.py
+++ b/decklb/lab/experiments/local_trial.py
@@ -1,4 +1,4 @@
-"""A world on real sockets: stand-in engines and load in this process, the program beside it as it is run in service."""
+"""Runs an emulated world on real sockets: `decklb serve` in a subprocess, stand-in engines and load in this process."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 import ujson
 
 from decklb.lab.emulation.emulated_world import EmulatedWorld
-from decklb.lab.experiments.load_generator import Load
+from decklb.lab.experiments.load_generator import LoadRun
 from decklb.lab.standins.engine_server import listen
 
 FRONTS = ("frames", "pg")
-PATIENCE = 20.0  # s for a program to start, and to end
+PROCESS_TIMEOUT_S = 20.0  # for the manager to start, and to exit
 
 
 def configuration(world: EmulatedWorld, ports: list[int], front: str) -> dict[str, Any]:
-    """The platform's configuration of one manager for a world, on ephemeral ports."""
-    w, e = world.workload, world.engine_spec
+    """Return the platform configuration of one manager for a world; it listens on an ephemeral port."""
+    workload, spec = world.workload, world.engine_spec
     classes = [
         {
             "name": c.name,
@@ -36,39 +36,39 @@
             "semantics": c.effect.value,
             "serial_by_key": c.ordered_by_key,
         }
-        for c in w.classes
+        for c in workload.classes
     ]
-    rows = [
+    instances = [
         {
             "instanceId": f"e{i}",
-            "hostPort": f"127.0.0.1:{p}",
+            "hostPort": f"127.0.0.1:{port}",
             "zone": "",
             "machineType": "k",
             "cell": 0,
             "lifecycle": "Ready",
-            "weight": e.cores,
+            "weight": spec.cores,
             "startedAtMs": 0,
         }
-        for i, p in enumerate(ports)
+        for i, port in enumerate(ports)
     ]
-    made: dict[str, Any] = {
+    config: dict[str, Any] = {
         "name": f"trial-{front}",
         "listen": "127.0.0.1:0",
         "seed": "1",
         "limits": {"sockets": 1024},
         "known": {
             "index": 1,
-            "updates": [{"index": 1, "endpoints": {"generation": 1, "reset": True, "instances": rows}}],
+            "updates": [{"index": 1, "endpoints": {"generation": 1, "reset": True, "instances": instances}}],
         },
         "settings": {
             "categories": classes,
-            "tenants": [{"name": t.name, "share": t.contract_share} for t in w.tenants],
+            "tenants": [{"name": t.name, "share": t.contract_share} for t in workload.tenants],
             "kinds": ["k"],
             "domain": {
-                "kind_cores": [e.cores],
-                "dop": [c.threads for c in w.classes],
-                "holds_tables": [c.locks_tables for c in w.classes],
-                "yields_to_loads": [c.waits_for_loads for c in w.classes],
+                "kind_cores": [spec.cores],
+                "dop": [c.threads for c in workload.classes],
+                "holds_tables": [c.locks_tables for c in workload.classes],
+                "yields_to_loads": [c.waits_for_loads for c in workload.classes],
             },
             "limits": {
                 "cancelling": True,
@@ -78,14 +78,14 @@
                 "streams_per_conn": 100,
             },
             "rules": {
-                "cold": e.warm_up_ms,
-                "cold_share": e.initial_capacity,
+                "cold": spec.warm_up_ms,
+                "cold_share": spec.initial_capacity,
                 "drain_grace": 2000.0,
                 "extra_floor": world.retry_budget_floor,
                 "extra_window": world.retry_budget_window_ms,
-                "fall": e.overload_window_ms,
+                "fall": spec.overload_window_ms,
                 "further_ratio": world.retry_budget_ratio,
-                "overload_factor": e.overload_factor,
+                "overload_factor": spec.overload_factor,
                 "settle_after_doubt": 300.0,
             },
             "tick": world.tick_ms,
@@ -93,85 +93,95 @@
         },
     }
     if front == "pg":
-        made["postgres"] = {"user": "load", "connections": e.max_sessions}
-    return made
+        config["postgres"] = {"user": "load", "connections": spec.max_sessions}
+    return config
 
 
-class Program:
-    """`decklb serve` as a subprocess; `port` is where it listens. Raises OSError where it does not start."""
+class ManagerProcess:
+    """`decklb serve` as a subprocess, listening on `port`.
+
+    Raises:
+        OSError: The manager did not start in time.
+    """
 
     def __init__(self, config: dict[str, Any]) -> None:
-        self.folder = tempfile.TemporaryDirectory()
-        path = Path(self.folder.name) / "config.json"
+        self._folder = tempfile.TemporaryDirectory()
+        path = Path(self._folder.name) / "config.json"
         path.write_text(ujson.dumps(config))
-        self.lines: list[str] = []
-        self.started = threading.Event()
+        self._log_lines: list[str] = []
+        self._started = threading.Event()
         self.port = 0
-        self.process = subprocess.Popen(
+        self._process = subprocess.Popen(
             [sys.executable, "-m", "decklb", "serve", "--config", str(path)],
             stderr=subprocess.PIPE,
             text=True,
             env=os.environ | {"DECKLB_SETTINGS": ""},
         )
-        threading.Thread(target=self._read, daemon=True).start()
-        if not self.started.wait(PATIENCE) or not self.port:
+        threading.Thread(target=self._read_log, daemon=True).start()
+        if not self._started.wait(PROCESS_TIMEOUT_S) or not self.port:
             self.stop()
-            raise OSError("the program did not start: " + "".join(self.lines[-5:]))
+            raise OSError("the manager did not start: " + "".join(self._log_lines[-5:]))
 
     def _read(self) -> None:
-        assert self.process.stderr is not None
-        for line in self.process.stderr:
-            if len(self.lines) < 10_000:
-                self.lines.append(line)
+        assert self._process.stderr is not None
+        for line in self._process.stderr:
+            if len(self._log_lines) < 10_000:
+                self._log_lines.append(line)
             if not self.port and (m := re.search(r"listens on [\d.]+:(\d+)", line)):
                 self.port = int(m[1])
-                self.started.set()
-        self.started.set()
+                self._started.set()
+        self._started.set()
 
     def stop(self) -> None:
-        """Drain and end; the process is ours."""
-        if self.process.poll() is None:
-            self.process.send_signal(signal.SIGTERM)
+        """Terminate the manager, which drains first; kill it if it does not exit in time."""
+        if self._process.poll() is None:
+            self._process.send_signal(signal.SIGTERM)
             try:
-                self.process.wait(PATIENCE)
+                self._process.wait(PROCESS_TIMEOUT_S)
             except subprocess.TimeoutExpired:
-                self.process.kill()
-                self.process.wait()
-        self.folder.cleanup()
+                self._process.kill()
+                self._process.wait()
+        self._folder.cleanup()
+
 
+def play(
+    reactor: Any, world: EmulatedWorld, front: str, seed: int, on_result: Callable[[dict[str, Any]], None]
+) -> None:
+    """Start stand-in engines, a manager and load.
 
-def play(reactor: Any, world: EmulatedWorld, front: str, seed: int, told: Callable[[dict[str, Any]], None]) -> None:
-    """Start engines, a program and load; `told` gets the summary when it is over, or `{"error": ...}`."""
+    At the end `on_result` is called with the summary, or with `{"error": ..., "front": ...}` if the manager did not
+    start. The manager is started and stopped in a thread of the reactor's pool, as both calls block.
+    """
     engines = listen(reactor, world.engines, world.engine_spec, front)
-    program: list[Program] = []
+    started: list[ManagerProcess] = []  # empty until the manager has started
 
-    def ready() -> None:
-        load = Load(reactor, ("127.0.0.1", program[0].port), front, world.workload, world.duration_ms, seed)
+    def start_load() -> None:
+        load = LoadRun(reactor, ("127.0.0.1", started[0].port), front, world.workload, world.duration_ms, seed)
 
-        def over() -> None:
-            books = [e.account for e, _ in engines]
+        def on_load_done() -> None:
+            accounts = [engine.account for engine, _ in engines]
             summary = load.summary() | {
                 "front": front,
-                "work_served": sum(b.served_ms for b in books),
-                "work_lost": sum(b.lost_ms for b in books),
-                "full": sum(b.rejections for b in books),
-                "attempts": sum(b.queries_started for b in books),
+                "work_served": sum(account.served_ms for account in accounts),
+                "work_lost": sum(account.lost_ms for account in accounts),
+                "full": sum(account.rejections for account in accounts),
+                "attempts": sum(account.queries_started for account in accounts),
             }
-            reactor.callInThread(stop, summary)
+            reactor.callInThread(stop_manager, summary)
 
-        load.done = over
+        load.on_done = on_load_done
         load.start()
 
-    def stop(summary: dict[str, Any]) -> None:
-        program[0].stop()
-        reactor.callFromThread(told, summary)
+    def stop_manager(summary: dict[str, Any]) -> None:
+        started[0].stop()
+        reactor.callFromThread(on_result, summary)
 
-    def start() -> None:
+    def start_manager() -> None:
         try:
-            program.append(Program(configuration(world, [p for _, p in engines], front)))
+            started.append(ManagerProcess(configuration(world, [port for _, port in engines], front)))
         except OSError as error:
-            reactor.callFromThread(told, {"error": str(error), "front": front})
+            reactor.callFromThread(on_result, {"error": str(error), "front": front})
         else:
-            reactor.callFromThread(ready)
+            reactor.callFromThread(start_load)
 
-    reactor.callInThread(start)
+    reactor.callInThread(start_manager)
--- a/decklb/lab/experiments/zone_agreement.py
+++ b/decklb/lab/experiments/zone_agreement.py
@@ -1,9 +1,9 @@
-"""Compares zone states decided in common with each manager deciding alone, on a simulated network.
+"""Compares two ways of deciding zone states on a simulated network: by quorum, and by each manager alone.
 
-Managers stand in zones, two zones a region; requests are a fluid: each manager sends the rate of its own callers by
-`locality.spill`, by the states that it holds. A case breaks something for a while. Seeded: the same seed, the same run,
-with the same faults for both ways of deciding. Run by `decklb lab zones` and tests. Times are simulated milliseconds
-unless a name says otherwise.
+Managers are spread over zones, two zones to a region. Requests are modelled as a fluid: each manager divides the
+request rate of its own clients among the zones by `locality.spillover`, based on the zone states that it knows. Each
+case injects a fault for a while. A run is determined by its seed, and both ways of deciding see the same faults. Used
+by `decklb lab zones` and tests. Times are simulated milliseconds unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -18,34 +18,37 @@
 from decklb.locality.spillover import ZoneStatus, routing_shares, usable_capacity
 from decklb.locality.zone_state import ZoneObservation, ZoneState
 
-STEP_MS = 250.0  # between ticks of a member
+STEP_MS = 250.0  # length of a simulation step
 CASES = ("lost", "parted", "slow", "region", "halves", "liar", "flicker")
-LOSS_CASES = ("lost", "region", "halves")  # the zone is lost as a whole
-OBSERVER_CASES = ("parted", "liar")  # the zone is well, and some members see or report it wrongly
-STRUCK_MS, MENDED_MS, END_MS = 10_000.0, 25_000.0, 60_000.0
-MESSAGE_LOSS = 0.05
-FLICKER_MS = 1500.0  # that a flickering zone is lost, and then well
-SLOWNESS = 6.0  # of a slow zone
-ERROR_NOISE = 0.05  # highest share of errors that members see of a zone that is well
-LATENCY_NOISE = (0.9, 1.2)  # range of the slowness that members see of a zone that is well
-ZONE_CAPACITY = 1000.0  # requests a second that a zone bears
-ZONE_LOAD = 600.0  # requests a second of a zone's callers
+OUTAGE_CASES = ("lost", "region", "halves")  # the faulty zones fail completely
+FALSE_ALARM_CASES = ("parted", "liar")  # the target zone is healthy, but some members observe or report it as down
+FAULT_START_MS, FAULT_END_MS, END_MS = 10_000.0, 25_000.0, 60_000.0
+MESSAGE_LOSS = 0.05  # fraction of messages lost
+FLICKER_MS = 1500.0  # length of each outage of a flickering zone, and of each healthy period between two outages
+SLOW_ZONE_FACTOR = 6.0  # latency of a slow zone, as a multiple of the usual latency
+ERROR_NOISE = 0.05  # highest error rate that members observe in a healthy zone
+LATENCY_NOISE = (0.9, 1.2)  # range of the latency factor that members observe in a healthy zone
+ZONE_CAPACITY = 1000.0  # requests per second that a zone can serve
+ZONE_LOAD = 600.0  # requests per second of the clients in a zone
 PERCENTILES = (50, 99)
 
 
 @dataclass(slots=True)
 class ZoneRunResult:
-    """What one run showed.
+    """Result of one run.
 
     Attributes:
-        case, common, seed: Of the run; `common` says whether states were decided in common.
-        decided: From the loss until each member held the zone out, in ms.
-        wrong: States in which a member held a zone out that was well.
-        changes: Of states, over all members and zones.
-        left: Share of requests that left a zone that was never struck, and could have borne them.
-        errors: Share of requests sent to where nothing answers, or beyond what is borne.
-        flood: Highest load on a returning zone over what it bears.
-        series: Seconds, load on the struck zone, and what it bears, as shares of its capacity.
+        case: Name of the case.
+        common: Whether the members decided zone states by quorum, rather than each alone.
+        seed: Seed of the run.
+        decided: For each member, the ms from the start of an outage until the member had taken a failed zone out.
+        wrong: Number of times that a member took a healthy zone out.
+        changes: Number of state changes over all members and zones.
+        left: Fraction of the requests that left a fault-free home zone, although the zone could have served them.
+        errors: Fraction of the requests that were sent to a failed zone or exceeded a zone's capacity.
+        flood: Highest load on a returning zone, relative to what the zone could serve at that time.
+        series: For each step, the time in seconds, and the target zone's load and available capacity, both as fractions
+            of its full capacity.
     """
 
     case: str
@@ -64,11 +67,14 @@
     """One run of a case.
 
     Attributes:
-        now: Simulated time.
-        home: Zone of each manager.
-        members: Each manager's part in the decisions on zones.
-        target: The zone that the case is about; `struck` are all zones that it breaks.
-        cut_off, half, liar: Members that can't reach the target, are on one side of a partition, or report falsely.
+        now: Simulated time in ms.
+        home: Home zone of each manager.
+        members: Zone coordinator of each manager.
+        target: The zone that the case affects.
+        faulty: All zones that the case affects: the target, or its whole region.
+        cut_off: Members that cannot reach the target in case "parted".
+        partition_side: Members on one side of the partition in case "halves".
+        liar: The member that always reports the target as down in case "liar".
     """
 
     def __init__(
@@ -86,16 +92,18 @@
             decision_mode=DecisionMode.COMMON if common else DecisionMode.ALONE,
         )
         self.home = {f"m{i}": self.zones[i % zones] for i in range(managers)}
-        self.caller_rate = ZONE_LOAD * zones / managers  # requests a second of one manager's callers
+        self.client_rate = ZONE_LOAD * zones / managers  # requests per second of one manager's clients
         self.members = {name: self._make_member(name) for name in self.home}
         self._draw_fault(managers)
-        self._tick_every = max(
-            1, round(managers / LARGE_FLEET)
-        )  # steps between two ticks of a member, as in the program
-        self._arriving: dict[int, list[tuple[str, str, bytes]]] = {}  # messages by the step at which they arrive
-        self._states: dict[tuple[str, str], ZoneState] = {}  # that members hold, by member and zone
-        self._held_out_ms: dict[str, float] = {}  # from the loss until each member held the zone out
-        self._sent = self._left = self._failed = 0.0  # sums of rates over all steps
+        # As in the daemon, the members of a large fleet tick less often.
+        self._steps_per_tick = max(1, round(managers / LARGE_FLEET))
+        # Messages in transit, as (sender, receiver, message), by the step in which they arrive.
+        self._in_transit: dict[int, list[tuple[str, str, bytes]]] = {}
+        self._known_states: dict[tuple[str, str], ZoneState] = {}  # last state seen at a member, by member and zone
+        # For each member, ms from the start of the outage until the member had taken a failed zone out.
+        self._exclusion_delay_ms: dict[str, float] = {}
+        # Sums of request rates over all steps: all, sent out of a usable home zone, and failed.
+        self._total_rate = self._spilled_rate = self._failed_rate = 0.0
 
     def _regions(self) -> tuple[tuple[str, tuple[str, ...]], ...]:
         names = sorted(set(self.region.values()))
@@ -104,83 +112,89 @@
     def _make_member(self, name: str) -> ZoneCoordinator:
         member = ZoneCoordinator(replace(self.settings, home_zone=self.home[name]), name, 0.0)
         member.update_members(self.home)
-        member.own_load_cores = self.caller_rate
+        member.own_load_cores = self.client_rate
         return member
 
     def _draw_fault(self, managers: int) -> None:
         rng, home = self.rng, self.home
         self.target = rng.choice(self.zones)
-        self.struck = {self.target}
+        self.faulty = {self.target}
         if self.case == "region":
-            self.struck = {zone for zone in self.zones if self.region[zone] == self.region[self.target]}
+            self.faulty = {zone for zone in self.zones if self.region[zone] == self.region[self.target]}
         outside = sorted(name for name in home if home[name] != self.target)
         self.cut_off = set(rng.sample(outside, managers // 4))
-        self.half = set(rng.sample(sorted(home), managers // 2))
+        self.partition_side = set(rng.sample(sorted(home), managers // 2))
         self.liar = rng.choice(sorted(home))
 
     def run(self) -> ZoneRunResult:
-        """Play to the end."""
+        """Run the simulation to its end."""
         while self.now < END_MS:
-            health = self._health_of_zones()
+            available = self._available_fractions()
             step = round(self.now / STEP_MS)
-            ticking = [name for i, name in enumerate(self.members) if (step + i) % self._tick_every == 0]
+            ticking = [name for i, name in enumerate(self.members) if (step + i) % self._steps_per_tick == 0]
             for name in ticking:
-                self._observe(name, health)
-            for sender, receiver, message in self._arriving.pop(step, ()):
+                self._observe(name, available)
+            for sender, receiver, message in self._in_transit.pop(step, ()):
                 self.members[receiver].receive(self.now, sender, message)
             for name in ticking:
                 self._tick(name, step)
-            self._serve(self._route(), health)
-            self._note_states(health)
+            self._serve(self._route(), available)
+            self._record_state_changes(available)
             self.now += STEP_MS
         result = self.result
-        result.decided = sorted(self._held_out_ms.values())
-        result.left, result.errors = self._left / self._sent, self._failed / self._sent
+        result.decided = sorted(self._exclusion_delay_ms.values())
+        result.left, result.errors = self._spilled_rate / self._total_rate, self._failed_rate / self._total_rate
         return result
 
     @property
-    def _struck_now(self) -> bool:
-        return STRUCK_MS <= self.now < MENDED_MS
+    def _fault_active(self) -> bool:
+        return FAULT_START_MS <= self.now < FAULT_END_MS
 
-    def _health_of_zones(self) -> dict[str, float]:
-        """Return the share of each zone that answers."""
-        flickers = self.case == "flicker" and self._struck_now and int(self.now / FLICKER_MS) % 2 == 0
-        lost = self.case in LOSS_CASES and self._struck_now or flickers
-        return {zone: 0.0 if lost and zone in self.struck else 1.0 for zone in self.zones}
+    def _available_fractions(self) -> dict[str, float]:
+        """Return the fraction of each zone that is available now."""
+        flicker_outage = self.case == "flicker" and self._fault_active and int(self.now / FLICKER_MS) % 2 == 0
+        outage = self.case in OUTAGE_CASES and self._fault_active or flicker_outage
+        return {zone: 0.0 if outage and zone in self.faulty else 1.0 for zone in self.zones}
 
-    def _observe(self, name: str, health: dict[str, float]) -> None:
-        """Give a member its own view of all zones."""
+    def _observe(self, name: str, available: dict[str, float]) -> None:
+        """Pass a member its own observation of each zone."""
         for zone in self.zones:
-            up, slowness = health[zone], 1.0
+            observed_available, latency_factor = available[zone], 1.0
             if zone == self.target:
-                unreachable = self.case == "parted" and self._struck_now and name in self.cut_off
+                unreachable = self.case == "parted" and self._fault_active and name in self.cut_off
                 if unreachable or self.case == "liar" and name == self.liar:
-                    up = 0.0
-                if self.case == "slow" and self._struck_now:
-                    slowness = SLOWNESS
-            errors = self.rng.random() * ERROR_NOISE
-            latency = slowness * self.rng.uniform(*LATENCY_NOISE)
-            view = ZoneObservation(up, errors, latency, up >= 1.0 and zone != self.home[name])
+                    observed_available = 0.0
+                if self.case == "slow" and self._fault_active:
+                    latency_factor = SLOW_ZONE_FACTOR
+            error_rate = self.rng.random() * ERROR_NOISE
+            latency = latency_factor * self.rng.uniform(*LATENCY_NOISE)
+            view = ZoneObservation(
+                observed_available, error_rate, latency, observed_available >= 1.0 and zone != self.home[name]
+            )
             self.members[name].observe(self.now, zone, view)
 
     def _tick(self, name: str, step: int) -> None:
-        """Tick a member and put its messages on the network, which loses some."""
+        """Tick a member and send its messages over the network, which loses some of them."""
         member = self.members[name]
         member.tick(self.now)
         messages, member.outgoing = member.outgoing, []
         for other in self.members if self.common else ():
-            split = self.case == "halves" and self._struck_now and (name in self.half) != (other in self.half)
-            if other != name and not split:
-                # A member takes messages at its next step, whatever within a step their delay was.
-                arriving = self._arriving.setdefault(step + 1, [])
+            partitioned = (
+                self.case == "halves"
+                and self._fault_active
+                and (name in self.partition_side) != (other in self.partition_side)
+            )
+            if other != name and not partitioned:
+                # Members receive messages once per step, so every message arrives in the step after it was sent.
+                arriving = self._in_transit.setdefault(step + 1, [])
                 arriving.extend((name, other, m) for m in messages if self.rng.random() >= MESSAGE_LOSS)
 
     def _route(self) -> dict[str, float]:
-        """Return the rate that arrives at each zone, each manager sending where its own states say."""
-        arriving = dict.fromkeys(self.zones, 0.0)
+        """Return the request rate that each zone receives; each manager routes by the zone states that it knows."""
+        received = dict.fromkeys(self.zones, 0.0)
         for name, member in self.members.items():
             demand = member.load_cores(self.now)
-            places = {
+            statuses = {
                 zone: ZoneStatus(
                     self.region[zone],
                     ZONE_CAPACITY,
@@ -191,52 +205,54 @@
                 for zone in self.zones
             }
             home = self.home[name]
-            routed = routing_shares(home, places, self.now, self.settings)
-            for zone, share in routed.items():
-                arriving[zone] += self.caller_rate * share
-            self._sent += self.caller_rate
-            if home not in self.struck or self.case in OBSERVER_CASES:
-                self._left += self.caller_rate * (1.0 - routed.get(home, 0.0))
-        return arriving
-
-    def _serve(self, arriving: dict[str, float], health: dict[str, float]) -> None:
-        """Count what zones can't bear."""
+            shares = routing_shares(home, statuses, self.now, self.settings)
+            for zone, share in shares.items():
+                received[zone] += self.client_rate * share
+            self._total_rate += self.client_rate
+            if home not in self.faulty or self.case in FALSE_ALARM_CASES:
+                self._spilled_rate += self.client_rate * (1.0 - shares.get(home, 0.0))
+        return received
+
+    def _serve(self, received: dict[str, float], available: dict[str, float]) -> None:
+        """Count the requests that exceed the zones' capacity, and record the load of the target zone."""
         for zone in self.zones:
-            bearable = ZONE_CAPACITY * health[zone]
-            if self.case in LOSS_CASES and zone in self.struck and self.now >= MENDED_MS:
-                bearable = min(bearable, self._bearable_after_return(zone))
-                if arriving[zone] > 0:
-                    self.result.flood = max(self.result.flood, arriving[zone] / bearable)
-            self._failed += max(0.0, arriving[zone] - bearable)
+            capacity = ZONE_CAPACITY * available[zone]
+            if self.case in OUTAGE_CASES and zone in self.faulty and self.now >= FAULT_END_MS:
+                capacity = min(capacity, self._capacity_after_return(zone))
+                if received[zone] > 0:
+                    self.result.flood = max(self.result.flood, received[zone] / capacity)
+            self._failed_rate += max(0.0, received[zone] - capacity)
             if zone == self.target:
-                point = (self.now / 1000.0, arriving[zone] / ZONE_CAPACITY, bearable / ZONE_CAPACITY)
+                point = (self.now / 1000.0, received[zone] / ZONE_CAPACITY, capacity / ZONE_CAPACITY)
                 self.result.series.append(point)
 
-    def _bearable_after_return(self, zone: str) -> float:
-        """Return what a zone that comes back bears: it has to warm up, over the recovery ramp."""
-        place = ZoneStatus(self.region[zone], ZONE_CAPACITY, ZONE_LOAD, ZoneState.RETURNING, MENDED_MS)
-        return usable_capacity(place, self.now, self.settings) / self.settings.max_utilization
+    def _capacity_after_return(self, zone: str) -> float:
+        """Return the capacity of a zone that is warming up after an outage: it grows over the recovery ramp."""
+        returning = ZoneStatus(self.region[zone], ZONE_CAPACITY, ZONE_LOAD, ZoneState.RETURNING, FAULT_END_MS)
+        return usable_capacity(returning, self.now, self.settings) / self.settings.max_utilization
 
-    def _note_states(self, health: dict[str, float]) -> None:
-        """Count changes of the states that members hold."""
+    def _record_state_changes(self, available: dict[str, float]) -> None:
+        """Count the changes of the zone states that members know, and record when failed zones were taken out."""
         for name, member in self.members.items():
             for zone in self.zones:
                 state = member.state(zone)[0]
-                if state is not self._states.get((name, zone), ZoneState.HEALTHY):
-                    self._states[name, zone] = state
+                if state is not self._known_states.get((name, zone), ZoneState.HEALTHY):
+                    self._known_states[name, zone] = state
                     self.result.changes += 1
-                    self.result.wrong += health[zone] > 0 and state is ZoneState.OUT and self.case in OBSERVER_CASES
-                if state is ZoneState.OUT and zone in self.struck and self.case in LOSS_CASES:
-                    self._held_out_ms.setdefault(name, self.now - STRUCK_MS)
+                    self.result.wrong += (
+                        available[zone] > 0 and state is ZoneState.OUT and self.case in FALSE_ALARM_CASES
+                    )
+                if state is ZoneState.OUT and zone in self.faulty and self.case in OUTAGE_CASES:
+                    self._exclusion_delay_ms.setdefault(name, self.now - FAULT_START_MS)
 
 
 def play(
     case: str, seed: int, common: bool, managers: int = 12, zones: int = 4, settings: LocalitySettings | None = None
 ) -> ZoneRunResult:
-    """Play one case with one seed.
+    """Run one case with one seed.
 
     Raises:
-        ValueError: There is no such case.
+        ValueError: The case does not exist.
     """
     if case not in CASES:
         raise ValueError(f"no case {case!r}; one of {', '.join(CASES)}")
@@ -244,18 +260,18 @@
 
 
 def campaign(cases: list[str], seeds: list[int], managers: int, zones: int, workers: int) -> list[ZoneRunResult]:
-    """Play all cases and seeds, decided both ways, in processes side by side."""
+    """Run all cases with all seeds and both ways of deciding, in parallel processes."""
     jobs = [(case, seed, common, managers, zones) for case in cases for seed in seeds for common in (False, True)]
     with ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(_play, jobs))
+        return list(pool.map(_run_job, jobs))
 
 
-def _play(job: tuple[str, int, bool, int, int]) -> ZoneRunResult:
+def _run_job(job: tuple[str, int, bool, int, int]) -> ZoneRunResult:
     return play(*job)
 
 
 def table(results: list[ZoneRunResult]) -> list[dict[str, object]]:
-    """Return a row for each case and way of deciding. The names of its columns are those of the command's output."""
+    """Return one row for each case and way of deciding; the keys are the column names of the command's output."""
     rows: list[dict[str, object]] = []
     for case in dict.fromkeys(result.case for result in results):
         for common in (False, True):
@@ -264,9 +280,9 @@
 
 
 def _row(case: str, common: bool, group: list[ZoneRunResult]) -> dict[str, object]:
-    decided = sorted(ms for result in group for ms in result.decided)
+    delays_ms = sorted(ms for result in group for ms in result.decided)
     percentiles = {
-        f"out_p{p}_ms": round(decided[min(len(decided) - 1, len(decided) * p // 100)]) if decided else None
+        f"out_p{p}_ms": round(delays_ms[min(len(delays_ms) - 1, len(delays_ms) * p // 100)]) if delays_ms else None
         for p in PERCENTILES
     }
     return {
@@ -283,7 +299,7 @@
 
 
 def plot(results: list[ZoneRunResult], path: str) -> None:
-    """Plot the load on the struck zone, beside what it bears, for the first seed of each case."""
+    """Plot the load and the available capacity of the target zone for the first seed of each case."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -295,13 +311,13 @@
         first_seed = min(result.seed for result in results if result.case == case)
         for result in results:
             if (result.case, result.seed) == (case, first_seed):
-                seconds, load, bearable = zip(*result.series, strict=True)
+                seconds, load, capacity = zip(*result.series, strict=True)
                 axis.plot(seconds, load, label="common" if result.common else "alone", linewidth=1.2)
                 if result.common:
-                    axis.plot(seconds, bearable, label="what the zone bears", color="grey", linestyle=":")
-        axis.set_ylabel(f"{case}\nload of capacity")
+                    axis.plot(seconds, capacity, label="capacity", color="grey", linestyle=":")
+        axis.set_ylabel(f"{case}\nload / capacity")
         axis.set_ylim(0, 2)
     axes[0, 0].legend(loc="upper right", fontsize="small")
-    axes[-1, 0].set_xlabel("seconds")
+    axes[-1, 0].set_xlabel("time (s)")
     figure.tight_layout()
     figure.savefig(path, dpi=100)
--- a/decklb/lab/standins/engine_server.py
+++ b/decklb/lab/standins/engine_server.py
@@ -1,6 +1,6 @@
-"""The engine's model on real sockets and in real time: stand-in engines that speak RESP or PostgreSQL.
+"""Stand-in engines on real sockets: the engine model in real time behind a RESP or a PostgreSQL server.
 
-What a query costs is told in a comment of its statement, so that load and engines need no other agreement:
+Each statement states its cost in a comment, so that the load generator and the engines share nothing but this format:
 `select 1 from g_GROUP.t -- work=MS threads=N io=SHARE memory=MB tables=GROUP holds=0|1 yields=0|1 plan=TIMES`.
 """
 
@@ -24,8 +24,8 @@
 from decklb.pg.errors import PgError
 from decklb.wire.clock import ReactorClock
 
-ROWS = b"1\tok\t.\n"  # three columns
-# Words of the comment: the query's field, and how its value is read.
+RESULT = b"1\tok\t.\n"  # one row of three columns
+# For each name in the comment, the field of the query that it sets and the parser of its value.
 COMMENT_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "work": ("work_ms", float),
     "threads": ("threads", int),
@@ -38,8 +38,8 @@
 }
 
 
-class RealLoop:
-    """The reactor behind the emulator's interface."""
+class RealTimeLoop:
+    """Provides the interface of the emulator's loop on top of the reactor."""
 
     def __init__(self, reactor: Any) -> None:
         self._clock = ReactorClock(reactor)
@@ -48,7 +48,7 @@
 
 
 def statement(query: Query) -> bytes:
-    """A query as text."""
+    """Return the statement that tells an engine to run this query."""
     return (
         f"select 1 from g_{query.table_group}.t -- work={query.work_ms:.3f} threads={query.threads} "
         f"io={query.io_share:g} memory={query.memory_mb:g} tables={query.table_group} "
@@ -57,33 +57,38 @@
 
 
 def parse(text: str) -> Query:
-    """The reverse. Raises ValueError for what is none."""
-    given: dict[str, Any] = {}
+    """Return the query that a statement describes.
+
+    Raises:
+        ValueError: The comment has an unknown field or an invalid value.
+        TypeError: The comment does not state the work.
+    """
+    values: dict[str, Any] = {}
     for word in text.partition("--")[2].split():
-        name, sign, value = word.partition("=")
-        if name not in COMMENT_FIELDS or not sign:
+        name, separator, text_value = word.partition("=")
+        if name not in COMMENT_FIELDS or not separator:
             raise ValueError(f"no field of a query: {word!r}")
         field, parse_value = COMMENT_FIELDS[name]
-        given[field] = parse_value(value)
-    query = Query(**given)
-    sizes_in_bounds = 0 < query.work_ms < 1e9 and 1 <= query.threads <= 1024 and query.memory_mb >= 0
-    if not (sizes_in_bounds and 0 <= query.io_share <= 1):
+        values[field] = parse_value(text_value)
+    query = Query(**values)
+    sizes_valid = 0 < query.work_ms < 1e9 and 1 <= query.threads <= 1024 and query.memory_mb >= 0
+    if not (sizes_valid and 0 <= query.io_share <= 1):
         raise ValueError("a query's figures are out of bounds")
     return query
 
 
 class RespSession(Protocol):
-    """One connection of a manager."""
+    """A manager's connection to an engine that speaks RESP."""
 
     transport: Any
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
         self.reader = resp.RespReader()
-        self.open: dict[bytes, Query] = {}
+        self.running: dict[bytes, Query] = {}  # by request id
 
     def dataReceived(self, data: bytes) -> None:
-        """Requests; what can't be read ends the connection."""
+        """Process requests; abort the connection if one cannot be decoded."""
         try:
             for parts in self.reader.feed(data):
                 self._request(parts)
@@ -91,102 +96,105 @@
             self.transport.abortConnection()
 
     def _request(self, parts: list[bytes]) -> None:
-        word, ident = parts[0], parts[1] if len(parts) > 1 else b""
-        if word == b"ping":
-            self._say(ident, b"well")
-        elif word == b"undo" and ident in self.open:
-            self.engine.cancel(self.open.pop(ident))
-        elif word == b"do" and len(parts) == 4:
+        command, request_id = parts[0], parts[1] if len(parts) > 1 else b""
+        if command == b"ping":
+            self._reply(request_id, b"well")
+        elif command == b"undo" and request_id in self.running:
+            self.engine.cancel(self.running.pop(request_id))
+        elif command == b"do" and len(parts) == 4:
             try:
                 query = parse(parts[3].decode())
             except (ValueError, TypeError):
-                self._say(ident, b"failed")
+                self._reply(request_id, b"failed")
                 return
-            self.open[ident] = query
-            query.on_end = lambda outcome: self._done(ident, query, outcome)
+            self.running[request_id] = query
+            query.on_end = lambda outcome: self._query_ended(request_id, query, outcome)
             self.engine.submit(query)
 
-    def _done(self, ident: bytes, query: Query, outcome: Outcome) -> None:
-        if self.open.get(ident) is not query:
+    def _query_ended(self, request_id: bytes, query: Query, outcome: Outcome) -> None:
+        if self.running.get(request_id) is not query:
             return
-        del self.open[ident]
+        del self.running[request_id]
         if outcome is Outcome.CONNECTION_RESET:
             self.transport.abortConnection()
         elif outcome is Outcome.SUCCESS:
-            self._say(ident, b"data", b"parts=1", ROWS)
+            self._reply(request_id, b"data", b"parts=1", RESULT)
         else:
-            self._say(ident, b"full" if outcome is Outcome.OVERLOADED else b"failed")
+            self._reply(request_id, b"full" if outcome is Outcome.OVERLOADED else b"failed")
 
-    def _say(self, ident: bytes, word: bytes, fields: bytes = b"-", body: bytes = b"") -> None:
-        self.transport.write(resp.pack(ident, word, fields, body))
+    def _reply(self, request_id: bytes, status: bytes, fields: bytes = b"-", body: bytes = b"") -> None:
+        self.transport.write(resp.pack(request_id, status, fields, body))
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """What is open here goes with it."""
-        for query in list(self.open.values()):
+        """Cancel the queries of this connection."""
+        for query in list(self.running.values()):
             self.engine.cancel(query)
-        self.open.clear()
+        self.running.clear()
 
 
 class PgSession(Protocol):
-    """One session of a manager, as far as its engine client needs: simple and extended queries, cancel."""
+    """A session of a manager at a PostgreSQL engine.
+
+    It implements what the manager's engine client uses: simple and extended queries, and cancel requests.
+    """
 
     transport: Any
-    keys: dict[bytes, PgSession] = {}
-    count = 0
+    sessions: dict[bytes, PgSession] = {}  # open sessions by cancel key
+    count = 0  # sessions so far
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
         self.reader = pg.MessageReader(1 << 20, startup=True)
-        self.key = b""
-        self.query: Query | None = None
-        self.statements: dict[bytes, str] = {}
-        self.waiting: list[pg.Message] = []
-        self.portal, self.simple = "", False
-        self.skip = False
+        self.key = b""  # cancel key
+        self.query: Query | None = None  # the running query
+        self.statements: dict[bytes, str] = {}  # prepared statements by name
+        self.pending: list[pg.Message] = []  # messages received while a query runs
+        self.portal, self.simple = "", False  # statement of the latest Bind; whether the running query is a simple one
+        self.skip_until_sync = False  # after an error in an extended query
 
     def dataReceived(self, data: bytes) -> None:
-        """Messages, one statement at a time."""
+        """Process messages, one statement at a time; abort the connection if one cannot be decoded."""
         try:
             for m in self.reader.feed(data):
                 if self.reader.startup:
                     self._startup(m)
                 else:
-                    self.waiting.append(m)
-            self._go()
+                    self.pending.append(m)
+            self._process_pending()
         except (PgError, ValueError, IndexError, struct.error):
             self.transport.abortConnection()
 
     def _startup(self, m: pg.Message) -> None:
         code = int.from_bytes(m.payload[:4], "big")
         if code == pg.CANCEL_REQUEST_CODE:
-            session = PgSession.keys.get(m.payload[4:])
+            session = PgSession.sessions.get(m.payload[4:])
             if session is not None:
-                session.cancelled()
+                session.cancel_query()
             self.transport.loseConnection()
             return
         self.reader.startup = False
         PgSession.count += 1
         self.key = struct.pack(">II", PgSession.count, 7)
-        PgSession.keys[self.key] = self
+        PgSession.sessions[self.key] = self
         self.transport.write(pg.pack(b"R", b"\0\0\0\0") + pg.pack(b"K", self.key) + pg.READY_FOR_QUERY)
 
-    def _go(self) -> None:
-        while self.waiting and self.query is None:
-            m = self.waiting.pop(0)
+    def _process_pending(self) -> None:
+        while self.pending and self.query is None:
+            m = self.pending.pop(0)
             if m.type == b"S":
-                self.skip = False
+                self.skip_until_sync = False
                 self.transport.write(pg.READY_FOR_QUERY)
             elif m.type == b"X":
                 self.transport.loseConnection()
             elif m.type == b"Q":
                 self._run(m.payload[:-1].decode(), True)
-            elif not self.skip:
+            elif not self.skip_until_sync:
                 self._extended(m)
 
     def _extended(self, m: pg.Message) -> None:
         if m.type == b"P":
-            name, text = m.payload.split(b"\0")[:2]
-            self.statements[name] = text.decode()
+            name, sql = m.payload.split(b"\0")[:2]
+            self.statements[name] = sql.decode()
             self.transport.write(pg.PARSE_COMPLETE)
         elif m.type == b"B":
             self.portal = self.statements[m.payload.split(b"\0")[1]]
@@ -195,20 +203,20 @@
             self.statements.pop(m.payload[1:-1], None)
             self.transport.write(pg.CLOSE_COMPLETE)
         elif m.type == b"D":
-            self.transport.write((pg.NO_PARAMETERS if m.payload[:1] == b"S" else b"") + _described())
+            self.transport.write((pg.NO_PARAMETERS if m.payload[:1] == b"S" else b"") + _row_description())
         elif m.type == b"E":
             self._run(self.portal, False)
 
-    def _run(self, text: str, simple: bool) -> None:
+    def _run(self, sql: str, simple: bool) -> None:
         try:
-            query = parse(text)
+            query = parse(sql)
         except (ValueError, TypeError) as error:
             return self._fail("42601", str(error), simple)
         self.query, self.simple = query, simple
-        query.on_end = lambda outcome: self._done(query, outcome)
+        query.on_end = lambda outcome: self._query_ended(query, outcome)
         self.engine.submit(query)
 
-    def _done(self, query: Query, outcome: Outcome) -> None:
+    def _query_ended(self, query: Query, outcome: Outcome) -> None:
         if self.query is not query:
             return
         self.query = None
@@ -220,54 +228,65 @@
         else:
             row = pg.pack(b"D", struct.pack(">hi", 1, 2) + b"ok")
             self.transport.write(
-                (_described() if self.simple else b"")
+                (_row_description() if self.simple else b"")
                 + row
                 + pg.pack_command_complete("SELECT 1")
                 + (pg.READY_FOR_QUERY if self.simple else b"")
             )
-        self._go()
+        self._process_pending()
 
-    def _fail(self, state: str, text: str, simple: bool) -> None:
-        self.skip = not simple
-        self.transport.write(pg.pack_error(state, text) + (pg.READY_FOR_QUERY if simple else b""))
+    def _fail(self, sqlstate_code: str, message: str, simple: bool) -> None:
+        self.skip_until_sync = not simple
+        self.transport.write(pg.pack_error(sqlstate_code, message) + (pg.READY_FOR_QUERY if simple else b""))
 
-    def cancelled(self) -> None:
-        """A CancelRequest for what runs here."""
+    def cancel_query(self) -> None:
+        """Cancel the running query, after a CancelRequest with the key of this session."""
         if self.query is not None:
             query, self.query = self.query, None
             self.engine.cancel(query)
             self._fail(sqlstate.QUERY_CANCELED, "canceling statement due to user request", self.simple)
-            self._go()
+            self._process_pending()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """What runs here goes with it."""
-        PgSession.keys.pop(self.key, None)
+        """Cancel the running query."""
+        PgSession.sessions.pop(self.key, None)
         if self.query is not None:
             query, self.query = self.query, None
             self.engine.cancel(query)
 
 
-def _described() -> bytes:
+def _row_description() -> bytes:
     return pg.pack(b"T", b"\0\1v\0" + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
 
 
 def listen(reactor: Any, count: int, spec: EngineSpec, front: str, first_port: int = 0) -> list[tuple[Engine, int]]:
-    """Start engines on loopback; each with its port."""
-    loop: Any = RealLoop(reactor)
-    kind: Any = RespSession if front == "frames" else PgSession
-    found = []
+    """Start engines that listen on loopback.
+
+    Args:
+        reactor: Twisted's reactor.
+        count: Number of engines.
+        spec: Model parameters of each engine.
+        front: "frames" for engines that speak RESP, otherwise PostgreSQL.
+        first_port: Port of the first engine, the others use the following ports; 0 for ephemeral ports.
+
+    Returns:
+        Each engine with its port.
+    """
+    loop: Any = RealTimeLoop(reactor)
+    session_type: Any = RespSession if front == "frames" else PgSession
+    listening = []
     for i in range(count):
         engine = Engine(loop, f"e{i}", spec)
-        factory: Any = Factory.forProtocol(partial(kind, engine))
+        factory: Any = Factory.forProtocol(partial(session_type, engine))
         factory.noisy = False
         port = reactor.listenTCP(first_port + i if first_port else 0, factory, backlog=512, interface="127.0.0.1")
-        found.append((engine, port.getHost().port))
+        listening.append((engine, port.getHost().port))
         logger.debug(
             "engine {engine} listens on {port}", event="engine-listening", engine=engine.name, port=port.getHost().port
         )
-    return found
+    return listening
 
 
-def moment() -> float:
-    """Milliseconds on the monotonic clock."""
+def monotonic_ms() -> float:
+    """Return the time of the monotonic clock in ms."""
     return time.monotonic() * 1000.0
