--- a/decklb/cli/lab/experiments.py
+++ b/decklb/cli/lab/experiments.py
@@ -84,9 +84,9 @@
         raise click.ClickException("no cells with the same factors and seed on both sides")
     for difference in differences:
         click.echo(
-            f"{difference.group:14} {difference.what:20} A {difference.a:.4f}  B {difference.b:.4f}  "
+            f"{difference.group:14} {difference.figure:20} A {difference.a:.4f}  B {difference.b:.4f}  "
             f"B-A {difference.mean:+.4f}  [{difference.low:+.4f}, {difference.high:+.4f}]"
-            f"{' *' if difference.clear else ''}  {difference.pairs} pairs"
+            f"{' *' if difference.significant else ''}  {difference.pairs} pairs"
         )
 
 
--- a/decklb/lab/__init__.py
+++ b/decklb/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: the real modules on simulated time and a simulated network. Nothing here is part of the daemon."""
+"""The laboratory: experiments that run the real modules on simulated time, and fault runs with real processes.
+
+The daemon uses nothing from this package.
+"""
--- a/decklb/lab/experiments/__init__.py
+++ b/decklb/lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded experiments, their workloads, load on a running program, statistics and reports."""
+"""Seeded experiments with their workloads, statistics and reports, and load on running managers."""
--- a/decklb/lab/experiments/bundled.py
+++ b/decklb/lab/experiments/bundled.py
@@ -1,6 +1,7 @@
-"""The bundled world that measurements, examples and tests start from.
+"""The default emulated world, which measurements, examples and tests start from.
 
-Three classes of requests (short queries, reports, loads), two tenants, and engines of 8 cores whose speeds differ.
+It has three request classes (short queries, reports and data loads), two tenants, and engines with 8 cores and
+different speeds.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 from decklb.lab.emulation.emulated_world import EmulatedWorld
 from decklb.lab.emulation.workload import RequestClass, Tenant, Workload
 
-SPEED_SIGMA = 0.2  # of the engines' lognormal speeds
+SPEED_SIGMA = 0.2  # sigma of the lognormal distribution of engine speeds
 
 SHORT_QUERY = RequestClass(
     "consulta",
@@ -54,7 +55,10 @@
 def world(
     managers: int, engines: int, requests_per_second: float, duration_ms: float, policy: str = "decklb"
 ) -> EmulatedWorld:
-    """Return the bundled world at a size. At 25 requests a second an engine, engines are about two thirds busy."""
+    """Return the default world in the given size.
+
+    At 25 requests per second and engine, the engines are about two thirds utilized.
+    """
     return EmulatedWorld(
         Workload(requests_per_second, CLASSES, TENANTS, client_retries=1),
         managers,
--- a/decklb/lab/experiments/cell_runner.py
+++ b/decklb/lab/experiments/cell_runner.py
@@ -1,7 +1,7 @@
-"""Plays an experiment's cells over the cores and keeps their tables, so that a run can be stopped and taken up again.
+"""Runs the cells of an experiment in parallel and stores their tables, so that an interrupted run can be resumed.
 
-Each file is written complete or not at all, a cell's summary last: a cell that has one is finished. Names of tables,
-columns and metadata are those of stored data. Called by `decklb lab run` and `decklb lab load`.
+Files are written atomically, and the summary of a cell last, so a cell with a summary is finished. The names of tables,
+columns and metadata are part of the stored format. Used by `decklb lab run` and `decklb lab load`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from decklb.lab.emulation.emulator import Run
 from decklb.lab.experiments.experiment import Cell, Experiment
 
-# Columns of a cell's tables, in their stored order.
+# Tables of a cell, with their columns in the stored order.
 TABLES: dict[str, tuple[str, ...]] = {
     "requests": (
         "time_ms",
@@ -37,14 +37,14 @@
     "engines": ("time_ms", "engine", "threads", "running", "waiting", "up", "memory_mb", "speed"),
     "seconds": ("second", "asked", "earned"),
 }
-COST_PREFIX = "cost_"  # of figures that depend on the machine
+COST_PREFIX = "cost_"  # prefix of the figures that depend on the machine
 Summary = dict[str, Any]
-Rows = dict[str, list[tuple[Any, ...]]]  # by table
-Progress = Callable[[int, int], None]  # called with the cells that are done, and all cells
+Rows = dict[str, list[tuple[Any, ...]]]  # rows by table
+Progress = Callable[[int, int], None]  # called with the number of finished cells and of all cells
 
 
 def program_version() -> str:
-    """Return the version of the code that runs, for the tables' metadata."""
+    """Return the version of the installed package for the tables' metadata, or "checkout" if it is not installed."""
     try:
         return metadata.version("decklb")
     except metadata.PackageNotFoundError:
@@ -52,7 +52,7 @@
 
 
 def play(cell: Cell) -> tuple[Summary, Rows]:
-    """Play one cell; return its summary and its rows by table."""
+    """Run one cell; return its summary and its rows by table."""
     run = Run(cell.world, cell.seed)
     factors = {f"factor_{name}": value for name, value in cell.factors}
     summary = {"cell": cell.name, **factors} | run.run()
@@ -66,17 +66,17 @@
 
 
 def play_and_store(cell: Cell, folder: str, experiment: str, digest: str) -> Summary:
-    """Play one cell and write its files; return its summary."""
+    """Run one cell and write its files; return its summary."""
     summary, rows = play(cell)
     store(cell, folder, experiment, digest, summary, rows)
     return summary
 
 
 def store(cell: Cell, folder: str, experiment: str, digest: str, summary: Summary, rows: Rows) -> None:
-    """Write a cell's tables, and then its summary."""
+    """Write the tables of a cell, then its summary."""
     import pyarrow as pa
 
-    labels = {
+    table_metadata = {
         "experiment": experiment,
         "digest": digest,
         "cell": cell.name,
@@ -87,12 +87,12 @@
         data = {column: [row[i] for row in rows[name]] for i, column in enumerate(columns)}
         path = Path(folder) / name / f"{cell.name}.parquet"
         path.parent.mkdir(parents=True, exist_ok=True)
-        _write_parquet(path, pa.table(data).replace_schema_metadata(labels), "zstd")
+        _write_parquet(path, pa.table(data).replace_schema_metadata(table_metadata), "zstd")
     path = Path(folder) / "cells" / f"{cell.name}.json"
     path.parent.mkdir(parents=True, exist_ok=True)
-    unfinished = path.with_suffix(".part")
-    unfinished.write_text(ujson.dumps({"digest": digest, "summary": summary}))
-    os.replace(unfinished, path)
+    part_path = path.with_suffix(".part")
+    part_path.write_text(ujson.dumps({"digest": digest, "summary": summary}))
+    os.replace(part_path, path)
 
 
 def _write_parquet(path: Path, table: Any, compression: str) -> None:
@@ -103,39 +103,40 @@
 
 
 def finished_cells(folder: str, digest: str) -> dict[str, Summary]:
-    """Return summaries of finished cells of this version of the experiment, by the cells' names."""
-    found = {}
+    """Return the summaries of the finished cells with this digest, by cell name; unreadable files are ignored."""
+    summaries = {}
     for path in sorted((Path(folder) / "cells").glob("*.json")):
         try:
             stored = ujson.loads(path.read_text())
         except ValueError:
             continue
         if stored.get("digest") == digest:
-            found[path.stem] = stored["summary"]
-    return found
+            summaries[path.stem] = stored["summary"]
+    return summaries
 
 
 def run_all(experiment: Experiment, folder: str, workers: int, progress: Progress) -> list[Summary]:
-    """Play all cells that are not finished yet, and write one table of all summaries, in the cells' order.
+    """Run all cells that are not finished, and write the table of all summaries in the order of the cells.
 
     Args:
-        experiment: Whose cells are played.
-        folder: Of its tables; what is finished there is kept.
-        workers: Processes; with one, cells are played in this process.
-        progress: Called after each cell.
+        experiment: The experiment to run.
+        folder: Folder of its tables; cells that are finished there are not run again.
+        workers: Number of processes; with 1, the cells run in this process.
+        progress: Called at the start and after each cell.
     """
     cells = list(experiment.cells())
     done = finished_cells(folder, experiment.digest)
-    left = [cell for cell in cells if cell.name not in done]
-    progress(len(cells) - len(left), len(cells))
+    remaining = [cell for cell in cells if cell.name not in done]
+    progress(len(cells) - len(remaining), len(cells))
     if workers <= 1:
-        for cell in left:
+        for cell in remaining:
             done[cell.name] = play_and_store(cell, folder, experiment.name, experiment.digest)
             progress(len(done), len(cells))
-    elif left:
+    elif remaining:
         with ProcessPoolExecutor(workers) as pool:
             futures = {
-                pool.submit(play_and_store, cell, folder, experiment.name, experiment.digest): cell for cell in left
+                pool.submit(play_and_store, cell, folder, experiment.name, experiment.digest): cell
+                for cell in remaining
             }
             for future in as_completed(futures):
                 done[futures[future].name] = future.result()
@@ -146,27 +147,27 @@
 
 
 def write_summaries(experiment: Experiment, folder: str, summaries: list[Summary]) -> None:
-    """Write two tables: what the world did, and what it cost to play it.
+    """Write two tables: the summaries of the cells, and the costs of running them.
 
-    What depends on the machine has a table of its own, so that summaries of the same experiment are the same bytes, in
-    one process and in many.
+    Figures that depend on the machine go to the table of costs, so the summaries of an experiment are always the same
+    bytes, with any number of processes.
     """
     import pyarrow as pa
 
     names = list(dict.fromkeys(name for summary in summaries for name in summary))
     costs = [name for name in names if name.startswith(COST_PREFIX)]
-    labels = {"experiment": experiment.name, "digest": experiment.digest, "version": program_version()}
-    for file, columns in (
+    table_metadata = {"experiment": experiment.name, "digest": experiment.digest, "version": program_version()}
+    for table_name, columns in (
         ("summaries", [name for name in names if name not in costs]),
         ("costs", ["cell", *costs]),
     ):
         data = {column: [summary.get(column) for summary in summaries] for column in columns}
-        table = pa.table(data).replace_schema_metadata(labels)
-        _write_parquet(Path(folder) / f"{file}.parquet", table, "snappy")
+        table = pa.table(data).replace_schema_metadata(table_metadata)
+        _write_parquet(Path(folder) / f"{table_name}.parquet", table, "snappy")
 
 
 def read_table(folder: str, name: str) -> list[dict[str, Any]]:
-    """Return rows of `summaries`, `costs`, or of a cell's table such as `seconds/CELL`."""
+    """Return the rows of a table: `summaries`, `costs`, or the table of one cell, such as `seconds/CELL`."""
     import pyarrow.parquet as pq
 
     rows: list[dict[str, Any]] = pq.read_table(Path(folder) / f"{name}.parquet").to_pylist()
--- a/decklb/lab/experiments/experiment.py
+++ b/decklb/lab/experiments/experiment.py
@@ -1,6 +1,6 @@
-"""An experiment and the cells it spans: a cell is a policy, a value of each swept factor, and a seed.
+"""An experiment and its cells. A cell is one run: a policy, a value for each swept factor, and a seed.
 
-`experiment_file` reads one from XML, `cell_runner` plays its cells and keeps their tables.
+`experiment_file` reads experiments from XML, `cell_runner` runs their cells and stores the tables.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 
 from decklb.lab.emulation.emulated_world import EmulatedWorld
 
-# Fields that a swept factor sets; `rate` and `size` are handled by `with_factor`.
+# Fields of the world that a swept factor sets directly; `with_factor` handles the factors `rate` and `size`.
 FLOAT_FACTORS = {"loss": "message_loss", "uneven": "speed_sigma"}
 COUNT_FACTORS = ("managers", "engines")
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One run.
+    """One run of an experiment.
 
     Attributes:
-        name: Also that of its files.
-        policy: Of its managers.
+        name: Name of the cell, and of its files.
+        policy: Load-balancing policy of the managers.
         factors: Name and value of each swept factor.
-        seed: Of all its draws.
-        world: That it plays, with policy and factors set.
+        seed: Seed of all random draws.
+        world: The world to emulate, with the policy and the factors set.
     """
 
     name: str
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """What an experiment's file says.
+    """An experiment, as its file defines it.
 
     Attributes:
-        name: Of the experiment.
-        world: That all cells start from.
-        policies: To compare.
+        name: Name of the experiment.
+        world: The world that all cells are derived from.
+        policies: Policies to compare.
         sweeps: Swept factors, each with its values.
-        seeds: For each policy and value.
-        digest: Of the file's meaning, so that cells of another version are not mixed in.
+        seeds: Seeds with which each policy runs at each combination of factor values.
+        digest: Digest of the definition; it keeps stored cells of other versions from being mixed in.
     """
 
     name: str
@@ -56,7 +56,7 @@
     digest: str
 
     def cells(self) -> Iterator[Cell]:
-        """Yield all cells, in a stable order."""
+        """Yield all cells in a stable order."""
         names = [name for name, _ in self.sweeps]
         for values in itertools.product(*(values for _, values in self.sweeps)):
             factors = tuple(zip(names, values, strict=True))
@@ -69,7 +69,10 @@
 
 
 def with_factor(world: EmulatedWorld, factor: str, value: float) -> EmulatedWorld:
-    """Return a world with one factor at another value. `size` scales managers, engines and the rate together."""
+    """Return a copy of the world with one factor set.
+
+    The factor `size` is a multiplier for the managers, the engines and the request rate together.
+    """
     rate = world.workload.requests_per_second
     if factor == "rate":
         return replace(world, workload=replace(world.workload, requests_per_second=value))
--- a/decklb/lab/experiments/stable_digest.py
+++ b/decklb/lab/experiments/stable_digest.py
@@ -1,7 +1,7 @@
-"""The digest of an experiment's meaning, by which stored cells are known as those of the same experiment.
+"""Computes the digest of an experiment, which identifies the stored cells that belong to it.
 
-It is made of the classes' and fields' names as they were when the first cells were stored, so that renaming a field
-leaves stored cells valid. A new field changes the digest, as it changes what is run.
+The digest covers the names of classes and fields as they were when the first cells were stored, so stored cells stay
+valid when a field is renamed. Adding a field changes the digest, since it changes what is run.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 DIGEST_BYTES = 8
 
-# The stored name of each class and of its fields, in the order of the fields.
+# For each class, its stored name and those of its fields, in the order in which the class declares the fields.
 STORED_NAMES: dict[type, tuple[str, str]] = {
     EmulatedWorld: (
         "World",
@@ -41,20 +41,20 @@
 
 
 def stable_digest(*values: object) -> str:
-    """Return the digest of an experiment's values, as hexadecimal text."""
+    """Return the digest of the values as a hexadecimal string."""
     return hashlib.blake2b(stable_repr(values).encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def stable_repr(value: object) -> str:
-    """Return a value's `repr` under the stored names of classes and fields."""
+    """Return the `repr` of a value, with classes and fields under their stored names."""
     if isinstance(value, Enum):
         return repr(value.value)
     if isinstance(value, tuple):
-        inside = ", ".join(map(stable_repr, value))
-        return f"({inside},)" if len(value) == 1 else f"({inside})"
+        items = ", ".join(map(stable_repr, value))
+        return f"({items},)" if len(value) == 1 else f"({items})"
     if is_dataclass(value):
         class_name, field_names = STORED_NAMES[type(value)]
         values = [stable_repr(getattr(value, field.name)) for field in fields(value)]
-        inside = ", ".join(f"{name}={text}" for name, text in zip(field_names.split(), values, strict=True))
-        return f"{class_name}({inside})"
+        items = ", ".join(f"{name}={text}" for name, text in zip(field_names.split(), values, strict=True))
+        return f"{class_name}({items})"
     return repr(value)
--- a/decklb/lab/experiments/statistics.py
+++ b/decklb/lab/experiments/statistics.py
@@ -1,6 +1,6 @@
-"""Paired comparisons of experiments, with confidence intervals by bootstrap (Efron, 1979).
+"""Paired comparisons of experiments, with bootstrap confidence intervals (Efron, 1979).
 
-Free of I/O; random numbers come in. Used by `decklb lab compare` and the report.
+Does no I/O; callers supply the random generator. Used by `decklb lab compare` and the report.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure of two experiments, over pairs of cells.
+    """Comparison of one figure between two experiments A and B, over pairs of cells.
 
     Attributes:
-        what: Name of the figure.
-        group: Sizes and factors that the pairs share.
-        pairs: Their number.
-        a, b: Means of both sides.
-        low, high: Interval of the mean of B - A, in which CONFIDENCE of resampled means lie.
+        figure: Name of the figure.
+        group: Description of the sizes and factor values that the pairs have in common.
+        pairs: Number of pairs.
+        a, b: Mean of the figure in A and in B.
+        low, high: Confidence interval of the mean of B - A, at the level CONFIDENCE.
     """
 
-    what: str
+    figure: str
     group: str
     pairs: int
     a: float
@@ -43,13 +43,13 @@
         return self.b - self.a
 
     @property
-    def clear(self) -> bool:
-        """Whether the interval leaves out 0."""
+    def significant(self) -> bool:
+        """Whether the interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
 def interval(values: np.ndarray, rng: np.random.Generator, confidence: float = CONFIDENCE) -> tuple[float, float]:
-    """Return the percentile bootstrap interval of the mean; one value alone leaves all numbers possible."""
+    """Return the percentile bootstrap interval of the mean; with fewer than two values it is unbounded."""
     if len(values) < 2:
         return float("-inf"), float("inf")
     resamples = rng.integers(0, len(values), (RESAMPLES, len(values)))
@@ -59,7 +59,7 @@
 
 
 class _PairKey(NamedTuple):
-    """What two cells must share to be a pair: then they saw the same arrivals."""
+    """What two cells must have in common to form a pair; they then had the same arrivals."""
 
     factors: tuple[float, ...]
     managers: int
@@ -68,11 +68,11 @@
 
     @property
     def group(self) -> str:
-        """Name of the pairs that differ by their seeds alone."""
+        """Name of the group of pairs that differ only in their seeds."""
         return f"{self.managers}x{self.engines}" + "".join(f" {value:g}" for value in self.factors)
 
 
-def _key(summary: Summary) -> _PairKey:
+def _pair_key(summary: Summary) -> _PairKey:
     factors = tuple(value for name, value in sorted(summary.items()) if name.startswith("factor_"))
     return _PairKey(factors, summary["managers"], summary["engines"], summary["seed"])
 
@@ -80,8 +80,18 @@
 def compare(
     a: Iterable[Summary], b: Iterable[Summary], figures: list[str], rng: np.random.Generator
 ) -> list[Difference]:
-    """Compare figures of two experiments' summaries; return a difference for each group of pairs and figure."""
-    left, right = {_key(summary): summary for summary in a}, {_key(summary): summary for summary in b}
+    """Compare the summaries of two experiments.
+
+    Args:
+        a: Summaries of the cells of experiment A.
+        b: Summaries of the cells of experiment B.
+        figures: Names of the figures to compare.
+        rng: Random generator of the bootstrap.
+
+    Returns:
+        One difference for each group of pairs and figure; figures that no pair of a group has are left out.
+    """
+    left, right = {_pair_key(summary): summary for summary in a}, {_pair_key(summary): summary for summary in b}
     groups: dict[str, list[_PairKey]] = {}
     for key in left:
         if key in right:
@@ -98,8 +108,8 @@
     return differences
 
 
-def spread(values: list[float], rng: np.random.Generator) -> tuple[float, float, float]:
-    """Return the mean of values and its interval."""
+def mean_with_interval(values: list[float], rng: np.random.Generator) -> tuple[float, float, float]:
+    """Return the mean of the values and the bounds of its confidence interval."""
     array = np.array(values, dtype=float)
     low, high = interval(array, rng)
     return float(array.mean()), low, high
--- a/decklb/lab/experiments/store_benchmark.py
+++ b/decklb/lab/experiments/store_benchmark.py
@@ -1,7 +1,8 @@
-"""Embedded stores for the handoff's records, measured: what one write before an acknowledgement costs.
+"""Benchmark of embedded stores for the handoff's records: the cost of one write.
 
-A member writes what changed before its words leave. Each write here is one transaction of a few keys of a record's
-size. Without a sync a write outlives the process; with one also the machine.
+A member of the handoff writes its changes to disk before it sends the messages that depend on them. Each write measured
+here is one transaction that stores a few records. Without a sync a write survives the end of the process, with a sync
+also a crash of the machine.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 def lmdb_store(folder: Path, sync: bool) -> Write:
-    """LMDB: a memory-mapped tree, copy on write."""
+    """Return a function that writes to LMDB, a memory-mapped copy-on-write B+ tree."""
     import lmdb
 
     env = lmdb.open(str(folder / "lmdb"), map_size=1 << 28, sync=sync, metasync=sync)
@@ -32,7 +33,7 @@
 
 
 def sqlite_store(folder: Path, sync: bool) -> Write:
-    """SQLite with a write-ahead log."""
+    """Return a function that writes to SQLite with a write-ahead log."""
     db = sqlite3.connect(folder / "sqlite", isolation_level=None)
     db.execute("pragma journal_mode = wal")
     db.execute(f"pragma synchronous = {'full' if sync else 'off'}")
@@ -50,29 +51,39 @@
 
 
 def measure(writes: int, keys: int, size: int, seed: int) -> list[dict[str, float | str]]:
-    """One row for each store, with syncs and without; microseconds a write."""
+    """Measure each store with and without syncs.
+
+    Args:
+        writes: Number of writes without syncs; with syncs a twentieth of it, but at least 50.
+        keys: Records per write.
+        size: Size of a record in bytes.
+        seed: Seed of the keys and values.
+
+    Returns:
+        One row for each store and sync mode; durations are in microseconds per write.
+    """
     rows: list[dict[str, float | str]] = []
-    for name, make in STORES.items():
+    for name, open_store in STORES.items():
         for sync in (False, True):
             rng = random.Random(seed)
             count = writes if not sync else max(50, writes // 20)
             with tempfile.TemporaryDirectory() as folder:
-                write = make(Path(folder), sync)
-                took = []
+                write = open_store(Path(folder), sync)
+                durations_us = []
                 for _ in range(count):
                     changes = [(b"key-%06d" % rng.randrange(20_000), rng.randbytes(size)) for _ in range(keys)]
                     start = time.perf_counter()
                     write(changes)
-                    took.append(1e6 * (time.perf_counter() - start))
-                took.sort()
-                held = sum(f.stat().st_blocks * 512 for f in Path(folder).rglob("*") if f.is_file())
+                    durations_us.append(1e6 * (time.perf_counter() - start))
+                durations_us.sort()
+                stored_bytes = sum(f.stat().st_blocks * 512 for f in Path(folder).rglob("*") if f.is_file())
             rows.append(
                 {
                     "store": name,
                     "sync": "yes" if sync else "no",
                     "writes": count,
-                    **{f"p{p}_us": round(took[min(count - 1, count * p // 100)]) for p in (50, 99)},
-                    "mib": round(held / (1 << 20), 1),
+                    **{f"p{p}_us": round(durations_us[min(count - 1, count * p // 100)]) for p in (50, 99)},
+                    "mib": round(stored_bytes / (1 << 20), 1),
                 }
             )
     return rows
--- a/decklb/lab/standins/__init__.py
+++ b/decklb/lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback sockets: engines, a directory, and a member that reports falsely."""
+"""Stand-ins on loopback sockets: engines, a directory, and a Byzantine cluster member."""
--- a/decklb/lab/standins/byzantine_member.py
+++ b/decklb/lab/standins/byzantine_member.py
@@ -1,7 +1,7 @@
-"""The program as a Byzantine member of the cluster: it always reports one zone as dead.
+"""Runs a manager as a Byzantine member of the cluster, which always reports one zone as unavailable.
 
-`python -m decklb.lab.standins.byzantine_member ZONE serve ...` is started by the zone fault runs in place of one
-manager. Everything else, the clock's signals included, is as in `decklb.lab.faults.clock_jump`.
+The zone fault runs start `python -m decklb.lab.standins.byzantine_member ZONE serve ...` in place of one manager. In
+all other respects, including the signals that set the clock, the process behaves as `decklb.lab.faults.clock_jump`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def main() -> None:
-    """Replace what this process observes of the zone, then run the program with the remaining arguments."""
+    """Replace this process's observations of the zone, then run the program with the remaining arguments."""
     false_zone = sys.argv.pop(1)
-    observed = ZoneHealthObserver.observation
+    true_observation = ZoneHealthObserver.observation
 
     def observation(self: ZoneHealthObserver, name: str, now: float) -> ZoneObservation | None:
-        return ZoneObservation(0.0) if name == false_zone else observed(self, name, now)
+        return ZoneObservation(0.0) if name == false_zone else true_observation(self, name, now)
 
     ZoneHealthObserver.observation = observation  # type: ignore[assignment, method-assign]
     clock_jump.main()
--- a/decklb/lab/standins/recording_peers.py
+++ b/decklb/lab/standins/recording_peers.py
@@ -1,7 +1,7 @@
-"""Stand-in engines of both wires and a directory for one real process of the program, on loopback sockets.
+"""Stand-in engines of both wire protocols and a DNS directory for real manager processes, on loopback sockets.
 
-They record what they saw: engines their attempts, the directory its questions. Owned by the fault runs on system calls,
-connection cuts and slow start.
+Engines record the attempts that they receive, the directory counts its queries. Used by the fault runs on system
+calls, connection cuts and slow start.
 """
 
 from __future__ import annotations
@@ -14,16 +14,22 @@
 from decklb.net import dns, resp
 from decklb.pg import messages as pg
 
-WORK_S = 0.005  # that a statement runs
-RUNNING = float("inf")  # end of an attempt that has not ended
-AUTHORITATIVE = 0x8400  # DNS flags: a response, authoritative
-SRV_PORT_FIELDS = ">HHH"  # priority, weight, port
-ROWS = b"a\tb\tc\n"
+WORK_S = 0.005  # execution time of a statement
+RUNNING = float("inf")  # value of `RecordedAttempt.ended` while the attempt runs
+AUTHORITATIVE_RESPONSE = 0x8400  # DNS header flags: QR and AA
+SRV_FIXED_FIELDS = ">HHH"  # priority, weight, port
+RESULT = b"a\tb\tc\n"  # one row of three columns
 
 
 @dataclass(slots=True)
 class RecordedAttempt:
-    """One attempt at one engine; times are seconds of the monotonic clock."""
+    """One attempt that an engine received.
+
+    Attributes:
+        name: Request id, or for PostgreSQL the string literal in the statement.
+        began: Time of its start in seconds of the monotonic clock.
+        ended: Time of its end on the same clock; RUNNING while it runs.
+    """
 
     name: str
     began: float
@@ -32,14 +38,14 @@
 
 @dataclass(slots=True)
 class RecordingEngine:
-    """What the engines of both wires share.
+    """Base of the stand-in engines; the subclasses implement a wire protocol.
 
     Attributes:
-        work_s: That a statement runs.
-        port: Where it listens, once started.
-        attempts: That it saw, in order.
-        writers: Of its open connections.
-        answer_size: Bytes of its latest answer.
+        work_s: Execution time of a statement in seconds.
+        port: Port on which it listens; 0 before it is started.
+        attempts: All attempts that it received, in order of arrival.
+        writers: Writers of its open connections.
+        answer_size: Size of its latest answer in bytes.
     """
 
     work_s: float = WORK_S
@@ -50,18 +56,18 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a port of its own."""
+        """Listen on an ephemeral port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         self.drop_connections()
 
     def drop_connections(self) -> None:
-        """Close every connection, as an engine may that finds them idle."""
+        """Close all connections, as an engine may do with idle ones."""
         for writer in self.writers:
             writer.close()
 
@@ -81,23 +87,23 @@
     async def session(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, RecordedAttempt]
     ) -> None:
-        """Speak the engine's wire on one connection until it ends."""
+        """Serve one connection until it ends; `running` collects its attempts by name."""
         raise NotImplementedError
 
     def begin(self, name: str, running: dict[str, RecordedAttempt]) -> RecordedAttempt:
-        """Record that an attempt has begun."""
+        """Record the start of an attempt."""
         attempt = running[name] = RecordedAttempt(name, time.monotonic())
         self.attempts.append(attempt)
         return attempt
 
 
 class RespEngine(RecordingEngine):
-    """An engine of the platform: every statement gives one row."""
+    """An engine that speaks the platform's RESP protocol; every statement returns one row."""
 
     async def session(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, RecordedAttempt]
     ) -> None:
-        """Answer statements, and record them."""
+        """Record and answer attempts."""
         parser = resp.RespReader()
         while data := await reader.read(65536):
             for parts in parser.feed(data):
@@ -111,18 +117,18 @@
     def _answer(self, writer: asyncio.StreamWriter, name: str, attempt: RecordedAttempt) -> None:
         if attempt.ended == RUNNING and not writer.is_closing():
             attempt.ended = time.monotonic()
-            answer = resp.pack(name.encode(), b"data", b"parts=1", ROWS)
+            answer = resp.pack(name.encode(), b"data", b"parts=1", RESULT)
             self.answer_size = len(answer)
             writer.write(answer)
 
 
 class PgEngine(RecordingEngine):
-    """An engine that speaks PostgreSQL's protocol 3.0, as far as simple queries go."""
+    """An engine that speaks PostgreSQL's protocol 3.0, limited to simple queries."""
 
     async def session(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, running: dict[str, RecordedAttempt]
     ) -> None:
-        """Answer statements, and record them."""
+        """Record and answer attempts."""
         size, code = struct.unpack(">II", await reader.readexactly(8))
         await reader.readexactly(size - 8)
         if code == pg.CANCEL_REQUEST_CODE:
@@ -142,14 +148,14 @@
 
 
 class StandinDirectory(asyncio.DatagramProtocol):
-    """A DNS directory that answers each question with its complete list.
+    """A DNS directory that answers each query with the complete endpoint list.
 
     Attributes:
-        engine_ports: Port of each engine, by its id.
-        started_ms: Unix time of start of engines that started late.
-        serial: Of the list.
-        questions: Received so far.
-        port: Where it listens, once started.
+        engine_ports: Ports of the engines by engine id.
+        started_ms: Start times by engine id, as Unix time in ms; engines without one count as started long ago.
+        serial: Serial number of the list, which grows with each change.
+        questions: Number of queries received so far.
+        port: Port on which it listens; 0 before it is started.
     """
 
     def __init__(self, engine_ports: dict[str, int]) -> None:
@@ -159,12 +165,12 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def add(self, engine: str, port: int, started_ms: int) -> None:
-        """Add an engine that started at that Unix time, in ms."""
+        """Add an engine to the list; `started_ms` is its start as Unix time in ms."""
         self.engine_ports[engine], self.started_ms[engine] = port, started_ms
         self.serial += 1
 
     async def start(self) -> None:
-        """Listen on a port of its own."""
+        """Listen on an ephemeral port."""
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=("127.0.0.1", 0)
         )
@@ -177,35 +183,39 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Answer one question."""
+        """Answer one query."""
         self.questions += 1
         if self._transport is not None:
-            self._transport.sendto(answer(data, self.engine_ports, self.started_ms, self.serial), addr)
+            self._transport.sendto(dns_response(data, self.engine_ports, self.started_ms, self.serial), addr)
 
 
-def answer(question: bytes, engine_ports: dict[str, int], started_ms: dict[str, int], serial: int) -> bytes:
-    """Return the complete list as the response to a question (RFC 1035; SRV records, RFC 2782)."""
-    question_section = question[dns.HEADER.size :]
+def dns_response(query: bytes, engine_ports: dict[str, int], started_ms: dict[str, int], serial: int) -> bytes:
+    """Return the response to a DNS query, with the complete endpoint list (RFC 1035; SRV records: RFC 2782)."""
+    question_section = query[dns.HEADER.size :]
     records = b""
     for engine, port in engine_ports.items():
-        target = _name(f"{engine}.z.hosts")
-        records += _record(b"\xc0\x0c", dns.SRV, struct.pack(SRV_PORT_FIELDS, 0, 80, port) + target)
-        records += _record(target, dns.A, bytes([127, 0, 0, 1]))
-        records += _record(
-            target, dns.TXT, b"".join(_text(t) for t in ("kind=k", "cell=0", f"started={started_ms.get(engine, 0)}"))
+        target = _encode_name(f"{engine}.z.hosts")
+        records += _resource_record(b"\xc0\x0c", dns.SRV, struct.pack(SRV_FIXED_FIELDS, 0, 80, port) + target)
+        records += _resource_record(target, dns.A, bytes([127, 0, 0, 1]))
+        records += _resource_record(
+            target,
+            dns.TXT,
+            b"".join(_encode_string(t) for t in ("kind=k", "cell=0", f"started={started_ms.get(engine, 0)}")),
         )
-    records += _record(b"\xc0\x0c", dns.SOA, _name("ns") + _name("me") + struct.pack(">5I", serial, 0, 0, 0, 0))
-    head = dns.HEADER.pack(int.from_bytes(question[:2], "big"), AUTHORITATIVE, 1, 3 * len(engine_ports), 1, 0)
-    return head + question_section + records
+    records += _resource_record(
+        b"\xc0\x0c", dns.SOA, _encode_name("ns") + _encode_name("me") + struct.pack(">5I", serial, 0, 0, 0, 0)
+    )
+    header = dns.HEADER.pack(int.from_bytes(query[:2], "big"), AUTHORITATIVE_RESPONSE, 1, 3 * len(engine_ports), 1, 0)
+    return header + question_section + records
 
 
-def _name(text: str) -> bytes:
-    return b"".join(_text(label) for label in text.split(".")) + b"\0"
+def _encode_name(text: str) -> bytes:
+    return b"".join(_encode_string(label) for label in text.split(".")) + b"\0"
 
 
-def _text(text: str) -> bytes:
+def _encode_string(text: str) -> bytes:
     return bytes([len(text)]) + text.encode()
 
 
-def _record(owner: bytes, kind: int, data: bytes) -> bytes:
-    return owner + struct.pack(">HHIH", kind, 1, 0, len(data)) + data
+def _resource_record(owner: bytes, record_type: int, data: bytes) -> bytes:
+    return owner + struct.pack(">HHIH", record_type, 1, 0, len(data)) + data
