--- a/decklb/lab/experiments/shared_duties.py
+++ b/decklb/lab/experiments/shared_duties.py
@@ -1,4 +1,8 @@
-"""The experiment on shared duties: steady, some killed, parted, healed; one JSON object of figures."""
+"""The experiment on shared duties, on a simulated cluster: takeover after kills, and behaviour under a partition.
+
+It has four phases: steady, some instances killed, the network partitioned, and the partition healed. The result is one
+flat dictionary of figures; its keys are those of the JSON output of `decklb lab duties`.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """What is tried. `partition` is the share of instances on one side, 0 for none."""
+    """Parameters of the experiment.
+
+    Attributes:
+        instances: Number of instances of the cluster.
+        engines: Number of engines, each with one health-check duty.
+        periods: Length of the experiment in duty periods, at least 8: two for each phase.
+        loss: Fraction of datagrams lost; a tenth of it is duplicated.
+        kill: Number of instances killed in the second phase.
+        partition: Fraction of the instances on one side of the partition; 0 for no partition.
+        seed: Seed of all random draws.
+        period: Duty period in ms.
+        drift: Maximum drift of clocks, as a fraction, in either direction.
+        skew_ms: Maximum difference between wall clocks in ms, in either direction.
+        join: Whether the cluster has to form first, rather than start with members that know one another.
+    """
 
     instances: int = 3
     engines: int = 100
@@ -26,146 +44,158 @@
     partition: float = 0.0
     seed: int = 1
     period: float = 10_000.0
-    drift: float = 2e-5  # of clocks, either way
-    skew_ms: float = 5.0  # ms by which wall clocks differ, either way
-    join: bool = False  # start from nothing, in place of a cluster whose members know one another
+    drift: float = 2e-5
+    skew_ms: float = 5.0
+    join: bool = False
 
 
-def percentile(values: list[float], share: float) -> float:
-    """The nearest rank; 0 of nothing."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return a percentile by the nearest-rank method; 0 if there are no values."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
+
 
+def run(experiment: Experiment) -> dict[str, Any]:
+    """Run the experiment. Each phase takes a quarter of the periods; the last one also takes the remainder.
 
-def run(x: Experiment) -> dict[str, Any]:
-    """Play it. Quarters of the periods: steady, after the kill, parted, healed."""
-    if not 0 <= x.kill < x.instances:
+    Raises:
+        ValueError: No instance would be left, or there are too few periods.
+    """
+    if not 0 <= experiment.kill < experiment.instances:
         raise ValueError("kill: at least one instance must stay")
-    if x.periods < 8:
+    if experiment.periods < 8:
         raise ValueError("periods: at least 8, for four phases of two")
-    began = time.monotonic()
-    membership, duty = MembershipSettings(), DutySettings(period_ms=x.period)
-    c = Cluster.make(
-        x.seed,
-        x.instances,
-        x.engines,
+    started_s = time.monotonic()
+    membership, duty = MembershipSettings(), DutySettings(period_ms=experiment.period)
+    cluster = Cluster.make(
+        experiment.seed,
+        experiment.instances,
+        experiment.engines,
         membership,
         duty,
-        Faults(loss=x.loss, duplicate=x.loss / 10),
-        warm=not x.join,
-        drift=x.drift,
-        skew_ms=x.skew_ms,
+        Faults(loss=experiment.loss, duplicate=experiment.loss / 10),
+        warm=not experiment.join,
+        drift=experiment.drift,
+        skew_ms=experiment.skew_ms,
     )
-    world, period, quarter = c.world, x.period, x.periods // 4
-    warm = 2 * period if not x.join else 2 * period + 2 * membership.settle_time_ms
-    world.run(warm)
-    out: dict[str, Any] = {
-        "instances": x.instances,
-        "engines": x.engines,
-        "periods": x.periods,
-        "loss": x.loss,
-        "kill": x.kill,
-        "partition": x.partition,
-        "seed": x.seed,
+    world, period, quarter = cluster.world, experiment.period, experiment.periods // 4
+    warm_up_ms = 2 * period if not experiment.join else 2 * period + 2 * membership.settle_time_ms
+    world.run(warm_up_ms)
+    figures: dict[str, Any] = {
+        "instances": experiment.instances,
+        "engines": experiment.engines,
+        "periods": experiment.periods,
+        "loss": experiment.loss,
+        "kill": experiment.kill,
+        "partition": experiment.partition,
+        "seed": experiment.seed,
         "period_ms": period,
     }
-    _steady(c, warm, warm + quarter * period, out)
-    _killed(c, x.kill, quarter * period, out)
-    _parted(c, x.partition, quarter * period, (x.periods - 3 * quarter) * period, out)
-    out["not_one_owner_at_end"] = len(c.one_owner())
-    out["wrongly_dead_at_end"] = len(c.wrongly_dead())
-    out["datagrams"] = world.delivered
-    out["simulated_s"] = round(world.now / 1000, 1)
-    out["took_s"] = round(time.monotonic() - began, 1)
-    return out
-
-
-def _steady(c: Cluster, start: float, end: float, out: dict[str, Any]) -> None:
-    sent = sum(h.node.sent_bytes for h in c.live())
-    c.world.run(end)
-    sent = sum(h.node.sent_bytes for h in c.live()) - sent
-    counts = [n for row in c.counts(start, end).values() for n in row]
-    out["per_period_mean"] = round(sum(counts) / max(1, len(counts)), 4)
-    out["per_period_max"] = max(counts, default=0)
-    out["bytes_per_member_per_s"] = round(sent / len(c.live()) / ((end - start) / 1000))
-    owned = [sum(d.is_owned for d in c.book(h).duties.values()) for h in c.live()]
-    out["owned_most_over_mean"] = round(max(owned) / (len(c.engines) / len(owned)), 3)
-    out["false_deaths"] = len(c.deaths)
-
-
-def _killed(c: Cluster, kill: int, span: float, out: dict[str, Any]) -> None:
-    world, period = c.world, c.duty.period_ms
+    _run_steady_phase(cluster, warm_up_ms, warm_up_ms + quarter * period, figures)
+    _run_kill_phase(cluster, experiment.kill, quarter * period, figures)
+    _run_partition_phases(
+        cluster, experiment.partition, quarter * period, (experiment.periods - 3 * quarter) * period, figures
+    )
+    figures["not_one_owner_at_end"] = len(cluster.one_owner())
+    figures["wrongly_dead_at_end"] = len(cluster.wrongly_dead())
+    figures["datagrams"] = world.delivered
+    figures["simulated_s"] = round(world.now / 1000, 1)
+    figures["took_s"] = round(time.monotonic() - started_s, 1)
+    return figures
+
+
+def _run_steady_phase(cluster: Cluster, start: float, end: float, figures: dict[str, Any]) -> None:
+    """Measure the traffic and the distribution of duties without faults."""
+    sent = sum(h.node.sent_bytes for h in cluster.live())
+    cluster.world.run(end)
+    sent = sum(h.node.sent_bytes for h in cluster.live()) - sent
+    run_counts = [n for row in cluster.counts(start, end).values() for n in row]
+    figures["per_period_mean"] = round(sum(run_counts) / max(1, len(run_counts)), 4)
+    figures["per_period_max"] = max(run_counts, default=0)
+    figures["bytes_per_member_per_s"] = round(sent / len(cluster.live()) / ((end - start) / 1000))
+    owned = [sum(d.is_owned for d in cluster.book(h).duties.values()) for h in cluster.live()]
+    figures["owned_most_over_mean"] = round(max(owned) / (len(cluster.engines) / len(owned)), 3)
+    figures["false_deaths"] = len(cluster.deaths)
+
+
+def _run_kill_phase(cluster: Cluster, kill: int, duration_ms: float, figures: dict[str, Any]) -> None:
+    """Kill instances, and measure how soon their duties are taken over and how many duties move."""
+    world, period = cluster.world, cluster.duty.period_ms
     rng, start = world.rng, world.now
-    owners = {s: names[0] for s, names in c.owners().items() if names}
-    victims = {h.name for h in rng.sample(c.live(), kill)}
+    owners = {subject: names[0] for subject, names in cluster.owners().items() if names}
+    victims = {h.name for h in rng.sample(cluster.live(), kill)}
     for name in victims:
-        world.kill(c.host(name))
-    before, deaths = len(c.runs), len(c.deaths)
-    world.run(start + span)
-    first: dict[str, float] = {}
-    by: dict[str, list[str]] = defaultdict(list)
-    for run in c.runs[before:]:
+        world.kill(cluster.host(name))
+    runs_before, deaths_before = len(cluster.runs), len(cluster.deaths)
+    world.run(start + duration_ms)
+    first_run_at: dict[str, float] = {}  # by duty, of a surviving instance
+    runners: dict[str, list[str]] = defaultdict(list)  # by duty, the successive hosts that ran it
+    for run in cluster.runs[runs_before:]:
         if run.host not in victims:
-            first.setdefault(run.subject, run.at)
-            if not by[run.subject] or by[run.subject][-1] != run.host:
-                by[run.subject].append(run.host)
-    taken = [s for s, name in owners.items() if name in victims]
-    waits = [(first.get(s, start + span) - start) / period for s in taken]
-    moves = sum(len(names) - (names[0] == owners.get(s)) for s, names in by.items())
-    out["takeover_periods_p50"] = round(percentile(waits, 0.5), 3)
-    out["takeover_periods_p99"] = round(percentile(waits, 0.99), 3)
-    out["takeover_periods_max"] = round(max(waits, default=0.0), 3)
-    out["moved_per_change"] = round(moves / len(taken), 4) if taken else 0.0
-    out["false_deaths"] += sum(name not in victims for _, _, name in c.deaths[deaths:])
-
-
-def _parted(c: Cluster, share: float, span: float, after: float, out: dict[str, Any]) -> None:
-    world, period = c.world, c.duty.period_ms
-    live = c.live()
-    side = {h.name for h in live[: round(share * len(live))]}
-    out["doubled_after_heal_periods"] = 0.0
-    out["parted_max_per_side"] = 0
-    out["one_owner_after_heal_periods"] = 0.0
+            first_run_at.setdefault(run.subject, run.at)
+            if not runners[run.subject] or runners[run.subject][-1] != run.host:
+                runners[run.subject].append(run.host)
+    orphaned = [subject for subject, name in owners.items() if name in victims]
+    takeover_periods = [(first_run_at.get(s, start + duration_ms) - start) / period for s in orphaned]
+    moves = sum(len(names) - (names[0] == owners.get(subject)) for subject, names in runners.items())
+    figures["takeover_periods_p50"] = round(percentile(takeover_periods, 0.5), 3)
+    figures["takeover_periods_p99"] = round(percentile(takeover_periods, 0.99), 3)
+    figures["takeover_periods_max"] = round(max(takeover_periods, default=0.0), 3)
+    figures["moved_per_change"] = round(moves / len(orphaned), 4) if orphaned else 0.0
+    figures["false_deaths"] += sum(name not in victims for _, _, name in cluster.deaths[deaths_before:])
+
+
+def _run_partition_phases(
+    cluster: Cluster, fraction: float, duration_ms: float, healed_ms: float, figures: dict[str, Any]
+) -> None:
+    """Partition the network for `duration_ms`, heal it, and watch the cluster converge for `healed_ms`."""
+    world, period = cluster.world, cluster.duty.period_ms
+    live = cluster.live()
+    side = {h.name for h in live[: round(fraction * len(live))]}
+    figures["doubled_after_heal_periods"] = 0.0
+    figures["parted_max_per_side"] = 0
+    figures["one_owner_after_heal_periods"] = 0.0
     if not side or len(side) == len(live):
-        return world.run(world.now + span + after)
-    c.part(side)
+        return world.run(world.now + duration_ms + healed_ms)
+    cluster.part(side)
     start = world.now
-    world.run(start + span)
-    # In the second half of the parting each side has settled for itself: who has done each duty there?
-    owners: dict[tuple[str, bool], set[str]] = defaultdict(set)
-    for r in c.runs:
-        if r.at >= start + span / 2:
-            owners[r.subject, r.host in side].add(r.host)
-    out["parted_max_per_side"] = max((len(names) for names in owners.values()), default=0)
-    out["minority_slowed"] = sum(c.book(h).in_minority for h in live)
-    c.heal()
-    healed, until = world.now, world.now + after
-    single = 0.0
-    while world.now < until:  # when is there one owner, for good?
+    world.run(start + duration_ms)
+    # In the second half of the partition each side has converged by itself, so each duty should have one runner there.
+    runners: dict[tuple[str, bool], set[str]] = defaultdict(set)
+    for r in cluster.runs:
+        if r.at >= start + duration_ms / 2:
+            runners[r.subject, r.host in side].add(r.host)
+    figures["parted_max_per_side"] = max((len(names) for names in runners.values()), default=0)
+    figures["minority_slowed"] = sum(cluster.book(h).in_minority for h in live)
+    cluster.heal()
+    healed_at, until = world.now, world.now + healed_ms
+    unsettled_periods = 0.0  # from the healing until the last moment at which a duty did not have exactly one owner
+    while world.now < until:
         world.run(min(until, world.now + period / 10))
-        if c.one_owner():
-            single = (world.now - healed) / period
-    out["one_owner_after_heal_periods"] = round(single, 2)
-    out["doubled_after_heal_periods"] = round(_doubled(c, healed), 2)
-    # What was suspected while it could not be heard may still be declared dead just after, and rightly.
-    s = c.membership
-    heard = (
-        healed
+        if cluster.one_owner():
+            unsettled_periods = (world.now - healed_at) / period
+    figures["one_owner_after_heal_periods"] = round(unsettled_periods, 2)
+    figures["doubled_after_heal_periods"] = round(_doubled_until_periods(cluster, healed_at), 2)
+    # A member that was suspected during the partition may still be declared dead shortly after the healing. That is
+    # not a false death, so deaths count only from the moment at which the longest such suspicion has expired.
+    s = cluster.membership
+    suspicions_expired_at = (
+        healed_at
         + min_suspicion_timeout_ms(s, len(live)) * s.suspicion_max_multiplier
         + (MAX_HEALTH_SCORE + 1) * s.probe_interval_ms
     )
-    out["false_deaths"] += sum(at > heard for at, _, _ in c.deaths)
+    figures["false_deaths"] += sum(at > suspicions_expired_at for at, _, _ in cluster.deaths)
 
 
-def _doubled(c: Cluster, healed: float) -> float:
-    """Periods after the healing until the last time that two did one duty within half a period."""
-    last = 0.0
-    latest: dict[str, tuple[float, str]] = {}
-    for r in c.runs:
-        if r.at < healed:
+def _doubled_until_periods(cluster: Cluster, healed_at: float) -> float:
+    """Return the periods from the healing until the last time that two hosts ran a duty within half a period."""
+    last_doubled_at = 0.0
+    latest: dict[str, tuple[float, str]] = {}  # time and host of each duty's latest run
+    for r in cluster.runs:
+        if r.at < healed_at:
             continue
         at, host = latest.get(r.subject, (-1e12, ""))
-        if host != r.host and r.at - at < c.duty.period_ms / 2:
-            last = r.at
+        if host != r.host and r.at - at < cluster.duty.period_ms / 2:
+            last_doubled_at = r.at
         latest[r.subject] = (r.at, r.host)
-    return (last - healed) / c.duty.period_ms if last else 0.0
+    return (last_doubled_at - healed_at) / cluster.duty.period_ms if last_doubled_at else 0.0
