--- a/decklb/cli/lab/__init__.py
+++ b/decklb/cli/lab/__init__.py
@@ -1,7 +1,7 @@
 """The command group `lab`: experiments on simulated time, and fault runs with real processes.
 
-One module for each kind of command. A command imports the laboratory only when it is called, as the laboratory's
-requirements need not be installed where the program serves.
+Each module holds one kind of command. Commands import the laboratory when they are called, because its dependencies
+need not be installed on machines that only run the daemon.
 """
 
 from __future__ import annotations
--- a/decklb/cli/lab/benchmarks.py
+++ b/decklb/cli/lab/benchmarks.py
@@ -1,4 +1,4 @@
-"""Commands that measure the laboratory's own cost and accuracy, and embedded stores."""
+"""Commands that measure the speed of the emulator, the accuracy of the engine model, and embedded stores."""
 
 from __future__ import annotations
 
--- a/decklb/cli/lab/cases.py
+++ b/decklb/cli/lab/cases.py
@@ -1,4 +1,4 @@
-"""Checks the names of cases that the option --case of several commands takes."""
+"""Checks the values of the option --case, which several commands have."""
 
 from __future__ import annotations
 
@@ -8,6 +8,10 @@
 
 
 def check_cases(chosen: Iterable[str], known: Iterable[str]) -> None:
-    """Raise click.ClickException where a chosen case is not among the known ones."""
+    """Check that all chosen cases are known.
+
+    Raises:
+        click.ClickException: A chosen case is unknown.
+    """
     if unknown := set(chosen) - set(known):
         raise click.ClickException(f"no case {min(unknown)!r}; one of {', '.join(known)}")
--- a/decklb/cli/lab/experiments.py
+++ b/decklb/cli/lab/experiments.py
@@ -1,4 +1,4 @@
-"""Commands that run experiments on the emulator and compare their tables."""
+"""Commands that run experiments on simulated time, report on their tables and compare them."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
         raise click.ClickException(str(error)) from error
     log.set_up("ERROR", "text")
     columns = (TextColumn(experiment.name), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
-    with Progress(*columns, disable=quiet) as bar:
-        task = bar.add_task(experiment.name, total=None)
+    with Progress(*columns, disable=quiet) as progress_bar:
+        task = progress_bar.add_task(experiment.name, total=None)
         try:
             summaries = cell_runner.run_all(
                 experiment,
                 out,
                 workers or os.cpu_count() or 1,
-                lambda done, total: bar.update(task, completed=done, total=total),
+                lambda done, total: progress_bar.update(task, completed=done, total=total),
             )
         except ValueError as error:
             raise click.ClickException(str(error)) from error
@@ -48,10 +48,10 @@
 @click.argument("folder")
 def report(folder: str) -> None:
     """Tables and plots of what has run: one HTML page."""
-    from decklb.lab.experiments import report as page
+    from decklb.lab.experiments import report as report_page
 
     try:
-        click.echo(page.make(folder))
+        click.echo(report_page.make(folder))
     except (OSError, IndexError) as error:
         raise click.ClickException(f"{folder}: nothing to report: {error}") from error
 
@@ -75,11 +75,11 @@
     from decklb.lab.experiments.cell_runner import read_table
 
     try:
-        left = [row for row in read_table(a, "summaries") if policy_a in (None, row["policy"])]
-        right = [row for row in read_table(b, "summaries") if policy_b in (None, row["policy"])]
+        rows_a = [row for row in read_table(a, "summaries") if policy_a in (None, row["policy"])]
+        rows_b = [row for row in read_table(b, "summaries") if policy_b in (None, row["policy"])]
     except OSError as error:
         raise click.ClickException(str(error)) from error
-    differences = statistics.compare(left, right, list(what), Streams(1).get("bootstrap"))
+    differences = statistics.compare(rows_a, rows_b, list(what), Streams(1).get("bootstrap"))
     if not differences:
         raise click.ClickException("no cells with the same factors and seed on both sides")
     for difference in differences:
@@ -144,8 +144,8 @@
     from decklb.lab.experiments.zone_agreement import CASES, campaign, plot, table
 
     check_cases(cases, CASES)
-    runs = campaign(list(cases or CASES), list(range(1, seeds + 1)), managers, count, workers)
-    for row in table(runs):
+    results = campaign(list(cases or CASES), list(range(1, seeds + 1)), managers, count, workers)
+    for row in table(results):
         click.echo("  ".join(f"{name} {value}" for name, value in row.items()))
     if picture:
-        plot(runs, picture)
+        plot(results, picture)
--- a/decklb/cli/lab/fault_injection.py
+++ b/decklb/cli/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Commands that inject faults into real processes of the program, and check what clients and engines see."""
+"""Commands that inject faults into real manager processes, and check what clients and engines observe."""
 
 from __future__ import annotations
 
@@ -56,16 +56,16 @@
     cases = all_cases() if part >= 1 else some_cases(seed, part)
 
     async def play() -> list[CaseResult]:
-        return [_print_faults(played) async for played in play_cases(cases, at_once, program)]
+        return [_print_violations(result) async for result in play_cases(cases, at_once, program)]
 
     try:
-        made = asyncio.run(play())
+        results = asyncio.run(play())
     except (InterposerError, ProgramStartError) as error:
         raise click.ClickException(str(error)) from error
-    failed = [played for played in made if played.violations]
-    struck = sum(played.hits > 0 for played in made)
-    click.echo(f"{len(made)} cases, {struck} with a call struck, {len(failed)} did not hold")
-    rows = [_report_row(played) for played in made]
+    failed = [result for result in results if result.violations]
+    with_failed_call = sum(result.hits > 0 for result in results)
+    click.echo(f"{len(results)} cases, {with_failed_call} in which a call failed, {len(failed)} with violations")
+    rows = [_report_row(result) for result in results]
     if report is not None:
         report.write_text(ujson.dumps(rows, indent=1))
     if table is not None:
@@ -93,14 +93,17 @@
     log.set_up("ERROR", "text")
 
     async def play() -> list[CutRound]:
-        return [_print_faults_of_round(made) async for made in play_cuts(front, seed, rounds, program)]
+        return [_print_violations_of_round(result) async for result in play_cuts(front, seed, rounds, program)]
 
     try:
-        made = asyncio.run(play())
+        results = asyncio.run(play())
     except ProgramStartError as error:
         raise click.ClickException(str(error)) from error
-    failed = sum(bool(cut_round.violations) for cut_round in made)
-    click.echo(f"{len(made)} rounds, {sum(cut_round.struck for cut_round in made)} struck, {failed} did not hold")
+    failed = sum(bool(result.violations) for result in results)
+    click.echo(
+        f"{len(results)} rounds, {sum(result.struck for result in results)} in which the fault took effect, "
+        f"{failed} with violations"
+    )
     if failed:
         raise SystemExit(1)
 
@@ -119,67 +122,76 @@
 
     log.set_up("ERROR", "text")
     try:
-        made = asyncio.run(play(managers, rate, seconds, seed))
+        result = asyncio.run(play(managers, rate, seconds, seed))
     except ProgramStartError as error:
         raise click.ClickException(str(error)) from error
     click.echo(
-        f"{made.managers} managers, {made.requests} requests, {made.served} served, {made.arrivals} at the cold "
-        f"engine; its fullest window held {made.worst:.2f} of what is allowed"
+        f"{result.managers} managers, {result.requests} requests, {result.served} served, "
+        f"{result.arrivals} at the cold engine; its busiest window had {result.worst:.2f} times the allowed load"
     )
-    if made.worst > 1.0:
+    if result.worst > 1.0:
         raise SystemExit(1)
 
 
-def _print_faults_of_round(made: CutRound) -> CutRound:
-    if made.violations:
-        click.echo(f"{made.strike.action.value} at byte {made.strike.at}: {'; '.join(made.violations)}")
-    return made
+def _print_violations_of_round(result: CutRound) -> CutRound:
+    if result.violations:
+        click.echo(f"{result.strike.action.value} at byte {result.strike.at}: {'; '.join(result.violations)}")
+    return result
 
 
-def _print_faults(played: CaseResult) -> CaseResult:
-    if played.violations:
-        click.echo(f"{played.case}: {'; '.join(played.violations)}")
-        for line in played.log_excerpt:
+def _print_violations(result: CaseResult) -> CaseResult:
+    if result.violations:
+        click.echo(f"{result.case}: {'; '.join(result.violations)}")
+        for line in result.log_excerpt:
             click.echo(f"    {line.rstrip()}")
-    return played
+    return result
 
 
-def _report_row(played: CaseResult) -> dict[str, Any]:
-    case = played.case
+def _report_row(result: CaseResult) -> dict[str, Any]:
+    """Return the case and its result as an entry of the JSON report."""
+    case = result.case
     return {
         "front": case.front,
         "call": case.call,
         "side": case.side,
         "error": case.error,
         "span": case.span,
-        "hits": played.hits,
-        "answers": {outcome.value: count for outcome, count in played.outcomes.items()},
-        "faults": played.violations,
+        "hits": result.hits,
+        "answers": {outcome.value: count for outcome, count in result.outcomes.items()},
+        "faults": result.violations,
     }
 
 
-def _markdown_table(now: list[dict[str, Any]], before: list[dict[str, Any]]) -> str:
-    """One line for each call, side and front: how many cases held, and which errors did not, before and now."""
+def _markdown_table(rows_now: list[dict[str, Any]], rows_before: list[dict[str, Any]]) -> str:
+    """Return a table with one line for each call, side and front.
+
+    It shows how many cases held before and now, and for which errors a case did not hold before.
+
+    Args:
+        rows_now: Rows of this run's report.
+        rows_before: Rows of another version's report; those of cases that this run did not play are ignored.
+    """
     lines = [
         "# System calls that fail",
         "",
-        "Written by `decklb lab calls --table`. Each case makes one call of a serving process fail with one",
-        "error, once, for 0.3 s and for 1.5 s, under requests on connections that stay and on new ones. It holds",
-        "if every request has one answer, no two attempts overlap, clients are taken in and the directory is",
-        "asked again after the fault, the log tells of it in single lines, no core is spent on it, no engine is",
+        "Written by `decklb lab calls --table`. Each case makes one call of a serving process fail with one error,",
+        "once, for 0.3 s or for 1.5 s, while requests arrive on existing and on new connections. A case holds if",
+        "every request gets one answer, no two attempts overlap, clients are accepted and the directory is queried",
+        "again after the fault, the log reports the fault in single lines, no core is kept busy, and no engine is",
         "blamed.",
         "",
         "| call | of | front | cases | struck | held before | held now | errors that did not hold before |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    played = {_case_key(row) for row in now}
-    groups_before = _group_by_call([row for row in before if _case_key(row) in played])
-    for (call, side, front), rows in sorted(_group_by_call(now).items()):
-        rows_before = groups_before.get((call, side, front), [])
-        errors = sorted({row["error"] for row in rows_before if row["faults"]})
+    played_cases = {_case_key(row) for row in rows_now}
+    groups_before = _group_by_call([row for row in rows_before if _case_key(row) in played_cases])
+    for (call, side, front), rows in sorted(_group_by_call(rows_now).items()):
+        group_before = groups_before.get((call, side, front), [])
+        errors = sorted({row["error"] for row in group_before if row["faults"]})
         lines.append(
             f"| `{call}` | {side} | {front} | {len(rows)} | {sum(row['hits'] > 0 for row in rows)} | "
-            f"{_count_held(rows_before) if rows_before else 'not played'} | {_count_held(rows)} | {', '.join(errors)} |"
+            f"{_count_held(group_before) if group_before else 'not played'} | "
+            f"{_count_held(rows)} | {', '.join(errors)} |"
         )
     return "\n".join(lines) + "\n"
 
--- a/decklb/cli/lab/fault_runs.py
+++ b/decklb/cli/lab/fault_runs.py
@@ -1,4 +1,4 @@
-"""Commands that run fleets of real processes under faults drawn by seed, on loopback."""
+"""Commands that run fleets of real processes on loopback, under faults drawn from a seed."""
 
 from __future__ import annotations
 
@@ -149,23 +149,26 @@
         click.echo(_maintenance_run_line(run))
 
     seeds = list(range(seed, seed + runs))
-    made = asyncio.run(maintenance_run.campaign(list(cases or maintenance_run.CASES), seeds, fleets, print_run, logs))
+    results = asyncio.run(
+        maintenance_run.campaign(list(cases or maintenance_run.CASES), seeds, fleets, print_run, logs)
+    )
     click.echo(
-        f"{len(made)} runs, {sum(run.clean for run in made)} clean, {sum(run.requests for run in made)} requests"
+        f"{len(results)} runs, {sum(run.clean for run in results)} clean, "
+        f"{sum(run.requests for run in results)} requests"
     )
-    if not all(run.clean for run in made):
+    if not all(run.clean for run in results):
         raise SystemExit(1)
 
 
 class _HandoffOutput:
-    """Prints the runs of `faults`, and keeps those that were not clean."""
+    """Prints the runs of the command `faults`, and collects those that were not clean."""
 
     def __init__(self, as_json: bool) -> None:
         self.as_json = as_json
         self.unclean_runs: list[dict[str, Any]] = []
 
     def add(self, seed: int, verdict: Verdict, faults: list[FleetFault]) -> None:
-        """Take in one run."""
+        """Print one run, and collect it if it was not clean."""
         result: Any = "clean"
         if not verdict.clean:
             result = _unclean_run(seed, verdict, faults)
@@ -175,7 +178,7 @@
             click.echo(f"seed {seed:5} {kinds:12} {verdict.requests} requests, {verdict.came_back} came back, {result}")
 
     def print_totals(self, managers: int, verdicts: list[Verdict], log_counts: dict[str, int]) -> None:
-        """Print the sum of all runs."""
+        """Print the totals of all runs."""
         import ujson
 
         from decklb.lab.checks.execution_verdict import total
@@ -219,7 +222,11 @@
 
 
 def _run_campaign(campaign: Coroutine[Any, Any, T]) -> T:
-    """What the campaign returns. Raises click.ClickException where its processes can't be started or fail."""
+    """Run the campaign and return its result.
+
+    Raises:
+        click.ClickException: A process could not be started, or failed.
+    """
     import asyncio
 
     try:
