--- a/decklb/lab/experiments/local_trial.py
+++ b/decklb/lab/experiments/local_trial.py
@@ -122,7 +122,7 @@
             self.stop()
             raise OSError("the manager did not start: " + "".join(self._log_lines[-5:]))
 
-    def _read(self) -> None:
+    def _read_log(self) -> None:
         assert self._process.stderr is not None
         for line in self._process.stderr:
             if len(self._log_lines) < 10_000:
--- a/decklb/lab/standins/engine_server.py
+++ b/decklb/lab/standins/engine_server.py
@@ -44,7 +44,7 @@
     def __init__(self, reactor: Any) -> None:
         self._clock = ReactorClock(reactor)
         self.now, self.call_later = self._clock.now, self._clock.call_later
-        self.made = 0
+        self.made = 0  # part of the loop's interface; calls are not counted in real time
 
 
 def statement(query: Query) -> bytes:
