--- a/decklb/cli/lab/fault_injection.py
+++ b/decklb/cli/lab/fault_injection.py
@@ -134,12 +134,14 @@
 
 
 def _print_violations_of_round(result: CutRound) -> CutRound:
+    """Print the violations of a round, if any, and return the result unchanged."""
     if result.violations:
         click.echo(f"{result.strike.action.value} at byte {result.strike.at}: {'; '.join(result.violations)}")
     return result
 
 
 def _print_violations(result: CaseResult) -> CaseResult:
+    """Print the violations of a case, if any, with an excerpt of the log, and return the result unchanged."""
     if result.violations:
         click.echo(f"{result.case}: {'; '.join(result.violations)}")
         for line in result.log_excerpt:
@@ -180,7 +182,7 @@
         "again after the fault, the log reports the fault in single lines, no core is kept busy, and no engine is",
         "blamed.",
         "",
-        "| call | of | front | cases | struck | held before | held now | errors that did not hold before |",
+        "| call | side | front | cases | call failed | held before | held now | errors of cases that failed before |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     played_cases = {_case_key(row) for row in rows_now}
--- a/decklb/lab/experiments/bundled.py
+++ b/decklb/lab/experiments/bundled.py
@@ -57,7 +57,7 @@
 ) -> EmulatedWorld:
     """Return the default world in the given size.
 
-    At 25 requests per second and engine, the engines are about two thirds utilized.
+    At 25 requests per second for each engine, the utilization of the engines is about two thirds.
     """
     return EmulatedWorld(
         Workload(requests_per_second, CLASSES, TENANTS, client_retries=1),
--- a/decklb/lab/experiments/experiment_file.py
+++ b/decklb/lab/experiments/experiment_file.py
@@ -115,7 +115,7 @@
     """Read an experiment from a file.
 
     Raises:
-        SettingsError: The file is invalid; the error lists every fault with its line.
+        SettingsError: The file is invalid; all errors in it are listed with their lines.
     """
     return _Reader(path).read()
 
--- a/decklb/lab/experiments/load_generator.py
+++ b/decklb/lab/experiments/load_generator.py
@@ -31,7 +31,7 @@
 
 
 class TargetError(ValueError):
-    """The address must not or cannot be loaded."""
+    """The address is not a valid target for load."""
 
 
 def target(text: str) -> tuple[str, int]:
@@ -126,7 +126,7 @@
         self.reader = pg.MessageReader(8 << 20, startup=False)
         self.open: dict[int, AnswerCallback] = {}  # the running request under key 0, or empty
         self.unsent: bytes = b""  # messages of a request that waits for the session to become ready
-        self.ready = False
+        self.ready = False  # whether the session is idle, so that a request can be sent
         self.error_code = ""  # SQLSTATE of the running request's latest error; "": none
         self.established = False
 
@@ -200,6 +200,9 @@
         answered: Number of requests that have got a result, lost ones included.
         results: Number of requests by result.
         rows: Rows of the table `requests`.
+        total_weight: Sum of the priority weights of all requests that were due.
+        earned_weight: Part of it that was earned: late answers earn a fraction of their weight, and requests that were
+            not served earn nothing.
         max_lag_ms: Longest time in ms from when a request was due until it was sent.
         latency: For each class, the latencies in us of the requests that were served.
         on_done: Called at the end of the run.
@@ -258,26 +261,30 @@
                 connection.transport.abortConnection()
         self.reactor.callLater(0.1, self.on_done)
 
-    def _send(self, i: int, now: float) -> None:
+    def _send(self, index: int, now: float) -> None:
         arrivals, workload = self.arrivals, self.workload
-        c = workload.classes[arrivals.class_index[i]]
-        due = float(arrivals.time_ms[i])
+        request_class = workload.classes[arrivals.class_index[index]]
+        due = float(arrivals.time_ms[index])
         self.max_lag_ms = max(self.max_lag_ms, now - due)
-        self.total_weight += c.priority_weight
-        plan_factor = c.bad_plan_factor if c.bad_plan_share and arrivals.plan_draw[i, 0] < c.bad_plan_share else 1.0
+        self.total_weight += request_class.priority_weight
+        plan_factor = (
+            request_class.bad_plan_factor
+            if request_class.bad_plan_share and arrivals.plan_draw[index, 0] < request_class.bad_plan_share
+            else 1.0
+        )
         sql = statement(
             Query(
-                float(arrivals.work_ms[i]),
-                c.threads,
-                c.io_share,
-                c.memory_mb,
-                int(arrivals.table_group[i]),
-                c.locks_tables,
-                c.waits_for_loads,
+                float(arrivals.work_ms[index]),
+                request_class.threads,
+                request_class.io_share,
+                request_class.memory_mb,
+                int(arrivals.table_group[index]),
+                request_class.locks_tables,
+                request_class.waits_for_loads,
                 plan_factor,
             )
         )
-        key = f"{c.name}/{arrivals.key[i]}" if arrivals.key[i] >= 0 else ""
+        key = f"{request_class.name}/{arrivals.key[index]}" if arrivals.key[index] >= 0 else ""
 
         def on_answer(result: str) -> None:
             latency_ms = monotonic_ms() - self.started_at_ms - due  # from when it was due, not from when it was sent
@@ -285,20 +292,22 @@
             self.results[result] += 1
             weight = 0.0
             if result == "served":
-                weight = c.priority_weight * (1.0 if latency_ms <= c.latency_objective_ms else c.late_priority_weight)
+                weight = request_class.priority_weight * (
+                    1.0 if latency_ms <= request_class.latency_objective_ms else request_class.late_priority_weight
+                )
                 self.earned_weight += weight
-                self.latency[arrivals.class_index[i]].record_value(max(1, int(latency_ms * 1000)))
+                self.latency[arrivals.class_index[index]].record_value(max(1, int(latency_ms * 1000)))
             self.rows.append(
                 (
                     due,
-                    i,
-                    c.name,
-                    workload.tenants[arrivals.tenant_index[i]].name,
-                    float(arrivals.work_ms[i]),
-                    int(arrivals.table_group[i]),
+                    index,
+                    request_class.name,
+                    workload.tenants[arrivals.tenant_index[index]].name,
+                    float(arrivals.work_ms[index]),
+                    int(arrivals.table_group[index]),
                     result,
                     latency_ms,
-                    1,  # tries: requests are not repeated
+                    1,  # tries: the load generator does not retry
                     0,  # attempts: not known to clients
                     weight,
                 )
@@ -307,7 +316,15 @@
         connection = next((x for x in self.connections if len(x.open) < x.max_open), None) or self._connect()
         if connection is None:  # the connection limit is reached
             return on_answer("lost")
-        connection.send(i, c.name, workload.tenants[arrivals.tenant_index[i]].name, c.deadline_ms, key, sql, on_answer)
+        connection.send(
+            index,
+            request_class.name,
+            workload.tenants[arrivals.tenant_index[index]].name,
+            request_class.deadline_ms,
+            key,
+            sql,
+            on_answer,
+        )
 
     def _connect(self) -> FrameConnection | PgConnection | None:
         """Open a connection; return None at the connection limit."""
--- a/decklb/lab/experiments/local_trial.py
+++ b/decklb/lab/experiments/local_trial.py
@@ -20,7 +20,7 @@
 from decklb.lab.standins.engine_server import listen
 
 FRONTS = ("frames", "pg")
-PROCESS_TIMEOUT_S = 20.0  # for the manager to start, and to exit
+PROCESS_TIMEOUT_S = 20.0  # time limit for the manager to start, and for it to exit
 
 
 def configuration(world: EmulatedWorld, ports: list[int], front: str) -> dict[str, Any]:
@@ -101,7 +101,7 @@
     """`decklb serve` as a subprocess, listening on `port`.
 
     Raises:
-        OSError: The manager did not start in time.
+        OSError: The manager exited before it listened, or did not listen in time.
     """
 
     def __init__(self, config: dict[str, Any]) -> None:
@@ -109,7 +109,7 @@
         path = Path(self._folder.name) / "config.json"
         path.write_text(ujson.dumps(config))
         self._log_lines: list[str] = []
-        self._started = threading.Event()
+        self._started = threading.Event()  # set when the manager listens or has closed its log
         self.port = 0
         self._process = subprocess.Popen(
             [sys.executable, "-m", "decklb", "serve", "--config", str(path)],
--- a/decklb/lab/experiments/queueing_theory.py
+++ b/decklb/lab/experiments/queueing_theory.py
@@ -77,7 +77,7 @@
 
     Args:
         cores: Cores of the engine.
-        load: Utilization that the arrivals amount to; above 1 it is overloaded.
+        load: Offered load as a fraction of the engine's capacity; above 1 the engine is overloaded.
         arrivals: Number of queries.
         seed: Seed of all random draws.
         sessions: Session limit of the engine.
--- a/decklb/lab/experiments/report.py
+++ b/decklb/lab/experiments/report.py
@@ -78,7 +78,7 @@
 
 
 def _over_time(folder: str, rows: Rows, out: Path) -> str:
-    """Plot the earned fraction of the requested worth per second, for the first cell of each policy.
+    """Plot the earned fraction of the offered worth, by second of arrival, for the first cell of each policy.
 
     The curves show bursts, faults and the recovery from them.
     """
@@ -93,7 +93,7 @@
             linewidth=1,
         )
     plt.xlabel("s")
-    plt.title("earned worth / requested worth")
+    plt.title("earned worth / offered worth")
     plt.legend(fontsize=8)
     plt.grid(alpha=0.3)
     return _save(out, "over_time")
--- a/decklb/lab/experiments/shared_duties.py
+++ b/decklb/lab/experiments/shared_duties.py
@@ -59,12 +59,12 @@
     """Run the experiment. Each phase takes a quarter of the periods; the last one also takes the remainder.
 
     Raises:
-        ValueError: No instance would be left, or there are too few periods.
+        ValueError: `kill` is negative or leaves no instance, or there are too few periods.
     """
     if not 0 <= experiment.kill < experiment.instances:
-        raise ValueError("kill: at least one instance must stay")
+        raise ValueError("kill must be at least 0 and below the number of instances, so that one instance remains")
     if experiment.periods < 8:
-        raise ValueError("periods: at least 8, for four phases of two")
+        raise ValueError("periods must be at least 8, two for each of the four phases")
     started_s = time.monotonic()
     membership, duty = MembershipSettings(), DutySettings(period_ms=experiment.period)
     cluster = Cluster.make(
@@ -128,7 +128,7 @@
         world.kill(cluster.host(name))
     runs_before, deaths_before = len(cluster.runs), len(cluster.deaths)
     world.run(start + duration_ms)
-    first_run_at: dict[str, float] = {}  # by duty, of a surviving instance
+    first_run_at: dict[str, float] = {}  # by duty, time of its first run on a surviving instance
     runners: dict[str, list[str]] = defaultdict(list)  # by duty, the successive hosts that ran it
     for run in cluster.runs[runs_before:]:
         if run.host not in victims:
--- a/decklb/lab/standins/engine_server.py
+++ b/decklb/lab/standins/engine_server.py
@@ -149,25 +149,25 @@
         self.query: Query | None = None  # the running query
         self.statements: dict[bytes, str] = {}  # prepared statements by name
         self.pending: list[pg.Message] = []  # messages received while a query runs
-        self.portal, self.simple = "", False  # statement of the latest Bind; whether the running query is a simple one
+        self.bound_sql, self.simple = "", False  # latest bound statement; whether the running query is a simple one
         self.skip_until_sync = False  # after an error in an extended query
 
     def dataReceived(self, data: bytes) -> None:
         """Process messages, one statement at a time; abort the connection if one cannot be decoded."""
         try:
-            for m in self.reader.feed(data):
+            for message in self.reader.feed(data):
                 if self.reader.startup:
-                    self._startup(m)
+                    self._startup(message)
                 else:
-                    self.pending.append(m)
+                    self.pending.append(message)
             self._process_pending()
         except (PgError, ValueError, IndexError, struct.error):
             self.transport.abortConnection()
 
-    def _startup(self, m: pg.Message) -> None:
-        code = int.from_bytes(m.payload[:4], "big")
+    def _startup(self, message: pg.Message) -> None:
+        code = int.from_bytes(message.payload[:4], "big")
         if code == pg.CANCEL_REQUEST_CODE:
-            session = PgSession.sessions.get(m.payload[4:])
+            session = PgSession.sessions.get(message.payload[4:])
             if session is not None:
                 session.cancel_query()
             self.transport.loseConnection()
@@ -180,32 +180,32 @@
 
     def _process_pending(self) -> None:
         while self.pending and self.query is None:
-            m = self.pending.pop(0)
-            if m.type == b"S":
+            message = self.pending.pop(0)
+            if message.type == b"S":
                 self.skip_until_sync = False
                 self.transport.write(pg.READY_FOR_QUERY)
-            elif m.type == b"X":
+            elif message.type == b"X":
                 self.transport.loseConnection()
-            elif m.type == b"Q":
-                self._run(m.payload[:-1].decode(), True)
+            elif message.type == b"Q":
+                self._run(message.payload[:-1].decode(), True)
             elif not self.skip_until_sync:
-                self._extended(m)
+                self._extended(message)
 
-    def _extended(self, m: pg.Message) -> None:
-        if m.type == b"P":
-            name, sql = m.payload.split(b"\0")[:2]
+    def _extended(self, message: pg.Message) -> None:
+        if message.type == b"P":
+            name, sql = message.payload.split(b"\0")[:2]
             self.statements[name] = sql.decode()
             self.transport.write(pg.PARSE_COMPLETE)
-        elif m.type == b"B":
-            self.portal = self.statements[m.payload.split(b"\0")[1]]
+        elif message.type == b"B":
+            self.bound_sql = self.statements[message.payload.split(b"\0")[1]]
             self.transport.write(pg.BIND_COMPLETE)
-        elif m.type == b"C":
-            self.statements.pop(m.payload[1:-1], None)
+        elif message.type == b"C":
+            self.statements.pop(message.payload[1:-1], None)
             self.transport.write(pg.CLOSE_COMPLETE)
-        elif m.type == b"D":
-            self.transport.write((pg.NO_PARAMETERS if m.payload[:1] == b"S" else b"") + _row_description())
-        elif m.type == b"E":
-            self._run(self.portal, False)
+        elif message.type == b"D":
+            self.transport.write((pg.NO_PARAMETERS if message.payload[:1] == b"S" else b"") + _row_description())
+        elif message.type == b"E":
+            self._run(self.bound_sql, False)
 
     def _run(self, sql: str, simple: bool) -> None:
         try:
--- a/decklb/lab/standins/observer_engine.py
+++ b/decklb/lab/standins/observer_engine.py
@@ -79,22 +79,22 @@
         Returns:
             The messages of the answer; its row identifies the execution by request key, engine and number.
         """
-        m = RUN_COMMENT.search(sql)
-        if m is None:
+        comment = RUN_COMMENT.search(sql)
+        if comment is None:
             return pg.pack_error("42601", "no run= and work= in the statement")
         self.count += 1
         run, cancelled = self.count, asyncio.Event()
         self.running[backend_key] = cancelled
-        self.log_event("start", m["key"], run, manager)
+        self.log_event("start", comment["key"], run, manager)
         try:
-            await asyncio.wait_for(cancelled.wait(), int(m["work"]) / 1000)
-            self.log_event("cancelled", m["key"], run, manager)
+            await asyncio.wait_for(cancelled.wait(), int(comment["work"]) / 1000)
+            self.log_event("cancelled", comment["key"], run, manager)
             return pg.pack_error(sqlstate.QUERY_CANCELED, "canceling statement due to user request")
         except TimeoutError:
-            self.log_event("end", m["key"], run, manager)
+            self.log_event("end", comment["key"], run, manager)
         finally:
             self.running.pop(backend_key, None)
-        value = f"{m['key']}/{self.name}/{run}".encode()
+        value = f"{comment['key']}/{self.name}/{run}".encode()
         return (
             pg.pack(b"T", b"\0\1run\0" + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
             + pg.pack(b"D", struct.pack(">hi", 1, len(value)) + value)
--- a/decklb/lab/standins/recording_peers.py
+++ b/decklb/lab/standins/recording_peers.py
@@ -190,7 +190,7 @@
 
 
 def dns_response(query: bytes, engine_ports: dict[str, int], started_ms: dict[str, int], serial: int) -> bytes:
-    """Return the response to a DNS query, with the complete endpoint list (RFC 1035; SRV records: RFC 2782)."""
+    """Return the response to a DNS query: the complete endpoint list (RFC 1035; SRV records: RFC 2782)."""
     question_section = query[dns.HEADER.size :]
     records = b""
     for engine, port in engine_ports.items():
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -74,7 +74,7 @@
         session.transport = RecordingTransport()
         return session
 
-    def test_resp(self):
+    def test_resp_session_answers_cancels_and_rejects_queries(self):
         session = self.session(engine_server.RespSession)
         session.dataReceived(
             resp.pack(b"do", b"a", b"-", b"-- work=10 io=0")
@@ -93,7 +93,7 @@
         session.dataReceived(b"*9999999999\r\n")
         self.assertTrue(session.transport.closed)
 
-    def test_pg(self):
+    def test_pg_session_runs_cancels_and_rejects_queries(self):
         session = self.session(engine_server.PgSession)
         session.dataReceived(pg.pack_startup({"user": "u"}))
         key = session.key
@@ -121,7 +121,7 @@
         load_generator.target(text)
 
 
-def test_loopback_targets():
+def test_loopback_targets_are_accepted():
     assert load_generator.target("localhost:6432") == ("127.0.0.1", 6432)
     assert load_generator.target("127.8.8.8:1") == ("127.8.8.8", 1)
 
@@ -151,7 +151,7 @@
     assert min(row[7] for row in run.rows) >= 1000.0 and run.max_lag_ms >= 1000.0
 
 
-def test_try():
+def test_try_runs_the_same_requests_on_both_fronts_and_the_emulator():
     result = subprocess.run(
         [sys.executable, "-m", "decklb", "try", "--seconds", "2", "--rate", "30"],
         cwd=ROOT,
