--- a/decklb/config/__init__.py
+++ b/decklb/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings from files: the platform's JSON, and the operators' XML with its schema."""
+"""Configuration files: the platform's JSON, and the operators' XML settings with their schema."""
 
 from decklb.config.errors import ConfigError, Fault, SettingsError
 from decklb.config.loading import load
--- a/decklb/config/document.py
+++ b/decklb/config/document.py
@@ -1,6 +1,6 @@
-"""One settings file in XML on its way into settings: its elements, and the faults found in them so far.
+"""An XML settings file while it is converted into settings: its elements and the faults found so far.
 
-Faults are gathered, each with the line of its element, so that operators see all of a file at once.
+Faults are collected with the line of their element, so that operators see all faults of a file at once.
 """
 
 from __future__ import annotations
@@ -13,39 +13,42 @@
 
 from decklb.config.errors import ConfigError, Fault, SettingsError
 
-MAX_SUGGESTIONS = 6  # names told in a message of what would be right
+MAX_SUGGESTIONS = 6  # defined names that a message lists
 
-# An attribute of the XML -> the key or field that it sets, and how its text is converted.
+# Maps an attribute of the XML to the key or field that it sets and the function that converts its text.
 AttributeTable = dict[str, tuple[str, Callable[[str], Any]]]
 
 
 class SettingsDocument:
-    """A file that the schema has accepted."""
+    """A settings file that is valid against the schema."""
 
     def __init__(self, path: str, root: etree._Element) -> None:
         self.path, self.root = path, root
         self.faults: list[Fault] = []
 
     def add_fault(self, element: etree._Element, text: str) -> None:
-        """Note a fault at an element's line."""
+        """Record a fault with the line of the element."""
         self.faults.append(Fault(self.path, element.sourceline or 0, text))
 
     def raise_faults(self) -> None:
-        """Raise SettingsError with what has been found so far, if anything."""
+        """Raise SettingsError with all faults recorded so far, if there are any."""
         if self.faults:
             raise SettingsError(sorted(set(self.faults)))
 
-    def check(self, element: etree._Element, make: Callable[[], Any]) -> Any:
-        """What `make` returns; None and a fault at that element where it raises."""
+    def check(self, element: etree._Element, build: Callable[[], Any]) -> Any:
+        """Return the result of `build`; if it raises, record a fault at the element and return None."""
         try:
-            return make()
+            return build()
         except (ConfigError, KeyError, ValueError) as error:
             reason = str(error).removeprefix("configuration can't be used: ")
             self.add_fault(element, f"<{element.tag!s}>: {reason}")
             return None
 
     def check_unique(self, parent: etree._Element, attribute: str, kind: str) -> None:
-        """Fault each child whose attribute has a value that an earlier one has; `kind` says what they are."""
+        """Record a fault for each child whose attribute repeats the value of an earlier child.
+
+        `kind` is what the fault's text calls the children.
+        """
         first_lines: dict[str, int] = {}
         for child in parent:
             value = child.attrib[attribute]
@@ -56,24 +59,24 @@
             first_lines.setdefault(value, int(child.sourceline or 0))
 
     def check_defined(self, element: etree._Element, attribute: str, names: list[str]) -> None:
-        """Fault an attribute whose value is none of the names that are defined, where any are."""
+        """Record a fault if the attribute is given, names are defined and its value is none of them."""
         value = element.get(attribute)
         if value is not None and names and value not in names:
-            some = ", ".join(names[:MAX_SUGGESTIONS]) + (", ..." if len(names) > MAX_SUGGESTIONS else "")
+            examples = ", ".join(names[:MAX_SUGGESTIONS]) + (", ..." if len(names) > MAX_SUGGESTIONS else "")
             self.add_fault(
-                element, f"<{element.tag!s}>: nobody defines {attribute} {value!r}; one of {some} would be right"
+                element, f"<{element.tag!s}>: nobody defines {attribute} {value!r}; one of {examples} would be right"
             )
 
     def resolve_path(self, text: str) -> str:
-        """A path as seen from the file's folder."""
+        """Return a path that is relative to the folder of the file, as an absolute path."""
         return str(Path(self.path).resolve().parent / text)
 
 
-def converted(element: etree._Element, table: AttributeTable) -> dict[str, Any]:
-    """The attributes that are given, under their new names and converted."""
+def convert_attributes(element: etree._Element, table: AttributeTable) -> dict[str, Any]:
+    """Return the values of those attributes that are given, converted, by the key or field that they set."""
     return {table[name][0]: table[name][1](text) for name, text in element.attrib.items() if name in table}
 
 
 def boolean(text: str) -> bool:
-    """A boolean of XML Schema."""
+    """Parse an xs:boolean of XML Schema."""
     return text in ("true", "1")
--- a/decklb/config/loading.py
+++ b/decklb/config/loading.py
@@ -1,4 +1,4 @@
-"""Finds the settings files of a process and reads them: the platform's JSON, the operators' XML, or both."""
+"""Locates and reads the configuration files of a process: the platform's JSON, the operators' XML, or both."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 def load(path: str | None = None, settings: str | None = None) -> Config:
     """Read the configuration of a process.
 
-    One of the two files is enough; where both say something, the XML stands.
+    One of the two files is sufficient; where both set a value, the XML takes precedence.
 
     Args:
-        path: The platform's JSON file; LB_CONFIG names it otherwise.
-        settings: The operators' XML file; DECKLB_SETTINGS names it otherwise.
+        path: The platform's JSON file; if None, the one that LB_CONFIG names.
+        settings: The operators' XML file; if None, the one that DECKLB_SETTINGS names.
 
     Raises:
-        ConfigError: No file is named, or one can't be read or used; SettingsError with every fault of the XML.
+        ConfigError: No file is named, or a file is unreadable or unusable. For faults in the XML it is a
+            SettingsError with all of them.
     """
     json_path = path or os.environ.get("LB_CONFIG")
     xml_path = settings or os.environ.get("DECKLB_SETTINGS")
--- a/decklb/config/model.py
+++ b/decklb/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration of a process, as every reader of settings files makes it."""
+"""The configuration of a process: the common result of reading either configuration file."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from decklb.maintenance.settings import MaintenanceSettings
     from decklb.pg.settings import PgSettings
 
-# Descriptors for the log, the reactor, the directory and the listening sockets.
+# File descriptors for the log, the reactor, the service directory and the listening sockets.
 RESERVED_DESCRIPTORS = 16
-# MB of the program itself under load.
+# Memory in MB that the program itself needs under load, without buffers for clients.
 PROGRAM_MEMORY_MB = 28.0
-# Part of the descriptors, and of the memory that the program leaves free, for what is said beside each use.
-CLIENT_DESCRIPTORS_DIVISOR = 2  # a third for usual clients, the rest for those that stay and send nothing
-EXTRA_CLIENT_DESCRIPTORS_DIVISOR = 6  # while clients are being closed; what is left is for engines
+# One part in this many of the unreserved descriptors, or of the memory that the program leaves free, is for clients.
+CLIENT_DESCRIPTORS_DIVISOR = 2  # of all, a third for active clients; the rest of the half for idle connections
+EXTRA_CLIENT_DESCRIPTORS_DIVISOR = 6  # for new clients while others are being closed; the remainder is for engines
 CLIENT_MEMORY_DIVISOR = 3
 
 Address = tuple[str, int]
@@ -30,44 +30,44 @@
 
 @dataclass(slots=True)
 class Config:
-    """What a process is told at its start."""
+    """Configuration of one process."""
 
     name: str
     listen: Address
-    seed: int  # of all that the process draws
+    seed: int  # seed of all random numbers of the process
     max_descriptors: int
     memory_mb: float
     settings: Settings
-    connection_limits: dict[str, Any]  # the settings' limits as they are written; those of connections decide nothing
-    resolver: Address | None  # of the directory that is polled
-    endpoint_list_version: int  # of the list of engines in `endpoint_list_updates`
-    endpoint_list_updates: list[dict[str, Any]]  # the list at the start, in the directory's form
-    postgres: PgSettings | None  # given: this front serves instead of the platform's
+    connection_limits: dict[str, Any]  # `limits` of the settings as written; the policy ignores those of connections
+    resolver: Address | None  # address of the service directory that is polled; None: there is none
+    endpoint_list_version: int  # version of the endpoint list in `endpoint_list_updates`
+    endpoint_list_updates: list[dict[str, Any]]  # initial endpoint list, in the format of the directory
+    postgres: PgSettings | None  # if given, the PostgreSQL front replaces the platform's
     bgp: BgpSettings | None
     cluster: ClusterSettings | None = None
     handoff: HandoffSettings | None = None
     locality: LocalitySettings | None = None
     maintenance: MaintenanceSettings | None = None
-    control: str = ""  # path of the Unix socket for operators; "" for none
+    control: str = ""  # path of the control socket (a Unix socket for operators); "": none
 
     @property
     def max_clients(self) -> int:
-        """Connections of clients."""
+        """Maximum number of client connections."""
         return max(1, (self.max_descriptors - RESERVED_DESCRIPTORS) // CLIENT_DESCRIPTORS_DIVISOR)
 
     @property
     def max_extra_clients(self) -> int:
-        """Connections of clients beyond that, while others are closed for them."""
+        """Maximum number of client connections above `max_clients`, while others are closed to make room."""
         return max(1, (self.max_descriptors - RESERVED_DESCRIPTORS) // EXTRA_CLIENT_DESCRIPTORS_DIVISOR)
 
     @property
     def max_client_bytes(self) -> int:
-        """Bytes kept for all clients: messages read in part, and answers not yet taken."""
+        """Maximum size of the buffers of all clients: partially read messages and answers not yet received."""
         return int(max(1.0, (self.memory_mb - PROGRAM_MEMORY_MB) / CLIENT_MEMORY_DIVISOR) * (1 << 20))
 
 
 def parse_address(text: str) -> Address:
-    """The host and port of `host:port`. Raises ConfigError."""
+    """Parse `host:port`. Raises ConfigError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not int(port) < 65536:
         raise ConfigError(f"no address: {text!r}")
--- a/decklb/config/operators.py
+++ b/decklb/config/operators.py
@@ -1,9 +1,9 @@
-"""Reads the operators' XML: over the platform's configuration, or only the sections that members of a fleet need.
+"""Reads the operators' XML file: as an overlay on the platform's JSON, or only the sections that fleet members need.
 
-Each section has a module in `config.sections`. Sections that the platform's JSON has too are translated into its raw
-form and checked with it; the others are read into the settings of their subsystems. Each fault names the line of the
-element that holds it, also where only a second look finds it: names that nobody defines, figures that don't go
-together.
+Each section has a module in `config.sections`. Sections that the platform's JSON has too are translated into the raw
+configuration (a dictionary with the structure of that JSON) and validated with it; the others are read directly into
+the settings of their subsystems. Every fault has the line of its element, including faults that the schema can't find,
+such as undefined names and values that contradict one another.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 Json = dict[str, Any]
 
-# Of the raw form: the sections that are checked by the packages they configure.
+# Sections of the raw configuration that are validated by the packages that they configure.
 RAW_SUBSYSTEM_SECTIONS = ("postgres", "bgp")
 
 
 def merge(path: str, raw: Json) -> Config:
-    """Read an XML file over a platform's configuration.
+    """Read an XML file as an overlay on the platform's configuration.
 
     Args:
         path: The operators' XML file.
-        raw: The platform's JSON as parsed; `{}` for none.
+        raw: The platform's parsed JSON; `{}` if there is none.
 
     Raises:
-        SettingsError: With every fault of the file.
+        SettingsError: With all faults of the file.
     """
     document = SettingsDocument(path, read(path))
     raw = _translate(document, raw)
@@ -64,14 +64,14 @@
 
 
 def read_member_settings(path: str, member: str) -> tuple[ClusterSettings, HandoffSettings]:
-    """Read only `cluster` and `handoff` of a file, for an application whose processes are members of a fleet.
+    """Read only the sections `cluster` and `handoff`, for an application whose processes are members of a fleet.
 
     Args:
         path: The operators' XML file.
         member: Name of this process among the members.
 
     Raises:
-        SettingsError: With every fault of the two sections, or where one is missing.
+        SettingsError: With all faults of the two sections, or because one of them is missing.
     """
     document = SettingsDocument(path, read(path))
     cluster, handoff = read_cluster(document, member), read_handoff(document, front="")
@@ -82,7 +82,7 @@
 
 
 def _translate(document: SettingsDocument, raw: Json) -> Json:
-    """The raw form with what the file says in place of what it said."""
+    """Return the raw configuration with the sections of the file replacing its values."""
     raw = dict(raw)
     for translate in (
         translate_process,
@@ -97,21 +97,22 @@
 
 
 def _check_raw_subsystems(document: SettingsDocument, raw: Json) -> None:
-    """Check these sections one at a time, so that a fault can be laid at its element."""
+    """Validate these sections one at a time, so that each fault can be reported at its element."""
     for section in RAW_SUBSYSTEM_SECTIONS:
         element = document.root.find(section)
         if element is not None:
-            others_off = {other: None for other in RAW_SUBSYSTEM_SECTIONS if other != section}
-            document.check(element, partial(from_raw, raw | others_off))
+            other_sections_off = {other: None for other in RAW_SUBSYSTEM_SECTIONS if other != section}
+            document.check(element, partial(from_raw, raw | other_sections_off))
 
 
 def _read_subsystems(document: SettingsDocument, config: Config) -> None:
-    """Put the sections that the raw form does not have into the configuration."""
+    """Add the settings of the sections that the raw configuration can't express."""
     config.cluster = read_cluster(document, config.name)
     config.control = read_control(document)
     config.handoff = read_handoff(document)
     config.locality = read_locality(document)
     config.maintenance = read_maintenance(document)
-    # Without a store a restarted manager has lost its votes, and may not vote while old records can still live.
+    # Without a store, a restarted manager has lost its votes, so it must not vote until all records that it may have
+    # voted on have expired.
     if config.maintenance is not None and config.handoff is not None and not config.handoff.store_folder:
         config.maintenance = replace(config.maintenance, manager_voting_delay_ms=config.handoff.record_lifetime_ms)
--- a/decklb/config/platform.py
+++ b/decklb/config/platform.py
@@ -1,6 +1,6 @@
-"""The platform's configuration file, a JSON object, decoded once into the few values that the program uses.
+"""Validates the platform's configuration, a JSON object, and translates it into `Config`.
 
-The sections of other fronts are read by modules that only their presence brings in.
+The packages of the sections `postgres` and `bgp` are imported only if the section is present.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
     from decklb.bgp.settings import BgpSettings
     from decklb.pg.settings import PgSettings
 
-DEFAULT_DESCRIPTORS = 1024  # the usual limit of a process
-DEFAULT_MEMORY_MB = 256.0  # the platform's smallest machine
+DEFAULT_DESCRIPTORS = 1024  # usual limit of open files of a process
+DEFAULT_MEMORY_MB = 256.0  # memory of the platform's smallest machine
 
 
 def from_raw(raw: dict[str, Any]) -> Config:
-    """Check and translate the decoded JSON; LB_NAME and LB_LISTEN stand in for what it lacks. Raises ConfigError."""
+    """Translate the parsed JSON. LB_NAME and LB_LISTEN are the defaults of `name` and `listen`. Raises ConfigError."""
     try:
         known = raw.get("known") or {}
         limits = raw.get("limits") or {}
--- a/decklb/config/sections/bgp.py
+++ b/decklb/config/sections/bgp.py
@@ -1,4 +1,4 @@
-"""The section `bgp`: routers and the prefixes that are announced to them."""
+"""The section `bgp`: routers and the prefixes announced to them."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from decklb.config.document import SettingsDocument
 from decklb.config.units import parse_duration_ms
 
-MS_PER_S = 1000  # the raw form has the hold time in seconds, as BGP has it
+MS_PER_S = 1000  # the raw configuration has the hold time in seconds, as in BGP
 
 
 def translate_bgp(document: SettingsDocument, raw: dict[str, Any]) -> None:
-    """Put what the section says into the raw form."""
+    """Write the section into the raw configuration."""
     if (bgp := document.root.find("bgp")) is None:
         return
     section: dict[str, Any] = {
--- a/decklb/config/sections/cluster.py
+++ b/decklb/config/sections/cluster.py
@@ -1,4 +1,4 @@
-"""The sections `cluster` and `probing`: membership, its seeds, and the health checks that members share."""
+"""The sections `cluster` and `probing`: membership, seeds, and the health checks that members divide among them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from lxml import etree
 
 from decklb.cluster.settings import ClusterSettings, DutySettings, MembershipSettings
-from decklb.config.document import AttributeTable, SettingsDocument, converted
+from decklb.config.document import AttributeTable, SettingsDocument, convert_attributes
 from decklb.config.model import Address, parse_address
 from decklb.config.units import parse_duration_ms, parse_fraction
 
 WILDCARD_HOSTS = ("0.0.0.0", "::", "*")
-MEMBERSHIP: AttributeTable = {
+MEMBERSHIP_ATTRIBUTES: AttributeTable = {
     "name": ("cluster_name", str),
     "weight": ("weight", float),
     "interval": ("probe_interval_ms", parse_duration_ms),
@@ -28,7 +28,7 @@
     "lately": ("dead_retention_ms", parse_duration_ms),
     "skew": ("max_clock_skew_ms", parse_duration_ms),
 }
-HEALTH_CHECKS: AttributeTable = {
+HEALTH_CHECK_ATTRIBUTES: AttributeTable = {
     "period": ("period_ms", parse_duration_ms),
     "timeout": ("timeout_ms", parse_duration_ms),
     "connections": ("max_concurrent", int),
@@ -44,14 +44,14 @@
 
 
 def read_cluster(document: SettingsDocument, process_name: str) -> ClusterSettings | None:
-    """Read both sections; paths are seen from the file's folder.
+    """Read both sections; paths are relative to the folder of the file.
 
     Args:
-        document: The file; faults are noted in it.
-        process_name: The member's name, where the section gives none.
+        document: The settings file; faults are added to it.
+        process_name: The member's name if the section gives none.
 
     Returns:
-        None without the section `cluster`, and where it has a fault.
+        The settings; None if there is no section `cluster` or it has a fault.
     """
     element, probing = document.root.find("cluster"), document.root.find("probing")
     if element is None:
@@ -60,8 +60,12 @@
         return None
     health_checks = None
     if probing is not None:
-        health_checks = document.check(probing, lambda: DutySettings(**converted(probing, HEALTH_CHECKS)))
-    membership = document.check(element, lambda: MembershipSettings(**converted(element, MEMBERSHIP)))
+        health_checks = document.check(
+            probing, lambda: DutySettings(**convert_attributes(probing, HEALTH_CHECK_ATTRIBUTES))
+        )
+    membership = document.check(
+        element, lambda: MembershipSettings(**convert_attributes(element, MEMBERSHIP_ATTRIBUTES))
+    )
     bind_address = _reachable_address(document, element, "bind")
     advertise_address = None
     if "advertise" in element.attrib:
@@ -75,7 +79,7 @@
 
 
 def _reachable_address(document: SettingsDocument, element: etree._Element, attribute: str) -> Address | None:
-    """An address that other members are told; a wildcard would make them send to themselves."""
+    """Parse an address that other members send to; a wildcard is a fault: they would send to themselves."""
     address: Address | None = document.check(element, lambda: parse_address(element.attrib[attribute]))
     if address is not None and address[0] in WILDCARD_HOSTS:
         document.add_fault(
--- a/decklb/config/sections/control.py
+++ b/decklb/config/sections/control.py
@@ -1,4 +1,4 @@
-"""The section `control`: the Unix socket on which operators ask and command a process."""
+"""The section `control`: the Unix socket over which operators query and command a process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def read_control(document: SettingsDocument) -> str:
-    """Read the socket's path, as seen from the file's folder; "" without the section. Faults a path too long."""
+    """Return the path of the socket, which is relative to the folder of the file; "" without the section.
+
+    A path that is too long is a fault.
+    """
     element = document.root.find("control")
     if element is None:
         return ""
--- a/decklb/config/sections/decisions.py
+++ b/decklb/config/sections/decisions.py
@@ -1,4 +1,4 @@
-"""The sections that decisions are made by: `classes`, `tenants`, `kinds` and `rules`."""
+"""The sections that configure the policy: `classes`, `tenants`, `kinds` and `rules`."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from lxml import etree
 
-from decklb.config.document import AttributeTable, SettingsDocument, boolean, converted
+from decklb.config.document import AttributeTable, SettingsDocument, boolean, convert_attributes
 from decklb.config.units import parse_duration_ms, parse_fraction
 
-CLASS: AttributeTable = {
+CLASS_ATTRIBUTES: AttributeTable = {
     "name": ("name", str),
     "aim": ("aim", parse_duration_ms),
     "deadline": ("deadline", parse_duration_ms),
@@ -21,7 +21,7 @@
     "memory-span": ("memory_span", parse_duration_ms),
     "serial-by-key": ("serial_by_key", boolean),
 }
-RULES: AttributeTable = {
+RULE_ATTRIBUTES: AttributeTable = {
     "cold": ("cold", parse_duration_ms),
     "cold-share": ("cold_share", parse_fraction),
     "drain-grace": ("drain_grace", parse_duration_ms),
@@ -32,16 +32,16 @@
     "overload-factor": ("overload_factor", float),
     "settle-after-doubt": ("settle_after_doubt", parse_duration_ms),
 }
-NEEDS_CLASSES = ("tenants", "kinds", "rules")
-# Shares are decimal fractions: as much over 100% is rounding.
+SECTIONS_NEEDING_CLASSES = ("tenants", "kinds", "rules")
+# Tolerance for rounding: shares are decimal fractions, so their sum may exceed 100% slightly.
 MAX_TOTAL_SHARE = 1.000001
 
 
 def translate_decisions(document: SettingsDocument, raw: dict[str, Any]) -> None:
-    """Put what the sections say into the settings of the raw form."""
+    """Write the sections into the settings of the raw configuration."""
     root = document.root
     classes = root.find("classes")
-    if classes is None and not _has_settings_to_change(document, raw):
+    if classes is None and not _changes_platform_settings(document, raw):
         return
     settings = dict(raw.get("settings") or {})
     domain = dict(settings.get("domain") or {})
@@ -59,22 +59,25 @@
     raw["settings"] = settings
 
 
-def _has_settings_to_change(document: SettingsDocument, raw: dict[str, Any]) -> bool:
-    """Without classes here: whether the platform's settings are there and a section changes them."""
-    given = [name for name in NEEDS_CLASSES if document.root.find(name) is not None]
+def _changes_platform_settings(document: SettingsDocument, raw: dict[str, Any]) -> bool:
+    """Return whether the other sections of a file without <classes> change settings of the platform's JSON.
+
+    If that JSON has no settings, each of these sections is a fault.
+    """
+    present = [name for name in SECTIONS_NEEDING_CLASSES if document.root.find(name) is not None]
     if "settings" not in raw:
-        for name in given:
+        for name in present:
             section = document.root.find(name)
             assert section is not None
             document.add_fault(section, f"<{name}> needs <classes> beside it")
         return False
-    return bool(given)
+    return bool(present)
 
 
 def _translate_classes(
     document: SettingsDocument, classes: etree._Element, settings: dict[str, Any], domain: dict[str, Any]
 ) -> None:
-    settings["categories"] = [converted(element, CLASS) for element in classes]
+    settings["categories"] = [convert_attributes(element, CLASS_ATTRIBUTES) for element in classes]
     for element in classes:
         if parse_duration_ms(element.attrib["aim"]) > parse_duration_ms(element.attrib["deadline"]):
             document.add_fault(
@@ -89,14 +92,14 @@
 
 
 def _translate_tenants(document: SettingsDocument, tenants: etree._Element, settings: dict[str, Any]) -> None:
-    settings["tenants"] = [_tenant(element) for element in tenants]
+    settings["tenants"] = [_tenant_entry(element) for element in tenants]
     document.check_unique(tenants, "name", "tenant")
     total = sum(parse_fraction(element.attrib["share"]) for element in tenants)
     if total > MAX_TOTAL_SHARE:
-        document.add_fault(tenants, f"<tenants>: shares come to {100 * total:g}%; at most 100% would be right")
+        document.add_fault(tenants, f"<tenants>: shares add up to {100 * total:g}%; at most 100% would be right")
 
 
-def _tenant(element: etree._Element) -> dict[str, Any]:
+def _tenant_entry(element: etree._Element) -> dict[str, Any]:
     tenant = {"name": element.attrib["name"], "share": parse_fraction(element.attrib["share"])}
     if "quota-per-second" in element.attrib:
         tenant["quota_per_s"] = float(element.attrib["quota-per-second"])
@@ -104,7 +107,7 @@
 
 
 def _translate_rules(rules: etree._Element, settings: dict[str, Any]) -> None:
-    settings["rules"] = dict(settings.get("rules") or {}) | converted(rules, RULES)
+    settings["rules"] = dict(settings.get("rules") or {}) | convert_attributes(rules, RULE_ATTRIBUTES)
     limits = dict(settings.get("limits") or {})
     if "retry-after" in rules.attrib:
         limits |= {"retry_after": True, "max_retry_after": parse_duration_ms(rules.attrib["retry-after"])}
--- a/decklb/config/sections/handoff.py
+++ b/decklb/config/sections/handoff.py
@@ -1,12 +1,12 @@
-"""The section `handoff`: how requests in flight are copied between members."""
+"""The section `handoff`: how records of requests in flight are replicated between members."""
 
 from __future__ import annotations
 
-from decklb.config.document import AttributeTable, SettingsDocument, converted
+from decklb.config.document import AttributeTable, SettingsDocument, convert_attributes
 from decklb.config.units import format_duration, parse_duration_ms, parse_fraction, parse_size_bytes
 from decklb.handoff.settings import HandoffSettings
 
-HANDOFF: AttributeTable = {
+HANDOFF_ATTRIBUTES: AttributeTable = {
     "copies": ("voter_count", int),
     "members": ("fleet_size", int),
     "patience": ("quorum_timeout_ms", parse_duration_ms),
@@ -28,11 +28,11 @@
     """Read the section.
 
     Args:
-        document: The file; faults are noted in it.
-        front: Element of the front whose requests are copied; "" for an application's own requests.
+        document: The settings file; faults are added to it.
+        front: Element of the front whose requests are replicated; "" for an application's own requests.
 
     Returns:
-        None without the section, and where it has a fault.
+        The settings; None if there is no section or it has a fault.
     """
     element = document.root.find("handoff")
     if element is None:
@@ -44,7 +44,7 @@
             )
     paths = {"store_folder": document.resolve_path(element.attrib["data"])} if "data" in element.attrib else {}
     settings: HandoffSettings | None = document.check(
-        element, lambda: HandoffSettings(**converted(element, HANDOFF) | paths)
+        element, lambda: HandoffSettings(**convert_attributes(element, HANDOFF_ATTRIBUTES) | paths)
     )
     if settings is not None:
         _check_member_retention(document, settings)
@@ -52,7 +52,7 @@
 
 
 def _check_member_retention(document: SettingsDocument, settings: HandoffSettings) -> None:
-    """Fault a cluster that forgets dead members before the records that name them expire."""
+    """Record a fault if the cluster forgets dead members before the records that name them have expired."""
     cluster = document.root.find("cluster")
     if cluster is None or "lately" not in cluster.attrib:
         return
--- a/decklb/config/sections/locality.py
+++ b/decklb/config/sections/locality.py
@@ -1,12 +1,12 @@
-"""The section `locality`: regions, their zones, and when a zone's load goes to others."""
+"""The section `locality`: regions, their zones, and when the load of a zone spills over to others."""
 
 from __future__ import annotations
 
-from decklb.config.document import AttributeTable, SettingsDocument, converted
+from decklb.config.document import AttributeTable, SettingsDocument, convert_attributes
 from decklb.config.units import parse_duration_ms, parse_fraction
 from decklb.locality.settings import DecisionMode, LocalitySettings
 
-LOCALITY: AttributeTable = {
+LOCALITY_ATTRIBUTES: AttributeTable = {
     "zone": ("home_zone", str),
     "members": ("member_count", int),
     "judge": ("decision_mode", DecisionMode),
@@ -30,7 +30,7 @@
 
 
 def read_locality(document: SettingsDocument) -> LocalitySettings | None:
-    """Read the section, and check it against `engines`; None without it, and where it has a fault."""
+    """Read the section and check it against `engines`; return None if there is no section or it has a fault."""
     element = document.root.find("locality")
     if element is None:
         return None
@@ -39,7 +39,7 @@
     regions = tuple((region.attrib["name"], tuple(zone.attrib["name"] for zone in region)) for region in element)
     document.check_unique(element, "name", "region")
     settings: LocalitySettings | None = document.check(
-        element, lambda: LocalitySettings(**converted(element, LOCALITY), regions=regions)
+        element, lambda: LocalitySettings(**convert_attributes(element, LOCALITY_ATTRIBUTES), regions=regions)
     )
     engine_zones = {engine.get("zone", "") for engine in document.root.iterfind("engines/engine")}
     if settings is not None and engine_zones and not engine_zones & settings.region_of.keys():
--- a/decklb/config/sections/maintenance.py
+++ b/decklb/config/sections/maintenance.py
@@ -1,12 +1,12 @@
-"""The section `maintenance`: budgets and times of taking machines out of service."""
+"""The section `maintenance`: limits and timing for taking machines out of service."""
 
 from __future__ import annotations
 
-from decklb.config.document import AttributeTable, SettingsDocument, converted
+from decklb.config.document import AttributeTable, SettingsDocument, convert_attributes
 from decklb.config.units import parse_duration_ms, parse_fraction
 from decklb.maintenance.settings import MaintenanceSettings
 
-MAINTENANCE: AttributeTable = {
+MAINTENANCE_ATTRIBUTES: AttributeTable = {
     "members": ("member_count", int),
     "most": ("max_unavailable", int),
     "most-zone": ("max_unavailable_per_zone", int),
@@ -24,7 +24,10 @@
 
 
 def read_maintenance(document: SettingsDocument) -> MaintenanceSettings | None:
-    """Read the section, and check what it needs beside it; None without it, and where it has a fault."""
+    """Read the section and check that the sections it needs are present.
+
+    Returns None if there is no section or it has a fault.
+    """
     element = document.root.find("maintenance")
     if element is None:
         return None
@@ -36,6 +39,6 @@
         document.add_fault(element, "<maintenance> needs <control>: operators ask for machines over it")
     paths = {"data_directory": document.resolve_path(element.attrib["data"])} if "data" in element.attrib else {}
     settings: MaintenanceSettings | None = document.check(
-        element, lambda: MaintenanceSettings(**converted(element, MAINTENANCE) | paths)
+        element, lambda: MaintenanceSettings(**convert_attributes(element, MAINTENANCE_ATTRIBUTES) | paths)
     )
     return settings
--- a/decklb/config/sections/postgres.py
+++ b/decklb/config/sections/postgres.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from decklb.config.document import AttributeTable, SettingsDocument, converted
+from decklb.config.document import AttributeTable, SettingsDocument, convert_attributes
 from decklb.config.units import parse_duration_ms, parse_size_bytes
 
-POSTGRES: AttributeTable = {
+POSTGRES_ATTRIBUTES: AttributeTable = {
     "user": ("user", str),
     "database": ("database", str),
     "connections": ("connections", int),
@@ -15,7 +15,7 @@
     "most-result": ("most_result", parse_size_bytes),
     "most-message": ("most_message", parse_size_bytes),
 }
-SESSION: AttributeTable = {
+SESSION_ATTRIBUTES: AttributeTable = {
     "tenant": ("tenant", str),
     "class": ("class", str),
     "budget": ("budget", parse_duration_ms),
@@ -23,11 +23,13 @@
 
 
 def translate_postgres(document: SettingsDocument, raw: dict[str, Any]) -> None:
-    """Put what the section says into the raw form."""
+    """Write the section into the raw configuration."""
     if (postgres := document.root.find("postgres")) is None:
         return
-    section = converted(postgres, POSTGRES)
+    section = convert_attributes(postgres, POSTGRES_ATTRIBUTES)
     if (defaults := postgres.find("defaults")) is not None:
-        section["defaults"] = converted(defaults, SESSION)
-    section["users"] = {user.attrib["name"]: converted(user, SESSION) for user in postgres.findall("user")}
+        section["defaults"] = convert_attributes(defaults, SESSION_ATTRIBUTES)
+    section["users"] = {
+        user.attrib["name"]: convert_attributes(user, SESSION_ATTRIBUTES) for user in postgres.findall("user")
+    }
     raw["postgres"] = section
--- a/decklb/config/sections/process.py
+++ b/decklb/config/sections/process.py
@@ -13,7 +13,7 @@
 
 
 def translate_process(document: SettingsDocument, raw: dict[str, Any]) -> None:
-    """Put what the section says into the raw form."""
+    """Write the section into the raw configuration."""
     if (process := document.root.find("process")) is None:
         return
     raw.update({key: process.attrib[key] for key in ("name", "listen", "resolver") if key in process.attrib})
--- a/decklb/config/sections/references.py
+++ b/decklb/config/sections/references.py
@@ -1,4 +1,4 @@
-"""Names that one section uses and another must define, wherever either stands."""
+"""Checks that names used in one section are defined in another."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def check_references(document: SettingsDocument, raw: dict[str, Any]) -> None:
-    """Fault names of classes, tenants and kinds of engines that neither the file nor the platform's JSON defines."""
+    """Record faults for classes, tenants and kinds of engines that neither the file nor the platform's JSON defines."""
     settings = raw.get("settings") or {}
     classes = [spec["name"] for spec in settings.get("categories") or []]
     tenants = [tenant["name"] for tenant in settings.get("tenants") or []]
--- a/decklb/config/units.py
+++ b/decklb/config/units.py
@@ -1,6 +1,6 @@
-"""Values with units as operators write them: durations, sizes and percentages, parsed and formatted.
+"""Parses and formats values with units in settings files: durations, sizes and percentages.
 
-Called by the readers of settings files. The schema of the settings accepts the same texts. Holds no state.
+The schema of the settings accepts the same texts.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 def parse_duration_ms(text: str) -> float:
-    """Milliseconds of `250ms`, `2s`, `1.5min` or `1h`. Raises ValueError."""
+    """Parse a duration such as `250ms`, `2s`, `1.5min` or `1h` to milliseconds. Raises ValueError."""
     return _in_smallest_unit(text, MS_BY_UNIT, "duration")
 
 
 def parse_size_bytes(text: str) -> int:
-    """Bytes of `512B`, `64KiB`, `64MiB` or `1GiB`. Raises ValueError."""
+    """Parse a size such as `512B`, `64KiB`, `64MiB` or `1GiB` to bytes. Raises ValueError."""
     return int(_in_smallest_unit(text, BYTES_BY_UNIT, "size"))
 
 
 def parse_fraction(text: str) -> float:
-    """0.1 for `10%`. Raises ValueError."""
+    """Parse a percentage to a fraction, such as `10%` to 0.1. Raises ValueError."""
     return _in_smallest_unit(text, {"%": 1}, "share") / 100
 
 
 def format_duration(duration_ms: float) -> str:
-    """A duration in its largest unit that leaves at most one decimal, such as `1.5min`."""
+    """Format a duration in the largest unit that needs at most one decimal, such as `1.5min`."""
     for unit in ("h", "min", "s"):
         unit_ms = MS_BY_UNIT[unit]
         if duration_ms >= unit_ms and duration_ms % (unit_ms / 10) == 0:
--- a/decklb/config/xml.py
+++ b/decklb/config/xml.py
@@ -1,6 +1,7 @@
-"""Reads XML files against a schema that ships with the package: bounded, without entities, all faults at once.
+"""Reads XML files and validates them against a schema that ships with the package.
 
-Used for the operators' settings and for the laboratory's experiments; keeps no state.
+Size and nesting are bounded, entities are not resolved, and all faults are reported at once. Used for the operators'
+settings and for the laboratory's experiments.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 SETTINGS_PACKAGE = "decklb.config"
 SETTINGS_SCHEMA = "decklb.xsd"
 XML_SCHEMA_NAMESPACE = "{http://www.w3.org/2001/XMLSchema}"
-# Bytes of a file: bounds the memory that parsing takes.
+# Largest file in bytes: bounds the memory for parsing.
 MAX_BYTES = 4 << 20
-# Levels of elements: bounds the work of looking through a file that no schema accepts.
+# Maximum depth of nested elements: bounds the work of validating an invalid file.
 MAX_DEPTH = 8
-# Faults that are told at once.
+# Maximum number of faults reported at once.
 MAX_FAULTS = 100
-# What the schemas' types accept, for messages.
+# What each type of the schemas accepts, in the words of error messages.
 ACCEPTED_BY_TYPE = {
     "duration": "a duration such as 250ms, 2s, 1min",
     "size": "a size such as 64KiB, 64MiB",
@@ -42,13 +43,13 @@
     "xs:boolean": "true or false",
     "xs:nonNegativeInteger": "a whole number from 0",
 }
-# How libxml2 words a value of the wrong type, and one that breaks a facet of its type.
-_WRONG_TYPE = re.compile(
+# libxml2's messages for a value of the wrong type and for one that violates a facet of its type.
+_TYPE_ERROR = re.compile(
     r"^(?P<where>Element '[^']+'(?:, attribute '[^']+')?): (?P<value>'.*') is not a valid value of the "
     r"(?:atomic|union|list) type '(?P<type>[^']+)'\.$",
     re.DOTALL,
 )
-_WRONG_FACET = re.compile(
+_FACET_ERROR = re.compile(
     r"^(?P<where>Element '[^']+'(?:, attribute '[^']+')?): \[facet '[^']+'\] The value (?P<value>'.*') "
     r"is (?P<why>not accepted by the pattern '(?P<pattern>.*)'|.*)\.$",
     re.DOTALL,
@@ -56,12 +57,12 @@
 
 
 def schema_text(package: str = SETTINGS_PACKAGE, name: str = SETTINGS_SCHEMA) -> str:
-    """The text of a schema that ships with a package; that of the operators' settings by default."""
+    """Return the text of a schema that ships with a package, by default that of the operators' settings."""
     return (resources.files(package) / name).read_text()
 
 
 def read(path: str | Path, package: str = SETTINGS_PACKAGE, name: str = SETTINGS_SCHEMA) -> etree._Element:
-    """The root of a file that the schema accepts. Raises SettingsError with every fault."""
+    """Read and validate a file and return its root element. Raises SettingsError with all faults."""
     try:
         with Path(path).open("rb") as file:
             data = file.read(MAX_BYTES + 1)
@@ -71,21 +72,26 @@
 
 
 def parse(data: bytes, name: str, schema: str) -> etree._Element:
-    """The root of a document that a schema accepts; `name` stands for the file in messages.
+    """Parse and validate a document and return its root element.
+
+    Args:
+        data: The document.
+        name: The file's name, for error messages.
+        schema: Text of the schema.
 
     Raises:
-        SettingsError: The document is too large, no XML, or not as the schema wants it; with every fault.
+        SettingsError: With all faults: the document is too large, not well-formed or invalid against the schema.
     """
-    root = _parse_closed(data, name)
+    root = _parse_safely(data, name)
     _check_schema(root, name, schema)
     return root
 
 
-def _parse_closed(data: bytes, name: str) -> etree._Element:
-    """Parse within bounds, and reject what could read other files or grow without bound."""
+def _parse_safely(data: bytes, name: str) -> etree._Element:
+    """Parse a document; reject one that exceeds the limits or has a DOCTYPE."""
     if len(data) > MAX_BYTES:
-        raise SettingsError([Fault(name, 0, f"larger than {MAX_BYTES >> 20} MiB")])
-    # Entities would let a small file grow without bound or read other files.
+        raise SettingsError([Fault(name, 0, f"file is larger than {MAX_BYTES >> 20} MiB")])
+    # Entities could make a small file expand without bound or include other files.
     parser = etree.XMLParser(
         resolve_entities=False,
         no_network=True,
@@ -100,9 +106,15 @@
     except etree.XMLSyntaxError as error:
         raise SettingsError([Fault(name, error.lineno or 0, f"is no XML: {error.msg}")]) from error
     if root.getroottree().docinfo.doctype or root.getroottree().docinfo.internalDTD is not None:
-        raise SettingsError([Fault(name, 1, "a DOCTYPE is not allowed; write the values themselves")])
-    if (depth := _depth(root)) > MAX_DEPTH:
-        raise SettingsError([Fault(name, 0, f"elements nest {depth} deep; {MAX_DEPTH} is the most")])
+        raise SettingsError([Fault(name, 1, "a DOCTYPE is not allowed; write values directly instead of entities")])
+    if (depth := _nesting_depth(root)) > MAX_DEPTH:
+        raise SettingsError(
+            [
+                Fault(
+                    name, 0, f"elements are nested at least {depth} levels deep; at most {MAX_DEPTH} levels are allowed"
+                )
+            ]
+        )
     return root
 
 
@@ -112,21 +124,21 @@
     if validator.validate(root):
         return
     types = _types_by_pattern(schema_root)
-    # libxml2 goes on to the next fault by itself.
+    # libxml2 does not stop at the first fault, so the log has all of them.
     faults = {Fault(name, error.line, _explain(error.message, types)) for error in validator.error_log}
     raise SettingsError(sorted(faults)[:MAX_FAULTS])
 
 
 def _types_by_pattern(schema_root: etree._Element) -> dict[str, str]:
-    """The name of the type that has a pattern, by the pattern: libxml2 tells of the pattern alone."""
+    """Map each pattern to the name of its type: libxml2's messages give only the pattern."""
     return {
         pattern.attrib["value"]: pattern.getparent().getparent().get("name", "")  # type: ignore[union-attr]
         for pattern in schema_root.iter(f"{XML_SCHEMA_NAMESPACE}pattern")
     }
 
 
-def _depth(root: etree._Element) -> int:
-    """Levels of elements; no more than one over MAX_DEPTH are counted."""
+def _nesting_depth(root: etree._Element) -> int:
+    """Return the depth of nested elements, counted up to MAX_DEPTH + 1."""
     depth, level = 0, [root]
     while level and depth <= MAX_DEPTH:
         depth, level = depth + 1, [child for element in level for child in element]
@@ -134,13 +146,13 @@
 
 
 def _explain(message: str, types: dict[str, str]) -> str:
-    """What is wrong and what would be right, from libxml2's words; `types` names the type of each pattern."""
-    if match := _WRONG_TYPE.match(message):
+    """Rephrase a message of libxml2 as what is wrong and what is accepted; `types` maps patterns to their types."""
+    if match := _TYPE_ERROR.match(message):
         accepted = ACCEPTED_BY_TYPE.get(match["type"], f"a value of type {match['type']}")
-    elif match := _WRONG_FACET.match(message):
+    elif match := _FACET_ERROR.match(message):
         if not match["pattern"]:
             return f"{match['where']}: {match['value']} is {match['why']}"
-        accepted = ACCEPTED_BY_TYPE.get(types.get(match["pattern"], ""), f"a text like {match['pattern']}")
+        accepted = ACCEPTED_BY_TYPE.get(types.get(match["pattern"], ""), f"a text that matches {match['pattern']}")
     else:
         return message.rstrip(".")
     return f"{match['where']}: {match['value']} is wrong; {accepted} would be right"
