--- a/decklb/cli/__init__.py
+++ b/decklb/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one file for each group of commands. A command imports what it needs when it is called."""
+"""The command line, with one module per group of commands. A command imports the code that it needs when it is run."""
 
 from __future__ import annotations
 
--- a/decklb/cli/check.py
+++ b/decklb/cli/check.py
@@ -1,4 +1,4 @@
-"""The command `check`: reads a configuration and prints a line for each part of it that is on."""
+"""The command `check`: reads a configuration and prints a summary line for each section that is present."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def _config_lines(config: Config) -> Iterator[str]:
-    """Lines for the process itself, then for each section that is given."""
+    """Yield the lines of the process itself, then those of each section that is present."""
     yield _process_line(config)
     yield from _decision_lines(config.settings)
     if config.postgres is not None:
@@ -63,11 +63,11 @@
 
 
 def _decision_lines(settings: Settings) -> Iterator[str]:
-    for name, query_class in settings.classes.items():
+    for name, request_class in settings.classes.items():
         yield (
-            f"class {name}: aim {query_class.latency_objective_ms:g}ms, deadline {query_class.deadline_ms:g}ms, "
-            f"{query_class.effect.value}, {query_class.threads} threads"
-            f"{', in order by key' if query_class.ordered_by_key else ''}"
+            f"class {name}: aim {request_class.latency_objective_ms:g}ms, deadline {request_class.deadline_ms:g}ms, "
+            f"{request_class.effect.value}, {request_class.threads} threads"
+            f"{', in order by key' if request_class.ordered_by_key else ''}"
         )
     for name, tenant in settings.tenants.items():
         yield f"tenant {name}: share {100 * tenant.share:g}%"
@@ -92,10 +92,10 @@
     )
 
 
-def _health_check_line(checks: DutySettings) -> str:
+def _health_check_line(health_checks: DutySettings) -> str:
     return (
-        f"probing: each engine each {checks.period_ms:g}ms, {checks.timeout_ms:g}ms for an answer, "
-        f"{checks.max_concurrent} at a time, handed on after {checks.failures_to_decline} failures"
+        f"probing: each engine each {health_checks.period_ms:g}ms, {health_checks.timeout_ms:g}ms for an answer, "
+        f"{health_checks.max_concurrent} at a time, handed on after {health_checks.failures_to_decline} failures"
     )
 
 
@@ -109,10 +109,10 @@
 
 def _locality_line(locality: LocalitySettings) -> str:
     quorum = locality.member_count // 2 + 1
-    decided = f"by {quorum} members at least" if locality.decision_mode == "common" else "alone"
+    decision = f"by {quorum} members at least" if locality.decision_mode == "common" else "alone"
     return (
         f"locality: zone {locality.home_zone} of {len(locality.region_of)} zones in {len(locality.regions)} regions, "
-        f"judged {decided}, a state holds {locality.min_state_duration_ms:g}ms at least"
+        f"judged {decision}, a state holds {locality.min_state_duration_ms:g}ms at least"
     )
 
 
--- a/decklb/cli/config_files.py
+++ b/decklb/cli/config_files.py
@@ -1,4 +1,4 @@
-"""Reads the configuration that a command's options name, for the commands `serve` and `check`."""
+"""Reads the configuration files that the options of `serve` and `check` name."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     """Read the configuration of a process.
 
     Args:
-        path: The platform's JSON file, None for the one that the environment names.
-        settings: The operators' XML file, None for the one that the environment names.
+        path: The platform's JSON file; if None, the one that LB_CONFIG names.
+        settings: The operators' XML file; if None, the one that DECKLB_SETTINGS names.
 
     Raises:
-        click.ClickException: With every fault of the files, or the extra requirement that they need.
+        click.ClickException: With all faults of the files, or the optional dependencies that they need.
     """
     try:
         return configuration.load(path, settings)
--- a/decklb/cli/control.py
+++ b/decklb/cli/control.py
@@ -1,4 +1,4 @@
-"""Sends the queries and commands of the command line to a running process, over its control socket."""
+"""Sends queries and commands of the command line to a running process over its control socket."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     """Send a query or command and return its result.
 
     Args:
-        socket: The process' control socket; where it is None, the settings name it.
-        settings: The operators' XML file, None for the one that the environment names.
-        name: The query or command.
-        arguments: Of a command.
+        socket: Path of the control socket; if None, the one that the settings name.
+        settings: The operators' XML file; if None, the one that DECKLB_SETTINGS names.
+        name: Name of the query or command.
+        arguments: Arguments of the command.
 
     Raises:
-        click.ClickException: No socket is named, or the process can't be asked.
+        click.ClickException: No socket is named, or the query or command failed.
     """
     from decklb.management.control_client import ControlError, query
 
--- a/decklb/cli/duties.py
+++ b/decklb/cli/duties.py
@@ -1,4 +1,4 @@
-"""The command `duties`: who does which periodic duty, and with what result."""
+"""The command `duties`: the owner and the last result of each periodic duty."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from decklb.cli.options import JSON, SETTINGS, SOCKET
 from decklb.cli.tables import format_age, print_table
 
-HEADS = ["KIND", "SUBJECT", "OWNER", "TERM", "RESULT", "AGE", "PASSED"]
+HEADERS = ["KIND", "SUBJECT", "OWNER", "TERM", "RESULT", "AGE", "PASSED"]
 RESULTS = {True: "up", False: "failed", None: "-"}
 
 
@@ -23,10 +23,10 @@
     """The periodic duties: owner, term, last result and its age."""
     import ujson
 
-    found = [duty for duty in query_process(socket, settings, "duties") if duty["own"] or not own]
+    listed = [duty for duty in query_process(socket, settings, "duties") if duty["own"] or not own]
     if as_json:
-        return click.echo(ujson.dumps(found))
-    print_table([HEADS, *map(_row, found)])
+        return click.echo(ujson.dumps(listed))
+    print_table([HEADERS, *map(_row, listed)])
 
 
 def _row(duty: dict[str, Any]) -> list[str]:
--- a/decklb/cli/handoff.py
+++ b/decklb/cli/handoff.py
@@ -1,4 +1,4 @@
-"""The command `handoff`: the requests in flight that a running process holds for itself and for others."""
+"""The command `handoff`: the records of in-flight requests that a running process keeps, its own and replicas."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     """The requests in hand that this instance holds for itself and for others."""
     import ujson
 
-    found = query_process(socket, settings, "handoff")
+    answer = query_process(socket, settings, "handoff")
     if as_json:
-        return click.echo(ujson.dumps(found))
-    if not found:
+        return click.echo(ujson.dumps(answer))
+    if not answer:
         return click.echo("the handoff is off here: its settings have no <handoff>")
-    counts = found.pop("counts")
+    counts = answer.pop("counts")
     print_table(
         [["HELD", "VALUE"]]
-        + [[name, str(value)] for name, value in found.items()]
+        + [[name, str(value)] for name, value in answer.items()]
         + [[f"count {name}", str(value)] for name, value in sorted(counts.items())]
     )
--- a/decklb/cli/keys.py
+++ b/decklb/cli/keys.py
@@ -1,4 +1,4 @@
-"""The commands `keys new`, `keys list` and `keys rotate`, on the key file that members of a cluster share."""
+"""The commands `keys new`, `keys list` and `keys rotate`: maintain the key file that the members of a cluster share."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     """Name the keys, the one that seals first. Secrets are not shown."""
     from decklb.cluster import keyfile
 
-    ring = _call_or_fail(lambda: keyfile.read(path))
-    for position, key in enumerate(ring):
+    key_ring = _call_or_fail(lambda: keyfile.read(path))
+    for position, key in enumerate(key_ring):
         click.echo(f"{key.name}  {key.created}  {'seals and opens' if position == 0 else 'opens'}")
 
 
@@ -50,13 +50,15 @@
     from decklb.cluster import keyfile
 
     rotation = keyfile.RotationStep(step)
-    ring = _call_or_fail(lambda: keyfile.rotate(keyfile.read(path), rotation, keyfile.generate()))
-    _call_or_fail(lambda: keyfile.write(path, ring))
-    click.echo(f"{path}: {len(ring)} keys, {ring[0].name} seals; bring it to all members and send each SIGHUP")
+    key_ring = _call_or_fail(lambda: keyfile.rotate(keyfile.read(path), rotation, keyfile.generate()))
+    _call_or_fail(lambda: keyfile.write(path, key_ring))
+    click.echo(
+        f"{path}: {len(key_ring)} keys, {key_ring[0].name} seals; copy it to all members and send each of them SIGHUP"
+    )
 
 
 def _call_or_fail(call: Callable[[], T]) -> T:
-    """What `call` returns. Raises click.ClickException where the key file can't be used."""
+    """Return the result of `call`; raise click.ClickException if the key file is unusable."""
     from decklb.cluster.errors import KeyFileError
 
     try:
--- a/decklb/cli/maint.py
+++ b/decklb/cli/maint.py
@@ -1,4 +1,4 @@
-"""The commands `maint ...`: take machines out for work, and look at the plan, at any running process."""
+"""The commands `maint ...`: request, cancel and inspect maintenance of machines, through any running process."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from decklb.cli.options import JSON, SETTINGS, SOCKET
 from decklb.cli.tables import format_age, print_table
 
-STATUS_HEADS = ["JOB", "MACHINE", "ZONE", "STAGE", "SINCE", "REASON"]
-PLAN_HEADS = ["", "MACHINE", "ZONE", "STAGE", "JOB"]
+STATUS_HEADERS = ["JOB", "MACHINE", "ZONE", "STAGE", "SINCE", "REASON"]
+PLAN_HEADERS = ["", "MACHINE", "ZONE", "STAGE", "JOB"]
 MS_PER_S = 1000
 FINISHED_STAGES = ("done", "cancelled")
 
@@ -80,16 +80,16 @@
     """The plan as this instance knows it: each machine's stage, and why nothing goes on."""
     import ujson
 
-    found = query_process(socket, settings, "plan")
+    answer = query_process(socket, settings, "plan")
     if as_json:
-        return click.echo(ujson.dumps(found))
-    if not found:
+        return click.echo(ujson.dumps(answer))
+    if not answer:
         return click.echo("no plan here: the settings have no <maintenance>")
-    rows = [_status_row(job, machine) for job in found["jobs"] for machine in job["machines"]]
-    print_table([STATUS_HEADS, *rows])
-    _print_hold(found)
-    click.echo(f"{found['steps']} steps done so far; the next is {found['driver']}'s to do")
-    if not found["remembers"]:
+    rows = [_status_row(job, machine) for job in answer["jobs"] for machine in job["machines"]]
+    print_table([STATUS_HEADERS, *rows])
+    _print_hold_reason(answer)
+    click.echo(f"{answer['steps']} steps done so far; the next is {answer['driver']}'s to do")
+    if not answer["remembers"]:
         click.echo("this instance has started and does not know the plan yet")
 
 
@@ -98,10 +98,10 @@
 @SETTINGS
 def plan(socket: str | None, settings: str | None) -> None:
     """What is still to go, in the order in which it will: those under way first."""
-    found = query_process(socket, settings, "plan") or {"jobs": [], "hold": ""}
+    answer = query_process(socket, settings, "plan") or {"jobs": [], "hold": ""}
     machines = [
         (job["job"], machine)
-        for job in found["jobs"]
+        for job in answer["jobs"]
         for machine in job["machines"]
         if machine["stage"] not in FINISHED_STAGES
     ]
@@ -109,11 +109,11 @@
     if not machines:
         return click.echo("nothing is to go")
     rows = [
-        [str(number), machine["machine"], machine["zone"], machine["stage"], job]
-        for number, (job, machine) in enumerate(machines, 1)
+        [str(position), machine["machine"], machine["zone"], machine["stage"], job]
+        for position, (job, machine) in enumerate(machines, 1)
     ]
-    print_table([PLAN_HEADS, *rows])
-    _print_hold(found)
+    print_table([PLAN_HEADERS, *rows])
+    _print_hold_reason(answer)
 
 
 def _status_row(job: dict[str, Any], machine: dict[str, Any]) -> list[str]:
@@ -127,7 +127,7 @@
     ]
 
 
-def _print_hold(found: dict[str, Any]) -> None:
-    """Why the plan does not go on, if it does not."""
-    if found["hold"]:
-        click.echo(f"waiting: {found['hold']}")
+def _print_hold_reason(answer: dict[str, Any]) -> None:
+    """Print why the plan is on hold, if it is."""
+    if answer["hold"]:
+        click.echo(f"waiting: {answer['hold']}")
--- a/decklb/cli/members.py
+++ b/decklb/cli/members.py
@@ -1,4 +1,4 @@
-"""The command `members`: the cluster as one running process sees it."""
+"""The command `members`: the members of the cluster as one running process sees them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from decklb.cli.options import JSON, SETTINGS, SOCKET
 from decklb.cli.tables import format_age, print_table
 
-HEADS = ["MEMBER", "ADDRESS", "STATE", "SETTLED", "WEIGHT", "SINCE"]
+HEADERS = ["MEMBER", "ADDRESS", "STATE", "SETTLED", "WEIGHT", "SINCE"]
 
 
 @click.command()
@@ -24,7 +24,7 @@
     answer = query_process(socket, settings, "members")
     if as_json:
         return click.echo(ujson.dumps(answer))
-    print_table([HEADS, *map(_row, answer["members"])])
+    print_table([HEADERS, *map(_row, answer["members"])])
     health = answer["health"]
     if health["minority"]:
         click.echo("this side sees under half of the members known lately: periods are stretched")
--- a/decklb/cli/options.py
+++ b/decklb/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands have."""
+"""Options shared by several commands."""
 
 from __future__ import annotations
 
--- a/decklb/cli/serve.py
+++ b/decklb/cli/serve.py
@@ -1,4 +1,4 @@
-"""The commands `serve`, which runs the program, `schema` and `version`."""
+"""The commands `serve`, which runs the manager, `schema` and `version`."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     log.set_up(log_level, log_format)
     from decklb.wire.reactor import install
 
-    reactor = install()  # before anything imports Twisted's default one
+    reactor = install()  # before any import installs Twisted's default reactor
     log.redirect_twisted()
     from decklb.daemon.service import Service
     from decklb.wire.clock import use_monotonic_time
@@ -54,5 +54,5 @@
     """Print the version."""
     try:
         click.echo(metadata.version("decklb"))
-    except metadata.PackageNotFoundError:  # run from a checkout
+    except metadata.PackageNotFoundError:  # not installed: run from a checkout
         click.echo("decklb, from a checkout")
--- a/decklb/cli/tables.py
+++ b/decklb/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables and ages, as commands print them."""
+"""Formatting of tables and ages for the output of commands."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def print_table(rows: list[list[str]]) -> None:
-    """Print rows of as many cells each in aligned columns; the first row is the heads."""
+    """Print rows with equal numbers of cells in aligned columns; the first row holds the headers."""
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     for row in rows:
         click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
-def format_age(ms: float | None) -> str:
-    """An age in seconds or minutes; `-` for none."""
-    if ms is None:
+def format_age(age_ms: float | None) -> str:
+    """Format an age in seconds or minutes; `-` for None."""
+    if age_ms is None:
         return "-"
-    return f"{ms / 1000:.1f}s" if ms < MINUTE_MS else f"{ms / MINUTE_MS:.0f}min"
+    return f"{age_ms / 1000:.1f}s" if age_ms < MINUTE_MS else f"{age_ms / MINUTE_MS:.0f}min"
--- a/decklb/cli/trial.py
+++ b/decklb/cli/trial.py
@@ -1,4 +1,7 @@
-"""The command `try`: both fronts of the program on loopback, with stand-in engines and load, beside the emulator."""
+"""The command `try`: runs the program with each front on loopback, with stand-in engines and a load generator.
+
+The same world is then run in the emulator, so that its figures can be compared with the program's.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
 
 
 def _report_front(summary: dict[str, Any]) -> list[str]:
-    """Print a front's summary, unless it could not run; return what went wrong."""
+    """Print the summary of a front unless its run failed; return a message for each failure."""
     if "error" in summary:
         return [summary["error"]]
     front = summary["front"]
--- a/decklb/cli/zones.py
+++ b/decklb/cli/zones.py
@@ -1,4 +1,4 @@
-"""The command `zones`: the states of the zones, and where a running process' requests go."""
+"""The command `zones`: the states of the zones, and the zones to which a running process sends its requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from decklb.cli.options import JSON, SETTINGS, SOCKET
 from decklb.cli.tables import format_age, print_table
 
-HEADS = ["ZONE", "REGION", "STATE", "TERM", "SINCE", "UP", "LOAD", "OPEN VOTES"]
+HEADERS = ["ZONE", "REGION", "STATE", "TERM", "SINCE", "UP", "LOAD", "OPEN VOTES"]
 
 
 @click.command()
@@ -21,19 +21,19 @@
     """The zones as the members have decided on them, and where this instance's requests go."""
     import ujson
 
-    found = query_process(socket, settings, "zones")
+    answer = query_process(socket, settings, "zones")
     if as_json:
-        return click.echo(ujson.dumps(found))
-    if not found:
+        return click.echo(ujson.dumps(answer))
+    if not answer:
         return click.echo("traffic is not kept near here: the settings have no <locality>")
-    print_table([HEADS, *map(_row, found["zones"])])
+    print_table([HEADERS, *map(_row, answer["zones"])])
     click.echo(
-        f"{found['near']} requests to the own zone, {found['away']} to others; "
-        f"{found['members']} members known, {found['quorum']} decide"
+        f"{answer['near']} requests to the own zone, {answer['away']} to others; "
+        f"{answer['members']} members known, {answer['quorum']} decide"
     )
-    if found["unreached"]:
-        click.echo("not reached from here: " + ", ".join(found["unreached"]))
-    if found["alone"]:
+    if answer["unreached"]:
+        click.echo("not reached from here: " + ", ".join(answer["unreached"]))
+    if answer["alone"]:
         click.echo("this instance goes by its own judgement: no quorum reaches it, or its settings say so")
 
 
