--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""Which tests run side by side: each file in one worker, and those that start fleets of processes one after another.
+"""Distribution of tests over workers, and known failures.
 
-Tests that KNOWN-RED.txt lists are expected to fail; they are printed at the end of each run.
+All tests of a file run in the same worker. Files that start fleets of processes share two groups, and the files of a
+group run one after another. Tests listed in KNOWN-RED.txt are expected to fail and are printed at the end of each run.
 """
 
 import pytest
@@ -8,7 +9,7 @@
 from tests import known_red
 from tests.pg_program import running_pg_program
 
-FLEETS = {
+FLEET_GROUPS = {
     "test_handoff_program": "fleets-1",
     "test_handoff_restarts": "fleets-1",
     "test_upkeep": "fleets-2",
@@ -23,18 +24,18 @@
 
 @pytest.fixture
 def pg_program():
-    """The program with PostgreSQL engines behind it; see `tests/pg_program.py`."""
+    """The program in front of PostgreSQL engines; see `tests/pg_program.py`."""
     with running_pg_program() as program:
         yield program
 
 
 def pytest_collection_modifyitems(items):
-    expected = known_red.load()
+    known_failures = known_red.load()
     for item in items:
         name = item.module.__name__.rpartition(".")[2]
-        item.add_marker(pytest.mark.xdist_group(FLEETS.get(name, name)))
-        for failure in expected:
-            if failure.covers(item.nodeid):
+        item.add_marker(pytest.mark.xdist_group(FLEET_GROUPS.get(name, name)))
+        for failure in known_failures:
+            if failure.matches(item.nodeid):
                 item.add_marker(pytest.mark.xfail(reason=f"{failure.cause} ({failure.issue})", strict=True))
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,7 @@
-"""The tests that fail for a known fault of the program, as KNOWN-RED.txt at the root lists them.
+"""Reads KNOWN-RED.txt at the project's root: the tests that fail because of a known fault of the program.
 
-A listed test is expected to fail, and the run fails if it passes: a fixed test comes off the list with its fix.
+A listed test is expected to fail; if it passes, the run fails. So the commit that fixes a fault must also remove its
+test from the list.
 """
 
 from __future__ import annotations
@@ -8,30 +9,30 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MAX_FAILURES = 3  # faults that may wait for their fix at a time
-PARTS_A_LINE = 3
+LIST_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_FAILURES = 3  # known failures that may be listed at a time
+PARTS_PER_LINE = 3
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """One line: the test's id without its parameters, the cause, and the issue that will fix it."""
+    """One line of the list: the test's id without parameters, the cause, and the issue that tracks the fix."""
 
     test: str
     cause: str
     issue: str
 
-    def covers(self, nodeid: str) -> bool:
-        """Whether this is the test, whatever its parameters."""
+    def matches(self, nodeid: str) -> bool:
+        """Return whether this is the id of the listed test, with any parameters."""
         return nodeid.partition("[")[0] == self.test
 
 
-def read(text: str) -> list[KnownFailure]:
-    """The lines of the list. Raises ValueError for a line without its three parts, and for too many lines."""
+def parse(text: str) -> list[KnownFailure]:
+    """Parse the list. Raises ValueError if a line does not have three parts or there are too many lines."""
     failures = []
     for line in filter(None, map(str.strip, text.splitlines())):
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != PARTS_A_LINE or not all(parts):
+        if len(parts) != PARTS_PER_LINE or not all(parts):
             raise ValueError(f"KNOWN-RED.txt: 'test | cause | issue' is expected, not {line!r}")
         failures.append(KnownFailure(*parts))
     if len(failures) > MAX_FAILURES:
@@ -40,5 +41,5 @@
 
 
 def load() -> list[KnownFailure]:
-    """The list as it stands; empty where there is no file."""
-    return read(LIST.read_text()) if LIST.exists() else []
+    """Return the current list; it is empty if there is no file."""
+    return parse(LIST_FILE.read_text()) if LIST_FILE.exists() else []
--- a/tests/source_trees.py
+++ b/tests/source_trees.py
@@ -1,4 +1,4 @@
-"""Syntax trees of the project's own modules, for tests that read the code."""
+"""Syntax trees of the project's modules, for tests that inspect the code."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @cache
 def syntax_tree(path: Path) -> ast.Module:
-    """The tree of a module, parsed once.
+    """Return the syntax tree of a module; each file is parsed once.
 
-    CPython 3.11 raises SystemError, "AST constructor recursion depth mismatch", where a garbage collection during a
-    parse runs a finalizer that parses something itself; so nothing is collected meanwhile.
+    Garbage collection is disabled during parsing: CPython 3.11 raises SystemError, "AST constructor recursion depth
+    mismatch", if a collection during a parse runs a finalizer that itself parses code.
     """
     was_enabled = gc.isenabled()
     gc.disable()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the outside for tests with real sockets, and a way to start the program. Ephemeral ports only."""
+"""Stand-ins for engines in tests with real sockets, and a helper that starts the program. Ports are ephemeral."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from decklb.net import resp
 
 ROOT = Path(__file__).parent.parent
-DEADLINE = 20.0  # seconds after which a test gives up waiting; nothing is judged by time
+DEADLINE = 20.0  # seconds after which a test stops waiting and fails; durations are not judged by it
 
 SETTINGS = {
     "categories": [
@@ -50,8 +50,8 @@
 
 
 def known(*ports, index=1):
-    """A start's list with one engine for each port."""
-    rows = [
+    """Return the `known` section of a configuration: the initial endpoint list, with one engine for each port."""
+    instances = [
         {
             "instanceId": f"s-{i}",
             "hostPort": f"127.0.0.1:{p}",
@@ -66,12 +66,12 @@
     ]
     return {
         "index": index,
-        "updates": [{"index": index, "endpoints": {"generation": 1, "reset": True, "instances": rows}}],
+        "updates": [{"index": index, "endpoints": {"generation": 1, "reset": True, "instances": instances}}],
     }
 
 
 class Loop:
-    """An event loop in a thread, for servers that act while a test blocks on its client."""
+    """An event loop in its own thread, so that servers run while a test blocks on its client."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -85,16 +85,16 @@
 
 
 def wait_for(condition, what="condition"):
-    """Poll until it holds."""
-    end = time.monotonic() + DEADLINE
+    """Poll until the condition is true; fail the test after DEADLINE."""
+    deadline = time.monotonic() + DEADLINE
     while not condition():
-        if time.monotonic() > end:
-            raise AssertionError(f"{what} did not come about")
+        if time.monotonic() > deadline:
+            raise AssertionError(f"timed out waiting for {what}")
         time.sleep(0.005)
 
 
 class Program:
-    """`python -m decklb serve` as a subprocess; `port` is where it listens. `xml`: operators' settings."""
+    """`python -m decklb serve` as a subprocess that listens on `port`; `xml` is the text of the operators' settings."""
 
     def __init__(self, config, xml=""):
         self.folder = tempfile.TemporaryDirectory()
@@ -109,14 +109,14 @@
         self.process = subprocess.Popen(
             [sys.executable, "-m", "decklb", "serve"], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True
         )
-        threading.Thread(target=self._read, daemon=True).start()
+        threading.Thread(target=self._read_log, daemon=True).start()
         wait_for(lambda: self.logged("listens on") or self.process.poll() is not None, "listening")
         if not self.logged("listens on"):
             raise AssertionError("the program did not start: " + "".join(self.lines))
         self.port = int(re.search(r"listens on [\d.]+:(\d+)", self.logged("listens on")).group(1))
 
     def configure(self, config):
-        """Write the file, at the start or for a SIGHUP."""
+        """Write the configuration file, for the start or for a reload by SIGHUP."""
         self.path.write_text(
             json.dumps(
                 {"name": "n0", "listen": "127.0.0.1:0", "seed": "5", "settings": SETTINGS, "limits": {"sockets": 256}}
@@ -128,12 +128,12 @@
         self.configure(config)
         self.process.send_signal(signal.SIGHUP)
 
-    def _read(self):
+    def _read_log(self):
         for line in self.process.stderr:
             self.lines.append(line)
 
     def logged(self, text):
-        """The first log line that holds this text, or nothing."""
+        """Return the first log line that contains this text, or ""."""
         return next((line for line in list(self.lines) if text in line), "")
 
     def stop(self):
@@ -144,7 +144,7 @@
 
 
 class PingEngine:
-    """An engine that answers pings and writes down when they came; `deaf` connections are read and not answered."""
+    """An engine that answers pings and records their times; while `deaf` is set, pings are read but not answered."""
 
     def __init__(self, loop):
         self.loop, self.pings, self.deaf = loop, [], False
@@ -170,18 +170,19 @@
 
 
 class PgEngine:
-    """Speaks the backend's side of PostgreSQL's protocol 3.0, as far as its public specification binds a client.
+    """Implements the server side of PostgreSQL's protocol 3.0, as far as clients depend on its specification.
 
-    Statements: 'sleep MS' takes that long and can be cancelled, 'fail STATE' is an error, 'die' breaks the
-    connection, 'die once' only the first time at any engine; anything else returns its parameters or its own text.
+    Statements: 'sleep MS' runs for that long and can be cancelled, 'fail STATE' returns an error with that SQLSTATE,
+    'die' aborts the connection, 'die once' does so only the first time at any engine, 'rows N' returns its row N
+    times. Any other statement returns its first parameter or its own text.
     """
 
-    died = set()
+    aborted_statements = set()  # statements that have aborted a connection, at any engine
 
     def __init__(self, loop):
-        self.loop, self.keys, self.count = loop, {}, 0
-        self.log = []  # (what, statement, moment): parse, start, end
-        self.cancels = 0
+        self.loop, self.cancel_events, self.count = loop, {}, 0  # events by cancellation key; count of connections
+        self.log = []  # (what, statement, time), where what is "parse", "start" or "end"
+        self.cancels = 0  # number of cancel requests
         self.server = loop.run(asyncio.start_server(self._serve, "127.0.0.1", 0))
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -191,21 +192,21 @@
     def said(self, what):
         return [sql for kind, sql, _ in list(self.log) if kind == what]
 
-    def _note(self, what, sql):
+    def _record(self, what, sql):
         self.log.append((what, sql, time.monotonic()))
 
     async def _serve(self, reader, writer):
         try:
             size, code = struct.unpack(">II", await reader.readexactly(8))
             body = await reader.readexactly(size - 8)
-            if code == 80877102:
+            if code == 80877102:  # CancelRequest
                 self.cancels += 1
-                event = self.keys.get(body)
+                event = self.cancel_events.get(body)
                 return event.set() if event else None
             self.count += 1
             key = struct.pack(">II", self.count, 99)
-            self.keys[key] = cancelled = asyncio.Event()
-            writer.write(msg(b"R", b"\0\0\0\0") + msg(b"K", key) + msg(b"Z", b"I"))
+            self.cancel_events[key] = cancelled = asyncio.Event()
+            writer.write(message(b"R", b"\0\0\0\0") + message(b"K", key) + message(b"Z", b"I"))
             await self._session(reader, writer, cancelled)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -213,7 +214,7 @@
             writer.close()
 
     async def _session(self, reader, writer, cancelled):
-        statements, portal, skip, row = {}, None, False, None
+        statements, portal, skip, bound_values = {}, None, False, None
         while True:
             kind = await reader.readexactly(1)
             size = int.from_bytes(await reader.readexactly(4), "big")
@@ -222,78 +223,80 @@
                 return
             if kind == b"S":
                 skip = False
-                writer.write(msg(b"Z", b"I"))
+                writer.write(message(b"Z", b"I"))
             elif kind == b"Q":
                 sql = body[:-1].decode()
-                writer.write((await self._run(sql, [], cancelled, writer, True))[0] + msg(b"Z", b"I"))
+                writer.write((await self._run(sql, [], cancelled, writer, True))[0] + message(b"Z", b"I"))
             elif skip:
                 continue
             elif kind == b"P":
                 name, sql = body.split(b"\0")[:2]
-                self._note("parse", sql.decode())
+                self._record("parse", sql.decode())
                 statements[name] = sql.decode()
-                writer.write(msg(b"1"))
+                writer.write(message(b"1"))
             elif kind == b"B":
                 _, name, rest = body.split(b"\0", 2)
-                portal, row = statements[name], parameters(rest)
-                writer.write(msg(b"2"))
+                portal, bound_values = statements[name], parse_parameters(rest)
+                writer.write(message(b"2"))
             elif kind == b"D":
                 sql = statements[body[1:-1]] if body[:1] == b"S" else portal
                 if body[:1] == b"S":
                     count = len(set(re.findall(r"\$\d", sql)))
-                    writer.write(msg(b"t", struct.pack(">h", count) + struct.pack(">i", 25) * count))
-                writer.write(described(sql))
+                    writer.write(message(b"t", struct.pack(">h", count) + struct.pack(">i", 25) * count))
+                writer.write(row_description(sql))
             elif kind == b"E":
-                out, skip = await self._run(portal, row, cancelled, writer, False)
+                out, skip = await self._run(portal, bound_values, cancelled, writer, False)
                 writer.write(out)
 
-    async def _run(self, sql, row, cancelled, writer, describe):
-        self._note("start", sql)
+    async def _run(self, sql, bound_values, cancelled, writer, describe):
+        self._record("start", sql)
         cancelled.clear()
         try:
             if sql.startswith("sleep"):
                 try:
                     await asyncio.wait_for(cancelled.wait(), int(sql.split()[1]) / 1000)
-                    return error("57014", "canceling statement due to user request"), True
+                    return error_response("57014", "canceling statement due to user request"), True
                 except TimeoutError:
                     pass
             if sql.startswith("fail"):
-                return error(sql.split()[1], "as asked"), True
-            if sql == "die" or sql.startswith("die once") and sql not in self.died:
-                self.died.add(sql)
+                return error_response(sql.split()[1], "as asked"), True
+            if sql == "die" or sql.startswith("die once") and sql not in self.aborted_statements:
+                self.aborted_statements.add(sql)
                 writer.transport.abort()
                 raise ConnectionError
-            values = row or [sql.encode()]
-            data = msg(b"D", struct.pack(">h", 1) + struct.pack(">i", len(values[0])) + values[0])
-            return (described(sql) if describe else b"") + data * rows_of(sql) + msg(b"C", b"SELECT 1\0"), False
+            values = bound_values or [sql.encode()]
+            data = message(b"D", struct.pack(">h", 1) + struct.pack(">i", len(values[0])) + values[0])
+            return (row_description(sql) if describe else b"") + data * row_count(sql) + message(
+                b"C", b"SELECT 1\0"
+            ), False
         finally:
-            self._note("end", sql)
+            self._record("end", sql)
 
 
-def rows_of(sql):
+def row_count(sql):
     return int(m.group(1)) if (m := re.match(r"rows (\d+)", sql)) else 1
 
 
-def msg(kind, payload=b""):
+def message(kind, payload=b""):
     return kind + struct.pack(">I", len(payload) + 4) + payload
 
 
-def described(sql):
-    return msg(b"T", b"\0\1v\0" + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
+def row_description(sql):
+    return message(b"T", b"\0\1v\0" + struct.pack(">ihihih", 0, 0, 25, -1, -1, 0))
 
 
-def error(state, text):
-    return msg(b"E", b"SERROR\0VERROR\0C" + state.encode() + b"\0M" + text.encode() + b"\0\0")
+def error_response(sqlstate, text):
+    return message(b"E", b"SERROR\0VERROR\0C" + sqlstate.encode() + b"\0M" + text.encode() + b"\0\0")
 
 
-def parameters(rest):
-    """The parameters of a Bind message's end."""
-    (formats,) = struct.unpack_from(">h", rest)
-    at = 2 + 2 * formats
-    (count,) = struct.unpack_from(">h", rest, at)
-    at, found = at + 2, []
+def parse_parameters(rest):
+    """Parse the parameter values of a Bind message, from its parameter format codes on."""
+    (format_count,) = struct.unpack_from(">h", rest)
+    offset = 2 + 2 * format_count
+    (count,) = struct.unpack_from(">h", rest, offset)
+    offset, values = offset + 2, []
     for _ in range(count):
-        (size,) = struct.unpack_from(">i", rest, at)
-        found.append(rest[at + 4 : at + 4 + size] if size >= 0 else b"")
-        at += 4 + max(0, size)
-    return found
+        (size,) = struct.unpack_from(">i", rest, offset)
+        values.append(rest[offset + 4 : offset + 4 + size] if size >= 0 else b"")
+        offset += 4 + max(0, size)
+    return values
--- a/tests/test_cli_wire_format.py
+++ b/tests/test_cli_wire_format.py
@@ -1,4 +1,4 @@
-"""The command line stays as recorded: commands, options, defaults, help texts, and what `check` prints."""
+"""Compares the command line with recorded data: commands, options, defaults, help texts and outputs."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 GOLDEN = ROOT / "tests" / "golden"
 
 
-def described():
-    """Every command and option, as click tells of them."""
-    told = main.to_info_dict(click.Context(main, info_name="decklb"))
-    return json.loads(json.dumps(told, default=str, sort_keys=True))
+def command_tree():
+    """Return all commands and options as click describes them."""
+    info = main.to_info_dict(click.Context(main, info_name="decklb"))
+    return json.loads(json.dumps(info, default=str, sort_keys=True))
 
 
-def checked(path):
-    """What `decklb check` prints of a settings file."""
+def check_output(path):
+    """Return the exit code and the output lines of `decklb check` for a settings file."""
     result = CliRunner().invoke(main, ["check", "--settings", str(ROOT / path)])
     return [result.exit_code, *result.output.replace(str(ROOT), "<root>").splitlines()]
 
 
 def test_commands_and_options_are_the_recorded_ones():
-    assert described() == json.loads((GOLDEN / "cli_commands.json").read_text())
+    assert command_tree() == json.loads((GOLDEN / "cli_commands.json").read_text())
 
 
 @pytest.mark.parametrize("path", FILES)
 def test_check_prints_the_recorded_lines(path):
-    assert checked(path) == json.loads((GOLDEN / "cli_check.json").read_text())[path]
+    assert check_output(path) == json.loads((GOLDEN / "cli_check.json").read_text())[path]
 
 
-# What a process answers over its control socket, by query.
+# Answers of a process over its control socket, by query.
 ANSWERS = {
     "members": {
         "members": [
@@ -99,7 +99,7 @@
     "plan-cancel": {},
     "plan-back": {},
 }
-QUERIES = {
+COMMANDS = {
     "members": ["members"],
     "members as JSON": ["members", "--json"],
     "duties": ["duties"],
@@ -113,7 +113,7 @@
     "cancel": ["maint", "cancel", "j1"],
     "back": ["maint", "back", "e1"],
 }
-EMPTY = {
+COMMANDS_OF_ABSENT_SUBSYSTEMS = {
     "handoff off": ["handoff"],
     "zones off": ["zones"],
     "status off": ["maint", "status"],
@@ -121,37 +121,37 @@
 }
 
 
-def queried(arguments, answers):
-    """What a command prints of a process' answers, and what it has asked."""
-    asked = []
+def run_with_answers(command, answers):
+    """Run a command with the given answers; return its exit code, the queries that it sent and its output lines."""
+    sent_queries = []
 
-    def query(path, name, **more):
-        asked.append([path, name, more])
+    def query(path, name, **arguments):
+        sent_queries.append([path, name, arguments])
         return json.loads(json.dumps(answers.get(name, {})))
 
     with mock.patch("decklb.management.control_client.query", query):
-        result = CliRunner().invoke(main, [*arguments, "--socket", "s"])
-    return [result.exit_code, asked, *result.output.splitlines()]
+        result = CliRunner().invoke(main, [*command, "--socket", "s"])
+    return [result.exit_code, sent_queries, *result.output.splitlines()]
 
 
-def all_queried():
-    return {name: queried(arguments, ANSWERS) for name, arguments in QUERIES.items()} | {
-        name: queried(arguments, {}) for name, arguments in EMPTY.items()
+def run_all_commands():
+    return {name: run_with_answers(command, ANSWERS) for name, command in COMMANDS.items()} | {
+        name: run_with_answers(command, {}) for name, command in COMMANDS_OF_ABSENT_SUBSYSTEMS.items()
     }
 
 
 def test_commands_about_a_running_process_print_the_recorded_lines():
-    assert all_queried() == json.loads((GOLDEN / "cli_queries.json").read_text())
+    assert run_all_commands() == json.loads((GOLDEN / "cli_queries.json").read_text())
 
 
-def test_commands_about_a_running_process_say_why_they_cannot_ask(tmp_path):
+def test_commands_about_a_running_process_print_the_recorded_errors(tmp_path):
     (tmp_path / "s.xml").write_text('<decklb version="1"/>')
-    told = [
-        CliRunner().invoke(main, ["members", *more]).output.replace(str(tmp_path), "")
-        for more in (
+    outputs = [
+        CliRunner().invoke(main, ["members", *options]).output.replace(str(tmp_path), "")
+        for options in (
             ["--settings", str(tmp_path / "s.xml")],
             ["--settings", str(ROOT / "deploy/postgres.xml")],
             ["--socket", str(tmp_path / "none")],
         )
     ]
-    assert told == json.loads((GOLDEN / "cli_query_errors.json").read_text())
+    assert outputs == json.loads((GOLDEN / "cli_query_errors.json").read_text())
--- a/tests/test_config_wire_format.py
+++ b/tests/test_config_wire_format.py
@@ -1,4 +1,4 @@
-"""Settings files mean what they always meant: values, schema and error texts against recorded ones."""
+"""Compares the values read from configuration files, the schema and the error texts with recorded ones."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "deploy/postgres.xml",
     "tests/golden/config_every_key.xml",
 ]
-# Name of a field in the code -> its name in the recorded values, by class. A renamed field is entered here alone.
+# By class: name of a field in the code -> its name in the recorded values. When a field is renamed, only this changes.
 RECORDED_NAMES: dict[str, dict[str, str]] = {
     "Settings": {
         "gateway_index": "me",
@@ -181,32 +181,32 @@
     },
     "BgpSettings": {"bgp_identifier": "router", "hold_time_s": "hold"},
 }
-KEYED = {"name": "keyed", "aim": 500.0, "deadline": 900.0, "semantics": "deduplicated", "memory_span": 700.0}
-PLATFORM = {
+KEYED_CLASS = {"name": "keyed", "aim": 500.0, "deadline": 900.0, "semantics": "deduplicated", "memory_span": 700.0}
+PLATFORM_CONFIG = {
     "name": "n",
     "listen": "127.0.0.1:7",
     "seed": "1f",
     "limits": {"sockets": 4096, "memory_mb": 300},
     "resolver": "127.0.0.1:8",
     "settings": SETTINGS
-    | {"categories": [*SETTINGS["categories"], KEYED], "domain": {"kind_cores": [8], "dop": [1, 1, 2]}},
+    | {"categories": [*SETTINGS["categories"], KEYED_CLASS], "domain": {"kind_cores": [8], "dop": [1, 1, 2]}},
     "known": known(1, 2, index=5),
 }
 
 
-def plain(value):
-    """A settings object as plain JSON values, under the recorded names of its fields."""
+def to_plain(value):
+    """Convert a settings object to plain JSON values, with the recorded names of its fields."""
     if is_dataclass(value):
         names = RECORDED_NAMES.get(type(value).__name__, {})
-        return {names.get(f.name, f.name): plain(getattr(value, f.name)) for f in fields(value)}
+        return {names.get(f.name, f.name): to_plain(getattr(value, f.name)) for f in fields(value)}
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
-        return {str(plain(k)): plain(v) for k, v in value.items()}
+        return {str(to_plain(k)): to_plain(v) for k, v in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(v) for v in value]
+        return [to_plain(v) for v in value]
     if isinstance(value, set | frozenset):
-        return sorted(map(plain, value))
+        return sorted(map(to_plain, value))
     return value.replace(str(ROOT), "<root>") if isinstance(value, str) else value
 
 
@@ -214,42 +214,42 @@
     return json.loads((GOLDEN / f"config_{name}.json").read_text())
 
 
-def properties(loaded):
+def derived_limits(loaded):
     return [loaded.max_clients, loaded.max_extra_clients, loaded.max_client_bytes]
 
 
 @pytest.mark.parametrize("path", FILES)
 def test_settings_file_gives_the_recorded_values(path):
     loaded = config.load(None, str(ROOT / path))
-    assert [plain(loaded), properties(loaded)] == recorded("values")[path]
+    assert [to_plain(loaded), derived_limits(loaded)] == recorded("values")[path]
 
 
 def test_platform_file_gives_the_recorded_values(tmp_path, monkeypatch):
-    (tmp_path / "platform.json").write_text(json.dumps(PLATFORM))
+    (tmp_path / "platform.json").write_text(json.dumps(PLATFORM_CONFIG))
     loaded = config.load(str(tmp_path / "platform.json"))
-    assert [plain(loaded), properties(loaded)] == recorded("values")["platform"]
+    assert [to_plain(loaded), derived_limits(loaded)] == recorded("values")["platform"]
     monkeypatch.setenv("LB_NAME", "from-environment")
     monkeypatch.setenv("LB_LISTEN", "127.0.0.1:9")
     (tmp_path / "platform.json").write_text(json.dumps({"settings": SETTINGS}))
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "platform.json"))
-    assert plain(config.load()) == recorded("values")["platform by environment"]
+    assert to_plain(config.load()) == recorded("values")["platform by environment"]
 
 
 def test_settings_file_over_platform_file_gives_the_recorded_values(tmp_path):
-    (tmp_path / "platform.json").write_text(json.dumps(PLATFORM))
+    (tmp_path / "platform.json").write_text(json.dumps(PLATFORM_CONFIG))
     loaded = config.load(str(tmp_path / "platform.json"), str(ROOT / "deploy/postgres.xml"))
-    assert plain(loaded) == recorded("values")["postgres over platform"]
+    assert to_plain(loaded) == recorded("values")["postgres over platform"]
 
 
-@pytest.mark.parametrize("number", range(len(BROKEN)), ids=[words for _, _, words in BROKEN])
+@pytest.mark.parametrize("number", range(len(BROKEN)), ids=[message for _, _, message in BROKEN])
 def test_broken_file_gives_the_recorded_faults(tmp_path, number):
     path = tmp_path / "s.xml"
     path.write_text(HEAD + BROKEN[number][0] + "\n</decklb>\n")
     with pytest.raises(config.SettingsError) as caught:
         config.load(None, str(path))
-    told = str(caught.value).replace(str(path), "s.xml")
-    # The length of a path depends on the folder of this run.
-    assert re.sub(r"path has \d+ bytes", "path has N bytes", told).splitlines() == recorded("faults")[number]
+    message = str(caught.value).replace(str(path), "s.xml")
+    # The length of the path depends on the temporary folder.
+    assert re.sub(r"path has \d+ bytes", "path has N bytes", message).splitlines() == recorded("faults")[number]
 
 
 @pytest.mark.parametrize("number", range(7))
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -1,4 +1,4 @@
-"""The operators' XML: what it means, and a table of broken files with the line and the fault of each."""
+"""The operators' XML: the settings read from it, and a table of invalid files with the line and text of each fault."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     '<locality zone="a" members="5"><region name="r"><zone name="a"/></region>'
     '<region name="s"><zone name="b"/></region></locality>'
 )
-BROKEN = [  # what follows the head's four lines, the line blamed, words of the fault
+BROKEN = [  # text after the four lines of HEAD, line of the fault, part of the fault's message
     ("<classess/>", 5, "classess"),
     ('<process name="n"/>', 5, "process"),
     ('<rules tick="5"/>', 5, "a duration such as 250ms"),
@@ -93,7 +93,7 @@
 ]
 
 
-def write(folder, text, name="s.xml"):
+def write_file(folder, text, name="s.xml"):
     path = Path(folder) / name
     path.write_text(text)
     return str(path)
@@ -105,24 +105,24 @@
         yield name
 
 
-@pytest.mark.parametrize(("body", "line", "words"), BROKEN, ids=[w for _, _, w in BROKEN])
-def test_a_broken_file_is_rejected_with_the_line_of_each_fault(folder, body, line, words):
-    path = write(folder, HEAD + body + "\n</decklb>\n")
+@pytest.mark.parametrize(("section", "line", "message"), BROKEN, ids=[message for _, _, message in BROKEN])
+def test_a_broken_file_is_rejected_with_the_line_of_each_fault(folder, section, line, message):
+    path = write_file(folder, HEAD + section + "\n</decklb>\n")
     with pytest.raises(config.SettingsError) as caught:
         config.load(None, path)
-    assert [f for f in caught.value.faults if f.line == line and words in f.text], str(caught.value)
+    assert [f for f in caught.value.faults if f.line == line and message in f.text], str(caught.value)
     assert all(f.file == path for f in caught.value.faults)
 
 
 def test_all_faults_are_reported_at_once(folder):
-    path = write(folder, HEAD.replace("100%", "1") + '<rules tick="x"/>\n<control/>\n</decklb>')
+    path = write_file(folder, HEAD.replace("100%", "1") + '<rules tick="x"/>\n<control/>\n</decklb>')
     with pytest.raises(config.SettingsError) as caught:
         config.load(None, path)
     assert [f.line for f in caught.value.faults] == [4, 5, 6]
 
 
 @pytest.mark.parametrize(
-    "head",
+    "text",
     [
         '<!DOCTYPE decklb [<!ENTITY a "1">]>\n<decklb version="1"><control socket="&a;"/></decklb>',
         '<!DOCTYPE decklb SYSTEM "http://127.0.0.1:1/x.dtd">\n<decklb version="1"/>',
@@ -131,38 +131,51 @@
         "<decklb version='1'/>" + " " * (5 << 20),
     ],
 )
-def test_entities_doctypes_and_huge_files_are_rejected(folder, head):
+def test_entities_doctypes_and_huge_files_are_rejected(folder, text):
     with pytest.raises(config.SettingsError):
-        config.load(None, write(folder, head))
+        config.load(None, write_file(folder, text))
 
 
 class SettingsFile(unittest.TestCase):
-    def test_the_example_of_the_handoff_is_accepted(self):
-        c = config.load(None, str(ROOT / "deploy/handoff.xml"))
-        assert c.handoff is not None and c.handoff.fleet_size == 3 and c.postgres is not None
-        assert c.handoff.store_folder == str(ROOT / "deploy/reportes-1.data")
-
-    def test_the_example_of_locality_is_accepted(self):
-        c = config.load(None, str(ROOT / "deploy/locality.xml"))
-        assert c.locality is not None and c.locality.home_zone == "sala-lima" and c.locality.member_count == 5
-        assert c.locality.region_of == {"sala-lima": "costa", "sala-callao": "costa", "sala-cusco": "sierra"}
-
-    def test_the_example_of_maintenance_is_accepted(self):
-        c = config.load(None, str(ROOT / "deploy/maintenance.xml"))
-        assert c.maintenance is not None and c.maintenance.member_count == 5
-        assert c.maintenance.max_unavailable_zone_fraction == 1.0
-
-    def test_cluster_example(self):
-        c = config.load(None, str(ROOT / "deploy/cluster.xml"))
-        assert c.cluster is not None and c.cluster.health_checks is not None and len(c.cluster.seeds) == 3
-
-    def test_example_alone(self):
-        c = config.load(None, str(ROOT / "deploy/postgres.xml"))
-        assert c.postgres is not None and c.postgres.users["reportes"].budget_ms == 20_000.0
-        assert c.settings.classes["carga"].ordered_by_key and c.settings.max_attempts == 4 and c.settings.tick_ms == 5.0
-        assert [x["instanceId"] for x in c.endpoint_list_updates[0]["endpoints"]["instances"]] == ["motor-1", "motor-2"]
-
-    def test_settings_replace_those_of_the_platforms_file(self):
+    def test_handoff_example_is_accepted(self):
+        loaded = config.load(None, str(ROOT / "deploy/handoff.xml"))
+        assert loaded.handoff is not None and loaded.handoff.fleet_size == 3 and loaded.postgres is not None
+        assert loaded.handoff.store_folder == str(ROOT / "deploy/reportes-1.data")
+
+    def test_locality_example_is_accepted(self):
+        loaded = config.load(None, str(ROOT / "deploy/locality.xml"))
+        assert (
+            loaded.locality is not None
+            and loaded.locality.home_zone == "sala-lima"
+            and loaded.locality.member_count == 5
+        )
+        assert loaded.locality.region_of == {"sala-lima": "costa", "sala-callao": "costa", "sala-cusco": "sierra"}
+
+    def test_maintenance_example_is_accepted(self):
+        loaded = config.load(None, str(ROOT / "deploy/maintenance.xml"))
+        assert loaded.maintenance is not None and loaded.maintenance.member_count == 5
+        assert loaded.maintenance.max_unavailable_zone_fraction == 1.0
+
+    def test_cluster_example_is_accepted(self):
+        loaded = config.load(None, str(ROOT / "deploy/cluster.xml"))
+        assert (
+            loaded.cluster is not None and loaded.cluster.health_checks is not None and len(loaded.cluster.seeds) == 3
+        )
+
+    def test_postgres_example_is_accepted_without_a_platform_file(self):
+        loaded = config.load(None, str(ROOT / "deploy/postgres.xml"))
+        assert loaded.postgres is not None and loaded.postgres.users["reportes"].budget_ms == 20_000.0
+        assert (
+            loaded.settings.classes["carga"].ordered_by_key
+            and loaded.settings.max_attempts == 4
+            and loaded.settings.tick_ms == 5.0
+        )
+        assert [x["instanceId"] for x in loaded.endpoint_list_updates[0]["endpoints"]["instances"]] == [
+            "motor-1",
+            "motor-2",
+        ]
+
+    def test_settings_override_the_platform_file(self):
         with tempfile.TemporaryDirectory() as folder:
             raw = {"name": "n", "listen": "127.0.0.1:1", "settings": SETTINGS, "known": known(1)}
             xml = (
@@ -170,16 +183,16 @@
                 ' interval="1s" weight="2"><seed>127.0.0.1:8</seed></cluster>'
                 '<probing period="250ms" timeout="50ms" doubt-share="75%"/><control socket="c.sock"/></decklb>'
             )
-            c = config.load(write(folder, json.dumps(raw), "c.json"), write(folder, xml))
-            assert (c.name, c.memory_mb, c.endpoint_list_version) == ("n", 64.0, 1)
-            assert c.cluster is not None and c.cluster.health_checks is not None
-            assert c.cluster.key_file == str(Path(folder).resolve() / "sub/k.json")
-            assert (c.cluster.member, c.cluster.seeds) == ("n", (("127.0.0.1", 8),))
-            assert (c.cluster.membership.probe_interval_ms, c.cluster.health_checks.mass_failure_ratio) == (
+            loaded = config.load(write_file(folder, json.dumps(raw), "c.json"), write_file(folder, xml))
+            assert (loaded.name, loaded.memory_mb, loaded.endpoint_list_version) == ("n", 64.0, 1)
+            assert loaded.cluster is not None and loaded.cluster.health_checks is not None
+            assert loaded.cluster.key_file == str(Path(folder).resolve() / "sub/k.json")
+            assert (loaded.cluster.member, loaded.cluster.seeds) == ("n", (("127.0.0.1", 8),))
+            assert (loaded.cluster.membership.probe_interval_ms, loaded.cluster.health_checks.mass_failure_ratio) == (
                 1000.0,
                 0.75,
             )
-            assert c.control == str(Path(folder).resolve() / "c.sock")
+            assert loaded.control == str(Path(folder).resolve() / "c.sock")
 
     def test_units_are_converted_and_malformed_values_rejected(self):
         assert [units.parse_duration_ms(x) for x in ("250ms", "2s", "1.5min", "1h")] == [
@@ -198,11 +211,11 @@
         for text in ("", "2", "s", "-1s", "1 s", "1e3ms", "2m"):
             self.assertRaises(ValueError, units.parse_duration_ms, text)
 
-    def test_check_and_schema_print_what_holds(self):
+    def test_check_prints_a_summary_or_faults_and_schema_prints_the_schema(self):
         run = CliRunner().invoke
         assert "schema" in run(main, ["schema"]).output
-        said = run(main, ["check", "--settings", str(ROOT / "deploy/postgres.xml")])
-        assert said.exit_code == 0 and "postgres: 2 users" in said.output
+        result = run(main, ["check", "--settings", str(ROOT / "deploy/postgres.xml")])
+        assert result.exit_code == 0 and "postgres: 2 users" in result.output
         with tempfile.TemporaryDirectory() as folder:
-            said = run(main, ["check", "--settings", write(folder, HEAD + "<control/></decklb>")])
-        assert said.exit_code == 1 and ":5: " in said.output
+            result = run(main, ["check", "--settings", write_file(folder, HEAD + "<control/></decklb>")])
+        assert result.exit_code == 1 and ":5: " in result.output
