--- a/tests/standins.py
+++ b/tests/standins.py
@@ -144,10 +144,10 @@
 
 
 class PingEngine:
-    """An engine that answers pings and records their times; while `deaf` is set, pings are read but not answered."""
+    """An engine that records the times of pings, and answers them unless it is `unresponsive`."""
 
     def __init__(self, loop):
-        self.loop, self.pings, self.deaf = loop, [], False
+        self.loop, self.pings, self.unresponsive = loop, [], False
         self.server = loop.run(asyncio.start_server(self._serve, "127.0.0.1", 0))
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -161,7 +161,7 @@
                 for parts in parser.feed(data):
                     if parts[0] == b"ping":
                         self.pings.append(time.monotonic())
-                        if not self.deaf:
+                        if not self.unresponsive:
                             writer.write(resp.pack(parts[1], b"well", b"-", b""))
         except ConnectionError:
             pass
--- a/tests/test_shared_health_checks_program.py
+++ b/tests/test_shared_health_checks_program.py
@@ -150,14 +150,14 @@
 
     def test_an_engine_that_answers_nobody_is_left_out_and_comes_back(self):
         trio = self.trio
-        trio.engines[0].deaf = True
+        trio.engines[0].unresponsive = True
         wait_for(
             lambda: all(
                 any(r["subject"] == "s-0" and r["down"] for r in query(trio.socket(i), "duties")) for i in range(3)
             ),
             "told to all",
         )
-        trio.engines[0].deaf = False
+        trio.engines[0].unresponsive = False
         wait_for(lambda: not any(r["down"] for i in range(3) for r in query(trio.socket(i), "duties")), "told again")
 
     def test_a_drain_hands_over_at_once(self):
