--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Makes .venv as requirements.txt says, anew whenever that text has changed or a build was cut short.
+# Creates .venv from requirements.txt, and again when that file has changed or an earlier build was interrupted.
 set -eu
 cd "$(dirname "$0")/.."
 if ! cmp -s requirements.txt .venv/built-from; then
@@ -8,5 +8,5 @@
     .venv/bin/pip -q install -r requirements.txt
     cp requirements.txt .venv/built-from
 fi
-# The file system is read-only where the program runs, so it could not keep these itself.
+# The file system is read-only at run time, so Python could not write the compiled files then.
 .venv/bin/python -m compileall -q decklb
--- a/deploy/setup.sh
+++ b/deploy/setup.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Makes .venv with all extras, for trying and developing. The platform's own environment is made by build.sh.
+# Creates .venv with all optional dependencies, for evaluation and development. On the platform, build.sh creates it.
 set -eu
 cd "$(dirname "$0")/.."
 rm -rf .venv
