--- a/decklb/cli/handoff.py
+++ b/decklb/cli/handoff.py
@@ -1,4 +1,4 @@
-"""The command `handoff`: the records of in-flight requests that a running process keeps, its own and replicas."""
+"""The command `handoff`: counts of the records of in-flight requests that a running process keeps, own and replicas."""
 
 from __future__ import annotations
 
--- a/decklb/config/document.py
+++ b/decklb/config/document.py
@@ -47,7 +47,7 @@
     def check_unique(self, parent: etree._Element, attribute: str, kind: str) -> None:
         """Record a fault for each child whose attribute repeats the value of an earlier child.
 
-        `kind` is what the fault's text calls the children.
+        `kind` names the children in the text of the fault.
         """
         first_lines: dict[str, int] = {}
         for child in parent:
@@ -68,12 +68,12 @@
             )
 
     def resolve_path(self, text: str) -> str:
-        """Return a path that is relative to the folder of the file, as an absolute path."""
+        """Return the absolute form of a path; a relative path starts at the folder of the settings file."""
         return str(Path(self.path).resolve().parent / text)
 
 
 def convert_attributes(element: etree._Element, table: AttributeTable) -> dict[str, Any]:
-    """Return the values of those attributes that are given, converted, by the key or field that they set."""
+    """Convert those attributes of an element that the table lists; return the values by the key or field they set."""
     return {table[name][0]: table[name][1](text) for name, text in element.attrib.items() if name in table}
 
 
--- a/decklb/config/model.py
+++ b/decklb/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration of a process: the common result of reading either configuration file."""
+"""The configuration of a process, whether it was read from the platform's JSON, the operators' XML or both."""
 
 from __future__ import annotations
 
@@ -18,11 +18,14 @@
 
 # File descriptors for the log, the reactor, the service directory and the listening sockets.
 RESERVED_DESCRIPTORS = 16
-# Memory in MB that the program itself needs under load, without buffers for clients.
+# Memory in MB (2**20 bytes) that the program itself uses under load. It is not available for the buffers of clients.
 PROGRAM_MEMORY_MB = 28.0
-# One part in this many of the unreserved descriptors, or of the memory that the program leaves free, is for clients.
-CLIENT_DESCRIPTORS_DIVISOR = 2  # of all, a third for active clients; the rest of the half for idle connections
-EXTRA_CLIENT_DESCRIPTORS_DIVISOR = 6  # for new clients while others are being closed; the remainder is for engines
+# The descriptors beyond RESERVED_DESCRIPTORS are divided as follows: 1/2 for client connections, 1/6 for further ones
+# that are accepted while others are being closed; the remaining 1/3 is left for connections to engines. The half is
+# sized as 1/3 for usual clients and 1/6 for connections that stay open and send nothing, but enforced only as a whole.
+CLIENT_DESCRIPTORS_DIVISOR = 2
+EXTRA_CLIENT_DESCRIPTORS_DIVISOR = 6
+# The buffers of all clients may use 1/3 of the memory above PROGRAM_MEMORY_MB.
 CLIENT_MEMORY_DIVISOR = 3
 
 Address = tuple[str, int]
@@ -38,7 +41,9 @@
     max_descriptors: int
     memory_mb: float
     settings: Settings
-    connection_limits: dict[str, Any]  # `limits` of the settings as written; the policy ignores those of connections
+    # `limits` of the settings, unparsed: the platform's engine client reads those of connections (`connect_timeout`,
+    # `conn_idle`, `streams_per_conn`), which the policy ignores.
+    connection_limits: dict[str, Any]
     resolver: Address | None  # address of the service directory that is polled; None: there is none
     endpoint_list_version: int  # version of the endpoint list in `endpoint_list_updates`
     endpoint_list_updates: list[dict[str, Any]]  # initial endpoint list, in the format of the directory
@@ -57,12 +62,18 @@
 
     @property
     def max_extra_clients(self) -> int:
-        """Maximum number of client connections above `max_clients`, while others are closed to make room."""
+        """Maximum number of client connections above `max_clients`, accepted while others are closed to make room.
+
+        The PostgreSQL front does not use it.
+        """
         return max(1, (self.max_descriptors - RESERVED_DESCRIPTORS) // EXTRA_CLIENT_DESCRIPTORS_DIVISOR)
 
     @property
     def max_client_bytes(self) -> int:
-        """Maximum size of the buffers of all clients: partially read messages and answers not yet received."""
+        """Maximum size in bytes of the buffers of all clients: partially read messages and answers not yet received.
+
+        The PostgreSQL front does not use it.
+        """
         return int(max(1.0, (self.memory_mb - PROGRAM_MEMORY_MB) / CLIENT_MEMORY_DIVISOR) * (1 << 20))
 
 
--- a/decklb/config/operators.py
+++ b/decklb/config/operators.py
@@ -97,7 +97,7 @@
 
 
 def _check_raw_subsystems(document: SettingsDocument, raw: Json) -> None:
-    """Validate these sections one at a time, so that each fault can be reported at its element."""
+    """Validate RAW_SUBSYSTEM_SECTIONS one section at a time, so that each fault can be reported at its element."""
     for section in RAW_SUBSYSTEM_SECTIONS:
         element = document.root.find(section)
         if element is not None:
--- a/decklb/config/sections/cluster.py
+++ b/decklb/config/sections/cluster.py
@@ -44,7 +44,7 @@
 
 
 def read_cluster(document: SettingsDocument, process_name: str) -> ClusterSettings | None:
-    """Read both sections; paths are relative to the folder of the file.
+    """Read the sections `cluster` and `probing`; paths are relative to the folder of the file.
 
     Args:
         document: The settings file; faults are added to it.
--- a/decklb/config/sections/control.py
+++ b/decklb/config/sections/control.py
@@ -8,9 +8,9 @@
 
 
 def read_control(document: SettingsDocument) -> str:
-    """Return the path of the socket, which is relative to the folder of the file; "" without the section.
+    """Return the absolute path of the socket; "" if there is no section.
 
-    A path that is too long is a fault.
+    A relative path starts at the folder of the settings file. A path that is too long is a fault.
     """
     element = document.root.find("control")
     if element is None:
--- a/decklb/config/xml.py
+++ b/decklb/config/xml.py
@@ -23,7 +23,7 @@
 MAX_DEPTH = 8
 # Maximum number of faults reported at once.
 MAX_FAULTS = 100
-# What each type of the schemas accepts, in the words of error messages.
+# Descriptions, for error messages, of what each type of the schemas accepts.
 ACCEPTED_BY_TYPE = {
     "duration": "a duration such as 250ms, 2s, 1min",
     "size": "a size such as 64KiB, 64MiB",
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -18,7 +18,7 @@
 from decklb.net import resp
 
 ROOT = Path(__file__).parent.parent
-DEADLINE = 20.0  # seconds after which a test stops waiting and fails; durations are not judged by it
+DEADLINE = 20.0  # seconds after which a waiting test fails; no test uses it to check how long something takes
 
 SETTINGS = {
     "categories": [
@@ -170,7 +170,7 @@
 
 
 class PgEngine:
-    """Implements the server side of PostgreSQL's protocol 3.0, as far as clients depend on its specification.
+    """The server side of PostgreSQL's protocol 3.0, limited to what its public specification lets clients rely on.
 
     Statements: 'sleep MS' runs for that long and can be cancelled, 'fail STATE' returns an error with that SQLSTATE,
     'die' aborts the connection, 'die once' does so only the first time at any engine, 'rows N' returns its row N
--- a/tests/test_config_wire_format.py
+++ b/tests/test_config_wire_format.py
@@ -24,7 +24,8 @@
     "deploy/postgres.xml",
     "tests/golden/config_every_key.xml",
 ]
-# By class: name of a field in the code -> its name in the recorded values. When a field is renamed, only this changes.
+# Maps, for each class, names of fields in the code to their names in the recorded values. When a field is renamed, only
+# this table has to change.
 RECORDED_NAMES: dict[str, dict[str, str]] = {
     "Settings": {
         "gateway_index": "me",
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -130,7 +130,8 @@
     ("maintenance", "handoff"): "both store records on disk",
     ("maintenance", "locality"): "budgets depend on zones and their load",
 }
-# Packages with cyclic imports between their modules, with the reason; checked in the same way.
+# Packages with cyclic imports between their modules, with the modules concerned. A package that no longer has a cycle
+# fails the test too.
 IMPORT_CYCLES = {
     "handoff": "connections to peers and the service that owns them",
     "net": "connections and the listener or pool that owns them, on both sides",
@@ -173,7 +174,7 @@
 
 
 def package_imports():
-    """Map each pair of an importing and an imported package to one example of modules."""
+    """Map each pair (importing package, imported package) to an example of such an import."""
     return {
         (package(importer), package(target)): f"{importer} imports {target}"
         for importer, targets in module_imports().items()
