--- a/tests/pg_program.py
+++ b/tests/pg_program.py
@@ -110,7 +110,7 @@
 
     def statements(self, what):
         """The statements that engines noted: those that were parsed ("parse"), begun ("start") or ended ("end")."""
-        return [sql for engine in self.engines for sql in engine.said(what)]
+        return [sql for engine in self.engines for sql in engine.statements(what)]
 
     def assert_no_overlap(self, sql):
         """Attempts of one request: each starts after the one before has ended."""
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -189,7 +189,8 @@
     def close(self):
         self.loop.loop.call_soon_threadsafe(self.server.close)
 
-    def said(self, what):
+    def statements(self, what):
+        """Return the recorded statements of one kind: "parse", "start" or "end"."""
         return [sql for kind, sql, _ in list(self.log) if kind == what]
 
     def _record(self, what, sql):
--- a/tests/test_shared_health_checks_program.py
+++ b/tests/test_shared_health_checks_program.py
@@ -188,7 +188,7 @@
             try:
                 wait_for(lambda: any(r["up"] for r in query(f"{folder}/s", "duties")), "a probe")
                 wait_for(lambda: query(f"{folder}/s", "members")["health"]["duties"]["probe"]["started"] > 3, "probes")
-                self.assertEqual((engine.count, engine.said("start")), (1, []))
+                self.assertEqual((engine.count, engine.statements("start")), (1, []))
             finally:
                 program.stop()
                 engine.close()
