--- a/decklb/config/model.py
+++ b/decklb/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration of a process, as every reader of settings files makes it."""
+"""The configuration of a process, whether it was read from the platform's JSON, the operators' XML or both."""
 
 from __future__ import annotations
 
@@ -16,13 +16,16 @@
     from decklb.maintenance.settings import MaintenanceSettings
     from decklb.pg.settings import PgSettings
 
-# Descriptors for the log, the reactor, the directory and the listening sockets.
+# File descriptors for the log, the reactor, the service directory and the listening sockets.
 RESERVED_DESCRIPTORS = 16
-# MB of the program itself under load.
+# Memory in MB (2**20 bytes) that the program itself uses under load. It is not available for the buffers of clients.
 PROGRAM_MEMORY_MB = 28.0
-# Part of the descriptors, and of the memory that the program leaves free, for what is said beside each use.
-CLIENT_DESCRIPTORS_DIVISOR = 2  # a third for usual clients, the rest for those that stay and send nothing
-EXTRA_CLIENT_DESCRIPTORS_DIVISOR = 6  # while clients are being closed; what is left is for engines
+# The descriptors beyond RESERVED_DESCRIPTORS are divided as follows: 1/2 for client connections, 1/6 for further ones
+# that are accepted while others are being closed; the remaining 1/3 is left for connections to engines. The half is
+# sized as 1/3 for usual clients and 1/6 for connections that stay open and send nothing, but enforced only as a whole.
+CLIENT_DESCRIPTORS_DIVISOR = 2
+EXTRA_CLIENT_DESCRIPTORS_DIVISOR = 6
+# The buffers of all clients may use 1/3 of the memory above PROGRAM_MEMORY_MB.
 CLIENT_MEMORY_DIVISOR = 3
 
 Address = tuple[str, int]
@@ -30,44 +33,52 @@
 
 @dataclass(slots=True)
 class Config:
-    """What a process is told at its start."""
+    """Configuration of one process."""
 
     name: str
     listen: Address
-    seed: int  # of all that the process draws
+    seed: int  # seed of all random numbers of the process
     max_descriptors: int
     memory_mb: float
     settings: Settings
-    connection_limits: dict[str, Any]  # the settings' limits as they are written; those of connections decide nothing
-    resolver: Address | None  # of the directory that is polled
-    endpoint_list_version: int  # of the list of engines in `endpoint_list_updates`
-    endpoint_list_updates: list[dict[str, Any]]  # the list at the start, in the directory's form
-    postgres: PgSettings | None  # given: this front serves instead of the platform's
+    # `limits` of the settings, unparsed: the platform's engine client reads those of connections (`connect_timeout`,
+    # `conn_idle`, `streams_per_conn`), which the policy ignores.
+    connection_limits: dict[str, Any]
+    resolver: Address | None  # address of the service directory that is polled; None: there is none
+    endpoint_list_version: int  # version of the endpoint list in `endpoint_list_updates`
+    endpoint_list_updates: list[dict[str, Any]]  # initial endpoint list, in the format of the directory
+    postgres: PgSettings | None  # if given, the PostgreSQL front replaces the platform's
     bgp: BgpSettings | None
     cluster: ClusterSettings | None = None
     handoff: HandoffSettings | None = None
     locality: LocalitySettings | None = None
     maintenance: MaintenanceSettings | None = None
-    control: str = ""  # path of the Unix socket for operators; "" for none
+    control: str = ""  # path of the control socket (a Unix socket for operators); "": none
 
     @property
     def max_clients(self) -> int:
-        """Connections of clients."""
+        """Maximum number of client connections."""
         return max(1, (self.max_descriptors - RESERVED_DESCRIPTORS) // CLIENT_DESCRIPTORS_DIVISOR)
 
     @property
     def max_extra_clients(self) -> int:
-        """Connections of clients beyond that, while others are closed for them."""
+        """Maximum number of client connections above `max_clients`, accepted while others are closed to make room.
+
+        The PostgreSQL front does not use it.
+        """
         return max(1, (self.max_descriptors - RESERVED_DESCRIPTORS) // EXTRA_CLIENT_DESCRIPTORS_DIVISOR)
 
     @property
     def max_client_bytes(self) -> int:
-        """Bytes kept for all clients: messages read in part, and answers not yet taken."""
+        """Maximum size in bytes of the buffers of all clients: partially read messages and answers not yet received.
+
+        The PostgreSQL front does not use it.
+        """
         return int(max(1.0, (self.memory_mb - PROGRAM_MEMORY_MB) / CLIENT_MEMORY_DIVISOR) * (1 << 20))
 
 
 def parse_address(text: str) -> Address:
-    """The host and port of `host:port`. Raises ConfigError."""
+    """Parse `host:port`. Raises ConfigError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not int(port) < 65536:
         raise ConfigError(f"no address: {text!r}")
--- a/tests/pg_program.py
+++ b/tests/pg_program.py
@@ -110,7 +110,7 @@
 
     def statements(self, event):
         """Return the statements that engines have parsed ("parse"), started ("start") or ended ("end")."""
-        return [sql for engine in self.engines for sql in engine.said(event)]
+        return [sql for engine in self.engines for sql in engine.statements(event)]
 
     def assert_no_overlap(self, sql):
         """Assert that each attempt to run a statement starts after the previous one has ended."""
--- a/tests/test_shared_health_checks_program.py
+++ b/tests/test_shared_health_checks_program.py
@@ -172,14 +172,14 @@
 
     def test_an_unresponsive_engine_is_reported_down_to_all_and_up_again_after_recovery(self):
         cluster = self.cluster
-        cluster.engines[0].deaf = True
+        cluster.engines[0].unresponsive = True
         wait_for(
             lambda: all(
                 any(r["subject"] == "s-0" and r["down"] for r in query(cluster.socket(i), "duties")) for i in range(3)
             ),
             "report of the failure at all instances",
         )
-        cluster.engines[0].deaf = False
+        cluster.engines[0].unresponsive = False
         wait_for(
             lambda: not any(r["down"] for i in range(3) for r in query(cluster.socket(i), "duties")),
             "report of the recovery",
@@ -213,7 +213,7 @@
             try:
                 wait_for(lambda: any(r["up"] for r in query(f"{folder}/s", "duties")), "a probe")
                 wait_for(lambda: query(f"{folder}/s", "members")["health"]["duties"]["probe"]["started"] > 3, "probes")
-                self.assertEqual((engine.count, engine.said("start")), (1, []))
+                self.assertEqual((engine.count, engine.statements("start")), (1, []))
             finally:
                 program.stop()
                 engine.close()
