--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -1,7 +1,8 @@
 """Fault runs of the handoff between real processes.
 
-Managers that take over one another's requests, their engines, clients that retry, and faults by seed between all of
-them. On loopback, bounded in time and count; see docs/faults.md.
+A fleet of managers takes over requests from one another while its clients retry and a schedule drawn from a seed
+injects faults between managers, engines and clients. Everything runs on loopback, with bounded time and request count;
+see docs/faults.md.
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 from decklb.cluster import keyfile
 from decklb.lab.checks.execution_verdict import ClientRecord, ExecutionEvent, FinalAnswer, Verdict, judge
 from decklb.lab.fault_runs.isolation import MAX_ATTEMPTS, run_in_subprocess
-from decklb.lab.faults import free_ports as ports
+from decklb.lab.faults import free_ports
 from decklb.lab.faults.fault_schedule import CUT, LOSSY, FleetFault, FleetFaultKind, draw_schedule
 from decklb.lab.faults.network_proxy import MAX_LATE_MS, Address, NetworkProxy
 from decklb.management.control_client import ControlError, query
 from decklb.pg import messages as pg
 
-READ, LOAD = "read", "load"  # may be repeated; at most once
-START = 20.0  # seconds for a process to come up
-DRAWS = 3  # of an engine's ports: another fleet that starts may have drawn one of them
-COME_BACK = ("53000", "53300", "57P01", "57P03", "08006")  # answers after which a client asks again
-SLACK = 0.5  # seconds past its deadline in which an answer still counts
+READ_CLASS, LOAD_CLASS = "read", "load"  # classes of idempotent and of at-most-once requests
+START_TIMEOUT_S = 20.0  # for a process to start
+MAX_PORT_DRAWS = 3  # sets of ports tried for an engine: another fleet that starts may have drawn one of the ports
+COME_BACK = ("53000", "53300", "57P01", "57P03", "08006")  # SQLSTATEs after which a client retries
+ANSWER_GRACE_S = 0.5  # after the deadline, in which an answer still counts
 WORK = (5, 20, 80, 300)
 KINDS = (
     FleetFaultKind.KILL,
@@ -48,7 +49,7 @@
     FleetFaultKind.AHEAD,
     FleetFaultKind.BEHIND,
 )
-SIGNALS = {
+SIGNAL_BY_KIND = {
     FleetFaultKind.STOP: signal.SIGSTOP,
     FleetFaultKind.CONT: signal.SIGCONT,
     FleetFaultKind.AHEAD: signal.SIGUSR1,
@@ -59,8 +60,8 @@
 SETTINGS = """<decklb version="1">
   <process name="{name}" listen="127.0.0.1:0" sockets="512"/>
   <classes>
-    <class name="read" aim="1s" stretch="2" deadline="{longest}ms" semantics="idempotent"/>
-    <class name="load" aim="1s" stretch="2" deadline="{longest}ms" semantics="at_most_once"/>
+    <class name="read" aim="1s" stretch="2" deadline="{deadline}ms" semantics="idempotent"/>
+    <class name="load" aim="1s" stretch="2" deadline="{deadline}ms" semantics="at_most_once"/>
   </classes>
   <tenants><tenant name="cusco" share="100%"/></tenants>
   <kinds><kind name="k" cores="64"/></kinds>
@@ -69,10 +70,10 @@
          settle-after-doubt="50ms"/>
   <engines list="1">{engines}</engines>
   <postgres user="decklb" connections="64"/>
-  <cluster name="outage" bind="{bind}" advertise="{told}" keys="{keys}" interval="100ms" timeout="45ms" gossip="20ms"
-           exchange="500ms" settle="300ms">{seeds}</cluster>
+  <cluster name="outage" bind="{bind}" advertise="{advertise}" keys="{keys}" interval="100ms" timeout="45ms"
+           gossip="20ms" exchange="500ms" settle="300ms">{seeds}</cluster>
   <handoff members="{members}"{data} copies="3" lease="{lease}ms" beat="100ms" patience="300ms" resend="60ms"
-           stagger="250ms" longest="{longest}ms" linger="{linger}ms" slack="500ms"/>
+           stagger="250ms" longest="{deadline}ms" linger="{retention}ms" slack="500ms"/>
   <control socket="{socket}"/>
 </decklb>
 """
@@ -80,70 +81,74 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """How large, and how fast things go. Times are milliseconds."""
+    """Size of a fleet, its load and its timeouts. Times are milliseconds."""
 
     managers: int = 3
     engines: int = 3
-    rate: float = 25.0  # requests a second
-    span: float = 5000.0  # in which requests come and faults strike
+    rate: float = 25.0  # requests per second
+    span: float = 5000.0  # period in which requests are sent and faults injected
     faults: int = 1
     longest: float = 4000.0  # deadline of a request
-    linger: float = 1500.0
-    lease: float = 600.0
+    answer_retention_ms: float = 1500.0
+    lease_ms: float = 600.0
     kinds: tuple[FleetFaultKind, ...] = KINDS
     data: bool = False  # managers keep their records on disk
-    work: tuple[int, ...] = WORK  # ms that statements take at their engine
+    work: tuple[int, ...] = WORK  # execution times of statements, in ms
 
     @property
-    def life(self) -> float:
-        """For so long a record may live; members that restarted vote on no older ones."""
-        return (self.longest + self.linger + 500.0) * 1.01
+    def record_lifetime_ms(self) -> float:
+        """Longest time that a record exists; a restarted member does not vote on records older than its start."""
+        return (self.longest + self.answer_retention_ms + 500.0) * 1.01
 
 
 class Process:
-    """A process of this program, or of its stand-ins, whose log lines are kept."""
+    """A process of the program or of a stand-in, with the log lines that it has written."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.lines: list[str] = []
-        self.stamps: list[float] = []  # when each line was read, on the machine's monotonic clock
+        self.log_lines: list[str] = []
+        self.log_times_s: list[float] = []  # when each line was read, on the machine's monotonic clock
         self.child: asyncio.subprocess.Process
-        self._reader: asyncio.Task[None] | None = None
+        self._log_reader: asyncio.Task[None] | None = None
 
-    async def start(self, *words: str) -> None:
-        """Start the process with these arguments of the interpreter's -m."""
+    async def start(self, *arguments: str) -> None:
+        """Start the process with these arguments after the interpreter's -m."""
         env = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "DECKLB_"))}
         self.child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            *words,
+            *arguments,
             env=env,
             cwd=Path(__file__).parents[3],
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
-        self._reader = asyncio.ensure_future(self._read())
+        self._log_reader = asyncio.ensure_future(self._read_log())
 
-    async def _read(self) -> None:
+    async def _read_log(self) -> None:
         assert self.child.stdout is not None
         while line := await self.child.stdout.readline():
-            self.lines.append(line.decode("utf-8", "replace"))
-            self.stamps.append(time.monotonic())
+            self.log_lines.append(line.decode("utf-8", "replace"))
+            self.log_times_s.append(time.monotonic())
 
-    async def says(self, pattern: str) -> re.Match[str]:
-        """The first line that matches, or a fault where the process ends or says nothing for long."""
-        end = time.monotonic() + START
+    async def wait_for_log_line(self, pattern: str) -> re.Match[str]:
+        """Return the match of the first log line that matches.
+
+        Raises:
+            RuntimeError: The process ended, or wrote no such line within START_TIMEOUT_S.
+        """
+        end = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < end:
-            for line in self.lines:
+            for line in self.log_lines:
                 if m := re.search(pattern, line):
                     return m
             if self.child.returncode is not None:
                 break
             await asyncio.sleep(0.02)
-        raise RuntimeError(f"{self.name} did not come up: {''.join(self.lines[-20:])}")
+        raise RuntimeError(f"{self.name} did not start: {''.join(self.log_lines[-20:])}")
 
-    def code(self) -> int | None:
-        """How it ended; None while it runs, and before it is started."""
+    def exit_status(self) -> int | None:
+        """Return the exit status; None while the process runs and before its start."""
         return self.child.returncode if hasattr(self, "child") else None
 
     def signal(self, number: int) -> None:
@@ -158,61 +163,66 @@
 
 
 class Fleet:
-    """Managers, engines and the rig between them, in a folder of its own."""
+    """Managers, engines and the network proxy between them, with their files in one folder."""
 
     def __init__(self, setup: Setup, seed: int, folder: str, index: int = 0) -> None:
         self.setup, self.folder, self.seed = setup, Path(folder), seed
         self.names = [f"m{i}" for i in range(setup.managers)]
-        self.host = {n: f"127.0.{10 + index}.{i + 1}" for i, n in enumerate(self.names)}
+        self.host_by_manager = {n: f"127.0.{10 + index}.{i + 1}" for i, n in enumerate(self.names)}
         self.managers: dict[str, Process] = {}
         self.ports: dict[str, int] = {}
-        self.since: dict[str, float] = {}
+        self.records_since_s: dict[str, float] = {}  # by manager: time since when it holds all records sent to it
         self.engines: list[Process] = []
         self.binds: dict[str, Address] = {}
         self.rig: NetworkProxy
-        self.spoken: list[str] = []  # log lines of processes that have ended
+        self.ended_log_lines: list[str] = []  # log lines of manager processes that were replaced by new ones
 
     async def start(self) -> None:
-        """All of it, in order: engines, the rig, managers."""
+        """Start the engines, then the network proxy, then the managers."""
         targets: dict[str, dict[str, Address]] = {}
         for i in range(self.setup.engines):
             e = Process(f"e{i}")
             self.engines.append(e)
-            targets[e.name] = {n: ("127.0.0.1", p) for n, p in zip(self.names, await self.serve(e), strict=True)}
-        self.binds = {n: (self.host[n], ports.free(1, self.host[n])[0]) for n in self.names}
+            targets[e.name] = {n: ("127.0.0.1", p) for n, p in zip(self.names, await self.start_engine(e), strict=True)}
+        self.binds = {n: (self.host_by_manager[n], free_ports.free(1, self.host_by_manager[n])[0]) for n in self.names}
         self.rig = NetworkProxy(self.binds, self.seed, targets)
         await self.rig.open()
         keyfile.write(str(self.folder / "keys.json"), [keyfile.generate()])
         await asyncio.gather(*(self.up(n) for n in self.names))
 
-    async def serve(self, engine: Process, where: list[int] | None = None) -> list[int]:
-        """Start an engine, at first or again where it was; the ports, one for each manager."""
+    async def start_engine(self, engine: Process, ports: list[int] | None = None) -> list[int]:
+        """Start an engine and return its ports, one for each manager.
+
+        Args:
+            engine: To start.
+            ports: Those of an engine that is restarted; None draws new ones.
+        """
         log = self.folder / f"{engine.name}.log"
         log.touch()
-        draws = DRAWS if where is None else 1
+        draws = MAX_PORT_DRAWS if ports is None else 1
         while True:
-            engine.lines.clear()
-            engine.stamps.clear()
+            engine.log_lines.clear()
+            engine.log_times_s.clear()
             await engine.start(
                 "decklb.lab.standins.observer_engine",
                 engine.name,
                 str(log),
-                ujson.dumps(where or ports.free(self.setup.managers)),
+                ujson.dumps(ports or free_ports.free(self.setup.managers)),
             )
             try:
-                found: list[int] = ujson.loads((await engine.says(r"^(\[.*\])"))[1])
-                return found
+                engine_ports: list[int] = ujson.loads((await engine.wait_for_log_line(r"^(\[.*\])"))[1])
+                return engine_ports
             except RuntimeError:
                 draws -= 1
                 if not draws:
                     raise
 
-    def program(self, name: str) -> tuple[str, ...]:
-        """What runs as a manager."""
+    def manager_module(self, name: str) -> tuple[str, ...]:
+        """Return the module that runs as a manager, followed by its first arguments."""
         return ("decklb.lab.faults.clock_jump",)
 
-    def settings(self, name: str) -> str:
-        """A manager's XML."""
+    def settings_xml(self, name: str) -> str:
+        """Return the settings document of a manager."""
         s = self.setup
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="z" kind="k" weight="8"/>'.format(
@@ -223,39 +233,41 @@
         return SETTINGS.format(
             name=name,
             bind="{}:{}".format(*self.binds[name]),
-            told="{}:{}".format(*self.rig.advertised[name]),
+            advertise="{}:{}".format(*self.rig.advertised[name]),
             keys="keys.json",
             engines=engines,
             seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
             members=s.managers,
-            lease=f"{s.lease:g}",
-            longest=f"{s.longest:g}",
-            linger=f"{s.linger:g}",
+            lease=f"{s.lease_ms:g}",
+            deadline=f"{s.longest:g}",
+            retention=f"{s.answer_retention_ms:g}",
             socket=f"{name}.sock",
             data=f' data="{name}.data"' if s.data else "",
         )
 
     async def up(self, name: str) -> None:
-        """Start a manager, at first or again."""
+        """Start or restart a manager and wait until it listens."""
         path = self.folder / f"{name}.xml"
-        path.write_text(self.settings(name))
+        path.write_text(self.settings_xml(name))
         if name in self.managers:
-            self.spoken += self.managers[name].lines
+            self.ended_log_lines += self.managers[name].log_lines
         p = self.managers[name] = Process(name)
-        await p.start(*self.program(name), "serve", "--settings", str(path), "--log-level", "DEBUG")
-        self.ports[name] = int((await p.says(r"listens on [\d.]+:(\d+)"))[1])
-        if not (self.setup.data and name in self.since):
-            self.since[name] = time.monotonic()
+        await p.start(*self.manager_module(name), "serve", "--settings", str(path), "--log-level", "DEBUG")
+        self.ports[name] = int((await p.wait_for_log_line(r"listens on [\d.]+:(\d+)"))[1])
+        if not (self.setup.data and name in self.records_since_s):
+            self.records_since_s[name] = time.monotonic()
 
     async def remember(self) -> None:
-        """Wait until every manager remembers for longer than any record lives, so that each may vote again.
+        """Wait until every manager may vote, that is until it has run for longer than the lifetime of a record.
 
-        One that keeps its records on disk does so by itself.
+        A manager that keeps its records on disk may vote right after a restart.
         """
-        await asyncio.sleep(max(0.0, max(self.since.values()) + self.setup.life / 1000 + 0.3 - time.monotonic()))
+        await asyncio.sleep(
+            max(0.0, max(self.records_since_s.values()) + self.setup.record_lifetime_ms / 1000 + 0.3 - time.monotonic())
+        )
 
     async def strike(self, fault: FleetFault) -> None:
-        """One fault, or the end of one."""
+        """Inject a fault, or undo one."""
         rig, manager = self.rig, self.managers[fault.target]
         match fault.kind:
             case FleetFaultKind.KILL:
@@ -271,53 +283,53 @@
             case FleetFaultKind.CUT:
                 rig.set_link(fault.target, fault.other, CUT)
             case FleetFaultKind.LOSSY:
-                for a, b in ((fault.target, fault.other), (fault.other, fault.target)):
-                    rig.set_link(a, b, LOSSY)
+                for sender, receiver in ((fault.target, fault.other), (fault.other, fault.target)):
+                    rig.set_link(sender, receiver, LOSSY)
             case FleetFaultKind.HEAL:
                 rig.heal()
             case kind:
-                manager.signal(SIGNALS[kind])
+                manager.signal(SIGNAL_BY_KIND[kind])
 
     def witnessed(self) -> list[ExecutionEvent]:
-        """What the engines wrote down so far."""
+        """Return all events that the engines have logged so far."""
         return [
             ExecutionEvent(**ujson.loads(line), engine=e.name)
             for e in self.engines
             for line in (self.folder / f"{e.name}.log").read_text().splitlines()
         ]
 
-    def logged(self, event: str) -> int:
-        """How many log lines of all managers hold this word."""
-        lines = itertools.chain(self.spoken, *(p.lines for p in self.managers.values()))
-        return sum(event in line for line in lines)
+    def logged(self, text: str) -> int:
+        """Count the log lines of all managers that contain a text, those of ended processes included."""
+        lines = itertools.chain(self.ended_log_lines, *(p.log_lines for p in self.managers.values()))
+        return sum(text in line for line in lines)
 
-    def late(self, since: float) -> float:
-        """How late the rig or a manager was at worst since a moment, in ms, by their own logs.
+    def max_lateness_ms(self, since_s: float) -> float:
+        """Return by how many ms the network proxy or a manager was late at worst since a time on the monotonic clock.
 
-        For runs that stop nobody on purpose.
+        The proxy measures its own lateness, managers log theirs. For runs that stop no process on purpose.
         """
-        worst = self.rig.late_ms
+        max_ms = self.rig.late_ms
         for p in self.managers.values():
-            for line, at in zip(p.lines, p.stamps, strict=False):
-                if at >= since and (m := re.search(r"process-stalled stall_ms=(\d+)", line)):
-                    worst = max(worst, float(m[1]))
-        return round(worst, 1)
+            for line, at_s in zip(p.log_lines, p.log_times_s, strict=False):
+                if at_s >= since_s and (m := re.search(r"process-stalled stall_ms=(\d+)", line)):
+                    max_ms = max(max_ms, float(m[1]))
+        return round(max_ms, 1)
 
-    def keep_logs(self, folder: Path) -> None:
-        """Write down what all managers and engines have said so far, and what the managers hold."""
+    def save_logs(self, folder: Path) -> None:
+        """Write the logs of all managers and engines to a folder, and the handoff state of each manager."""
         folder.mkdir(parents=True, exist_ok=True)
         for name, p in self.managers.items():
             try:
-                held = ujson.dumps(query(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
+                state = ujson.dumps(query(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
             except ControlError as error:
-                held = str(error)
-            (folder / f"{name}.log").write_text("".join([*p.lines, held, "\n"]))
-        (folder / "ended.log").write_text("".join(sorted(self.spoken)))  # of processes that are no more
+                state = str(error)
+            (folder / f"{name}.log").write_text("".join([*p.log_lines, state, "\n"]))
+        (folder / "ended.log").write_text("".join(sorted(self.ended_log_lines)))
         for e in self.engines:
             (folder / f"{e.name}.log").write_text((self.folder / f"{e.name}.log").read_text())
 
     async def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill all processes of the fleet and close the network proxy."""
         for p in [*self.managers.values(), *self.engines]:
             p.signal(signal.SIGCONT)
             await p.kill()
@@ -325,197 +337,249 @@
             self.rig.close()
 
 
-class Client:
-    """One request of a client that comes back with its key, to any manager, until it has its final answer."""
+class RetryingClient:
+    """A client that sends one request with its idempotency key to random managers until it has a final answer."""
 
     def __init__(self, fleet: Fleet, rng: random.Random, key: str) -> None:
         self.fleet, self.rng = fleet, rng
         now, s = time.monotonic(), fleet.setup
-        self.story = ClientRecord(key, rng.choice((READ, LOAD)), now, now + s.longest / 1000 + SLACK)
+        self.record = ClientRecord(
+            key, rng.choice((READ_CLASS, LOAD_CLASS)), now, now + s.longest / 1000 + ANSWER_GRACE_S
+        )
         self.sql = f"select 1 -- run={key} work={rng.choice(s.work)}"
-        self.patience = rng.choice((0.3, 1.0, 5.0))  # seconds that it waits on one connection
+        self.attempt_timeout_s = rng.choice((0.3, 1.0, 5.0))  # on one connection
 
     async def run(self) -> ClientRecord:
-        """To the final answer, and sometimes once more: the answer must be the same."""
-        s = self.story
-        await self._until(lambda: bool(s.final_answers), s.due_s)
-        if s.final_answers and self.rng.random() < 0.3:
-            n = len(s.final_answers)
-            await self._until(lambda: len(s.final_answers) > n, min(time.monotonic() + 0.8, s.due_s))
-        return s
-
-    async def _until(self, done: Callable[[], bool], end: float) -> None:
-        while not done() and (left := end - time.monotonic()) > 0:
-            name, start = self.rng.choice(self.fleet.names), time.monotonic()
-            self.story.last = "answered"
+        """Send the request until it has its final answer, and in 30% of cases again: the answer must be the same."""
+        record = self.record
+        await self._retry_until(lambda: bool(record.final_answers), record.due_s)
+        if record.final_answers and self.rng.random() < 0.3:
+            n = len(record.final_answers)
+            await self._retry_until(lambda: len(record.final_answers) > n, min(time.monotonic() + 0.8, record.due_s))
+        return record
+
+    async def _retry_until(self, done: Callable[[], bool], end_s: float) -> None:
+        while not done() and (left_s := end_s - time.monotonic()) > 0:
+            name, start_s = self.rng.choice(self.fleet.names), time.monotonic()
+            self.record.last = "answered"
             try:
-                await asyncio.wait_for(self._try(self.fleet.ports[name]), min(left, self.patience))
+                await asyncio.wait_for(self._attempt(self.fleet.ports[name]), min(left_s, self.attempt_timeout_s))
             except (TimeoutError, OSError, asyncio.IncompleteReadError) as error:
-                self.story.unanswered_tries += 1
-                self.story.last = type(error).__name__
-            self.story.path.append(
-                f"{name} at {start - self.story.sent_s:.2f} for {time.monotonic() - start:.2f}: {self.story.last}"
+                self.record.unanswered_tries += 1
+                self.record.last = type(error).__name__
+            self.record.path.append(
+                f"{name} at {start_s - self.record.sent_s:.2f} for {time.monotonic() - start_s:.2f}: {self.record.last}"
             )
             if not done():
                 await asyncio.sleep(self.rng.uniform(0.05, 0.15))
 
-    async def _try(self, port: int) -> None:
-        s = self.story
-        s.tries += 1
+    async def _attempt(self, port: int) -> None:
+        record = self.record
+        record.tries += 1
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
-            budget = max(1, round((s.due_s - SLACK - time.monotonic()) * 1000))
+            budget_ms = max(1, round((record.due_s - ANSWER_GRACE_S - time.monotonic()) * 1000))
             writer.write(
                 pg.pack_startup(
-                    {"user": "u", "decklb.class": s.class_name, "decklb.budget": str(budget), "decklb.request": s.key}
+                    {
+                        "user": "u",
+                        "decklb.class": record.class_name,
+                        "decklb.budget": str(budget_ms),
+                        "decklb.request": record.key,
+                    }
                 )
                 + pg.pack(b"Q", self.sql.encode() + b"\0")
             )
-            row, state, begun = "", "", False
+            row, sqlstate, session_ready = "", "", False
             while True:
-                kind = await reader.readexactly(1)
+                message_type = await reader.readexactly(1)
                 (size,) = struct.unpack(">I", await reader.readexactly(4))
                 body = await reader.readexactly(size - 4)
-                if kind == b"E":
-                    state = pg.read_error(body)["C"]
-                elif kind == b"D":
+                if message_type == b"E":
+                    sqlstate = pg.read_error(body)["C"]
+                elif message_type == b"D":
                     row = body[6:].decode()
-                elif kind == b"Z":
-                    if begun:
+                elif message_type == b"Z":
+                    if session_ready:
                         break
-                    begun = True
+                    session_ready = True
         finally:
             writer.close()
-        if state in COME_BACK:
-            s.last = state
+        if sqlstate in COME_BACK:
+            record.last = sqlstate
         else:
-            # Which error it was may differ: that time was over, or that the outcome is uncertain.
-            outcome, content = ("failed", "") if state else ("served", row)
-            s.final_answers.append(FinalAnswer(outcome, content, time.monotonic()))
+            # The SQLSTATE is left out of the comparison: the same failure may be reported as an exceeded deadline or as
+            # an uncertain outcome.
+            outcome, content = ("failed", "") if sqlstate else ("served", row)
+            record.final_answers.append(FinalAnswer(outcome, content, time.monotonic()))
 
 
-async def play(fleet: Fleet, seed: int, turn: int = 0) -> tuple[Verdict, list[FleetFault]]:
-    """One run on a fleet that is up: faults by seed while requests come, all undone before the end.
+async def run_schedule(fleet: Fleet, seed: int, repetition: int = 0) -> tuple[Verdict, list[FleetFault]]:
+    """Run the load and the fault schedule of a seed on a started fleet, and judge the result.
 
-    `turn` counts runs of the same seed on it, whose keys must not be those of the run before.
+    All faults are undone before the end of the run.
+
+    Args:
+        fleet: Started, with members that may vote.
+        seed: Of the load and of the fault schedule.
+        repetition: Number of the run among those of this seed on this fleet; part of the requests' keys, which must
+            differ from those of earlier runs.
     """
     s, rng = fleet.setup, random.Random(seed)
     faults = draw_schedule(seed, fleet.names, s.span, s.faults, s.kinds)
-    start, fleet.rig.late_ms = time.monotonic(), 0.0
+    start_s, fleet.rig.late_ms = time.monotonic(), 0.0
 
-    async def striking() -> None:
+    async def inject_faults() -> None:
         for fault in faults:
-            await asyncio.sleep(max(0.0, start + fault.at_ms / 1000 - time.monotonic()))
+            await asyncio.sleep(max(0.0, start_s + fault.at_ms / 1000 - time.monotonic()))
             await fleet.strike(fault)
 
-    strikes = asyncio.ensure_future(striking())
+    injection = asyncio.ensure_future(inject_faults())
     clients: list[asyncio.Task[ClientRecord]] = []
-    due = start
-    while (due := due + rng.expovariate(s.rate)) < start + s.span / 1000:
-        await asyncio.sleep(max(0.0, due - time.monotonic()))
-        clients.append(asyncio.ensure_future(Client(fleet, rng, f"s{seed}.{turn}.{len(clients)}").run()))
-    await strikes
-    stories = await asyncio.gather(*clients)
+    due_s = start_s
+    while (due_s := due_s + rng.expovariate(s.rate)) < start_s + s.span / 1000:
+        await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+        clients.append(asyncio.ensure_future(RetryingClient(fleet, rng, f"s{seed}.{repetition}.{len(clients)}").run()))
+    await injection
+    records = await asyncio.gather(*clients)
     await asyncio.sleep(max(s.work) / 1000 + 0.1)
-    mine = {x.key for x in stories}
-    verdict = judge(stories, [event for event in fleet.witnessed() if event.key in mine], LOAD)
-    verdict.late_ms = round(fleet.rig.late_ms, 1)  # managers are stopped on purpose here, so only the rig's own
+    keys = {record.key for record in records}
+    verdict = judge(records, [event for event in fleet.witnessed() if event.key in keys], LOAD_CLASS)
+    # Only the lateness of the proxy counts: faults stop managers on purpose.
+    verdict.late_ms = round(fleet.rig.late_ms, 1)
     return verdict, faults
 
 
-COUNTED = ("handoff-taken-over", "handoff-fenced", "handoff-lease-ended", "backstop", "policy-failed", "Traceback")
+COUNTED_LOG_TEXTS = (
+    "handoff-taken-over",
+    "handoff-fenced",
+    "handoff-lease-ended",
+    "backstop",
+    "policy-failed",
+    "Traceback",
+)
 
 
 @dataclass(slots=True)
-class Played:
-    """One run of a campaign, and how often its fleet has logged each event so far."""
+class FleetRun:
+    """One run of a campaign."""
 
     seed: int
     verdict: Verdict
     faults: list[FleetFault]
-    logged: dict[str, int]
-    again: bool = False  # it is played once more: the machine held the rig up
+    log_counts: dict[str, int]  # by text of COUNTED_LOG_TEXTS: log lines of the fleet since its start
+    repeated: bool = False  # the run is repeated because the machine delayed the proxy
 
 
 async def campaign(
-    setup: Setup, seeds: list[int], fleets: int, told: Callable[[int, Verdict, list[FleetFault]], None], logs: str = ""
+    setup: Setup,
+    seeds: list[int],
+    fleet_count: int,
+    on_run: Callable[[int, Verdict, list[FleetFault]], None],
+    log_folder: str = "",
 ) -> tuple[list[Verdict], dict[str, int]]:
-    """Runs of all seeds, divided among fleets side by side, each in a process of its own that lives on from run to run.
+    """Run all seeds, divided among fleets that run side by side.
+
+    Each fleet has its own subprocess and stays up from run to run.
 
-    `logs`: a folder for the logs of the managers of a run that was not clean.
+    Args:
+        setup: Of each fleet.
+        seeds: One run each.
+        fleet_count: Fleets that run at the same time.
+        on_run: Called with the seed, verdict and faults of each run, also of those that are repeated.
+        log_folder: Folder for the logs of runs that were not clean; "" for none.
+
+    Returns:
+        The verdicts, and the number of log lines with each text of COUNTED_LOG_TEXTS.
     """
     verdicts: list[Verdict] = []
-    counts = dict.fromkeys(COUNTED, 0)
+    log_counts = dict.fromkeys(COUNTED_LOG_TEXTS, 0)
 
-    async def one(index: int) -> None:
-        last: dict[str, int] = {}
+    async def run_fleet(index: int) -> None:
+        fleet_log_counts: dict[str, int] = {}
         async for run in run_in_subprocess(
-            f"{__name__}:isolated_runs", Played, setup=setup, seeds=seeds[index::fleets], index=index, logs=logs
+            f"{__name__}:isolated_runs",
+            FleetRun,
+            setup=setup,
+            seeds=seeds[index::fleet_count],
+            index=index,
+            logs=log_folder,
         ):
-            told(run.seed, run.verdict, run.faults)
-            last = run.logged
-            if not run.again:
+            on_run(run.seed, run.verdict, run.faults)
+            fleet_log_counts = run.log_counts
+            if not run.repeated:
                 verdicts.append(run.verdict)
-        for name, count in last.items():
-            counts[name] += count
+        for text, count in fleet_log_counts.items():
+            log_counts[text] += count
 
-    await asyncio.gather(*(one(i) for i in range(min(fleets, len(seeds)))))
-    return verdicts, counts
+    await asyncio.gather(*(run_fleet(i) for i in range(min(fleet_count, len(seeds)))))
+    return verdicts, log_counts
 
 
-async def isolated_runs(setup: dict[str, Any], seeds: list[int], index: int, logs: str) -> AsyncIterator[Played]:
-    """The runs of one fleet, for `run_in_subprocess`."""
+async def isolated_runs(setup: dict[str, Any], seeds: list[int], index: int, logs: str) -> AsyncIterator[FleetRun]:
+    """Run the seeds of one fleet; called in a subprocess by `run_in_subprocess`."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(msgspec.convert(setup, Setup), seeds[0] * 1000 + index, folder, index)
         try:
             await fleet.start()
             for seed in seeds:
-                for turn in range(MAX_ATTEMPTS):
+                for repetition in range(MAX_ATTEMPTS):
                     await fleet.remember()
-                    verdict, faults = await play(fleet, seed, turn)
+                    verdict, faults = await run_schedule(fleet, seed, repetition)
                     if logs and not verdict.clean:
-                        await asyncio.to_thread(fleet.keep_logs, Path(logs) / str(seed))
-                    again = turn < MAX_ATTEMPTS - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
-                    yield Played(seed, verdict, faults, {name: fleet.logged(name) for name in COUNTED}, again)
-                    if not again:
+                        await asyncio.to_thread(fleet.save_logs, Path(logs) / str(seed))
+                    repeated = repetition < MAX_ATTEMPTS - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
+                    yield FleetRun(
+                        seed, verdict, faults, {text: fleet.logged(text) for text in COUNTED_LOG_TEXTS}, repeated
+                    )
+                    if not repeated:
                         break
         finally:
             await fleet.stop()
 
 
 def described(faults: list[FleetFault]) -> list[dict[str, Any]]:
-    """Faults for a report."""
+    """Return faults as rows of a JSON report."""
     return [{"at_ms": round(f.at_ms), "kind": f.kind.value, "target": f.target, "other": f.other} for f in faults]
 
 
-def resident(process: Process) -> int:
-    """KiB of memory that a process has in use."""
-    text = Path(f"/proc/{process.child.pid}/status").read_text()
-    return int(text.partition("VmRSS:")[2].split()[0])
+def resident_kib(process: Process) -> int:
+    """Return the resident memory of a process in KiB."""
+    status = Path(f"/proc/{process.child.pid}/status").read_text()
+    return int(status.partition("VmRSS:")[2].split()[0])
+
 
+async def cost(setup: Setup, requests: int, session_count: int, seed: int) -> dict[str, dict[str, float]]:
+    """Measure what an idempotency key adds to the latency of a statement and to the memory of the managers.
 
-async def cost(setup: Setup, requests: int, at_once: int, seed: int) -> dict[str, dict[str, float]]:
-    """What it costs to protect a statement, in latency and memory.
+    The sessions send statements without and with a key in turns, on a fleet without faults. Latency is the time in ms
+    from sending a statement to its complete answer; the engines' share of it is negligible. Memory is what the managers
+    hold at the end, and what is left once all records have expired.
 
-    Latency is ms from sending to the complete answer, with a key and without, in turns on the same sessions of a fleet
-    without faults; memory is what the managers hold at the end and after all of it has lapsed. The engines' own part is
-    next to nothing.
+    Args:
+        setup: Of the fleet.
+        requests: Statements of each kind.
+        session_count: Sessions side by side.
+        seed: Of the choice of managers.
     """
     rng = random.Random(seed)
-    took: dict[str, list[float]] = {"without": [], "with": []}
+    latencies_ms: dict[str, list[float]] = {"without": [], "with": []}
 
-    async def session(fleet: Fleet, number: int) -> None:
+    async def run_session(fleet: Fleet, number: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", fleet.ports[rng.choice(fleet.names)])
-        writer.write(pg.pack_startup({"user": "u", "decklb.class": LOAD}))
-        await _answers(reader, 1)
-        for i in range(requests // at_once):
-            for kind, sets in (("without", "set decklb.key = ''"), ("with", f"set decklb.request = 'c{number}.{i}'")):
+        writer.write(pg.pack_startup({"user": "u", "decklb.class": LOAD_CLASS}))
+        await _read_answers(reader, 1)
+        for i in range(requests // session_count):
+            for kind, set_key in (
+                ("without", "set decklb.key = ''"),
+                ("with", f"set decklb.request = 'c{number}.{i}'"),
+            ):
                 sql = f"select 1 -- run=c{number}.{i}.{kind} work=0"
-                start = time.monotonic()
-                writer.write(pg.pack(b"Q", sets.encode() + b"\0") + pg.pack(b"Q", sql.encode() + b"\0"))
-                if errors := await _answers(reader, 2):
+                start_s = time.monotonic()
+                writer.write(pg.pack(b"Q", set_key.encode() + b"\0") + pg.pack(b"Q", sql.encode() + b"\0"))
+                if errors := await _read_answers(reader, 2):
                     raise RuntimeError(f"a statement {kind} a key failed: {errors}")
-                took[kind].append(1000 * (time.monotonic() - start))
+                latencies_ms[kind].append(1000 * (time.monotonic() - start_s))
         writer.close()
 
     with tempfile.TemporaryDirectory() as folder:
@@ -523,37 +587,39 @@
         try:
             await fleet.start()
             await fleet.remember()
-            before = sum(resident(p) for p in fleet.managers.values())
-            await asyncio.gather(*(session(fleet, i) for i in range(at_once)))
-            after = sum(resident(p) for p in fleet.managers.values())
-            held = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
-            await asyncio.sleep(setup.life / 1000 + 1.0)
-            left = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            kib_before = sum(resident_kib(p) for p in fleet.managers.values())
+            await asyncio.gather(*(run_session(fleet, i) for i in range(session_count)))
+            kib_after = sum(resident_kib(p) for p in fleet.managers.values())
+            states = [await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names]
+            await asyncio.sleep(setup.record_lifetime_ms / 1000 + 1.0)
+            states_after_expiry = [
+                await asyncio.to_thread(query, str(fleet.folder / f"{n}.sock"), "handoff") for n in fleet.names
+            ]
         finally:
             await fleet.stop()
-    records = sum(h["held"] for h in held)
+    records = sum(state["held"] for state in states)
     memory = {
         "records": records,
-        "bytes": sum(h["bytes"] for h in held),
-        "rss_kib_more": after - before,
-        "records_lapsed": records - sum(h["held"] for h in left),
-        "bytes_left": sum(h["bytes"] for h in left),
+        "bytes": sum(state["bytes"] for state in states),
+        "rss_kib_more": kib_after - kib_before,
+        "records_lapsed": records - sum(state["held"] for state in states_after_expiry),
+        "bytes_left": sum(state["bytes"] for state in states_after_expiry),
     }
     return {"memory": memory} | {
         kind: {"requests": len(ms)}
         | {f"p{p}_ms": round(sorted(ms)[min(len(ms) - 1, len(ms) * p // 100)], 2) for p in (50, 90, 99)}
-        for kind, ms in took.items()
+        for kind, ms in latencies_ms.items()
     }
 
 
-async def _answers(reader: asyncio.StreamReader, count: int) -> list[str]:
-    """Read up to the end of so many answers; the states of errors among them."""
-    errors = []
+async def _read_answers(reader: asyncio.StreamReader, count: int) -> list[str]:
+    """Read this many complete answers and return the SQLSTATEs of the errors among them."""
+    sqlstates = []
     while count:
-        kind = await reader.readexactly(1)
+        message_type = await reader.readexactly(1)
         (size,) = struct.unpack(">I", await reader.readexactly(4))
         body = await reader.readexactly(size - 4)
-        if kind == b"E":
-            errors.append(pg.read_error(body)["C"])
-        count -= kind == b"Z"
-    return errors
+        if message_type == b"E":
+            sqlstates.append(pg.read_error(body)["C"])
+        count -= message_type == b"Z"
+    return sqlstates
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -1,10 +1,11 @@
 """Fault runs of maintenance between real processes.
 
-Machines are taken out by the fleet's plan while callers send, its driver is killed, members are cut off, zones lost. On
-loopback, bounded; see docs/faults.md.
+The maintenance plan takes machines out of service one by one while clients send requests. Meanwhile the plan's driver
+is killed, members are partitioned or zones are lost. Everything runs on loopback, with bounded time; see
+docs/faults.md.
 
-The rig does the work that operators would: once the plan says that an engine is out it kills and restarts it, and it
-starts a manager again that has ended at the plan's word. Callers whose manager ends ask another, as clients do.
+The run also does the operators' work: once the plan says that an engine is out, it kills and restarts that engine, and
+it restarts managers that ended because the plan told them to. Clients whose manager ends go to another one.
 """
 
 from __future__ import annotations
@@ -23,61 +24,62 @@
 from decklb.lab.checks.zone_verdict import CallRecord
 from decklb.lab.fault_runs.handoff_run import Process
 from decklb.lab.fault_runs.isolation import run_side_by_side
-from decklb.lab.fault_runs.zone_run import REGION, Callers, Zonal
+from decklb.lab.fault_runs.zone_run import REGION_BY_ZONE, ZoneClients, ZoneFleet
 from decklb.lab.faults.network_proxy import MAX_LATE_MS
 from decklb.management.control_client import ControlError, query
 
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
-RATE = 12.0  # requests a second of each zone's callers: 2 of 8 cores that a zone has left with one engine out
-LONGEST = 90.0  # seconds
-DRAIN, WARM, WORK = 2000.0, 1500.0, 0.6  # ms, ms, seconds of work on a machine
-MOST = 1
-SETTINGS = (
-    f'<maintenance members="5" most="{MOST}" most-zone="1" most-share="50%" drain="{DRAIN:g}ms" '
-    f'warm="{WARM:g}ms" tick="100ms" patience="300ms" fresh="1500ms" absent="4s"{{data}}/>\n  '
+RATE_PER_S = 12.0  # requests of each zone's clients: they need 2 of the 8 cores that a zone has with one engine out
+MAX_DURATION_S = 90.0
+DRAIN_MS, WARM_UP_MS = 2000.0, 1500.0
+MACHINE_DOWNTIME_S = 0.6  # from the kill of an engine to its restart
+MAX_UNAVAILABLE = 1  # machines that may be draining, out or warming at a time
+MAINTENANCE_SETTINGS = (
+    f'<maintenance members="5" most="{MAX_UNAVAILABLE}" most-zone="1" most-share="50%" drain="{DRAIN_MS:g}ms" '
+    f'warm="{WARM_UP_MS:g}ms" tick="100ms" patience="300ms" fresh="1500ms" absent="4s"{{data}}/>\n  '
 )
-HANDOFF = (
+HANDOFF_SETTINGS = (
     '<handoff members="5" copies="3" lease="600ms" beat="100ms" patience="300ms" resend="60ms" stagger="250ms" '
     'longest="4s" linger="1500ms" slack="500ms"/>\n  '
 )
-LINE = "maintenance-step "
+STEP_LOG_TEXT = "maintenance-step "
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A manager's log line on a machine of the plan."""
+    """A log line of a manager: the plan has taken a machine to another stage."""
 
     manager: str
     job: str
     machine: str
     stage: str
     number: int
-    at: float
+    at_s: float
 
 
 @dataclass(slots=True)
 class Told:
-    """What one run showed."""
+    """The result of one run."""
 
     case: str
     seed: int
     requests: int = 0
     errors: int = 0
     lost: int = 0
-    over_budget: int = 0  # moments with more machines out than the budget
-    doubled: list[str] = field(default_factory=list)  # steps done twice, or left out
-    unsafe: int = 0  # machines on which work began while requests still ran there
-    ended: bool = False  # the plan came to the end that its case allows
-    seconds: float = 0.0  # from the request to the end of the plan
+    over_budget: int = 0  # times at which more machines were unavailable than the budget allows
+    doubled: list[str] = field(default_factory=list)  # steps done twice or left out, and rules of the case that broke
+    unsafe: int = 0  # statements that still ran on engines when these were killed for maintenance
+    ended: bool = False  # the plan completed as its case requires
+    seconds: float = 0.0  # from the request of the job to the end of the plan
     overlapping: int = 0
-    again: int = 0  # requests that ran more than once
+    again: int = 0  # requests that were executed more than once
     faults: int = 0
-    late_ms: float = 0.0  # of the rig or a manager that nobody stopped, at worst
-    seen: list[str] = field(default_factory=list)  # what the case asks to be seen
+    late_ms: float = 0.0  # by which the network proxy, or a manager that nobody stopped, was late at worst
+    seen: list[str] = field(default_factory=list)  # notes on the course of the run
 
     @property
     def clean(self) -> bool:
-        """Whether the run broke no rule and came to its end."""
+        """Whether the run broke no rule and the plan completed."""
         return self.ended and not (
             self.lost
             or self.errors
@@ -89,222 +91,260 @@
         )
 
 
-class Anywhere(Callers):
-    """Callers that go to another manager when theirs does not answer, or ends."""
+class FailoverClients(ZoneClients):
+    """Clients that go to another manager if theirs does not answer or ends."""
 
-    async def _one(self, sent: CallRecord) -> None:
-        begun = time.monotonic()
-        names = [sent.manager, *(n for n in self.fleet.names if n != sent.manager)]
-        while not sent.answer and time.monotonic() - begun < 4.0:
+    async def _send(self, call: CallRecord) -> None:
+        start_s = time.monotonic()
+        names = [call.manager, *(n for n in self.fleet.names if n != call.manager)]
+        while not call.answer and time.monotonic() - start_s < 4.0:
             for name in names:
-                sent.manager = name
-                if name not in self.idle:
-                    self.idle[name] = []
+                call.manager = name
+                if name not in self.idle_sessions:
+                    self.idle_sessions[name] = []
                 with contextlib.suppress(TimeoutError, OSError, asyncio.IncompleteReadError):
-                    await asyncio.wait_for(self._ask(sent), 4.5 - (time.monotonic() - begun))
-                if sent.answer in ("53000", "53300", "57P01"):  # turned away: asked again elsewhere, as it says
-                    sent.answer = ""
-                if sent.answer:
+                    await asyncio.wait_for(self._execute(call), 4.5 - (time.monotonic() - start_s))
+                if call.answer in ("53000", "53300", "57P01"):  # rejected, with the advice to try another manager
+                    call.answer = ""
+                if call.answer:
                     return
-                for session in self.idle[name]:  # what is left of its sessions may be of a process that has ended
+                for session in self.idle_sessions[name]:  # these may belong to a process that has ended
                     session.writer.close()
-                self.idle[name] = []
+                self.idle_sessions[name] = []
             await asyncio.sleep(0.05)
 
 
-class Upkeep(Zonal):
-    """The fleet of the locality's runs, with a plan."""
+class MaintenanceFleet(ZoneFleet):
+    """The fleet of the zone fault runs, with a maintenance plan."""
 
     def __init__(self, case: str, seed: int, folder: str, index: int) -> None:
         super().__init__("common", seed, folder, index)
-        self.named, self.kept = case == "named", case == "all-killed"
-        self.working: set[str] = set()  # engines under work, by the rig
-        self.frozen: set[str] = set()  # engines that the rig does not bring back
-        self.over = 0
+        self.sends_keys, self.keeps_plan_on_disk = case == "named", case == "all-killed"
+        self.engines_in_service: set[str] = set()  # on which the simulated operators work
+        self.engines_not_restarted: set[str] = set()  # that the simulated operators leave alone
+        self.over_budget = 0
         self.unsafe = 0
-        self.tasks: list[asyncio.Future[None]] = []  # the work of operators
-        self.ever: list[tuple[str, Process]] = []  # all processes of managers
+        self.tasks: list[asyncio.Future[None]] = []  # of the simulated operators
+        self.manager_processes: list[tuple[str, Process]] = []  # all that were ever started, with their managers
 
-    def more(self, name: str) -> str:
-        """Elements of a manager's settings beside those of all."""
-        data = f' data="{name}.plan"' if self.kept else ""
-        return SETTINGS.format(data=data) + (HANDOFF if self.named else "")
+    def extra_elements(self, name: str) -> str:
+        """Return the elements of the settings for maintenance and, in the case `named`, for the handoff."""
+        data = f' data="{name}.plan"' if self.keeps_plan_on_disk else ""
+        return MAINTENANCE_SETTINGS.format(data=data) + (HANDOFF_SETTINGS if self.sends_keys else "")
 
     async def up(self, name: str) -> None:
-        """Start a manager, and remember its process."""
+        """Start or restart a manager and record its process."""
         await super().up(name)
-        self.ever.append((name, self.managers[name]))
+        self.manager_processes.append((name, self.managers[name]))
 
-    async def ask(self, name: str, what: str, **more: Any) -> Any:
-        """A question or an order to one manager."""
-        return await asyncio.to_thread(lambda: query(str(self.folder / f"{name}.sock"), what, **more))
+    async def query_manager(self, name: str, command: str, **arguments: Any) -> Any:
+        """Send a query or a command to the control socket of a manager."""
+        return await asyncio.to_thread(lambda: query(str(self.folder / f"{name}.sock"), command, **arguments))
 
-    async def plan(self) -> dict[str, Any]:
-        """As the manager knows it that has come furthest."""
-        best: dict[str, Any] = {"steps": -1, "jobs": []}
+    async def latest_plan(self) -> dict[str, Any]:
+        """Return the plan of the manager that knows most of its steps."""
+        latest: dict[str, Any] = {"steps": -1, "jobs": []}
         for name in self.names:
             with contextlib.suppress(ControlError):
-                found = await self.ask(name, "plan")
-                if (found["steps"], len(found["jobs"])) > (best["steps"], len(best["jobs"])):
-                    best = found
-        return best
-
-    async def remembering(self) -> None:
-        """Wait until all members know the plan and one another."""
-        end = time.monotonic() + 20.0
-        while time.monotonic() < end:
+                plan = await self.query_manager(name, "plan")
+                if (plan["steps"], len(plan["jobs"])) > (latest["steps"], len(latest["jobs"])):
+                    latest = plan
+        return latest
+
+    async def wait_until_plan_known(self) -> None:
+        """Wait until all members know the plan and have reports of all others.
+
+        Raises:
+            RuntimeError: They did not within 20 s.
+        """
+        end_s = time.monotonic() + 20.0
+        while time.monotonic() < end_s:
             with contextlib.suppress(ControlError):
-                rows = [await self.ask(n, "plan") for n in self.names]
-                if all(r["remembers"] and r["told"] for r in rows):
+                plans = [await self.query_manager(n, "plan") for n in self.names]
+                if all(plan["remembers"] and plan["told"] for plan in plans):
                     return
             await asyncio.sleep(0.1)
-        raise RuntimeError("the members do not remember the plan")
+        raise RuntimeError("the members did not learn the plan and one another within 20 s")
 
-    async def work(self) -> None:
-        """What operators do: an engine that is out goes down and comes back; a manager that has ended starts again."""
+    async def simulate_operators(self) -> None:
+        """Restart each engine that is out, and each manager that has ended by itself, until cancelled."""
         while True:
-            plan = await self.plan()
-            out = [m for j in plan["jobs"] for m in j["machines"] if m["stage"] == "out"]
-            for m in out:
+            plan = await self.latest_plan()
+            machines_out = [m for j in plan["jobs"] for m in j["machines"] if m["stage"] == "out"]
+            for m in machines_out:
                 name = m["machine"]
-                if name in self.working or name in self.frozen or name.startswith("manager:"):
+                if name in self.engines_in_service or name in self.engines_not_restarted or name.startswith("manager:"):
                     continue
-                self.working.add(name)
-                self.over += len(self.working) > MOST
-                self.tasks.append(asyncio.ensure_future(self._work_on(name)))
+                self.engines_in_service.add(name)
+                self.over_budget += len(self.engines_in_service) > MAX_UNAVAILABLE
+                self.tasks.append(asyncio.ensure_future(self._service_engine(name)))
             for name, p in self.managers.items():
-                if p.code() == 0:  # ended by itself; those that were killed are the case's own to start
+                if p.exit_status() == 0:  # ended by itself; the script of the case restarts those that it killed
                     await self.up(name)
             await asyncio.sleep(0.1)
 
-    async def _work_on(self, name: str) -> None:
+    async def _service_engine(self, name: str) -> None:
         e = next(x for x in self.engines if x.name == name)
-        self.unsafe += self.running(name)
+        self.unsafe += self.running_statements(name)
         await e.kill()
-        await asyncio.sleep(WORK)
-        await self.serve(e, self.ports_of[name])
+        await asyncio.sleep(MACHINE_DOWNTIME_S)
+        await self.start_engine(e, self.ports_by_engine[name])
         while any(
-            m["stage"] == "out" for j in (await self.plan())["jobs"] for m in j["machines"] if m["machine"] == name
+            m["stage"] == "out"
+            for j in (await self.latest_plan())["jobs"]
+            for m in j["machines"]
+            if m["machine"] == name
         ):
             await asyncio.sleep(0.1)
-        self.working.discard(name)
-
-    def running(self, name: str) -> int:
-        """Statements that run at an engine now, by its own log."""
-        lines = [x for x in self.witnessed() if x.engine == name]
-        return len({x.run for x in lines if x.what == "start"} - {x.run for x in lines if x.what != "start"})
-
-    def steps(self, start: float) -> list[Step]:
-        """All managers' log lines on the plan's steps, by time; those of processes that ended too."""
-        made = []
-        for name, p in self.ever:
-            for line, at in zip(p.lines, p.stamps, strict=False):
-                if LINE in line:
-                    f = dict(x.split("=", 1) for x in line.split(LINE, 1)[1].split())
-                    made.append(Step(name, f["job"], f["machine"], f["stage"], int(f["step"]), at - start))
-        return sorted(made, key=lambda s: s.at)
-
-
-ORDER = ("draining", "out", "warming", "done")
+        self.engines_in_service.discard(name)
+
+    def running_statements(self, name: str) -> int:
+        """Count the statements that run at an engine now, by its own log."""
+        events = [x for x in self.witnessed() if x.engine == name]
+        return len({x.run for x in events if x.what == "start"} - {x.run for x in events if x.what != "start"})
+
+    def logged_steps(self, load_start_s: float) -> list[Step]:
+        """Return the plan's steps as all managers logged them, ended processes included, ordered by time."""
+        steps = []
+        for name, p in self.manager_processes:
+            for line, at_s in zip(p.log_lines, p.log_times_s, strict=False):
+                if STEP_LOG_TEXT in line:
+                    fields = dict(x.split("=", 1) for x in line.split(STEP_LOG_TEXT, 1)[1].split())
+                    steps.append(
+                        Step(
+                            name,
+                            fields["job"],
+                            fields["machine"],
+                            fields["stage"],
+                            int(fields["step"]),
+                            at_s - load_start_s,
+                        )
+                    )
+        return sorted(steps, key=lambda s: s.at_s)
+
+
+STAGE_ORDER = ("draining", "out", "warming", "done")
 
 
 def doubled(steps: list[Step]) -> list[str]:
-    """Steps that the plan numbers twice, stages out of order, and stages left out of machines that came to the end."""
-    found = []
-    numbers: dict[tuple[str, str], dict[str, set[int]]] = {}
+    """Describe stages reached by two different steps, stages out of order, and stages skipped by completed machines."""
+    violations = []
+    step_numbers: dict[tuple[str, str], dict[str, set[int]]] = {}
     for s in steps:
         if s.stage == "waiting":
             continue
-        numbers.setdefault((s.job, s.machine), {}).setdefault(s.stage, set()).add(s.number)
-    for (job, machine), stages in numbers.items():
-        found += [f"{job} {machine}: {stage} by steps {sorted(n)}" for stage, n in stages.items() if len(n) > 1]
-        known = [min(stages[x]) for x in ORDER if x in stages]
-        if known != sorted(known) or "done" in stages and len(known) < len(ORDER):
-            found.append(f"{job} {machine}: {stages}")
-    return found
+        step_numbers.setdefault((s.job, s.machine), {}).setdefault(s.stage, set()).add(s.number)
+    for (job, machine), by_stage in step_numbers.items():
+        violations += [f"{job} {machine}: {stage} by steps {sorted(n)}" for stage, n in by_stage.items() if len(n) > 1]
+        in_stage_order = [min(by_stage[x]) for x in STAGE_ORDER if x in by_stage]
+        if in_stage_order != sorted(in_stage_order) or "done" in by_stage and len(in_stage_order) < len(STAGE_ORDER):
+            violations.append(f"{job} {machine}: {by_stage}")
+    return violations
 
 
 def budget(steps: list[Step]) -> int:
-    """Moments with more machines out or warming than the budget, in the line of steps that the numbers make."""
-    line = {(s.number, s.machine): s.stage for s in steps if s.stage != "waiting"}
-    held: set[str] = set()
-    worst = 0
-    for (_, machine), stage in sorted(line.items()):
-        (held.discard if stage in ("done", "cancelled") else held.add)(machine)
-        worst += len(held) > MOST
-    return worst
-
-
-async def play(case: str, seed: int, index: int, logs: str = "") -> Told:
-    """One run."""
-    rng, told = random.Random(f"{case}/{seed}"), Told(case, seed)
+    """Count the steps, in order of their numbers, after which more machines were unavailable than the budget allows."""
+    stage_by_step = {(s.number, s.machine): s.stage for s in steps if s.stage != "waiting"}
+    unavailable: set[str] = set()
+    violations = 0
+    for (_, machine), stage in sorted(stage_by_step.items()):
+        (unavailable.discard if stage in ("done", "cancelled") else unavailable.add)(machine)
+        violations += len(unavailable) > MAX_UNAVAILABLE
+    return violations
+
+
+async def run_case(case: str, seed: int, index: int, log_folder: str = "") -> Told:
+    """Start a fleet, run one case under load and return the result.
+
+    Args:
+        case: One of CASES.
+        seed: Of the case's choices and of the load.
+        index: Number of the fleet among those that run side by side.
+        log_folder: Folder for the logs, "" for none.
+    """
+    rng, result = random.Random(f"{case}/{seed}"), Told(case, seed)
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Upkeep(case, seed, folder, index)
+        fleet = MaintenanceFleet(case, seed, folder, index)
         try:
             await fleet.start()
-            await fleet.settled()
-            await fleet.remembering()
-            if fleet.named:  # no member votes on records before that
+            await fleet.wait_until_settled()
+            await fleet.wait_until_plan_known()
+            if fleet.sends_keys:  # members do not vote on handoff records earlier
                 await fleet.remember()
-            start, fleet.rig.late_ms = time.monotonic(), 0.0
-            callers = [Anywhere(fleet, z, random.Random(f"{case}/{seed}/{z}"), start, RATE, LONGEST) for z in REGION]
-            loads = [asyncio.ensure_future(c.run()) for c in callers]
-            worker = asyncio.ensure_future(fleet.work())
-            fleet.tasks.append(worker)
-            await asyncio.sleep(1.5)  # the load is known
+            start_s, fleet.rig.late_ms = time.monotonic(), 0.0
+            clients = [
+                FailoverClients(fleet, z, random.Random(f"{case}/{seed}/{z}"), start_s, RATE_PER_S, MAX_DURATION_S)
+                for z in REGION_BY_ZONE
+            ]
+            loads = [asyncio.ensure_future(c.run()) for c in clients]
+            operators = asyncio.ensure_future(fleet.simulate_operators())
+            fleet.tasks.append(operators)
+            await asyncio.sleep(1.5)  # until the members know the load
             try:
-                await asyncio.wait_for(SCRIPTS[case](fleet, rng, told), LONGEST - 10.0)
-                told.ended = True
+                await asyncio.wait_for(CASE_SCRIPTS[case](fleet, rng, result), MAX_DURATION_S - 10.0)
+                result.ended = True
             except TimeoutError:
-                told.seen.append(f"no end: {await fleet.plan()}")
-            told.seconds = round(time.monotonic() - start - 1.5, 1)
-            for c in callers:
-                c.end = time.monotonic() - start  # no more requests; what is open is answered
-            sent = [s for load in loads for s in await load]
-            told.seen += [f"the rig failed: {t.exception()!r}" for t in fleet.tasks if t.done() and t.exception()]
-            worker.cancel()
-            told.requests, told.lost = len(sent), sum(s.answer == "" for s in sent)
-            told.seen += [f"lost: {s.key} sent at {s.at:.2f} s, last to {s.manager}" for s in sent if not s.answer]
-            told.errors = sum(s.answer not in ("served", "") for s in sent)
-            steps = fleet.steps(start)
-            told.doubled, told.over_budget = doubled(steps), budget(steps) + fleet.over
-            told.unsafe, told.late_ms = fleet.unsafe, fleet.late(start)
-            told.overlapping, told.again = _overlapping(fleet)
-            told.faults = sum(fleet.logged(x) for x in ("Traceback", "policy-failed", "command failed"))
-            return told
+                result.seen.append(f"the plan did not complete: {await fleet.latest_plan()}")
+            result.seconds = round(time.monotonic() - start_s - 1.5, 1)
+            for c in clients:
+                c.load_end_s = time.monotonic() - start_s  # no new requests; those in flight are still answered
+            calls = [call for load in loads for call in await load]
+            result.seen += [
+                f"a task of the simulated operators failed: {t.exception()!r}"
+                for t in fleet.tasks
+                if t.done() and t.exception()
+            ]
+            operators.cancel()
+            result.requests, result.lost = len(calls), sum(call.answer == "" for call in calls)
+            result.seen += [
+                f"lost: {call.key} sent at {call.at:.2f} s, last to {call.manager}" for call in calls if not call.answer
+            ]
+            result.errors = sum(call.answer not in ("served", "") for call in calls)
+            steps = fleet.logged_steps(start_s)
+            result.doubled, result.over_budget = doubled(steps), budget(steps) + fleet.over_budget
+            result.unsafe, result.late_ms = fleet.unsafe, fleet.max_lateness_ms(start_s)
+            result.overlapping, result.again = _count_repeated_executions(fleet)
+            result.faults = sum(fleet.logged(x) for x in ("Traceback", "policy-failed", "command failed"))
+            return result
         finally:
-            if logs:  # also of a run that came to no end
-                await asyncio.to_thread(fleet.keep_logs, Path(logs) / f"{case}-{seed}")
+            if log_folder:  # also for runs that did not complete
+                await asyncio.to_thread(fleet.save_logs, Path(log_folder) / f"{case}-{seed}")
             await fleet.stop()
 
 
-def _overlapping(fleet: Upkeep) -> tuple[int, int]:
-    """Requests that had two runs out at one moment, and those that ran more than once.
+def _count_repeated_executions(fleet: MaintenanceFleet) -> tuple[int, int]:
+    """Return the number of requests with overlapping executions, and of those executed more than once.
 
-    Without a name a client whose manager was killed asks another, and the engine goes on with what nobody cancelled:
-    that is another request.
+    Without an idempotency key, a client whose manager was killed asks another one, and the engine continues the first
+    execution because nobody cancelled it. The executions for each manager then count as separate requests.
     """
-    runs: dict[tuple[str, int], dict[tuple[str, int], list[float]]] = {}
+    times_s: dict[tuple[str, int], dict[tuple[str, int], list[float]]] = {}
     for x in fleet.witnessed():
-        runs.setdefault((x.key, 0 if fleet.named else x.manager), {}).setdefault((x.engine, x.run), []).append(x.at)
-    found = 0
-    for by_run in runs.values():
-        spans = sorted((t[0], t[-1]) for t in by_run.values() if len(t) > 1)
-        found += any(b[0] < a[1] for a, b in zip(spans, spans[1:], strict=False))
-    return found, sum(len(by_run) > 1 for by_run in runs.values())
+        times_s.setdefault((x.key, 0 if fleet.sends_keys else x.manager), {}).setdefault((x.engine, x.run), []).append(
+            x.at
+        )
+    overlapping = 0
+    for by_execution in times_s.values():
+        spans = sorted((t[0], t[-1]) for t in by_execution.values() if len(t) > 1)
+        overlapping += any(b[0] < a[1] for a, b in zip(spans, spans[1:], strict=False))
+    return overlapping, sum(len(by_execution) > 1 for by_execution in times_s.values())
 
 
-# The cases: each ends when its plan has.
+# The scripts of the cases. Each one returns when the plan has completed.
 
 
-async def _request(fleet: Upkeep, at: str, job: str, *machines: str, window: float = 30_000.0) -> None:
-    await fleet.ask(at, "plan-request", job=job, machines=list(machines), reason="the rig", window=window)
+async def _request_job(
+    fleet: MaintenanceFleet, manager: str, job: str, *machines: str, window_ms: float = 30_000.0
+) -> None:
+    await fleet.query_manager(
+        manager, "plan-request", job=job, machines=list(machines), reason="the rig", window=window_ms
+    )
 
 
-async def _until(fleet: Upkeep, holds: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
+async def _wait_for_plan(fleet: MaintenanceFleet, condition: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
     while True:
-        plan = await fleet.plan()
-        if holds(plan):
+        plan = await fleet.latest_plan()
+        if condition(plan):
             return plan
         await asyncio.sleep(0.1)
 
@@ -313,7 +353,7 @@
     return [m["stage"] for j in plan["jobs"] if not job or j["job"] == job for m in j["machines"]]
 
 
-def _at(stage: str, plan: dict[str, Any]) -> bool:
+def _has_stage_or_all_done(stage: str, plan: dict[str, Any]) -> bool:
     return stage in _stages(plan) or _all_done(plan)
 
 
@@ -321,110 +361,115 @@
     return bool(plan["jobs"]) and set(_stages(plan)) == {"done"}
 
 
-async def _rolling(fleet: Upkeep, rng: random.Random, _told: Told) -> None:
-    await _request(fleet, rng.choice(fleet.names), "upgrade", "z0")
-    await _until(fleet, _all_done)
+async def _rolling(fleet: MaintenanceFleet, rng: random.Random, _result: Told) -> None:
+    """Every engine of a zone is restarted in turn, without any fault."""
+    await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
+    await _wait_for_plan(fleet, _all_done)
 
 
-async def _driver(fleet: Upkeep, rng: random.Random, told: Told) -> None:
-    """Whoever does the steps dies in the middle of one, and comes back later."""
-    await _request(fleet, rng.choice(fleet.names), "upgrade", "z0", "z1")
+async def _driver(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+    """The manager that drives the plan is killed in two of the stages and restarted a few seconds later."""
+    await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0", "z1")
     for stage in rng.sample(("draining", "out", "warming"), 2):
-        plan = await _until(fleet, partial(_at, stage))
+        plan = await _wait_for_plan(fleet, partial(_has_stage_or_all_done, stage))
         if _all_done(plan):
             break
         name = plan["driver"]
-        told.seen.append(f"{name} killed while {stage}")
+        result.seen.append(f"{name} killed while {stage}")
         await fleet.managers[name].kill()
         await asyncio.sleep(rng.uniform(1.0, 3.0))
         await fleet.up(name)
-    await _until(fleet, _all_done)
+    await _wait_for_plan(fleet, _all_done)
 
 
-async def _partition(fleet: Upkeep, rng: random.Random, told: Told) -> None:
-    """A member is parted from the others while a machine drains, the driver in half of the runs."""
-    await _request(fleet, rng.choice(fleet.names), "upgrade", "z0")
-    plan = await _until(fleet, lambda p: "draining" in _stages(p) or "out" in _stages(p))
+async def _partition(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+    """A member is partitioned from the others while a machine drains: the driver in half of the runs, else any member."""
+    await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
+    plan = await _wait_for_plan(fleet, lambda p: "draining" in _stages(p) or "out" in _stages(p))
     name = plan["driver"] if rng.random() < 0.5 else rng.choice(fleet.names)
-    told.seen.append(f"{name} parted{', the driver' if name == plan['driver'] else ''}")
+    result.seen.append(f"{name} partitioned{', the driver' if name == plan['driver'] else ''}")
     fleet.rig.partition(name)
     await asyncio.sleep(rng.uniform(2.0, 6.0))
     fleet.rig.heal()
-    await _until(fleet, _all_done)
+    await _wait_for_plan(fleet, _all_done)
 
 
-async def _never_back(fleet: Upkeep, rng: random.Random, told: Told) -> None:
-    """A machine does not come back: the plan waits, says why, and goes on once that job is cancelled."""
-    fleet.frozen.add("e0")
-    await _request(fleet, rng.choice(fleet.names), "broken", "e0", window=1000.0)
-    await _until(fleet, lambda p: "out" in _stages(p))
+async def _never_back(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+    """A machine does not come back: the plan waits and gives the reason, and continues once that job is cancelled."""
+    fleet.engines_not_restarted.add("e0")
+    await _request_job(fleet, rng.choice(fleet.names), "broken", "e0", window_ms=1000.0)
+    await _wait_for_plan(fleet, lambda p: "out" in _stages(p))
     await next(e for e in fleet.engines if e.name == "e0").kill()
-    await _request(fleet, rng.choice(fleet.names), "next", "e2")
-    plan = await _until(
+    await _request_job(fleet, rng.choice(fleet.names), "next", "e2")
+    plan = await _wait_for_plan(
         fleet,
         lambda p: "out or warming: e0" in p["hold"] and any(m["overdue"] for j in p["jobs"] for m in j["machines"]),
     )
     await asyncio.sleep(2.0)
-    if set(_stages(await fleet.plan(), "next")) != {"waiting"}:
-        told.doubled.append("the next machine went while the first had not come back")
-    told.seen.append(plan["hold"])
+    if set(_stages(await fleet.latest_plan(), "next")) != {"waiting"}:
+        result.doubled.append("the next machine was taken out before the first had come back")
+    result.seen.append(plan["hold"])
     e = next(e for e in fleet.engines if e.name == "e0")
-    await fleet.ask(rng.choice(fleet.names), "plan-cancel", job="broken")
-    await fleet.serve(e, fleet.ports_of["e0"])  # given up by its operators, and then back after all
-    await _until(fleet, lambda p: set(_stages(p, "next")) == {"done"})
-
-
-async def _overlapping_jobs(fleet: Upkeep, rng: random.Random, told: Told) -> None:
-    """Two operators ask two managers for overlapping sets at one moment: one is told so."""
-    a, b = rng.sample(fleet.names, 2)
-    found = await asyncio.gather(
-        _request(fleet, a, "one", "z0", "e2"), _request(fleet, b, "two", "e1", "z1"), return_exceptions=True
+    await fleet.query_manager(rng.choice(fleet.names), "plan-cancel", job="broken")
+    await fleet.start_engine(e, fleet.ports_by_engine["e0"])  # it comes back although its job was cancelled
+    await _wait_for_plan(fleet, lambda p: set(_stages(p, "next")) == {"done"})
+
+
+async def _overlapping_jobs(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+    """Two operators request jobs with common machines from two managers at the same time: one job is refused."""
+    first, second = rng.sample(fleet.names, 2)
+    responses = await asyncio.gather(
+        _request_job(fleet, first, "one", "z0", "e2"),
+        _request_job(fleet, second, "two", "e1", "z1"),
+        return_exceptions=True,
     )
-    refused = [str(x) for x in found if isinstance(x, ControlError)]
-    told.seen += refused
-    if len(refused) != 1 or "already" not in refused[0]:
-        told.doubled.append(f"{len(refused)} of two overlapping jobs refused")
-    await _until(fleet, _all_done)
-
-
-async def _zone(fleet: Upkeep, rng: random.Random, told: Told) -> None:
-    """A zone is lost while the plan runs in another: it pauses until that zone is well again."""
-    await _request(fleet, rng.choice(fleet.names), "upgrade", "z1")
-    await _until(fleet, lambda p: "warming" in _stages(p) or "done" in _stages(p))
-    await fleet.lose("z0")
-    plan = await _until(fleet, lambda p: "zone z0 is not well" in p["hold"] or _all_done(p))
+    refusals = [str(x) for x in responses if isinstance(x, ControlError)]
+    result.seen += refusals
+    if len(refusals) != 1 or "already" not in refusals[0]:
+        result.doubled.append(f"{len(refusals)} of two overlapping jobs refused")
+    await _wait_for_plan(fleet, _all_done)
+
+
+async def _zone(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+    """A zone is lost while the plan works on another one: the plan pauses until the lost zone is healthy again."""
+    await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z1")
+    await _wait_for_plan(fleet, lambda p: "warming" in _stages(p) or "done" in _stages(p))
+    await fleet.kill_zones("z0")
+    plan = await _wait_for_plan(fleet, lambda p: "zone z0 is not well" in p["hold"] or _all_done(p))
     if _all_done(plan):
-        told.doubled.append("the plan went on while a zone was lost")
-    told.seen.append(plan["hold"])
-    before = _stages(plan)
+        result.doubled.append("the plan continued while a zone was lost")
+    result.seen.append(plan["hold"])
+    stages_before = _stages(plan)
     await asyncio.sleep(3.0)
-    if "waiting" not in _stages(await fleet.plan()):
-        told.doubled.append(f"a machine went while a zone was lost: {before} -> {_stages(await fleet.plan())}")
-    await fleet.give_back("z0")
-    await _until(fleet, _all_done)
+    if "waiting" not in _stages(await fleet.latest_plan()):
+        result.doubled.append(
+            f"a machine was taken out while a zone was lost: {stages_before} -> {_stages(await fleet.latest_plan())}"
+        )
+    await fleet.restart_zones("z0")
+    await _wait_for_plan(fleet, _all_done)
 
 
-async def _managers(fleet: Upkeep, rng: random.Random, told: Told) -> None:
-    """All managers are restarted one at a time, each at its own word."""
-    before = {n: p.child.pid for n, p in fleet.managers.items()}
-    await _request(fleet, rng.choice(fleet.names), "restart", *(f"manager:{n}" for n in fleet.names))
-    await _until(fleet, _all_done)
-    if same := [n for n, p in fleet.managers.items() if p.child.pid == before[n]]:
-        told.doubled.append(f"not restarted: {same}")
+async def _managers(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+    """All managers are restarted one at a time; each one ends by itself when the plan reaches it."""
+    pids_before = {n: p.child.pid for n, p in fleet.managers.items()}
+    await _request_job(fleet, rng.choice(fleet.names), "restart", *(f"manager:{n}" for n in fleet.names))
+    await _wait_for_plan(fleet, _all_done)
+    if not_restarted := [n for n, p in fleet.managers.items() if p.child.pid == pids_before[n]]:
+        result.doubled.append(f"not restarted: {not_restarted}")
 
 
-async def _all_killed(fleet: Upkeep, rng: random.Random, told: Told) -> None:
-    """All managers die at one moment while the plan runs, and start again: it goes on from what they kept on disk."""
-    await _request(fleet, rng.choice(fleet.names), "upgrade", "z0")
+async def _all_killed(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+    """All managers are killed at the same time and restarted: the plan continues from what they stored on disk."""
+    await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
     stage = rng.choice(("draining", "out", "warming"))
-    plan = await _until(fleet, partial(_at, stage))
-    told.seen.append(f"all killed while {stage}, after step {plan['steps']}")
+    plan = await _wait_for_plan(fleet, partial(_has_stage_or_all_done, stage))
+    result.seen.append(f"all killed while {stage}, after step {plan['steps']}")
     await asyncio.gather(*(p.kill() for p in fleet.managers.values()))
     await asyncio.gather(*(fleet.up(n) for n in fleet.names))
-    await _until(fleet, _all_done)
+    await _wait_for_plan(fleet, _all_done)
 
 
-SCRIPTS = {
+CASE_SCRIPTS = {
     "rolling": _rolling,
     "driver": _driver,
     "partition": _partition,
@@ -438,15 +483,28 @@
 
 
 async def campaign(
-    cases: list[str], seeds: list[int], fleets: int, told: Callable[[Told], None], logs: str = ""
+    cases: list[str], seeds: list[int], fleet_count: int, on_run: Callable[[Told], None], log_folder: str = ""
 ) -> list[Told]:
-    """All cases and seeds, a few fleets side by side, each in a process of its own."""
-    plays = [{"case": c, "seed": s, "logs": logs} for s in seeds for c in cases]
+    """Run every case with every seed, several fleets side by side, each in its own subprocess.
+
+    Args:
+        cases: Of CASES.
+        seeds: One run of each case for each.
+        fleet_count: Fleets that run at the same time.
+        on_run: Called with each result, also with those of runs that are repeated.
+        log_folder: Folder for the logs of all runs, "" for none.
+    """
+    runs = [{"case": c, "seed": s, "logs": log_folder} for s in seeds for c in cases]
     return await run_side_by_side(
-        f"{__name__}:isolated_run", Told, plays, fleets, told, lambda run: run.clean or run.late_ms <= MAX_LATE_MS
+        f"{__name__}:isolated_run",
+        Told,
+        runs,
+        fleet_count,
+        on_run,
+        lambda run: run.clean or run.late_ms <= MAX_LATE_MS,
     )
 
 
 async def isolated_run(case: str, seed: int, index: int, logs: str) -> AsyncIterator[Told]:
-    """One run, for `run_in_subprocess`."""
-    yield await play(case, seed, index, logs)
+    """Run one case; called in a subprocess by `run_in_subprocess`."""
+    yield await run_case(case, seed, index, logs)
