--- a/decklb/lab/fault_runs/connection_cut_run.py
+++ b/decklb/lab/fault_runs/connection_cut_run.py
@@ -1,10 +1,10 @@
-"""Fault run on connections to engines, which are cut at random bytes of the answers while a key's requests come.
+"""Fault run on connections to engines: they are cut at random bytes of the answers while requests of one key are sent.
 
-The stand-in engines' records are checked. An attempt whose connection was cut has an uncertain outcome, whatever
-arrived of its answer. So its key is held back from the cut on, and a request of the class `load`, which must run at
-most once, is not sent again.
+An attempt whose connection was cut has an uncertain outcome, however much of its answer arrived. So the program must
+hold back the requests of its key for a while after the cut, and must not send a request of the class `load`, which may
+run at most once, again. The run checks this by the attempts that the stand-in engines recorded.
 
-`play_cuts` is called by the command `decklb lab cuts`. State lives in its `ProxiedProgram` only.
+`play_cuts` is called by the command `decklb lab cuts`. All state is in its `ProxiedProgram`.
 """
 
 from __future__ import annotations
@@ -24,25 +24,30 @@
 from decklb.lab.faults.connection_proxy import Action, ConnectionProxy, Strike
 from decklb.lab.standins.recording_peers import RecordedAttempt, RecordingEngine
 
-HOLD_DOWN_S = 0.3  # in which no request of a key is sent after an uncertain outcome
+HOLD_DOWN_S = 0.3  # after an uncertain outcome, in which no request of the key is sent
 RULES = {"settle_after_doubt": 1000 * HOLD_DOWN_S}  # the setting is in ms
-REQUESTS_PER_ROUND = 3  # of one key, the later ones waiting for those before
-LAST_BYTE_PROBABILITY = 0.4  # that a cut comes right behind the last byte of an answer
-SHORT_GAP_S = 0.01  # between two requests: the next one comes while the one before runs
-LONG_GAP_S = 0.1  # the next one comes a moment later
+REQUESTS_PER_ROUND = 3  # with the same key, so each one waits for those before it
+LAST_BYTE_PROBABILITY = 0.4  # of a cut right after the last byte of an answer
+SHORT_GAP_S = 0.01  # between two requests: the next one is sent while the previous one runs
+LONG_GAP_S = 0.1  # long enough for a request to end if nothing disturbs it
 SHORT_GAP_PROBABILITY = 0.5
-CONNECTION_LOST = (Action.RESET, Action.CLOSE, Action.HALF_CLOSE, Action.SILENCE)  # the answer never arrives complete
+CONNECTION_LOST = (
+    Action.RESET,
+    Action.CLOSE,
+    Action.HALF_CLOSE,
+    Action.SILENCE,
+)  # the connection is lost
 
 
 @dataclass(slots=True)
 class CutRound:
-    """What came of one round, that is the requests of one key.
+    """The result of one round, that is of the requests of one key.
 
     Attributes:
-        strike: What was to happen, and at which byte.
-        struck: Whether it did.
-        outcomes: Of the requests.
-        violations: What did not hold, in words; empty where all did.
+        strike: The planned fault.
+        struck: Whether it was injected.
+        outcomes: Number of requests by outcome.
+        violations: Descriptions of the rules that were broken; empty if there were none.
     """
 
     strike: Strike
@@ -55,7 +60,7 @@
     """A program that reaches each engine through a proxy, which can cut connections.
 
     Attributes:
-        proxies: One for each engine, in their order; empty until the start.
+        proxies: One for each engine, in the same order; empty until the start.
     """
 
     def __init__(self, front: str, folder: Path, source_tree: Path | None) -> None:
@@ -78,7 +83,7 @@
         await super().stop()
 
     async def play_round(self, rng: random.Random) -> CutRound:
-        """Send requests of one key; the first answer of each engine that gets so far is struck."""
+        """Send requests of one key; the proxy of each engine injects the fault after a drawn number of answer bytes."""
         await self.wait_until_serving(RECOVERY_TIMEOUT_S)
         for engine in self.engines:
             engine.attempts.clear()
@@ -105,7 +110,7 @@
         return Strike(at_byte, rng.choice(list(Action)))
 
     async def _send_requests(self, key: str, names: list[str], rng: random.Random) -> Counter[RequestOutcome]:
-        """Send the requests of a key, each on a connection of its own, and count their outcomes."""
+        """Send the requests of a key, each on its own connection, and count their outcomes."""
         connections = [await self.connect("load", key) for _ in names]
         requests = []
         for connection, name in zip(connections, names, strict=True):
@@ -121,7 +126,7 @@
         return sorted(attempts, key=lambda attempt: attempt.began)
 
     def _order_violations(self, names: list[str]) -> list[str]:
-        """Describe requests of the key that ran at the same time, or in another order than they were sent in."""
+        """Describe requests of the key that ran at the same time, or not in the order in which they were sent."""
         attempts = [attempt for attempt in self._attempts_by_start() if attempt.name in names]
         violations = [
             f"{first.name} and {second.name} at once"
@@ -134,32 +139,32 @@
         return violations
 
     def _violations_after_cut(self, engine: RecordingEngine, cut_at_s: float) -> list[str]:
-        """Describe attempts that should not have followed the cut of an engine's answer.
+        """Describe attempts that must not start after the cut of an engine's connection.
 
         Args:
-            engine: Whose connection was cut.
-            cut_at_s: When, on the monotonic clock.
+            engine: Engine whose connection was cut.
+            cut_at_s: Time of the cut on the monotonic clock.
         """
         before_cut = (attempt for attempt in engine.attempts if attempt.began < cut_at_s)
         cut_attempt = max(before_cut, key=lambda attempt: attempt.began, default=None)
-        if cut_attempt is None:  # it was cut before any request
+        if cut_attempt is None:  # the cut came before any request
             return []
         violations: list[str] = []
         for attempt in self._attempts_by_start():
             if attempt.began > cut_at_s and attempt.name == cut_attempt.name:
-                violations.append(f"{attempt.name} was sent again though it may have run")
+                violations.append(f"{attempt.name} was sent again although it may have run")
             elif cut_at_s < attempt.began < cut_at_s + HOLD_DOWN_S:
-                violations.append(f"{attempt.name} began {1000 * (attempt.began - cut_at_s):.0f} ms after the strike")
+                violations.append(f"{attempt.name} began {1000 * (attempt.began - cut_at_s):.0f} ms after the cut")
         return violations
 
 
 async def play_cuts(front: str, seed: int, rounds: int, source_tree: Path | None = None) -> AsyncIterator[CutRound]:
-    """Play rounds on one process and yield what came of each.
+    """Play rounds on one process and yield the result of each.
 
     Args:
         front: Protocol of the clients, `platform` or `postgres`.
-        seed: Of the strikes and of the gaps between requests.
-        rounds: How many.
+        seed: Of the faults and of the gaps between requests.
+        rounds: Number of rounds.
         source_tree: See ProgramProcess.
 
     Raises:
--- a/decklb/lab/fault_runs/isolation.py
+++ b/decklb/lab/fault_runs/isolation.py
@@ -1,11 +1,12 @@
-"""Runs each fleet of a fault run in a subprocess of its own.
+"""Runs each fleet of a fault run in its own subprocess.
 
-The network proxy carries every datagram and connection of its fleet, and the simulated clients run beside it. Six
-fleets in one process would use up its core, and the proxy itself would delay traffic that no fault should delay.
+The network proxy forwards every datagram and connection of its fleet, and the simulated clients run in the same
+process. With six fleets in one process its core would be saturated, and the proxy would delay traffic on links without
+a fault.
 
 `python -m decklb.lab.fault_runs.isolation MODULE:FUNCTION JSON` is the subprocess: it calls an async generator of the
 laboratory with the JSON object as keyword arguments and prints each result as one line of JSON. It ends when the
-generator does, at SIGTERM, or when its output is closed, and the generator then ends the processes it started.
+generator does, at SIGTERM, or when its output is closed; in each case the generator ends the processes it started.
 
 The module keeps no state. The campaigns of `handoff_run`, `zone_run` and `maintenance_run` call it.
 """
@@ -23,8 +24,8 @@
 import msgspec
 
 ResultT = TypeVar("ResultT")
-MAX_RESULT_BYTES = 1 << 24  # of one line of JSON; a verdict with all its findings stays far below
-MAX_ATTEMPTS = 3  # of a run whose result can't be judged, as the machine itself delayed the fleet
+MAX_RESULT_BYTES = 1 << 24  # of one line of JSON; a verdict with all its findings is far smaller
+MAX_ATTEMPTS = 3  # of a run whose result is inconclusive because the machine delayed the fleet
 LABORATORY_PREFIX = "decklb.lab."  # only functions of these modules may be called
 REPOSITORY_ROOT = Path(__file__).parents[3]
 
@@ -57,7 +58,7 @@
         while line := await child.stdout.readline():
             yield msgspec.json.decode(line, type=result_type)
         if exit_status := await child.wait():
-            raise RuntimeError(f"{function} ended with {exit_status}: {arguments}")
+            raise RuntimeError(f"{function} ended with exit status {exit_status}; arguments: {arguments}")
     finally:
         if child.returncode is None:
             child.terminate()
@@ -77,12 +78,12 @@
     A run whose result is not conclusive is repeated, up to MAX_ATTEMPTS in all.
 
     Args:
-        function: See `run_in_subprocess`; it yields one result a run.
+        function: See `run_in_subprocess`; it yields one result per run.
         result_type: Type of the results.
         runs: Keyword arguments of each run. `index`, the number of the fleet, is added to them.
         fleet_count: Fleets that run at the same time.
-        on_result: Called with each result, also with those of repeated attempts.
-        is_conclusive: Whether a result can be judged, or the machine has delayed the fleet too much for that.
+        on_result: Called with each result, also with inconclusive ones.
+        is_conclusive: Returns False for a result that proves nothing because the machine delayed the fleet too much.
 
     Returns:
         The last result of each run, in the order in which the runs ended.
@@ -114,7 +115,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     module, _, name = function.partition(":")
     if not module.startswith(LABORATORY_PREFIX):
-        raise ValueError(f"{module} is not of the laboratory")
+        raise ValueError(f"module {module} is not part of {LABORATORY_PREFIX[:-1]}")
     async for result in getattr(importlib.import_module(module), name)(**arguments):
         sys.stdout.buffer.write(msgspec.json.encode(result) + b"\n")
         sys.stdout.buffer.flush()
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -383,7 +383,7 @@
 
 
 async def _partition(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
-    """A member is partitioned from the others while a machine drains: the driver in half of the runs, else any member."""
+    """A member is partitioned from the others while a machine drains: the driver in half of the runs, else any one."""
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
     plan = await _wait_for_plan(fleet, lambda p: "draining" in _stages(p) or "out" in _stages(p))
     name = plan["driver"] if rng.random() < 0.5 else rng.choice(fleet.names)
--- a/decklb/lab/fault_runs/program_clients.py
+++ b/decklb/lab/fault_runs/program_clients.py
@@ -1,6 +1,6 @@
-"""Clients of one serving process in the fault runs: one request at a time on a connection.
+"""Clients of one serving process in the fault runs, with one request at a time on a connection.
 
-`PlatformConnection` speaks the platform's frames, `PgConnection` PostgreSQL's protocol 3.0 with simple queries. Each
+`PlatformConnection` uses the platform's frames, `PgConnection` PostgreSQL's protocol 3.0 with simple queries. Each
 owns its socket. `program_process.ProgramProcess.connect` opens them.
 """
 
@@ -14,31 +14,32 @@
 from decklb.net import frames
 from decklb.pg import messages as pg
 
-REQUEST_BUDGET_S = 3.0  # that a client gives a request; also for connecting and for the handshake
-RESPONSE_GRACE_S = 1.0  # beyond the budget, in which the program still may say that it is over
-TABLE_GROUPS = 50  # schemas that platform requests read, one each; the program prefers engines by schema
+REQUEST_BUDGET_S = 3.0  # budget of a request; also the timeout of connecting and of the handshake
+RESPONSE_GRACE_S = 1.0  # after the budget, in which the program may still report that it is exhausted
+TABLE_GROUPS = 50  # schemas; each platform request reads one, by which the program prefers engines
 FRAME_HEADER = struct.Struct(">IBI")  # size, frame type, stream
-HEADER_BYTES_IN_SIZE = 5  # type and stream are counted in a frame's size, the size field itself is not
+HEADER_BYTES_IN_SIZE = 5  # a frame's size includes its type and stream, but not the size field itself
 
 
 class RequestOutcome(StrEnum):
-    """What became of a request; the values are those of reports."""
+    """Outcome of a request. The values are those of the reports."""
 
     SERVED = "served"
     REJECTED = "refused"  # by admission control
     FAILED = "failed"
-    CONNECTION_ENDED = "ended"  # without a response
-    NO_RESPONSE = "silent"  # within the budget and the grace
+    CONNECTION_ENDED = "ended"  # the connection ended without a response
+    NO_RESPONSE = "silent"  # no response within the budget and the grace period
     NOT_CONNECTED = "not connected"  # the request was never sent
 
 
 class ClientConnection:
-    """A client's connection, which carries one request after the other.
+    """A client's connection, which carries one request at a time.
 
     Attributes:
-        is_closed: Whether it carries no more requests: closed here, ended by the program, or without a response.
+        is_closed: Whether the connection is unusable: closed by the client, ended by the program, or left without a
+            response.
         request_class: Class of its requests, `read` or `load`.
-        key: Serialization key of its requests, empty for none.
+        key: Ordering key of its requests, empty for none.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self._writer.close()
 
     async def handshake(self) -> None:
-        """Do what the protocol asks for before the first request; nothing by default.
+        """Perform the protocol's handshake before the first request; nothing by default.
 
         Raises:
             OSError: The connection was lost.
@@ -65,7 +66,7 @@
         """Send a request and wait for its response.
 
         Args:
-            name: Hexadecimal number that no other request has.
+            name: Hexadecimal number that identifies the request.
         """
         try:
             return await asyncio.wait_for(self._exchange(name), REQUEST_BUDGET_S + RESPONSE_GRACE_S)
@@ -82,7 +83,7 @@
 
 
 class PlatformConnection(ClientConnection):
-    """Speaks the platform's frames, each request on a stream of its own."""
+    """A connection with the platform's frames; each request has its own stream."""
 
     _stream = 0
 
@@ -114,7 +115,7 @@
 
 
 class PgConnection(ClientConnection):
-    """Speaks PostgreSQL's protocol 3.0, simple queries only."""
+    """A connection with PostgreSQL's protocol 3.0, simple queries only."""
 
     async def handshake(self) -> None:
         """Send the startup message and wait until the session is ready."""
@@ -129,7 +130,7 @@
         return RequestOutcome.SERVED if is_complete else RequestOutcome.FAILED
 
     async def _read_until_ready(self) -> str:
-        """Read up to ReadyForQuery and return the types of all messages, a letter each."""
+        """Read up to ReadyForQuery and return the types of all messages, one letter each."""
         message_types = ""
         while not message_types.endswith("Z"):
             message_type = await self._reader.readexactly(1)
--- a/decklb/lab/fault_runs/program_process.py
+++ b/decklb/lab/fault_runs/program_process.py
@@ -1,7 +1,7 @@
 """One serving process of the program between stand-in peers, for the fault runs on a single process.
 
-`ProgramProcess` owns the process, its log, the interposer over its system calls, stand-in engines and a stand-in
-directory, all on loopback. The runs on system calls, connection cuts and slow start drive it.
+`ProgramProcess` owns the process, its log, the interposer of its system calls, the stand-in engines and a stand-in
+directory, all on loopback. The fault runs on system calls, connection cuts and slow start use it.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
     StandinDirectory,
 )
 
-RECOVERY_TIMEOUT_S = 5.0  # in which the program has to serve again once a fault is over
+RECOVERY_TIMEOUT_S = 5.0  # after the end of a fault, in which the program has to serve again
 START_TIMEOUT_S = 2 * RECOVERY_TIMEOUT_S
 ENGINE_COUNT = 2
 SOURCE_TREE = Path(__file__).parents[3]  # of this version of the program
-# The platform's settings, in its own format: durations in ms, `share` and `late_worth` as parts of 1.
+# Settings in the platform's format: durations in ms, `share` and `late_worth` as fractions.
 SETTINGS: dict[str, Any] = {
     "categories": [
         {"name": "read", "aim": 1500.0, "deadline": 3000.0, "late_worth": 0.5, "semantics": "idempotent"},
@@ -72,25 +72,25 @@
 
     Attributes:
         front: Protocol of its clients, `platform` or `postgres`.
-        folder: For its configuration and the interposer's library.
+        folder: Folder for its configuration and the interposer's library.
         interposer: Makes system calls of the process fail.
-        engines: Stand-in engines, which record the attempts that they see.
-        directory: Stand-in directory, which counts its questions.
-        port: Where the program listens, once started.
-        log_lines: That the process wrote since its start, or since the list was last cleared.
+        engines: Stand-in engines, which record the attempts that they receive.
+        directory: Stand-in directory, which counts the queries that it receives.
+        port: Port on which the program listens; 0 before the start.
+        log_lines: Log of the process since its start, or since the list was last cleared.
         process: The child process, None before the first start.
     """
 
     def __init__(
         self, front: str, folder: Path, source_tree: Path | None, settings: dict[str, Any] | None = None
     ) -> None:
-        """Make the peers; nothing listens yet.
+        """Create the peers, none of which listens yet.
 
         Args:
             front: See the class.
-            folder: See the class; it exists and is empty.
-            source_tree: Folder of the program's package, None for this version.
-            settings: In the platform's format, None for SETTINGS.
+            folder: See the class; it must exist and be empty.
+            source_tree: Folder that contains the program's package; None for this version.
+            settings: Settings in the platform's format; None for SETTINGS.
         """
         self.front, self.folder = front, folder
         self._source_tree = source_tree or SOURCE_TREE
@@ -126,11 +126,11 @@
         self.directory.stop()
 
     async def advertised_engine_ports(self) -> dict[str, int]:
-        """Return the ports at which the program finds the engines, by engine id."""
+        """Return the ports of the engines as the directory gives them to the program, by engine id."""
         return {f"s-{i}": engine.port for i, engine in enumerate(self.engines)}
 
     async def start_program(self) -> None:
-        """Start the program alone and wait until it listens.
+        """Start only the program and wait until it listens.
 
         Raises:
             ProgramStartError: It ended, or did not listen in time.
@@ -157,7 +157,7 @@
         self.port = int(listening[1])
 
     async def kill_program(self) -> None:
-        """Kill the program alone and read its log to the end."""
+        """Kill only the program and read its log to the end."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
         if self.process is not None:
@@ -166,7 +166,7 @@
             await self._log_reader
 
     def _configuration(self) -> dict[str, Any]:
-        """The program's configuration as the platform hands it over; the directory's port must be known."""
+        """Return the program's configuration in the platform's format; the directory must have its port."""
         instances = [
             {
                 "instanceId": name,
@@ -200,11 +200,11 @@
             self.log_lines.append(line.decode(errors="replace"))
 
     def first_log_line(self, text: str) -> str:
-        """Return the first line of the log that contains a text, or an empty string."""
+        """Return the first log line that contains a text, or an empty string."""
         return next((line for line in self.log_lines if text in line), "")
 
     def cpu_seconds(self) -> float:
-        """Return the processor time that the process has used; 0 where it has ended."""
+        """Return the CPU time that the process has used in seconds; 0 if it has ended."""
         assert self.process is not None
         try:
             with open(f"/proc/{self.process.pid}/stat") as file:
@@ -215,7 +215,7 @@
         return (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
 
     def new_request_name(self) -> str:
-        """Return a hexadecimal number that no request of this object has had."""
+        """Return a hexadecimal number that no earlier request of this object had."""
         return f"{next(self._request_numbers):016x}"
 
     async def connect(self, request_class: str = "read", key: str = "") -> ClientConnection:
@@ -223,12 +223,12 @@
 
         Args:
             request_class: Class of its requests.
-            key: Serialization key of its requests, empty for none.
+            key: Ordering key of its requests, empty for none.
 
         Raises:
-            OSError: The program can't be reached, or the connection was lost in the handshake.
-            EOFError: The program closed it in the handshake.
-            TimeoutError: One of both took too long.
+            OSError: The program can't be reached, or the connection was lost during the handshake.
+            EOFError: The program closed the connection during the handshake.
+            TimeoutError: Connecting or the handshake exceeded REQUEST_BUDGET_S.
         """
         reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", self.port), REQUEST_BUDGET_S)
         connection_type = PlatformConnection if self.front == "platform" else PgConnection
@@ -241,7 +241,7 @@
         return connection
 
     async def request_on_new_connection(self) -> RequestOutcome:
-        """Send one request on a connection of its own."""
+        """Send one request on a new connection and close the connection."""
         try:
             connection = await self.connect()
         except (OSError, EOFError, TimeoutError):
@@ -252,7 +252,7 @@
             connection.close()
 
     async def wait_until_serving(self, timeout_s: float) -> bool:
-        """Send requests until one is served; False where none was in time."""
+        """Send requests until one is served and return True, or False if none was served in time."""
         end = time.monotonic() + timeout_s
         while time.monotonic() < end:
             if await self.request_on_new_connection() is RequestOutcome.SERVED:
@@ -261,7 +261,7 @@
         return False
 
     async def wait_for_directory_question(self, count_before: int) -> bool:
-        """Wait until the directory has more questions than before; False where it has not in time."""
+        """Wait until the directory has received another query; return False if it receives none in time."""
         end = time.monotonic() + RECOVERY_TIMEOUT_S
         while self.directory.questions <= count_before and time.monotonic() < end:
             await asyncio.sleep(0.02)
@@ -284,7 +284,7 @@
     end = time.monotonic() + START_TIMEOUT_S
     while not condition():
         if time.monotonic() > end:
-            raise ProgramStartError(f"waited in vain for {what}")
+            raise ProgramStartError(f"timed out after {START_TIMEOUT_S:g} s while waiting for {what}")
         await asyncio.sleep(0.01)
 
 
--- a/decklb/lab/fault_runs/slow_start_run.py
+++ b/decklb/lab/fault_runs/slow_start_run.py
@@ -1,10 +1,10 @@
-"""Fault run on slow start: many real managers, warm engines and one that has just started.
+"""Fault run on slow start: many real managers, warm engines and one engine that has just started.
 
-Each manager limits what it sends to the new engine by itself; the run checks the sum. The limit is the operators':
-in any window of the setting `fall` a cold engine may get N + 2 sqrt(N) + 2 requests of mean work (where N is under 30,
-N + 3 sqrt(N) + 3), with N being what the settings allow it at the window's end.
+Each manager limits by itself what it sends to the new engine; the run checks the sum over all managers. The limit is
+the operators': in any window as long as the setting `fall`, a cold engine may receive N + 2 sqrt(N) + 2 requests of
+mean work, or N + 3 sqrt(N) + 3 if N is under 30, where N is the number that the settings allow at the window's end.
 
-`play` is called by the command `decklb lab ramp`; state lives for one call of it only.
+`play` is called by the command `decklb lab ramp`. No state outlives a call of it.
 """
 
 from __future__ import annotations
@@ -27,27 +27,27 @@
 ENGINE_CORES = 8
 # The managers' settings of slow start, with the values of the first deployment.
 SLOW_START_MS = 15_000.0  # setting `cold`: age at which an engine is warm
-INITIAL_SHARE = 0.31  # setting `cold_share`: part of the full load that an engine of age 0 may get
-OVERLOAD_FACTOR = 3.0  # setting `overload_factor`: work in flight for each core
-WINDOW_MS = 1500.0  # setting `fall`, and the window that is checked
+INITIAL_SHARE = 0.31  # setting `cold_share`: fraction of the full load that an engine of age 0 may receive
+OVERLOAD_FACTOR = 3.0  # setting `overload_factor`: work in flight per core
+WINDOW_MS = 1500.0  # setting `fall`; the run checks windows of the same length
 DRAIN_GRACE_MS = 2000.0  # setting `drain_grace`
-MEAN_WORK_S = 0.2  # of one core that a request takes
+MEAN_WORK_S = 0.2  # of one core, per request
 WARM_ENGINES = 3
-MANY_REQUESTS = 30  # in a window; from here on chance needs a smaller allowance
-WARM_UP_S = 2.0  # of load on warm engines, in which the managers learn what a request costs
-CONNECTIONS_PER_MANAGER = 4  # to begin with; more are opened where none is idle
+MANY_REQUESTS = 30  # allowed in a window; from here on random variation needs a smaller allowance
+WARM_UP_S = 2.0  # of load on the warm engines, from which the managers learn the cost of a request
+CONNECTIONS_PER_MANAGER = 4  # at first; more are opened when none is idle
 
 
 @dataclass(slots=True)
 class SlowStartResult:
-    """What the cold engine got.
+    """The load on the cold engine.
 
     Attributes:
-        managers: Of the fleet.
-        requests: Sent after the cold engine was listed.
-        served: Of these.
+        managers: Number of managers in the fleet.
+        requests: Requests sent after the cold engine was listed.
+        served: How many of these were served.
         arrivals: Attempts at the cold engine.
-        worst: The fullest window's requests, as a part of what is allowed; above 1 the limit was broken.
+        worst: Number of requests in the fullest window divided by the number allowed; above 1 the limit was exceeded.
     """
 
     managers: int
@@ -58,7 +58,7 @@
 
 
 class FleetManager(ProgramProcess):
-    """One manager of the fleet. The engines and the directory belong to the fleet, which starts and stops them."""
+    """One manager of the fleet. It shares the engines and the directory; the fault run starts and stops these."""
 
     def __init__(
         self, folder: Path, number: int, managers: int, engines: list[RecordingEngine], directory: StandinDirectory
@@ -75,16 +75,16 @@
         self.engines, self.directory = engines, directory
 
     async def start(self) -> None:
-        """Start the program alone."""
+        """Start only the program."""
         await self.start_program()
 
     async def stop(self) -> None:
-        """Kill the program alone."""
+        """Kill only the program."""
         await self.kill_program()
 
 
 def allowed_requests(engine_age_ms: float) -> float:
-    """Return how many requests an engine may get in a window at whose end it has this age."""
+    """Return how many requests an engine may receive in a window at whose end it has this age."""
     load_share = min(1.0, INITIAL_SHARE + (1.0 - INITIAL_SHARE) * engine_age_ms / SLOW_START_MS)
     expected = OVERLOAD_FACTOR * load_share * ENGINE_CORES * WINDOW_MS / (1000.0 * MEAN_WORK_S)
     if expected < MANY_REQUESTS:
@@ -93,11 +93,11 @@
 
 
 def worst_window(arrivals_ms: list[float], started_ms: float) -> float:
-    """Return the requests of the fullest window before the engine is warm, as a part of what is allowed.
+    """Return the highest ratio of received to allowed requests over all windows that end before the engine is warm.
 
     Args:
-        arrivals_ms: When requests arrived at the engine, in order.
-        started_ms: When the engine started, on the same clock.
+        arrivals_ms: Arrival times of requests at the engine, in order.
+        started_ms: Time at which the engine started, on the same clock.
     """
     worst = 0.0
     for i, arrival_ms in enumerate(arrivals_ms):
@@ -109,13 +109,13 @@
 
 
 async def play(managers: int, rate: float, seconds: float, seed: int) -> SlowStartResult:
-    """Start a fleet, add a cold engine under load and count what it gets.
+    """Start a fleet, add a cold engine under load and count the requests that it receives.
 
     Args:
-        managers: Processes of the fleet.
-        rate: Requests a second at each manager.
-        seconds: Of load, from the moment at which the cold engine is listed.
-        seed: Of the moments at which requests are sent.
+        managers: Number of managers in the fleet.
+        rate: Requests per second at each manager.
+        seconds: Duration of the load from the time at which the cold engine is listed.
+        seed: Seed of the times at which requests are sent.
 
     Raises:
         ProgramStartError: A manager did not start.
@@ -133,7 +133,7 @@
         started_s = time.monotonic()
         directory.add(f"s-{WARM_ENGINES}", cold_engine.port, round(time.time() * 1000))
         outcomes_by_manager = await asyncio.gather(*[_send_load(manager, rate, seconds, rng) for manager in fleet])
-        outcomes = [outcome for of_manager in outcomes_by_manager for outcome in of_manager]
+        outcomes = [outcome for manager_outcomes in outcomes_by_manager for outcome in manager_outcomes]
         arrivals_ms = sorted(1000 * attempt.began for attempt in cold_engine.attempts)
         return SlowStartResult(
             managers=managers,
@@ -145,7 +145,7 @@
 
 
 async def _start_engines(stack: AsyncExitStack) -> list[RecordingEngine]:
-    """Start the warm engines and, last, the cold one; the stack stops them."""
+    """Start the warm engines and then the cold one, which is the last in the list; the stack stops them."""
     engines: list[RecordingEngine] = [RespEngine(work_s=MEAN_WORK_S) for _ in range(WARM_ENGINES + 1)]
     for engine in engines:
         await engine.start()
@@ -156,7 +156,7 @@
 async def _start_managers(
     stack: AsyncExitStack, folder: Path, count: int, engines: list[RecordingEngine], directory: StandinDirectory
 ) -> list[FleetManager]:
-    """Start the managers, each in a folder of its own; the stack stops them."""
+    """Start the managers, each with its own folder; the stack stops them."""
     fleet = []
     for number in range(count):
         (folder / str(number)).mkdir()
@@ -168,12 +168,12 @@
 
 
 async def _send_load(manager: ProgramProcess, rate: float, seconds: float, rng: random.Random) -> list[RequestOutcome]:
-    """Send requests at random moments, each on an idle connection, and return their outcomes.
+    """Send requests at random times, each on an idle connection, and return their outcomes.
 
     Args:
-        manager: That gets them.
-        rate: Requests a second on average; the gaps are drawn from an exponential distribution.
-        seconds: In which they are sent.
+        manager: Receives the requests.
+        rate: Mean number of requests per second; the gaps are drawn from an exponential distribution.
+        seconds: Time for which requests are sent.
         rng: Draws the gaps.
     """
     idle = [await manager.connect() for _ in range(CONNECTIONS_PER_MANAGER)]
--- a/decklb/lab/fault_runs/system_call_run.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -1,7 +1,8 @@
-"""Fault run on system calls: one call of a serving process fails while clients send, and what must hold is checked.
+"""Fault run on system calls: one system call of a serving process fails while clients send requests.
 
-`play_cases` plays cases of `faults.system_call_cases` on a few processes side by side. The command `decklb lab calls`
-runs it. State lives in the `ProgramProcess` of each group of cases only.
+`play_cases` runs cases of `faults.system_call_cases` on several processes side by side and checks, for each case, that
+the program serves its clients and recovers. It is called by the command `decklb lab calls`. All state is in the
+`ProgramProcess` of each batch of cases.
 """
 
 from __future__ import annotations
@@ -19,25 +20,25 @@
 from decklb.lab.faults.interposer import Rule
 from decklb.lab.faults.system_call_cases import SPANS, TRANSIENT, Case
 
-REQUEST_INTERVAL_S = 0.02  # between two requests on the lasting connections; every second one also on a new one
-TRAFFIC_AFTER_FAULT_S = 0.1  # after a fault that strikes once
-TRAFFIC_AFTER_DIRECTORY_FAULT_S = 0.5  # the same, for the directory, which is asked a few times a second
-BUSY_LOOP_CPU_SHARE = 0.7  # of a core over a long fault; the traffic itself takes under a fifth
-LASTING_CONNECTIONS = 4
-UNLIMITED_HITS = 1 << 40  # of a fault that lasts for a span
-ANY_PORT = 0  # of a rule that strikes the sockets of all peers
+REQUEST_INTERVAL_S = 0.02  # between requests on persistent connections; every second time also one on a new connection
+TRAFFIC_AFTER_FAULT_S = 0.1  # duration of the traffic under a fault that hits a single call
+TRAFFIC_AFTER_DIRECTORY_FAULT_S = 0.5  # the same for the directory, which is queried only a few times a second
+BUSY_LOOP_CPU_SHARE = 0.7  # of one core during a long fault; the traffic alone takes under a fifth
+PERSISTENT_CONNECTIONS = 4
+UNLIMITED_HITS = 1 << 40  # of a fault that lasts for a time span
+ANY_PORT = 0  # of a rule that matches the sockets of all peers
 
 
 @dataclass(slots=True)
 class CaseResult:
-    """What came of one case.
+    """The result of one case.
 
     Attributes:
         case: The case.
-        hits: Calls that failed by it.
-        outcomes: Requests sent under it, by outcome.
-        violations: What did not hold, in words; empty where all did.
-        log_excerpt: Lines of the program's log, where something did not hold.
+        hits: Number of system calls that the fault hit.
+        outcomes: Number of requests sent under the fault, by outcome.
+        violations: Descriptions of the rules that were broken; empty if there were none.
+        log_excerpt: Lines of the program's log; empty if no rule was broken.
     """
 
     case: Case
@@ -49,13 +50,13 @@
 
 @dataclass(slots=True)
 class Measured:
-    """What was measured while a fault lasted.
+    """Measurements taken while a fault lasted.
 
     Attributes:
-        hits: Calls that failed.
-        outcomes: Requests sent, by outcome.
-        cpu_share: Processor time of the process, as a part of one core.
-        directory_questions: That the directory had received when the fault ended.
+        hits: Number of system calls that the fault hit.
+        outcomes: Number of requests sent, by outcome.
+        cpu_share: CPU time of the process as a fraction of one core.
+        directory_questions: Number of queries that the directory had received when the fault ended.
     """
 
     hits: int
@@ -65,9 +66,9 @@
 
 
 class Traffic:
-    """Requests at a steady rate, on lasting connections and on new ones.
+    """Requests at a constant rate, on persistent connections and on new ones.
 
-    Owns the lasting connections and the tasks of the requests that are open.
+    Owns the persistent connections and the tasks of the requests in flight.
     """
 
     def __init__(self, program: ProgramProcess) -> None:
@@ -76,11 +77,11 @@
         self._requests: list[asyncio.Task[RequestOutcome]] = []
 
     async def connect(self) -> None:
-        """Open the lasting connections, before the fault."""
-        self._idle = [await self._program.connect() for _ in range(LASTING_CONNECTIONS)]
+        """Open the persistent connections; to be called before the fault."""
+        self._idle = [await self._program.connect() for _ in range(PERSISTENT_CONNECTIONS)]
 
     async def send_for(self, seconds: float) -> None:
-        """Send requests for a time, without waiting for their responses."""
+        """Send requests for this time without waiting for their responses."""
         end = time.monotonic() + seconds
         for number in itertools.count():
             if time.monotonic() >= end:
@@ -93,7 +94,7 @@
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
     async def _request(self, connection: ClientConnection) -> RequestOutcome:
-        """Send a request, on a new lasting connection where this one is closed."""
+        """Send a request on a persistent connection, which is replaced by a new one if it is closed."""
         if connection.is_closed:
             try:
                 connection = await self._program.connect()
@@ -105,7 +106,7 @@
         return outcome
 
     async def finish(self) -> Counter[RequestOutcome]:
-        """Wait for all open requests, close the connections and return how often each outcome came."""
+        """Wait for all requests, close the connections and return the number of requests by outcome."""
         outcomes = Counter(await asyncio.gather(*self._requests))
         for connection in self._idle:
             connection.close()
@@ -113,7 +114,7 @@
 
 
 async def play_case(program: ProgramProcess, case: Case) -> CaseResult:
-    """Play one case on a program that serves; where something did not hold, the program is restarted afterwards.
+    """Run one case on a serving program; if a rule was broken, the program is restarted afterwards.
 
     Raises:
         ProgramStartError: The program did not start again.
@@ -127,7 +128,7 @@
     if not await program.wait_until_serving(RECOVERY_TIMEOUT_S):
         violations.append("no new client is served after the fault")
     if not await program.wait_for_directory_question(measured.directory_questions):
-        violations.append("the directory is not asked after the fault")
+        violations.append("the directory is not queried after the fault")
     log_excerpt: list[str] = []
     if violations:
         log_excerpt = [line for line in program.log_lines if " INFO " not in line] + program.log_lines[-3:]
@@ -142,9 +143,9 @@
     began, cpu_before = time.monotonic(), program.cpu_seconds()
     rules = _start_fault(program, case)
     for engine in program.engines:
-        engine.drop_connections()  # so that new ones are opened
-    after_single_hit = TRAFFIC_AFTER_DIRECTORY_FAULT_S if case.side == "directory" else TRAFFIC_AFTER_FAULT_S
-    await traffic.send_for(SPANS[case.span] or after_single_hit)
+        engine.drop_connections()  # so that the program opens new ones
+    single_hit_duration_s = TRAFFIC_AFTER_DIRECTORY_FAULT_S if case.side == "directory" else TRAFFIC_AFTER_FAULT_S
+    await traffic.send_for(SPANS[case.span] or single_hit_duration_s)
     cpu_share = (program.cpu_seconds() - cpu_before) / (time.monotonic() - began)
     program.interposer.clear()
     hits, questions = sum(rule.hits for rule in rules), program.directory.questions
@@ -152,11 +153,11 @@
 
 
 def _start_fault(program: ProgramProcess, case: Case) -> list[Rule]:
-    """Make the call of a case fail, and return the interposer's rules, one for each peer's port."""
+    """Make the system call of a case fail and return the interposer's rules, one for each peer's port."""
     ports = {
         "client": [program.port],
         "engine": [engine.port for engine in program.engines],
-        # The directory's socket is the only one that receives so, and has no peer to be known by.
+        # Only the directory's socket is read with recvfrom; it is not connected, so no rule can match a remote port.
         "directory": [ANY_PORT if case.call == "recvfrom" else program.directory.port],
         "any": [ANY_PORT],
     }[case.side]
@@ -165,23 +166,23 @@
 
 
 def _violations(program: ProgramProcess, case: Case, measured: Measured) -> list[str]:
-    """Describe what did not hold while the fault lasted."""
+    """Describe the rules that were broken while the fault lasted."""
     assert program.process is not None
     violations: list[str] = []
     if program.process.returncode is not None:
-        violations.append(f"the program ended with {program.process.returncode}")
+        violations.append(f"the program ended with exit status {program.process.returncode}")
     violations += _client_violations(case, measured.outcomes)
     violations += program.overlapping_attempts()
     log = "".join(program.log_lines)
     if "Traceback" in log or "unexpected failure" in log or "Unhandled" in log:
-        violations.append("a failure that nobody had reckoned with, in the log")
+        violations.append("the log contains an unexpected failure")
     if measured.hits and case.call != "write" and case.error not in TRANSIENT and not log:
-        violations.append("no line of the log tells of it")
+        violations.append("the log does not mention the fault")
     if case.span == "long" and measured.cpu_share > BUSY_LOOP_CPU_SHARE:
-        violations.append(f"a busy loop: {measured.cpu_share:.2f} of a core")
-    # A peer that closes before anything is sent also gives unreachable: it says nothing of this machine.
+        violations.append(f"busy loop: the process used {measured.cpu_share:.2f} of a core")
+    # An attempt is also unreachable if the peer closes before anything is sent, which is no local failure.
     if "attempt ended: unreachable" in log and "no-connection" in log and not case.says_engine_failed:
-        violations.append("a local failure is put down to an engine")
+        violations.append("a local failure is attributed to an engine")
     return violations
 
 
@@ -200,17 +201,17 @@
 async def play_cases(
     cases: Iterable[Case], processes_per_front: int, source_tree: Path | None = None
 ) -> AsyncIterator[CaseResult]:
-    """Play cases on several processes at a time, and yield results as they come.
+    """Run cases on several processes at a time and yield each result as soon as it is known.
 
     Args:
-        cases: To play, of both fronts.
-        processes_per_front: That run side by side.
+        cases: Cases of both fronts.
+        processes_per_front: Number of processes that run side by side.
         source_tree: See ProgramProcess.
 
     Raises:
-        ProgramStartError: A program did not start, or not again after a case.
+        ProgramStartError: A program did not start, or did not restart after a case.
     """
-    results: asyncio.Queue[CaseResult | None] = asyncio.Queue()  # None: one batch has ended
+    results: asyncio.Queue[CaseResult | None] = asyncio.Queue()  # None marks the end of a batch
 
     async def play_batch(batch: list[Case]) -> None:
         try:
@@ -232,9 +233,9 @@
 
 
 def _batches(cases: list[Case], processes_per_front: int) -> list[list[Case]]:
-    """Deal the cases of each front out to its processes; none of the batches is empty."""
+    """Divide the cases of each front among its processes; no batch is empty."""
     batches = []
     for front in sorted({case.front for case in cases}):
-        of_front = [case for case in cases if case.front == front]
-        batches += [batch for i in range(processes_per_front) if (batch := of_front[i::processes_per_front])]
+        front_cases = [case for case in cases if case.front == front]
+        batches += [batch for i in range(processes_per_front) if (batch := front_cases[i::processes_per_front])]
     return batches
