--- a/decklb/lab/fault_runs/system_call_run.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -162,7 +162,7 @@
         "any": [ANY_PORT],
     }[case.side]
     max_hits = 1 if case.span == "once" else UNLIMITED_HITS
-    return [program.interposer.fail(case.call, case.errno, port, count=max_hits) for port in ports]
+    return [program.interposer.add_rule(case.call, case.errno, port, count=max_hits) for port in ports]
 
 
 def _violations(program: ProgramProcess, case: Case, measured: Measured) -> list[str]:
--- a/decklb/lab/faults/clock_jump.py
+++ b/decklb/lab/faults/clock_jump.py
@@ -1,8 +1,8 @@
-"""The program as run by `python -m decklb`, with a wall clock that signals set forward or back.
+"""Runs the program like `python -m decklb`, with a wall clock that signals set forward or back.
 
-`python -m decklb.lab.faults.clock_jump serve ...` is started by the fault runs in place of the program. SIGUSR1 sets
-this process's wall clock an hour ahead, SIGUSR2 a minute behind, SIGWINCH back to the machine's. Setting the machine's
-own clock would need privileges and would affect every process at once. The monotonic clock never jumps.
+The fault runs start `python -m decklb.lab.faults.clock_jump serve ...` in place of the program. SIGUSR1 sets this
+process's wall clock an hour ahead of the machine's, SIGUSR2 a minute behind it, and SIGWINCH resets it. Setting the
+machine's own clock would need privileges and would affect every process at once. The monotonic clock never jumps.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Replace `time.time` of this process, then run the program with the arguments as they are."""
+    """Replace `time.time` in this process, then run the program with unchanged arguments."""
     machine_time = time.time
     offset_s = 0.0
 
--- a/decklb/lab/faults/connection_proxy.py
+++ b/decklb/lab/faults/connection_proxy.py
@@ -1,6 +1,6 @@
-"""A TCP proxy on loopback that strikes a connection at a chosen byte of what the server says.
+"""A TCP proxy on loopback that injects a fault into a connection at a chosen byte of the server's answers.
 
-`ConnectionProxy` stands before one server and is owned by a fault run, which arms one strike at a time.
+`ConnectionProxy` forwards connections to one server. It is owned by a fault run, which arms one fault at a time.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from dataclasses import dataclass
 from enum import Enum
 
-DELAY_S = 0.05  # by which bytes after an `Action.DELAY` are late
+DELAY_S = 0.05  # by which `Action.DELAY` delays the bytes after it
 CHUNK_BYTES = 65536
-LINGER_NONE = struct.pack("ii", 1, 0)  # SO_LINGER that makes closing a connection reset it
+LINGER_NONE = struct.pack("ii", 1, 0)  # SO_LINGER with which closing a connection resets it
 
 
 class Action(Enum):
-    """What happens once so many bytes have passed."""
+    """What the proxy does to a connection after the chosen number of bytes."""
 
     RESET = "reset"  # both connections are reset
-    CLOSE = "close"  # both are closed in order
-    HALF_CLOSE = "half-close"  # the direction of the bytes ends, the other goes on
-    SILENCE = "silence"  # nothing more passes, in either direction, and nothing says so
-    DELAY = "delay"  # what follows comes late
-    SPLIT = "split"  # what follows comes a byte at a time
+    CLOSE = "close"  # both connections are closed in an orderly way
+    HALF_CLOSE = "half-close"  # the server's direction is closed, the other continues
+    SILENCE = "silence"  # nothing more passes in either direction, but both connections stay open
+    DELAY = "delay"  # the bytes that follow are delayed
+    SPLIT = "split"  # the bytes that follow are sent one at a time
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     """One action at one byte of the server's answers.
 
     Attributes:
-        at: Bytes that still pass in that direction, over all connections.
+        at: Number of answer bytes, over all connections, that are forwarded before the action.
         action: What happens then.
     """
 
@@ -42,22 +42,22 @@
 
 
 class ConnectionProxy:
-    """Stands before one server. A strike set with `arm` hits the first connection that gets so far.
+    """Proxy of one server. A fault armed with `arm` is injected into the connection that carries the chosen byte.
 
     Attributes:
-        server_port: Of the server.
-        listen_port: Its own, once started.
-        struck_at_s: When the armed strike hit, on the monotonic clock; None before.
+        server_port: Port of the server.
+        listen_port: Port of the proxy; 0 before the start.
+        struck_at_s: Time on the monotonic clock at which the armed fault was injected; None before.
     """
 
     def __init__(self, server_port: int) -> None:
         self.server_port, self.listen_port = server_port, 0
         self.struck_at_s: float | None = None
         self._strike: Strike | None = None
-        self._passed_bytes = 0
+        self._forwarded_bytes = 0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._silent: set[asyncio.StreamWriter] = set()
+        self._silenced: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
         """Listen on a port of its own."""
@@ -65,95 +65,108 @@
         self.listen_port = self._server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the proxy and all its connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
             writer.close()
 
     def arm(self, strike: Strike | None) -> None:
-        """Strike once, counted from the server's next byte on; with None, strike no more."""
-        self._strike, self._passed_bytes, self.struck_at_s = strike, 0, None
+        """Inject a fault once, counting from the server's next byte on; None disarms the proxy."""
+        self._strike, self._forwarded_bytes, self.struck_at_s = strike, 0, None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self.server_port)
         except OSError:
             return writer.close()
-        both = {writer, server_writer}
-        self._writers |= both
+        writers = {writer, server_writer}
+        self._writers |= writers
         try:
             await asyncio.gather(
-                self._carry(reader, server_writer, writer, False),
-                self._carry(server_reader, writer, server_writer, True),
+                self._forward(reader, server_writer, writer, False),
+                self._forward(server_reader, writer, server_writer, True),
             )
         finally:
-            self._writers -= both
-            for end in both:
-                end.close()
-
-    async def _carry(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, other: asyncio.StreamWriter, answers: bool
+            self._writers -= writers
+            for each_writer in writers:
+                each_writer.close()
+
+    async def _forward(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        opposite_writer: asyncio.StreamWriter,
+        is_from_server: bool,
     ) -> None:
-        """Carry one direction; `other` writes the opposite one, `answers` says whether it is the server's."""
+        """Forward one direction of a connection until its end.
+
+        Args:
+            reader: Source of the bytes.
+            writer: Destination of the bytes.
+            opposite_writer: Destination of the opposite direction.
+            is_from_server: Whether the bytes are the server's answers, into which faults are injected.
+        """
         split = False
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if answers and (strike := self._strike_due(len(data))) is not None:
-                    before = strike.at - (self._passed_bytes - len(data))
-                    writer.write(data[:before])
-                    if not await self._act(strike.action, writer, other):
+                if is_from_server and (strike := self._fault_due(len(data))) is not None:
+                    size_before = strike.at - (self._forwarded_bytes - len(data))
+                    writer.write(data[:size_before])
+                    if not await self._perform(strike.action, writer, opposite_writer):
                         return
                     split = strike.action is Action.SPLIT
-                    data = data[before:]
-                if writer in self._silent or other in self._silent:
+                    data = data[size_before:]
+                if writer in self._silenced or opposite_writer in self._silenced:
                     continue
-                await self._pass_on(writer, data, split)
+                await self._write(writer, data, split)
             writer.write_eof()
         except (OSError, RuntimeError):
             pass
         finally:
-            if writer not in self._silent and other not in self._silent and not answers:
+            if writer not in self._silenced and opposite_writer not in self._silenced and not is_from_server:
                 writer.close()
 
-    def _strike_due(self, size: int) -> Strike | None:
-        """Count bytes that passed, and return the strike that falls within them."""
+    def _fault_due(self, size: int) -> Strike | None:
+        """Count answer bytes, and return the armed fault if its byte is among them."""
         strike = self._strike
         if strike is None:
             return None
-        self._passed_bytes += size
-        if self._passed_bytes < strike.at:
+        self._forwarded_bytes += size
+        if self._forwarded_bytes < strike.at:
             return None
         self._strike, self.struck_at_s = None, time.monotonic()
         return strike
 
-    async def _act(self, action: Action, writer: asyncio.StreamWriter, other: asyncio.StreamWriter) -> bool:
-        """Carry an action out; return whether the direction goes on."""
+    async def _perform(
+        self, action: Action, writer: asyncio.StreamWriter, opposite_writer: asyncio.StreamWriter
+    ) -> bool:
+        """Perform an action and return whether this direction is still read."""
         match action:
             case Action.RESET:
                 _reset(writer)
-                _reset(other)
+                _reset(opposite_writer)
                 return False
             case Action.CLOSE:
                 writer.close()
-                other.close()
+                opposite_writer.close()
                 return False
             case Action.HALF_CLOSE:
                 writer.write_eof()
                 return False
             case Action.SILENCE:
-                self._silent |= {writer, other}
+                self._silenced |= {writer, opposite_writer}
             case Action.DELAY:
                 await asyncio.sleep(DELAY_S)
             case Action.SPLIT:
                 pass
         return True
 
-    async def _pass_on(self, writer: asyncio.StreamWriter, data: bytes, split: bool) -> None:
+    async def _write(self, writer: asyncio.StreamWriter, data: bytes, split: bool) -> None:
         if not split:
             writer.write(data)
-        for at in range(len(data)) if split else ():
-            writer.write(data[at : at + 1])
+        for i in range(len(data)) if split else ():
+            writer.write(data[i : i + 1])
             await asyncio.sleep(0)
         await writer.drain()
 
--- a/decklb/lab/faults/fault_schedule.py
+++ b/decklb/lab/faults/fault_schedule.py
@@ -1,7 +1,7 @@
-"""Faults between the processes of a fleet: what a link does to traffic, and when faults strike, drawn from a seed.
+"""Faults between the processes of a fleet: conditions of links, and schedules of faults drawn from a seed.
 
-Free of I/O. The fleets of `fault_runs` draw a schedule and carry it out; `network_proxy` applies the conditions of
-links. Times are milliseconds.
+Free of I/O. The fleets of `fault_runs` draw a schedule and execute it; `network_proxy` applies the conditions of links.
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """What one direction between two processes does to traffic.
+    """What happens to traffic in one direction between two processes.
 
     Attributes:
-        drop: Share of datagrams lost.
-        duplicate: Share of datagrams sent twice.
-        delay_ms: Least delay.
-        jitter_ms: Added delay, uniform up to this: datagrams overtake one another.
-        cut: Whether nothing passes.
+        drop: Fraction of datagrams that are lost.
+        duplicate: Fraction of datagrams that are sent twice.
+        delay_ms: Minimum delay.
+        jitter_ms: Maximum of the additional, uniformly distributed delay, which reorders datagrams.
+        cut: Whether no traffic passes.
     """
 
     drop: float = 0.0
@@ -31,10 +31,10 @@
 
     def __post_init__(self) -> None:
         if not (0 <= self.drop <= 1 and 0 <= self.duplicate <= 1 and self.delay_ms >= 0 and self.jitter_ms >= 0):
-            raise ValueError("drop and duplicate are shares from 0 to 1; delay and jitter at least 0")
+            raise ValueError("drop and duplicate must be from 0 to 1, delay and jitter at least 0")
 
     def arrival_delays_ms(self, rng: random.Random) -> list[float]:
-        """Draw the delays after which a datagram arrives, one for each duplicate; none where it is lost."""
+        """Draw the delay of each copy of a datagram that arrives; the list is empty if the datagram is lost."""
         if self.cut or rng.random() < self.drop:
             return []
         count = 2 if rng.random() < self.duplicate else 1
@@ -47,31 +47,31 @@
 
 
 class FleetFaultKind(Enum):
-    """What a fault between the processes of a fleet does, or what undoes one. Values are those of the command line."""
+    """Kind of a fault in a fleet, or of the action that undoes one. The values are those of the command line."""
 
     CUT = "cut"  # one direction between two members is cut
     PARTITION = "partition"  # both directions between a member and all others are cut
-    LOSSY = "lossy"  # both directions between two members lose, duplicate and reorder
+    LOSSY = "lossy"  # both directions between two members lose, duplicate, delay and reorder datagrams
     ENGINES = "engines"  # both directions between a member and all engines are cut
-    HEAL = "heal"  # every link is clean again
+    HEAL = "heal"  # all links are clean again
     KILL = "kill"  # SIGKILL
-    STOP = "stop"  # SIGSTOP: a slow peer, until CONT
+    STOP = "stop"  # SIGSTOP: the member does not respond until CONT
     CONT = "cont"  # SIGCONT
-    RESTART = "restart"  # started again, after a kill
+    RESTART = "restart"  # restart after a kill
     AHEAD = "ahead"  # the wall clock jumps an hour ahead
     BEHIND = "behind"  # the wall clock jumps a minute behind
-    CLOCK = "clock"  # the wall clock is the machine's again
+    CLOCK = "clock"  # the wall clock is reset to the machine's
 
 
 @dataclass(frozen=True, slots=True)
 class FleetFault:
-    """One fault, or what undoes one.
+    """One fault, or the action that undoes one.
 
     Attributes:
-        at_ms: When, from the start of the run.
-        kind: What it does.
-        target: Member that it strikes.
-        other: Far end of a link, for faults of one link.
+        at_ms: Time from the start of the run.
+        kind: What is done.
+        target: Affected member.
+        other: Member at the other end of the link, for faults of a single link; "" otherwise.
     """
 
     at_ms: float
@@ -87,13 +87,13 @@
     FleetFaultKind.KILL,
     FleetFaultKind.STOP,
 )
-LINK_KINDS = (FleetFaultKind.CUT, FleetFaultKind.LOSSY)  # faults of one link
+LINK_KINDS = (FleetFaultKind.CUT, FleetFaultKind.LOSSY)  # faults of a single link
 UNDONE_BY = {
     FleetFaultKind.KILL: FleetFaultKind.RESTART,
     FleetFaultKind.STOP: FleetFaultKind.CONT,
     FleetFaultKind.AHEAD: FleetFaultKind.CLOCK,
     FleetFaultKind.BEHIND: FleetFaultKind.CLOCK,
-}  # all others by HEAL
+}  # all others are undone by HEAL
 
 
 def draw_schedule(
@@ -103,9 +103,9 @@
     count: int,
     kinds: tuple[FleetFaultKind, ...] = DEFAULT_KINDS,
 ) -> list[FleetFault]:
-    """Draw `count` faults at random moments, each followed by what undoes it before the next one strikes.
+    """Draw `count` faults at random times, each followed by the action that undoes it before the next fault.
 
-    A run that carries it out ends with every member up and every link clean.
+    After the schedule every member is up and every link is clean.
     """
     rng = random.Random(seed)
     if len(members) < 2 or count < 1:
--- a/decklb/lab/faults/free_ports.py
+++ b/decklb/lab/faults/free_ports.py
@@ -1,7 +1,7 @@
-"""Draws free ports that stay free while their owner is down, for processes that tests and fault runs start again.
+"""Draws free ports for processes that tests and fault runs start and restart.
 
-They lie below the range from which the kernel serves outgoing connections, so that nobody else's connection takes one
-before its owner has come up, or between its end and its next start.
+The ports are below the kernel's ephemeral range, so no outgoing connection of another process can occupy one before its
+owner has started or while the owner is down.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 MIN_PORT = 10_000
-_rng = random.SystemRandom()  # not by seed: fleets of one seed may run side by side
+_rng = random.SystemRandom()  # not from a seed: fleets with the same seed may run side by side
 
 
 def free(count: int, host: str = "127.0.0.1") -> list[int]:
-    """Return so many ports that are free for datagrams and for connections alike."""
+    """Return this number of ports that are free for both UDP and TCP."""
     first_ephemeral = int(EPHEMERAL_RANGE.read_text().split()[0])
     ports: list[int] = []
     while len(ports) < count:
@@ -28,9 +28,9 @@
 
 def _is_free(host: str, port: int) -> bool:
     try:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams, socket.socket() as connections:
-            datagrams.bind((host, port))
-            connections.bind((host, port))
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket, socket.socket() as tcp_socket:
+            udp_socket.bind((host, port))
+            tcp_socket.bind((host, port))
     except OSError:
         return False
     return True
--- a/decklb/lab/faults/interposer.c
+++ b/decklb/lab/faults/interposer.c
@@ -1,8 +1,8 @@
-/* Makes chosen system calls of the process that loads it (LD_PRELOAD) fail, come short or come late.
+/* Makes chosen system calls of the process that loads it (LD_PRELOAD) fail, transfer fewer bytes or be delayed.
  *
- * DECKLB_FAULTS names a file of `struct control`, mapped and shared with whoever injects (interposer.py). A rule matches
- * a call by its number, and where `port` is not 0 by the local or the remote port of its socket. Only the C library's
- * wrappers are replaced; the calls themselves are made by the C library's own.
+ * DECKLB_FAULTS names a file with a `struct control`, which is mapped into memory and shared with the process that sets
+ * the rules (interposer.py). A rule matches a call by its number and, if `port` is not 0, by the local or remote port
+ * of its socket. Only wrappers of the C library are interposed; the real wrapper then makes the system call.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,26 +21,26 @@
 #include <time.h>
 #include <unistd.h>
 
-enum { RULES = 16 };
+enum { MAX_RULES = 16 };
 
-/* The order is that of interposer.py's CALLS. */
+/* In the order of CALLS in interposer.py. */
 enum call { ACCEPT4, CONNECT, SOCKET, BIND, GETSOCKOPT, SETSOCKOPT, RECV, RECVFROM, SEND, SENDTO, WRITEV, EPOLL_WAIT,
             EPOLL_CTL, READ, WRITE, PWRITE, PWRITEV, FSYNC, FDATASYNC, MSYNC, FTRUNCATE };
 
 struct rule {
     int32_t active, call;
-    int32_t error;      /* errno to fail with; 0: make the call */
-    int32_t port;       /* only sockets with this port at either end; 0: any descriptor */
-    int64_t skip;       /* matching calls to let pass first */
-    int64_t count;      /* matching calls to strike after that */
-    int32_t most;       /* bytes that the call may move; 0: as many as it likes */
-    int32_t delay_us;   /* how late the call is made */
-    int64_t seen, hits; /* written here */
+    int32_t error;      /* errno with which the call fails; 0: the call is made */
+    int32_t port;       /* only sockets with this local or remote port; 0: any descriptor */
+    int64_t skip;       /* number of matching calls before the rule applies */
+    int64_t count;      /* number of matching calls after that to which it applies */
+    int32_t max_bytes;  /* maximum number of bytes that the call transfers; 0: no limit */
+    int32_t delay_us;   /* delay before the call */
+    int64_t seen, hits; /* counted by this library: matching calls, and those to which the rule applied */
 };
 
 struct control {
-    int64_t wall_offset_ns; /* added to the wall clock */
-    struct rule rules[RULES];
+    int64_t wall_offset_ns; /* offset added to the wall clock */
+    struct rule rules[MAX_RULES];
 };
 
 static struct control *control;
@@ -51,10 +51,10 @@
     int fd = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
     if (fd < 0)
         return;
-    void *at = mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void *address = mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     close(fd);
-    if (at != MAP_FAILED)
-        control = at;
+    if (address != MAP_FAILED)
+        control = address;
 }
 
 static int port_of(const struct sockaddr_storage *address)
@@ -74,11 +74,11 @@
     return getpeername(fd, (struct sockaddr *)&address, &size) == 0 && port_of(&address) == port;
 }
 
-/* Returns 1 if the call has to fail, with errno set. Bounds *size where a rule says so, and sleeps where one does. */
-static int strike(enum call call, int fd, const struct sockaddr *target, size_t *size)
+/* Applies all rules for a call. Returns 1 if the call has to fail, with errno set. May limit *size, and may sleep. */
+static int apply_rules(enum call call, int fd, const struct sockaddr *target, size_t *size)
 {
-    int kept = errno;
-    for (int i = 0; control && i < RULES; i++) {
+    int saved_errno = errno;
+    for (int i = 0; control && i < MAX_RULES; i++) {
         struct rule *rule = &control->rules[i];
         if (!rule->active || rule->call != (int)call)
             continue;
@@ -90,14 +90,14 @@
         __atomic_fetch_add(&rule->hits, 1, __ATOMIC_SEQ_CST);
         if (rule->delay_us)
             usleep(rule->delay_us);
-        if (rule->most && size && *size > (size_t)rule->most)
-            *size = rule->most;
+        if (rule->max_bytes && size && *size > (size_t)rule->max_bytes)
+            *size = rule->max_bytes;
         if (rule->error) {
             errno = rule->error;
             return 1;
         }
     }
-    errno = kept;
+    errno = saved_errno;
     return 0;
 }
 
@@ -109,127 +109,127 @@
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags)
 {
     NEXT(accept4);
-    return strike(ACCEPT4, fd, NULL, NULL) ? -1 : next(fd, address, length, flags);
+    return apply_rules(ACCEPT4, fd, NULL, NULL) ? -1 : next(fd, address, length, flags);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length)
 {
     NEXT(connect);
-    return strike(CONNECT, fd, address, NULL) ? -1 : next(fd, address, length);
+    return apply_rules(CONNECT, fd, address, NULL) ? -1 : next(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol)
 {
     NEXT(socket);
-    return domain == AF_INET && strike(SOCKET, -1, NULL, NULL) ? -1 : next(domain, type, protocol);
+    return domain == AF_INET && apply_rules(SOCKET, -1, NULL, NULL) ? -1 : next(domain, type, protocol);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length)
 {
     NEXT(bind);
-    return strike(BIND, fd, address, NULL) ? -1 : next(fd, address, length);
+    return apply_rules(BIND, fd, address, NULL) ? -1 : next(fd, address, length);
 }
 
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length)
 {
     NEXT(getsockopt);
-    return strike(GETSOCKOPT, fd, NULL, NULL) ? -1 : next(fd, level, name, value, length);
+    return apply_rules(GETSOCKOPT, fd, NULL, NULL) ? -1 : next(fd, level, name, value, length);
 }
 
 int setsockopt(int fd, int level, int name, const void *value, socklen_t length)
 {
     NEXT(setsockopt);
-    return strike(SETSOCKOPT, fd, NULL, NULL) ? -1 : next(fd, level, name, value, length);
+    return apply_rules(SETSOCKOPT, fd, NULL, NULL) ? -1 : next(fd, level, name, value, length);
 }
 
 ssize_t recv(int fd, void *data, size_t size, int flags)
 {
     NEXT(recv);
-    return strike(RECV, fd, NULL, &size) ? -1 : next(fd, data, size, flags);
+    return apply_rules(RECV, fd, NULL, &size) ? -1 : next(fd, data, size, flags);
 }
 
 ssize_t recvfrom(int fd, void *data, size_t size, int flags, struct sockaddr *address, socklen_t *length)
 {
     NEXT(recvfrom);
-    return strike(RECVFROM, fd, NULL, &size) ? -1 : next(fd, data, size, flags, address, length);
+    return apply_rules(RECVFROM, fd, NULL, &size) ? -1 : next(fd, data, size, flags, address, length);
 }
 
 ssize_t send(int fd, const void *data, size_t size, int flags)
 {
     NEXT(send);
-    return strike(SEND, fd, NULL, &size) ? -1 : next(fd, data, size, flags);
+    return apply_rules(SEND, fd, NULL, &size) ? -1 : next(fd, data, size, flags);
 }
 
 ssize_t sendto(int fd, const void *data, size_t size, int flags, const struct sockaddr *address, socklen_t length)
 {
     NEXT(sendto);
-    return strike(SENDTO, fd, address, &size) ? -1 : next(fd, data, size, flags, address, length);
+    return apply_rules(SENDTO, fd, address, &size) ? -1 : next(fd, data, size, flags, address, length);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count)
 {
     NEXT(writev);
-    return strike(WRITEV, fd, NULL, NULL) ? -1 : next(fd, parts, count);
+    return apply_rules(WRITEV, fd, NULL, NULL) ? -1 : next(fd, parts, count);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
     NEXT(epoll_wait);
-    return strike(EPOLL_WAIT, fd, NULL, NULL) ? -1 : next(fd, events, most, timeout);
+    return apply_rules(EPOLL_WAIT, fd, NULL, NULL) ? -1 : next(fd, events, max_events, timeout);
 }
 
-int epoll_ctl(int fd, int what, int target, struct epoll_event *event)
+int epoll_ctl(int fd, int operation, int target, struct epoll_event *event)
 {
     NEXT(epoll_ctl);
-    return strike(EPOLL_CTL, target, NULL, NULL) ? -1 : next(fd, what, target, event);
+    return apply_rules(EPOLL_CTL, target, NULL, NULL) ? -1 : next(fd, operation, target, event);
 }
 
 ssize_t read(int fd, void *data, size_t size)
 {
     NEXT(read);
-    return strike(READ, fd, NULL, &size) ? -1 : next(fd, data, size);
+    return apply_rules(READ, fd, NULL, &size) ? -1 : next(fd, data, size);
 }
 
 ssize_t write(int fd, const void *data, size_t size)
 {
     NEXT(write);
-    return strike(WRITE, fd, NULL, &size) ? -1 : next(fd, data, size);
+    return apply_rules(WRITE, fd, NULL, &size) ? -1 : next(fd, data, size);
 }
 
-ssize_t pwrite(int fd, const void *data, size_t size, off_t at)
+ssize_t pwrite(int fd, const void *data, size_t size, off_t offset)
 {
     NEXT(pwrite);
-    return strike(PWRITE, fd, NULL, &size) ? -1 : next(fd, data, size, at);
+    return apply_rules(PWRITE, fd, NULL, &size) ? -1 : next(fd, data, size, offset);
 }
 
-ssize_t pwritev(int fd, const struct iovec *parts, int count, off_t at)
+ssize_t pwritev(int fd, const struct iovec *parts, int count, off_t offset)
 {
     NEXT(pwritev);
-    return strike(PWRITEV, fd, NULL, NULL) ? -1 : next(fd, parts, count, at);
+    return apply_rules(PWRITEV, fd, NULL, NULL) ? -1 : next(fd, parts, count, offset);
 }
 
 int fsync(int fd)
 {
     NEXT(fsync);
-    return strike(FSYNC, fd, NULL, NULL) ? -1 : next(fd);
+    return apply_rules(FSYNC, fd, NULL, NULL) ? -1 : next(fd);
 }
 
 int fdatasync(int fd)
 {
     NEXT(fdatasync);
-    return strike(FDATASYNC, fd, NULL, NULL) ? -1 : next(fd);
+    return apply_rules(FDATASYNC, fd, NULL, NULL) ? -1 : next(fd);
 }
 
-int msync(void *at, size_t size, int flags)
+int msync(void *address, size_t size, int flags)
 {
     NEXT(msync);
-    return strike(MSYNC, -1, NULL, NULL) ? -1 : next(at, size, flags);
+    return apply_rules(MSYNC, -1, NULL, NULL) ? -1 : next(address, size, flags);
 }
 
 int ftruncate(int fd, off_t size)
 {
     NEXT(ftruncate);
-    return strike(FTRUNCATE, fd, NULL, NULL) ? -1 : next(fd, size);
+    return apply_rules(FTRUNCATE, fd, NULL, NULL) ? -1 : next(fd, size);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now)
@@ -237,33 +237,33 @@
     NEXT(clock_gettime);
     int result = next(clock, now);
     if (result == 0 && control && clock == CLOCK_REALTIME && control->wall_offset_ns) {
-        int64_t at = now->tv_sec * 1000000000LL + now->tv_nsec + control->wall_offset_ns;
-        now->tv_sec = at / 1000000000LL;
-        now->tv_nsec = at % 1000000000LL;
+        int64_t shifted_ns = now->tv_sec * 1000000000LL + now->tv_nsec + control->wall_offset_ns;
+        now->tv_sec = shifted_ns / 1000000000LL;
+        now->tv_nsec = shifted_ns % 1000000000LL;
     }
     return result;
 }
 
 int gettimeofday(struct timeval *restrict now, void *restrict zone)
 {
-    struct timespec at;
-    int result = clock_gettime(CLOCK_REALTIME, &at);
+    struct timespec wall_time;
+    int result = clock_gettime(CLOCK_REALTIME, &wall_time);
     (void)zone;
-    now->tv_sec = at.tv_sec;
-    now->tv_usec = at.tv_nsec / 1000;
+    now->tv_sec = wall_time.tv_sec;
+    now->tv_usec = wall_time.tv_nsec / 1000;
     return result;
 }
 
 time_t time(time_t *result)
 {
-    struct timespec at;
-    clock_gettime(CLOCK_REALTIME, &at);
+    struct timespec wall_time;
+    clock_gettime(CLOCK_REALTIME, &wall_time);
     if (result)
-        *result = at.tv_sec;
-    return at.tv_sec;
+        *result = wall_time.tv_sec;
+    return wall_time.tv_sec;
 }
 
-/* Programs with 64-bit file offsets call these names. */
+/* Programs that are compiled with 64-bit file offsets call these names. */
 ssize_t pwrite64(int, const void *, size_t, off64_t) __attribute__((alias("pwrite")));
 ssize_t pwritev64(int, const struct iovec *, int, off64_t) __attribute__((alias("pwritev")));
 int ftruncate64(int, off64_t) __attribute__((alias("ftruncate")));
--- a/decklb/lab/faults/interposer.py
+++ b/decklb/lab/faults/interposer.py
@@ -1,8 +1,8 @@
-"""Makes chosen system calls of one process fail, and sets its wall clock, while it runs.
+"""Makes chosen system calls of a running process fail and shifts its wall clock.
 
-`Interposer` builds a library that is preloaded into the process (`interposer.c`) and owns the file of rules that both
-map into memory: `struct rule` there and RULE here have the same layout. Fault runs start the program with
-`Interposer.environment` and set rules from outside.
+`Interposer` builds a library that is preloaded into the process (`interposer.c`), and owns the file of rules that both
+sides map into memory: `struct rule` there and RULE here have the same layout. Fault runs start the program in
+`Interposer.environment` and add rules while it runs.
 """
 
 from __future__ import annotations
@@ -41,37 +41,37 @@
     "ftruncate",
 )
 MAX_RULES = 16
-RULE = struct.Struct("<iiiiqqiiqq")  # active, call, errno, port, skip, count, most, delay in us, seen, hits
-CLOCK_OFFSET = struct.Struct("<q")  # ns that the wall clock is ahead; before all rules
+RULE = struct.Struct("<iiiiqqiiqq")  # active, call, errno, port, skip, count, max_bytes, delay in us, seen, hits
+CLOCK_OFFSET = struct.Struct("<q")  # offset of the wall clock in ns; precedes all rules
 COUNTERS = struct.Struct("<qq")  # at the end of a rule: seen, hits
 ACTIVE = struct.Struct("<i")  # at the beginning of a rule
-ALWAYS = 1 << 62  # calls; more than ever come
+ALWAYS = 1 << 62  # calls, more than any process makes
 
 
 class InterposerError(Exception):
-    """Calls can't be interposed here, or a rule is wrong."""
+    """System calls can't be interposed on this machine, or a rule is invalid."""
 
 
 class Interposer:
-    """Rules by which calls of one process fail. They can be set and cleared while it runs."""
+    """Rules by which system calls of one process fail. They can be added and cleared while it runs."""
 
     def __init__(self, folder: Path) -> None:
-        """Build the library and the file of rules in a folder.
+        """Build the library and create the file of rules in a folder.
 
         Raises:
-            InterposerError: There is no C compiler, or it fails.
+            InterposerError: There is no C compiler, or compilation failed.
         """
         compiler = shutil.which("cc") or shutil.which("gcc")
         if compiler is None:
-            raise InterposerError("no C compiler; install one to interpose system calls")
+            raise InterposerError("no C compiler found; install one to interpose system calls")
         self._library = folder / "interposer.so"
-        built = subprocess.run(
+        build = subprocess.run(
             [compiler, "-O2", "-shared", "-fPIC", "-o", str(self._library), str(SOURCE), "-ldl"],
             capture_output=True,
             text=True,
         )
-        if built.returncode != 0:
-            raise InterposerError(f"the interposer can't be built: {built.stderr}")
+        if build.returncode != 0:
+            raise InterposerError(f"compilation of the interposer failed: {build.stderr}")
         self._path = folder / "interposer.rules"
         self._path.write_bytes(bytes(CLOCK_OFFSET.size + MAX_RULES * RULE.size))
         with self._path.open("r+b") as file:
@@ -79,37 +79,37 @@
         self._count = 0
 
     def environment(self, base: Mapping[str, str] = os.environ) -> dict[str, str]:
-        """Return the environment of a process whose calls this strikes."""
+        """Return the environment in which a process has to be started for the rules to apply."""
         return dict(base) | {"LD_PRELOAD": str(self._library), "DECKLB_FAULTS": str(self._path)}
 
-    def fail(
+    def add_rule(
         self,
         call: str,
         error: int = 0,
         port: int = 0,
         skip: int = 0,
         count: int = ALWAYS,
-        most: int = 0,
-        delay: float = 0.0,
+        max_bytes: int = 0,
+        delay_s: float = 0.0,
     ) -> Rule:
-        """Strike a call from now on.
+        """Add a rule, which applies from now on.
 
         Args:
-            call: One of CALLS.
-            error: errno to fail with; 0 for none.
-            port: Only sockets with it at either end; 0 for all.
-            skip: Calls to let pass first.
-            count: Calls to strike.
-            most: Bytes that the call may move; 0 for no limit.
-            delay: Seconds by which the call is late.
+            call: Name of the system call, one of CALLS.
+            error: errno value with which the call fails; 0 for none.
+            port: Only calls on sockets with this local or remote port; 0 for all.
+            skip: Number of matching calls before the rule applies.
+            count: Number of matching calls after that to which the rule applies.
+            max_bytes: Maximum number of bytes that the call transfers; 0 for no limit.
+            delay_s: Time by which the call is delayed.
 
         Raises:
-            InterposerError: The call is unknown, or there are too many rules at a time.
+            InterposerError: The call is unknown, or there are too many rules.
         """
         if call not in CALLS:
-            raise InterposerError(f"unknown call {call!r}; one of {', '.join(CALLS)}")
+            raise InterposerError(f"unknown call {call!r}; must be one of {', '.join(CALLS)}")
         if self._count >= MAX_RULES:
-            raise InterposerError(f"{MAX_RULES} rules at most; clear() first")
+            raise InterposerError(f"at most {MAX_RULES} rules are possible; call clear() first")
         offset = CLOCK_OFFSET.size + self._count * RULE.size
         self._count += 1
         inactive, seen, hits = 0, 0, 0
@@ -122,33 +122,33 @@
             port,
             skip,
             count,
-            most,
-            int(delay * 1e6),
+            max_bytes,
+            int(delay_s * 1e6),
             seen,
             hits,
         )
-        ACTIVE.pack_into(self._rules, offset, 1)  # last, so that no half of a rule is ever acted on
+        ACTIVE.pack_into(self._rules, offset, 1)  # last, so that the process never applies an incomplete rule
         return Rule(self._rules, offset)
 
     def clear(self) -> None:
-        """Strike no call any more."""
+        """Deactivate all rules."""
         for number in range(MAX_RULES):
             ACTIVE.pack_into(self._rules, CLOCK_OFFSET.size + number * RULE.size, 0)
         self._count = 0
 
-    def set_wall_clock(self, seconds: float) -> None:
-        """Set the process's wall clock that much ahead of the machine's, or behind it where below 0."""
-        CLOCK_OFFSET.pack_into(self._rules, 0, int(seconds * 1e9))
+    def set_wall_clock(self, offset_s: float) -> None:
+        """Set the process's wall clock this far ahead of the machine's; a negative offset sets it behind."""
+        CLOCK_OFFSET.pack_into(self._rules, 0, int(offset_s * 1e9))
 
 
 class Rule:
-    """A rule in force, or one that was; `offset` is its place in the mapped file."""
+    """A rule, active or cleared; `offset` is its position in the mapped file."""
 
     def __init__(self, rules: mmap.mmap, offset: int) -> None:
         self._rules, self._offset = rules, offset
 
     @property
     def hits(self) -> int:
-        """Return how many calls it has struck."""
+        """Return the number of calls to which the rule was applied."""
         _, hits = COUNTERS.unpack_from(self._rules, self._offset + RULE.size - COUNTERS.size)
         return int(hits)
--- a/decklb/lab/faults/network_proxy.py
+++ b/decklb/lab/faults/network_proxy.py
@@ -1,15 +1,18 @@
 """A proxy on loopback between every pair of a fleet's members, and between each member and each engine.
 
-Each direction of each pair has link conditions that can be set while processes run; every link is clean at first.
-`NetworkProxy` is owned by a fleet of `fault_runs`, which starts the processes with the proxy's addresses.
+Each direction of each pair has link conditions that can be changed while the processes run; at first every link is
+clean. `NetworkProxy` is owned by a fleet of `fault_runs`, which starts the processes with the proxy's addresses.
 
-Member i is known to others by its ingress, `advertised[i]`, and binds elsewhere. A datagram from j to i's ingress
-leaves from a socket kept for the pair (j, i), so that i sees a sender of its own for j; what i sends there, or to j's
-ingress, goes to j over the link (i, j). Connections pass the ingress' port too; whose they are is known by the host
-they come from, so members that use them bind hosts of their own (127.0.0.0/8 has many). Each member is given its own
-address for each engine, `engine_addresses[i, engine]`.
+Datagrams: member i advertises the address of its ingress socket, `advertised[i]`, and binds another one. The proxy
+forwards a datagram from j to i's ingress through a socket that it keeps for the pair (j, i), so i sees a different
+source address for each j. What i sends to that address, or to j's ingress, is forwarded to j over the link (i, j).
 
-A cut link holds what a connection carries, as lost segments would, and lets it pass late; a lossy one breaks it.
+Connections: they use the port of the ingress, too. The proxy recognises the sender by its host, so members that use
+connections must bind different hosts of 127.0.0.0/8. Each member has its own address for each engine,
+`engine_addresses[i, engine]`.
+
+A cut link delays the data of a connection until the cut ends, as lost segments would. A lossy link may break the
+connection.
 """
 
 from __future__ import annotations
@@ -24,20 +27,20 @@
 from decklb.lab.faults.fault_schedule import CLEAN, CUT, LinkConditions
 
 Address = tuple[str, int]
-CUT_POLL_S = 0.01  # between looks whether a link is still cut
+CUT_POLL_S = 0.01  # between checks whether a link is still cut
 LATENESS_POLL_S = 0.05  # between measurements of the proxy's own lateness
-MAX_LATE_MS = 1000.0  # where the machine itself held the proxy or the program up for longer, a run proves nothing
-MAX_PORT_TRIES = 50  # ports tried for one that is free for datagrams and connections
+MAX_LATE_MS = 1000.0  # a run proves nothing if the machine delayed the proxy or the program for longer
+MAX_PORT_TRIES = 50  # ports tried to find one that is free for both UDP and TCP
 CHUNK_BYTES = 65536
-INGRESS = "in"  # first half of the role of an ingress socket, beside its member
+INGRESS = "in"  # first part of the role of an ingress socket; its member is the second
 
 
-def _always(name: str, _host: str) -> str:
+def _fixed_sender(name: str, _host: str) -> str:
     return name
 
 
 class _DatagramSocket(asyncio.DatagramProtocol):
-    """A socket with its role: (INGRESS, member), or (sender, receiver) for a pair."""
+    """A socket of the proxy with its role: (INGRESS, member), or (sender, receiver) for a pair."""
 
     def __init__(self, proxy: NetworkProxy, role: tuple[str, str]) -> None:
         self.proxy, self.role = proxy, role
@@ -51,17 +54,17 @@
 
 
 class NetworkProxy:
-    """The proxy of one fleet; `open` makes its sockets and fills in its addresses.
+    """The proxy of one fleet; `open` creates its sockets and fills in its addresses.
 
     Attributes:
-        binds: Where each member binds.
-        engines: Where each engine is, by its name and the member's.
-        links: Conditions by sender and receiver; links that are not in it are clean.
-        advertised: Each member's address for other members.
-        engine_addresses: Each member's address for each engine.
-        lost: Datagrams lost by a link's conditions.
-        broken: Connections broken by a link's conditions.
-        late_ms: By which this process was late at worst: then the proxy itself was what was slow.
+        binds: Address that each member binds.
+        engines: Addresses of each engine by engine name and member name.
+        links: Conditions by sender and receiver; links not listed are clean.
+        advertised: Address at which other members reach each member.
+        engine_addresses: Address at which a member reaches an engine, by member name and engine name.
+        lost: Number of datagrams lost through link conditions.
+        broken: Number of connections that have ended, broken by a link's conditions or closed.
+        late_ms: Longest delay of this process, which delayed traffic irrespective of the link conditions.
     """
 
     def __init__(
@@ -77,7 +80,7 @@
         self.late_ms = 0.0
         self._member_by_address = {address: name for name, address in members.items()}
         by_host = {address[0]: name for name, address in members.items()}
-        self._member_by_host = by_host if len(by_host) == len(members) else {}  # only where each has its own
+        self._member_by_host = by_host if len(by_host) == len(members) else {}  # only if all hosts differ
         self._ingress: dict[str, _DatagramSocket] = {}
         self._pairs: dict[tuple[str, str], _DatagramSocket] = {}
         self._servers: list[asyncio.Server] = []
@@ -99,7 +102,7 @@
                     self._pairs[sender, receiver] = await self._open_datagram_socket((sender, receiver), host)
         for engine, by_member in self.engines.items():
             for member, target in by_member.items():
-                server = await self._listen(host, 0, partial(_always, member), engine, target)
+                server = await self._listen(host, 0, partial(_fixed_sender, member), engine, target)
                 self.engine_addresses[member, engine] = server.sockets[0].getsockname()[:2]
 
     def close(self) -> None:
@@ -114,11 +117,11 @@
             task.cancel()
 
     def set_link(self, sender: str, receiver: str, conditions: LinkConditions) -> None:
-        """Set the conditions of one direction."""
+        """Set the conditions of one direction of a link."""
         self.links[sender, receiver] = conditions
 
     def partition(self, member: str) -> None:
-        """Cut a member off from all other members, both ways; its engines stay."""
+        """Cut a member off from all other members in both directions, but not from the engines."""
         for other in self.binds:
             if other != member:
                 self.links[member, other] = self.links[other, member] = CUT
@@ -145,26 +148,26 @@
             try:
                 if self._member_by_host:
                     await self._listen(host, port, self._member_by_host.get, name, self.binds[name])
-            except OSError:  # somebody else's connections have the port
+            except OSError:  # the port is in use for TCP
                 ingress.transport.close()
                 continue
             self._ingress[name] = ingress
             return host, port
-        raise OSError("no port is free for datagrams and connections alike")
+        raise OSError(f"found no port that is free for both UDP and TCP in {MAX_PORT_TRIES} attempts")
 
     async def _open_datagram_socket(self, role: tuple[str, str], host: str) -> _DatagramSocket:
-        opened = _DatagramSocket(self, role)
-        await asyncio.get_running_loop().create_datagram_endpoint(lambda: opened, local_addr=(host, 0))
-        return opened
+        datagram_socket = _DatagramSocket(self, role)
+        await asyncio.get_running_loop().create_datagram_endpoint(lambda: datagram_socket, local_addr=(host, 0))
+        return datagram_socket
 
     def _datagram_received(self, role: tuple[str, str], data: bytes, source: Address) -> None:
         source_member = self._member_by_address.get(source)
-        if role[0] == INGRESS:  # to the ingress of role[1], from a member's own socket
+        if role[0] == INGRESS:  # sent to the ingress of role[1] by another member
             if source_member is None:
                 return
             sender, receiver = source_member, role[1]
             out = self._pairs[sender, receiver]
-        else:  # to the pair (j, i) from i: an answer for j, which leaves by i's ingress
+        else:  # sent by i to the socket of the pair (j, i): an answer to j, forwarded from i's ingress
             sender, receiver = role[1], role[0]
             if source_member != sender:
                 return
@@ -185,7 +188,15 @@
     async def _listen(
         self, host: str, port: int, sender_at: Callable[[str], str | None], receiver: str, target: Address
     ) -> asyncio.Server:
-        """Carry connections to a target; `sender_at` names the sender by the host it comes from."""
+        """Forward connections to a target.
+
+        Args:
+            host: Host to listen on.
+            port: Port to listen on, 0 for any.
+            sender_at: Returns the name of the sender by its host; None for an unknown host.
+            receiver: Name of the receiver.
+            target: Address of the receiver.
+        """
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
@@ -195,7 +206,7 @@
                 sender = sender_at(writer.get_extra_info("peername")[0])
                 if sender is None or self._link(sender, receiver).cut:
                     return writer.transport.abort()
-                await self._carry(sender, receiver, target, reader, writer)
+                await self._forward_connection(sender, receiver, target, reader, writer)
             except OSError:
                 writer.transport.abort()
             finally:
@@ -205,13 +216,13 @@
         self._servers.append(server)
         return server
 
-    async def _carry(
+    async def _forward_connection(
         self, sender: str, receiver: str, target: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         target_reader, target_writer = await asyncio.open_connection(*target)
         directions = [
-            asyncio.ensure_future(self._carry_direction(sender, receiver, reader, target_writer)),
-            asyncio.ensure_future(self._carry_direction(receiver, sender, target_reader, writer)),
+            asyncio.ensure_future(self._forward_direction(sender, receiver, reader, target_writer)),
+            asyncio.ensure_future(self._forward_direction(receiver, sender, target_reader, writer)),
         ]
         try:
             await asyncio.gather(*directions)
@@ -220,24 +231,29 @@
         finally:
             for direction in directions:
                 direction.cancel()
-            for end in (writer, target_writer):  # a process that was killed leaves its peers a reset or an end at once
-                end.transport.abort()
+            # If one process was killed, its peer sees the connection end at once, as it would without the proxy.
+            for each_writer in (writer, target_writer):
+                each_writer.transport.abort()
 
-    async def _carry_direction(
+    async def _forward_direction(
         self, sender: str, receiver: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry bytes until the sender's end; always ends by an error, so that the other direction ends too."""
+        """Forward bytes until the sender closes its side.
+
+        Raises:
+            ConnectionError: Always, so that the opposite direction ends too.
+        """
         while data := await reader.read(CHUNK_BYTES):
             await self._wait_while_cut(sender, receiver)
             link = self._link(sender, receiver)
             if link.drop and self.rng.random() < link.drop:
-                raise ConnectionError("broken by a fault")
+                raise ConnectionError("connection broken by the link conditions")
             if link.delay_ms or link.jitter_ms:
                 await asyncio.sleep((link.delay_ms + self.rng.uniform(0, link.jitter_ms)) / 1000.0)
             writer.write(data)
             await writer.drain()
         await self._wait_while_cut(sender, receiver)
-        raise ConnectionError("closed")
+        raise ConnectionError("connection closed by the sender")
 
     async def _wait_while_cut(self, sender: str, receiver: str) -> None:
         while self._link(sender, receiver).cut:
--- a/decklb/lab/faults/system_call_cases.py
+++ b/decklb/lab/faults/system_call_cases.py
@@ -1,6 +1,6 @@
-"""The matrix of system calls that can fail: the errors that manual pages name, for each call in the program's path.
+"""The matrix of failing system calls: for each call that the program makes, the errors documented in its manual pages.
 
-Free of I/O. `fault_runs.system_call_run` plays the cases, each with its error for one of SPANS.
+Free of I/O. `fault_runs.system_call_run` runs the cases, each with one error for one of SPANS.
 """
 
 from __future__ import annotations
@@ -10,12 +10,13 @@
 from dataclasses import dataclass
 
 FRONTS = ("platform", "postgres")
-SPANS = {"once": 0.0, "short": 0.3, "long": 1.5}  # seconds that a call goes on failing; once: a single time
+SPANS = {"once": 0.0, "short": 0.3, "long": 1.5}  # seconds for which a call fails; once: a single call fails
 
 _OUT_OF_MEMORY = ("ENOBUFS", "ENOMEM")
 _OUT_OF_DESCRIPTORS = ("EMFILE", "ENFILE")
-# Errors of each call by side: whose sockets are struck. Sources: accept(2), connect(2), socket(2), getsockopt(2),
-# setsockopt(2), recv(2), send(2), epoll_ctl(2), epoll_wait(2), write(2); ip(7), udp(7), tcp(7) for the network's.
+# Errors by call and side, that is the peers whose sockets are affected. Sources: accept(2), connect(2), socket(2),
+# getsockopt(2), setsockopt(2), recv(2), send(2), epoll_ctl(2), epoll_wait(2), write(2); for errors of the network also
+# ip(7), udp(7), tcp(7).
 ERRORS: dict[tuple[str, str], tuple[str, ...]] = {
     ("accept4", "client"): (
         "EAGAIN",
@@ -80,24 +81,24 @@
     ("epoll_wait", "any"): ("EINTR", "EINVAL", "EBADF"),
     ("write", "any"): ("EIO", "ENOSPC", "EPIPE"),  # the log
 }
-# Errors that say that a connection is lost: nothing that the program does can keep it.
+# Errors that mean that a connection is lost, which the program can't prevent.
 CONNECTION_LOST = frozenset({"ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOTCONN", "EPIPE"})
-# Errors that a call may give at any time, and that the program need not log.
+# Errors that a call may return at any time and that the program need not log.
 TRANSIENT = frozenset({"EAGAIN", "EINTR"})
-# Errors of connect(2) that say something of the engine.
+# Errors of connect(2) that may be the engine's fault.
 ENGINE_FAULTS = frozenset({"ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH"})
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One call that fails in one way for one span, on one front.
+    """One system call that fails with one error for one time span, on one front.
 
     Attributes:
         front: platform or postgres.
         call: Name of the system call.
-        side: Whose sockets are struck: client, engine, directory or any.
-        error: Name of the errno.
-        span: For how long, of SPANS.
+        side: Peers whose sockets are affected: client, engine, directory or any.
+        error: Name of the errno value.
+        span: Name of the time span, one of SPANS.
     """
 
     front: str
@@ -108,17 +109,17 @@
 
     @property
     def errno(self) -> int:
-        """Return the error's number."""
+        """Return the errno value."""
         return int(getattr(errno, self.error))
 
     @property
     def ends_client_connections(self) -> bool:
-        """Whether the fault itself ends connections of clients, with what is open on them."""
+        """Whether the fault itself ends connections of clients and the requests on them."""
         return self.side == "client" and self.call in ("recv", "send") and self.error in CONNECTION_LOST
 
     @property
     def says_engine_failed(self) -> bool:
-        """Whether the program may rightly take it for a fault of the engine."""
+        """Whether the program may attribute the error to the engine."""
         return self.side == "engine" and (self.error in CONNECTION_LOST or self.error in ENGINE_FAULTS)
 
     def __str__(self) -> str:
@@ -133,14 +134,14 @@
         for (call, side), errors in ERRORS.items()
         for error in errors
         for span in SPANS
-        if span != "long" or error not in TRANSIENT  # the kernel gives these only for a moment
+        if span != "long" or error not in TRANSIENT  # the kernel returns these only for a short time
     ]
 
 
 def some_cases(seed: int, share: float) -> list[Case]:
-    """Draw a share of the matrix by seed: at least one case of each call, side and front."""
-    draw = random.Random(seed)
+    """Draw a fraction of the matrix by a seed, with at least one case of each call, side and front."""
+    rng = random.Random(seed)
     groups: dict[tuple[str, str, str], list[Case]] = {}
     for case in all_cases():
         groups.setdefault((case.front, case.call, case.side), []).append(case)
-    return [case for group in groups.values() for case in draw.sample(group, max(1, round(share * len(group))))]
+    return [case for group in groups.values() for case in rng.sample(group, max(1, round(share * len(group))))]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,44 +1,44 @@
-"""The fault rig's draws: what a link does to a datagram, and a schedule that ends healed."""
+"""Random draws of fault injection: what a link does to a datagram, and schedules that undo every fault."""
 
 import random
 
 from decklb.lab.faults.fault_schedule import CLEAN, FleetFaultKind, LinkConditions, draw_schedule
 
 
-def test_a_clean_link_passes_each_datagram_once_at_once():
+def test_a_clean_link_delivers_each_datagram_once_without_delay():
     rng = random.Random(1)
     assert all(CLEAN.arrival_delays_ms(rng) == [0.0] for _ in range(100))
 
 
-def test_a_lossy_link_loses_duplicates_and_reorders_in_its_shares():
+def test_a_lossy_link_loses_duplicates_and_delays_datagrams_at_its_rates():
     rng, link = random.Random(2), LinkConditions(drop=0.25, duplicate=0.5, delay_ms=10.0, jitter_ms=40.0)
-    fates = [link.arrival_delays_ms(rng) for _ in range(4000)]
-    lost = sum(not f for f in fates) / len(fates)
-    twice = sum(len(f) == 2 for f in fates) / sum(bool(f) for f in fates)
-    delays = [d for f in fates for d in f]
-    assert 0.22 < lost < 0.28 and 0.46 < twice < 0.54
-    assert min(delays) >= 10.0 and max(delays) <= 50.0 and len({round(d) for d in delays}) > 30
+    arrivals = [link.arrival_delays_ms(rng) for _ in range(4000)]
+    lost_fraction = sum(not a for a in arrivals) / len(arrivals)
+    duplicated_fraction = sum(len(a) == 2 for a in arrivals) / sum(bool(a) for a in arrivals)
+    delays_ms = [d for a in arrivals for d in a]
+    assert 0.22 < lost_fraction < 0.28 and 0.46 < duplicated_fraction < 0.54
+    assert min(delays_ms) >= 10.0 and max(delays_ms) <= 50.0 and len({round(d) for d in delays_ms}) > 30
 
 
-def test_a_cut_link_passes_nothing():
+def test_a_cut_link_delivers_nothing():
     assert not any(LinkConditions(cut=True).arrival_delays_ms(random.Random(3)) for _ in range(100))
 
 
-def test_a_schedule_is_the_seeds_own_and_ends_with_all_undone():
+def test_a_schedule_depends_on_its_seed_only_and_undoes_every_fault():
     members = ["m0", "m1", "m2", "m3"]
-    first = draw_schedule(11, members, 10_000.0, 6)
-    assert first == draw_schedule(11, members, 10_000.0, 6) != draw_schedule(12, members, 10_000.0, 6)
-    assert len(first) == 12 and all(0 <= f.at_ms <= 10_000.0 for f in first)
-    undo = {
+    schedule = draw_schedule(11, members, 10_000.0, 6)
+    assert schedule == draw_schedule(11, members, 10_000.0, 6) != draw_schedule(12, members, 10_000.0, 6)
+    assert len(schedule) == 12 and all(0 <= f.at_ms <= 10_000.0 for f in schedule)
+    undone_by = {
         FleetFaultKind.KILL: FleetFaultKind.RESTART,
         FleetFaultKind.STOP: FleetFaultKind.CONT,
         FleetFaultKind.AHEAD: FleetFaultKind.CLOCK,
         FleetFaultKind.BEHIND: FleetFaultKind.CLOCK,
     }
-    for strike, end in zip(first[::2], first[1::2], strict=True):
+    for fault, undo in zip(schedule[::2], schedule[1::2], strict=True):
         assert (
-            strike.at_ms < end.at_ms
-            and end.kind is undo.get(strike.kind, FleetFaultKind.HEAL)
-            and end.target == strike.target
+            fault.at_ms < undo.at_ms
+            and undo.kind is undone_by.get(fault.kind, FleetFaultKind.HEAL)
+            and undo.target == fault.target
         )
-    assert [f.at_ms for f in first] == sorted(f.at_ms for f in first)
+    assert [f.at_ms for f in schedule] == sorted(f.at_ms for f in schedule)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,7 @@
-"""System calls of a serving process that fail, set clocks and short writes; the whole matrix is `decklb lab calls`."""
+"""A serving process under failing system calls, short reads and writes, and jumps of the wall clock.
+
+The command `decklb lab calls` runs the whole matrix of failing calls.
+"""
 
 from __future__ import annotations
 
@@ -14,39 +17,39 @@
 from decklb.lab.faults import system_call_cases as cases
 from decklb.lab.faults.interposer import CALLS, Interposer, InterposerError
 
-SEED, PART = 31, 0.1
+SEED, MATRIX_FRACTION = 31, 0.1
 
 
 @pytest.mark.parametrize("front", cases.FRONTS)
-def test_a_part_of_the_matrix_holds(front):
-    """At least one case of each call and side."""
-    chosen = [case for case in cases.some_cases(SEED, PART) if case.front == front]
+def test_a_sample_of_the_matrix_breaks_no_rule(front):
+    """The sample has at least one case of each call and side."""
+    sample = [case for case in cases.some_cases(SEED, MATRIX_FRACTION) if case.front == front]
 
     async def play():
-        return [played async for played in play_cases(chosen, 2)]
+        return [result async for result in play_cases(sample, 2)]
 
-    made = asyncio.run(play())
-    assert [(str(p.case), p.violations, p.log_excerpt) for p in made if p.violations] == []
-    assert sum(p.hits > 0 for p in made) >= 0.8 * len(made)
+    results = asyncio.run(play())
+    assert [(str(r.case), r.violations, r.log_excerpt) for r in results if r.violations] == []
+    assert sum(r.hits > 0 for r in results) >= 0.8 * len(results)
 
 
-def test_the_matrix_names_only_calls_and_errors_that_there_are():
+def test_the_matrix_contains_only_known_calls_and_errors():
     for case in cases.all_cases():
         assert case.call in CALLS
         assert case.errno in errno.errorcode
 
 
-def test_a_rule_that_cannot_be_is_refused(tmp_path):
+def test_an_invalid_rule_or_too_many_rules_are_refused(tmp_path):
     interposer = Interposer(tmp_path)
     with pytest.raises(InterposerError, match="unknown call"):
-        interposer.fail("sendfile", errno.EIO)
+        interposer.add_rule("sendfile", errno.EIO)
     with pytest.raises(InterposerError, match="at most"):
         for _ in range(100):
-            interposer.fail("recv", errno.EIO)
+            interposer.add_rule("recv", errno.EIO)
 
 
-def started(front, act):
-    """What `act(program)` gives on a program that runs."""
+def run_on_program(front, act):
+    """Start a program and return the result of `act(program)`."""
 
     async def play():
         async with running_program(front) as program:
@@ -56,28 +59,28 @@
 
 
 @pytest.mark.parametrize("front", cases.FRONTS)
-def test_calls_that_move_a_byte_at_a_time_change_no_answer(front):
+def test_single_byte_reads_and_writes_change_no_answer(front):
     async def act(program):
-        rules = [program.interposer.fail(call, most=1) for call in ("recv", "send")]
+        rules = [program.interposer.add_rule(call, max_bytes=1) for call in ("recv", "send")]
         answers = [await program.request_on_new_connection() for _ in range(3)]
         return answers, [rule.hits > 100 for rule in rules]
 
-    assert started(front, act) == (["served"] * 3, [True, True])
+    assert run_on_program(front, act) == (["served"] * 3, [True, True])
 
 
 @pytest.mark.parametrize(
     ("call", "error"), [("socket", errno.EMFILE), ("bind", errno.EADDRINUSE), ("sendto", errno.ENETUNREACH)]
 )
-def test_a_directory_that_cannot_be_asked_at_the_start_is_asked_later(tmp_path, call, error):
-    """Seen before: the process did not start."""
+def test_a_failed_directory_query_at_the_start_is_repeated_later(tmp_path, call, error):
+    """An error of the first directory query used to keep the process from starting."""
 
     async def play():
         program = ProgramProcess("platform", tmp_path, None)
-        rule = program.interposer.fail(call, error, count=1)
+        rule = program.interposer.add_rule(call, error, count=1)
         try:
             await program.start()
-            answer, asked = await program.request_on_new_connection(), await program.wait_for_directory_question(0)
-            return rule.hits, answer, asked
+            answer, queried = await program.request_on_new_connection(), await program.wait_for_directory_question(0)
+            return rule.hits, answer, queried
         finally:
             await program.stop()
 
@@ -86,16 +89,16 @@
 
 @pytest.mark.parametrize("seconds", [3600.0, -3600.0, 5.0, -5.0])
 @pytest.mark.parametrize("when", ["under-requests", "in-a-reload", "in-a-drain"])
-def test_a_wall_clock_that_is_set_changes_no_answer_and_no_end(seconds, when):
+def test_a_jump_of_the_wall_clock_affects_neither_answers_nor_the_shutdown(seconds, when):
     async def act(program):
         process = program.process
         if when == "in-a-drain":
             process.terminate()
             while not program.first_log_line("draining"):
                 await asyncio.sleep(0.01)
-        open_ = [asyncio.create_task(program.request_on_new_connection()) for _ in range(5)]
+        requests = [asyncio.create_task(program.request_on_new_connection()) for _ in range(5)]
         program.interposer.set_wall_clock(seconds)
-        answers = await asyncio.gather(*open_)
+        answers = await asyncio.gather(*requests)
         if when == "in-a-reload":
             process.send_signal(signal.SIGHUP)
             while not program.first_log_line("configuration read"):
@@ -107,25 +110,28 @@
             await process.wait()
         return set(answers), process.returncode
 
-    answers, code = started("platform", act)
-    assert (answers <= {"served", "refused"} if when == "in-a-drain" else answers == {"served"}, code) == (True, 0)
+    answers, exit_status = run_on_program("platform", act)
+    assert (
+        answers <= {"served", "refused"} if when == "in-a-drain" else answers == {"served"},
+        exit_status,
+    ) == (True, 0)
 
 
-def test_what_waits_in_the_queue_at_a_drain_is_answered_in_spite_of_errors():
-    """Seen before: one error ended the loop, and the listener was closed on who still waited."""
+def test_connections_in_the_listen_queue_at_a_drain_are_answered_despite_accept_errors():
+    """A single error of accept used to end the accept loop; the listener was closed with connections in its queue."""
 
     async def act(program):
         program.process.terminate()
         while not program.first_log_line("draining"):
             await asyncio.sleep(0.01)
-        program.interposer.fail("accept4", errno.ENFILE, port=program.port, count=20)
+        program.interposer.add_rule("accept4", errno.ENFILE, port=program.port, count=20)
         answers = await asyncio.gather(*[program.request_on_new_connection() for _ in range(10)])
         await program.process.wait()
         return set(answers) <= {"served", "refused"}, program.process.returncode
 
-    assert started("platform", act) == (True, 0)
+    assert run_on_program("platform", act) == (True, 0)
 
 
-def test_the_interposer_leaves_a_process_alone_that_it_is_not_asked_to_strike(tmp_path):
+def test_the_environment_preloads_the_library_built_in_the_folder(tmp_path):
     environment = Interposer(tmp_path).environment(os.environ)
     assert environment["LD_PRELOAD"].startswith(str(tmp_path))
