--- a/tests/test_cli_fault_runs_wire_format.py
+++ b/tests/test_cli_fault_runs_wire_format.py
@@ -1,4 +1,4 @@
-"""What the laboratory's fault-run commands print of given results, and what they ask for, stays as recorded."""
+"""Arguments and printed lines of the fault-run commands for given results, compared with a recording."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
     requests=40, served=38, lost=["k1"], doubled=["k2"], repeated=["k3"], overlapping=["k4"], came_back=2, late_ms=1.5
 )
 CLEAN = Verdict(requests=30, served=29, failed=1, came_back=4)
-FAILING_FLEETS = 7  # as many fleets make a campaign fail here
+FAILING_FLEETS = 7  # with this number of fleets the campaigns of this test fail
 
 
 class Campaigns:
-    """Stands in for the campaigns of real processes: notes what each is asked for, and returns made-up results."""
+    """Test double of the campaigns of real processes: records their arguments and returns made-up results."""
 
     def __init__(self):
-        self.asked = []
+        self.arguments = []
 
-    def _start(self, *asked, fleets=1):
-        self.asked.append([*asked, fleets])
+    def _start(self, *arguments, fleets=1):
+        self.arguments.append([*arguments, fleets])
         if fleets == FAILING_FLEETS:
             raise OSError("no process can be started")
 
@@ -47,16 +47,16 @@
             on_run(seed, verdict, FAULTS)
         return verdicts, {"handoff.claimed": 3}
 
-    async def handoff_cost(self, setup, requests, at_once, seed):
-        self._start(setup.managers, requests, at_once, seed)
+    async def handoff_cost(self, setup, requests, session_count, seed):
+        self._start(setup.managers, requests, session_count, seed)
         return {"with": {"p50_ms": 1.25, "p99_ms": 4}, "without": {"p50_ms": 1, "p99_ms": 3}, "memory": {"kib": 7}}
 
-    async def zones(self, cases, seeds, ways, fleets, on_run, logs=""):
-        self._start(cases, seeds, ways, logs, fleets=fleets)
+    async def zones(self, cases, seeds, decision_modes, fleets, on_run, logs=""):
+        self._start(cases, seeds, decision_modes, logs, fleets=fleets)
         verdicts = [
-            ZoneVerdict(case, way, seed, requests=90, served=80, errors=6, lost=4, stayed=60, left=20, changes=5)
+            ZoneVerdict(case, mode, seed, requests=90, served=80, errors=6, lost=4, stayed=60, left=20, changes=5)
             for case in cases
-            for way in ways
+            for mode in decision_modes
             for seed in seeds
         ]
         for verdict in verdicts:
@@ -78,14 +78,14 @@
 
 
 def output_of(command, monkeypatch):
-    """Exit code, what the campaign was asked for, and the lines printed."""
+    """Run a command and return its exit status, the arguments of its campaign and the printed lines."""
     campaigns = Campaigns()
     monkeypatch.setattr(handoff_run, "campaign", campaigns.handoff)
     monkeypatch.setattr(handoff_run, "cost", campaigns.handoff_cost)
     monkeypatch.setattr(zone_run, "campaign", campaigns.zones)
     monkeypatch.setattr(maintenance_run, "campaign", campaigns.maintenance)
     result = CliRunner().invoke(main, ["lab", *command.split()])
-    return json.loads(json.dumps([result.exit_code, campaigns.asked, *result.output.splitlines()]))
+    return json.loads(json.dumps([result.exit_code, campaigns.arguments, *result.output.splitlines()]))
 
 
 @pytest.mark.parametrize("command", RECORDED)
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -1,4 +1,7 @@
-"""Three real programs whose datagrams pass the fault rig: cuts, a partition and a slow peer, each seen and healed."""
+"""Three real programs whose datagrams pass the network proxy.
+
+They have to detect a partition, a cut in one direction and a stopped peer, and the end of each of these faults.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from pathlib import Path
 
 from decklb.cluster import keyfile
-from decklb.lab.faults import free_ports as ports
+from decklb.lab.faults import free_ports
 from decklb.lab.faults.fault_schedule import LinkConditions
 from decklb.lab.faults.network_proxy import NetworkProxy
 from decklb.management.control_client import query
@@ -17,34 +20,34 @@
 NAMES = ["m0", "m1", "m2"]
 
 
-class Rigged(unittest.TestCase):
+class NetworkFaultTest(unittest.TestCase):
     def setUp(self):
         self.loop, folder = Loop(), tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.addCleanup(self.loop.stop)
         self.folder = Path(folder.name)
-        binds = dict(zip(NAMES, [("127.0.0.1", p) for p in ports.free(3)], strict=True))
-        self.rig = NetworkProxy(binds, seed=7)
-        self.loop.run(self.rig.open())
-        self.addCleanup(lambda: self.act(self.rig.close))
+        binds = dict(zip(NAMES, [("127.0.0.1", p) for p in free_ports.free(3)], strict=True))
+        self.proxy = NetworkProxy(binds, seed=7)
+        self.loop.run(self.proxy.open())
+        self.addCleanup(lambda: self.call_in_loop(self.proxy.close))
         keys = str(self.folder / "keys.json")
         keyfile.write(keys, [keyfile.generate()])
-        seeds = "".join(f"<seed>{h}:{p}</seed>" for h, p in self.rig.advertised.values())
+        seeds = "".join(f"<seed>{h}:{p}</seed>" for h, p in self.proxy.advertised.values())
         self.programs = {}
         for name, (host, port) in binds.items():
-            told = "{}:{}".format(*self.rig.advertised[name])
+            advertise = "{}:{}".format(*self.proxy.advertised[name])
             xml = (
                 f'<decklb version="1"><process name="{name}"/><cluster name="c" bind="{host}:{port}" '
-                f'advertise="{told}" keys="{keys}" interval="100ms" timeout="40ms" gossip="20ms" '
+                f'advertise="{advertise}" keys="{keys}" interval="100ms" timeout="40ms" gossip="20ms" '
                 f'exchange="500ms" settle="1s">{seeds}</cluster><control socket="{self.folder / name}.sock"/>'
                 f"</decklb>"
             )
             self.programs[name] = program = Program({"known": known()}, xml)
             self.addCleanup(program.stop)
 
-    def act(self, call, *args):
+    def call_in_loop(self, function, *args):
         async def run():
-            call(*args)
+            function(*args)
 
         self.loop.run(run())
 
@@ -52,34 +55,35 @@
         members = query(str(self.folder / f"{name}.sock"), "members")["members"]
         return {m["name"] for m in members if m["state"] == "alive"}
 
-    def sees(self, name, wanted, what):
+    def wait_until_alive(self, name, expected, description):
+        """Wait until a member holds exactly the expected members for alive."""
         try:
-            wait_for(lambda: self.alive(name) == set(wanted), f"{name} seeing {what}")
+            wait_for(lambda: self.alive(name) == set(expected), f"{name} to detect: {description}")
         except AssertionError:
             print(query(str(self.folder / f"{name}.sock"), "members"))
             raise
 
-    def test_members_see_a_partition_a_one_way_cut_and_a_slow_peer_and_their_end(self):
+    def test_members_detect_a_partition_a_one_way_cut_and_a_stopped_peer_and_their_end(self):
         for name in NAMES:
-            self.sees(name, NAMES, "all")
-        self.assertEqual(self.rig.lost, 0)
+            self.wait_until_alive(name, NAMES, "all members")
+        self.assertEqual(self.proxy.lost, 0)
 
-        self.act(self.rig.partition, "m2")
-        self.sees("m0", ["m0", "m1"], "m2 gone")
-        self.sees("m2", ["m2"], "itself alone")
-        self.act(self.rig.heal)
+        self.call_in_loop(self.proxy.partition, "m2")
+        self.wait_until_alive("m0", ["m0", "m1"], "m2 is partitioned")
+        self.wait_until_alive("m2", ["m2"], "all others are unreachable")
+        self.call_in_loop(self.proxy.heal)
         for name in NAMES:
-            self.sees(name, NAMES, "all again")
+            self.wait_until_alive(name, NAMES, "the partition has ended")
 
-        for other in ("m0", "m2"):  # m1 hears nothing; what it says still passes
-            self.act(self.rig.set_link, other, "m1", LinkConditions(cut=True))
-        self.sees("m0", ["m0", "m2"], "m1 gone, by a cut one way")
-        self.act(self.rig.heal)
-        self.sees("m0", NAMES, "m1 back")
+        for other in ("m0", "m2"):  # m1 receives nothing; what it sends still arrives
+            self.call_in_loop(self.proxy.set_link, other, "m1", LinkConditions(cut=True))
+        self.wait_until_alive("m0", ["m0", "m2"], "m1 is cut off in one direction")
+        self.call_in_loop(self.proxy.heal)
+        self.wait_until_alive("m0", NAMES, "m1 is reachable again")
 
         self.programs["m2"].process.send_signal(signal.SIGSTOP)
-        self.sees("m0", ["m0", "m1"], "m2 stopped")
+        self.wait_until_alive("m0", ["m0", "m1"], "m2 is stopped")
         self.programs["m2"].process.send_signal(signal.SIGCONT)
         for name in NAMES:
-            self.sees(name, NAMES, "m2 going on")
-        self.assertGreater(self.rig.lost, 0)
+            self.wait_until_alive(name, NAMES, "m2 runs again")
+        self.assertGreater(self.proxy.lost, 0)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Maintenance between real processes: the fleet's plan takes machines out while callers send and the rig strikes."""
+"""Maintenance between real processes: the plan takes machines out while clients send and faults are injected."""
 
 import asyncio
 import unittest
@@ -6,14 +6,14 @@
 from decklb.lab.fault_runs.maintenance_run import campaign
 
 
-class Plans(unittest.TestCase):
-    def test_plans_go_on_through_the_loss_of_their_driver_a_partition_a_lost_zone_and_restarts_of_all_managers(self):
-        """By name, side by side: no request lost or refused for good, no more out than the budget, no step done twice
-        or left out, no engine taken down while a statement ran there."""
+class MaintenanceFaultTest(unittest.TestCase):
+    def test_plans_complete_despite_loss_of_the_driver_a_partition_a_lost_zone_and_restarts_of_all_managers(self):
+        """No request is lost or finally rejected, the budget holds, every step is done once, and no engine is taken
+        down while a statement runs there."""
         cases = ["named", "managers", "driver", "zone", "all-killed", "overlapping", "partition", "never-back"]
-        made = asyncio.run(campaign(cases, [1], 4, lambda r: None))
-        self.assertEqual(sorted(r.case for r in made), sorted(cases))
-        self.assertEqual([r.again for r in made if r.case == "named"], [0])  # named requests run once
-        for r in made:
+        results = asyncio.run(campaign(cases, [1], 4, lambda r: None))
+        self.assertEqual(sorted(r.case for r in results), sorted(cases))
+        self.assertEqual([r.again for r in results if r.case == "named"], [0])  # requests with a key run once
+        for r in results:
             self.assertTrue(r.clean, r)
             self.assertGreater(r.requests, 100, r.case)
