--- a/decklb/cli/lab/fault_injection.py
+++ b/decklb/cli/lab/fault_injection.py
@@ -100,7 +100,9 @@
     except ProgramStartError as error:
         raise click.ClickException(str(error)) from error
     failed = sum(bool(cut_round.violations) for cut_round in made)
-    click.echo(f"{len(made)} rounds, {sum(cut_round.struck for cut_round in made)} struck, {failed} did not hold")
+    click.echo(
+        f"{len(made)} rounds, {sum(cut_round.fault_injected for cut_round in made)} struck, {failed} did not hold"
+    )
     if failed:
         raise SystemExit(1)
 
@@ -132,7 +134,7 @@
 
 def _print_faults_of_round(made: CutRound) -> CutRound:
     if made.violations:
-        click.echo(f"{made.strike.action.value} at byte {made.strike.at}: {'; '.join(made.violations)}")
+        click.echo(f"{made.fault.action.value} at byte {made.fault.after_bytes}: {'; '.join(made.violations)}")
     return made
 
 
--- a/decklb/cli/lab/fault_runs.py
+++ b/decklb/cli/lab/fault_runs.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from decklb.lab.checks.execution_verdict import Verdict
     from decklb.lab.checks.zone_verdict import ZoneVerdict
-    from decklb.lab.fault_runs.maintenance_run import Told
+    from decklb.lab.fault_runs.maintenance_run import MaintenanceResult
     from decklb.lab.faults.fault_schedule import FleetFault
 
 T = TypeVar("T")
@@ -64,9 +64,9 @@
         rate,
         1000.0 * seconds,
         strikes,
-        kinds=tuple(FleetFaultKind(name) for name in only) or handoff_run.KINDS,
-        data=data,
-        work=work or handoff_run.WORK,
+        kinds=tuple(FleetFaultKind(name) for name in only) or handoff_run.DEFAULT_KINDS,
+        records_on_disk=data,
+        work_ms=work or handoff_run.DEFAULT_WORK_MS,
     )
     output = _HandoffOutput(as_json)
     seeds = list(range(seed, seed + runs))
@@ -88,7 +88,7 @@
     from decklb.lab.fault_runs import handoff_run
 
     log.set_up("ERROR", "text")
-    figures_by_kind = asyncio.run(handoff_run.cost(handoff_run.Setup(managers), requests, at_once, seed))
+    figures_by_kind = asyncio.run(handoff_run.measure_key_cost(handoff_run.Setup(managers), requests, at_once, seed))
     for kind, figures in figures_by_kind.items():
         text = "  ".join(f"{name} {value}" for name, value in figures.items())
         click.echo(f"{kind if kind == 'memory' else kind + ' a key':13}: {text}")
@@ -145,7 +145,7 @@
     log.set_up("ERROR", "text")
     check_cases(cases, maintenance_run.CASES)
 
-    def print_run(run: Told) -> None:
+    def print_run(run: MaintenanceResult) -> None:
         click.echo(_maintenance_run_line(run))
 
     seeds = list(range(seed, seed + runs))
@@ -193,7 +193,7 @@
 
     return {
         "seed": seed,
-        "faults": handoff_run.described(faults),
+        "faults": handoff_run.describe_faults(faults),
         "lost": verdict.lost,
         "doubled": verdict.doubled,
         "repeated": verdict.repeated,
@@ -209,12 +209,13 @@
     )
 
 
-def _maintenance_run_line(run: Told) -> str:
+def _maintenance_run_line(run: MaintenanceResult) -> str:
     return (
-        f"{run.case:11} seed {run.seed:3}: {run.seconds:5.1f} s, {run.requests} requests, {run.lost} lost, "
-        f"{run.errors} errors, {run.over_budget} over budget, {len(run.doubled)} doubled, {run.unsafe} unsafe, "
-        f"{run.overlapping} overlapping, {run.again} ran again, late {run.late_ms:.0f} ms, "
-        f"{'clean' if run.clean else 'NOT CLEAN'} {run.doubled or ''} {run.seen}"
+        f"{run.case:11} seed {run.seed:3}: {run.duration_s:5.1f} s, {run.requests} requests, {run.lost} lost, "
+        f"{run.errors} errors, {run.over_budget} over budget, {len(run.rule_violations)} doubled, "
+        f"{run.unsafe_kills} unsafe, "
+        f"{run.overlapping} overlapping, {run.executed_repeatedly} ran again, late {run.late_ms:.0f} ms, "
+        f"{'clean' if run.clean else 'NOT CLEAN'} {run.rule_violations or ''} {run.notes}"
     )
 
 
--- a/decklb/lab/fault_runs/connection_cut_run.py
+++ b/decklb/lab/fault_runs/connection_cut_run.py
@@ -21,7 +21,7 @@
 
 from decklb.lab.fault_runs.program_clients import RequestOutcome
 from decklb.lab.fault_runs.program_process import RECOVERY_TIMEOUT_S, SETTINGS, ProgramProcess
-from decklb.lab.faults.connection_proxy import Action, ConnectionProxy, Strike
+from decklb.lab.faults.connection_proxy import Action, ConnectionFault, ConnectionProxy
 from decklb.lab.standins.recording_peers import RecordedAttempt, RecordingEngine
 
 HOLD_DOWN_S = 0.3  # after an uncertain outcome, in which no request of the key is sent
@@ -44,14 +44,14 @@
     """The result of one round, that is of the requests of one key.
 
     Attributes:
-        strike: The planned fault.
-        struck: Whether it was injected.
+        fault: The planned fault.
+        fault_injected: Whether it was injected.
         outcomes: Number of requests by outcome.
         violations: Descriptions of the rules that were broken; empty if there were none.
     """
 
-    strike: Strike
-    struck: bool
+    fault: ConnectionFault
+    fault_injected: bool
     outcomes: Counter[RequestOutcome] = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
 
@@ -87,27 +87,27 @@
         await self.wait_until_serving(RECOVERY_TIMEOUT_S)
         for engine in self.engines:
             engine.attempts.clear()
-        strike = self._draw_strike(rng)
+        fault = self._draw_fault(rng)
         for proxy in self.proxies:
-            proxy.arm(strike)
+            proxy.arm(fault)
         key = self.new_request_name()
         names = [self.new_request_name() for _ in range(REQUESTS_PER_ROUND)]
         outcomes = await self._send_requests(key, names, rng)
-        struck = any(proxy.struck_at_s is not None for proxy in self.proxies)
+        fault_injected = any(proxy.injected_at_s is not None for proxy in self.proxies)
         violations = self._order_violations(names) + self.overlapping_attempts()
         for engine, proxy in zip(self.engines, self.proxies, strict=True):
-            if proxy.struck_at_s is not None and strike.action in CONNECTION_LOST:
-                violations += self._violations_after_cut(engine, proxy.struck_at_s)
+            if proxy.injected_at_s is not None and fault.action in CONNECTION_LOST:
+                violations += self._violations_after_cut(engine, proxy.injected_at_s)
             proxy.arm(None)
         if outcomes[RequestOutcome.NO_RESPONSE] or outcomes[RequestOutcome.CONNECTION_ENDED]:
             counts = {outcome.value: count for outcome, count in outcomes.items()}
             violations.append(f"requests without an answer: {counts}")
-        return CutRound(strike, struck, outcomes, violations)
+        return CutRound(fault, fault_injected, outcomes, violations)
 
-    def _draw_strike(self, rng: random.Random) -> Strike:
+    def _draw_fault(self, rng: random.Random) -> ConnectionFault:
         answer_size = max(engine.answer_size for engine in self.engines)
         at_byte = answer_size if rng.random() < LAST_BYTE_PROBABILITY else rng.randint(1, answer_size)
-        return Strike(at_byte, rng.choice(list(Action)))
+        return ConnectionFault(at_byte, rng.choice(list(Action)))
 
     async def _send_requests(self, key: str, names: list[str], rng: random.Random) -> Counter[RequestOutcome]:
         """Send the requests of a key, each on its own connection, and count their outcomes."""
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -37,10 +37,10 @@
 READ_CLASS, LOAD_CLASS = "read", "load"  # classes of idempotent and of at-most-once requests
 START_TIMEOUT_S = 20.0  # for a process to start
 MAX_PORT_DRAWS = 3  # sets of ports tried for an engine: another fleet that starts may have drawn one of the ports
-COME_BACK = ("53000", "53300", "57P01", "57P03", "08006")  # SQLSTATEs after which a client retries
+RETRYABLE_SQLSTATES = ("53000", "53300", "57P01", "57P03", "08006")  # SQLSTATEs after which a client retries
 ANSWER_GRACE_S = 0.5  # after the deadline, in which an answer still counts
-WORK = (5, 20, 80, 300)
-KINDS = (
+DEFAULT_WORK_MS = (5, 20, 80, 300)  # execution times of statements
+DEFAULT_KINDS = (
     FleetFaultKind.KILL,
     FleetFaultKind.STOP,
     FleetFaultKind.PARTITION,
@@ -85,20 +85,20 @@
 
     managers: int = 3
     engines: int = 3
-    rate: float = 25.0  # requests per second
-    span: float = 5000.0  # period in which requests are sent and faults injected
+    rate_per_s: float = 25.0  # requests per second
+    duration_ms: float = 5000.0  # period in which requests are sent and faults injected
     faults: int = 1
-    longest: float = 4000.0  # deadline of a request
-    answer_retention_ms: float = 1500.0
+    deadline_ms: float = 4000.0  # of a request
+    answer_retention_ms: float = 1500.0  # for which managers keep a final answer after its deadline
     lease_ms: float = 600.0
-    kinds: tuple[FleetFaultKind, ...] = KINDS
-    data: bool = False  # managers keep their records on disk
-    work: tuple[int, ...] = WORK  # execution times of statements, in ms
+    kinds: tuple[FleetFaultKind, ...] = DEFAULT_KINDS
+    records_on_disk: bool = False  # whether managers keep their records on disk
+    work_ms: tuple[int, ...] = DEFAULT_WORK_MS  # of statements; each one draws its execution time from these
 
     @property
     def record_lifetime_ms(self) -> float:
         """Longest time that a record exists; a restarted member does not vote on records older than its start."""
-        return (self.longest + self.answer_retention_ms + 500.0) * 1.01
+        return (self.deadline_ms + self.answer_retention_ms + 500.0) * 1.01
 
 
 class Process:
@@ -188,7 +188,7 @@
         self.rig = NetworkProxy(self.binds, self.seed, targets)
         await self.rig.open()
         keyfile.write(str(self.folder / "keys.json"), [keyfile.generate()])
-        await asyncio.gather(*(self.up(n) for n in self.names))
+        await asyncio.gather(*(self.start_manager(n) for n in self.names))
 
     async def start_engine(self, engine: Process, ports: list[int] | None = None) -> list[int]:
         """Start an engine and return its ports, one for each manager.
@@ -239,13 +239,13 @@
             seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
             members=s.managers,
             lease=f"{s.lease_ms:g}",
-            deadline=f"{s.longest:g}",
+            deadline=f"{s.deadline_ms:g}",
             retention=f"{s.answer_retention_ms:g}",
             socket=f"{name}.sock",
-            data=f' data="{name}.data"' if s.data else "",
+            data=f' data="{name}.data"' if s.records_on_disk else "",
         )
 
-    async def up(self, name: str) -> None:
+    async def start_manager(self, name: str) -> None:
         """Start or restart a manager and wait until it listens."""
         path = self.folder / f"{name}.xml"
         path.write_text(self.settings_xml(name))
@@ -254,10 +254,10 @@
         p = self.managers[name] = Process(name)
         await p.start(*self.manager_module(name), "serve", "--settings", str(path), "--log-level", "DEBUG")
         self.ports[name] = int((await p.wait_for_log_line(r"listens on [\d.]+:(\d+)"))[1])
-        if not (self.setup.data and name in self.records_since_s):
+        if not (self.setup.records_on_disk and name in self.records_since_s):
             self.records_since_s[name] = time.monotonic()
 
-    async def remember(self) -> None:
+    async def wait_until_members_vote(self) -> None:
         """Wait until every manager may vote, that is until it has run for longer than the lifetime of a record.
 
         A manager that keeps its records on disk may vote right after a restart.
@@ -266,14 +266,14 @@
             max(0.0, max(self.records_since_s.values()) + self.setup.record_lifetime_ms / 1000 + 0.3 - time.monotonic())
         )
 
-    async def strike(self, fault: FleetFault) -> None:
+    async def inject(self, fault: FleetFault) -> None:
         """Inject a fault, or undo one."""
         rig, manager = self.rig, self.managers[fault.target]
         match fault.kind:
             case FleetFaultKind.KILL:
                 await manager.kill()
             case FleetFaultKind.RESTART:
-                await self.up(fault.target)
+                await self.start_manager(fault.target)
             case FleetFaultKind.PARTITION:
                 rig.partition(fault.target)
             case FleetFaultKind.ENGINES:
@@ -290,7 +290,7 @@
             case kind:
                 manager.signal(SIGNAL_BY_KIND[kind])
 
-    def witnessed(self) -> list[ExecutionEvent]:
+    def execution_events(self) -> list[ExecutionEvent]:
         """Return all events that the engines have logged so far."""
         return [
             ExecutionEvent(**ujson.loads(line), engine=e.name)
@@ -298,7 +298,7 @@
             for line in (self.folder / f"{e.name}.log").read_text().splitlines()
         ]
 
-    def logged(self, text: str) -> int:
+    def count_log_lines(self, text: str) -> int:
         """Count the log lines of all managers that contain a text, those of ended processes included."""
         lines = itertools.chain(self.ended_log_lines, *(p.log_lines for p in self.managers.values()))
         return sum(text in line for line in lines)
@@ -344,9 +344,9 @@
         self.fleet, self.rng = fleet, rng
         now, s = time.monotonic(), fleet.setup
         self.record = ClientRecord(
-            key, rng.choice((READ_CLASS, LOAD_CLASS)), now, now + s.longest / 1000 + ANSWER_GRACE_S
+            key, rng.choice((READ_CLASS, LOAD_CLASS)), now, now + s.deadline_ms / 1000 + ANSWER_GRACE_S
         )
-        self.sql = f"select 1 -- run={key} work={rng.choice(s.work)}"
+        self.sql = f"select 1 -- run={key} work={rng.choice(s.work_ms)}"
         self.attempt_timeout_s = rng.choice((0.3, 1.0, 5.0))  # on one connection
 
     async def run(self) -> ClientRecord:
@@ -405,7 +405,7 @@
                     session_ready = True
         finally:
             writer.close()
-        if sqlstate in COME_BACK:
+        if sqlstate in RETRYABLE_SQLSTATES:
             record.last = sqlstate
         else:
             # The SQLSTATE is left out of the comparison: the same failure may be reported as an exceeded deadline or as
@@ -426,25 +426,25 @@
             differ from those of earlier runs.
     """
     s, rng = fleet.setup, random.Random(seed)
-    faults = draw_schedule(seed, fleet.names, s.span, s.faults, s.kinds)
+    faults = draw_schedule(seed, fleet.names, s.duration_ms, s.faults, s.kinds)
     start_s, fleet.rig.late_ms = time.monotonic(), 0.0
 
     async def inject_faults() -> None:
         for fault in faults:
             await asyncio.sleep(max(0.0, start_s + fault.at_ms / 1000 - time.monotonic()))
-            await fleet.strike(fault)
+            await fleet.inject(fault)
 
     injection = asyncio.ensure_future(inject_faults())
     clients: list[asyncio.Task[ClientRecord]] = []
     due_s = start_s
-    while (due_s := due_s + rng.expovariate(s.rate)) < start_s + s.span / 1000:
+    while (due_s := due_s + rng.expovariate(s.rate_per_s)) < start_s + s.duration_ms / 1000:
         await asyncio.sleep(max(0.0, due_s - time.monotonic()))
         clients.append(asyncio.ensure_future(RetryingClient(fleet, rng, f"s{seed}.{repetition}.{len(clients)}").run()))
     await injection
     records = await asyncio.gather(*clients)
-    await asyncio.sleep(max(s.work) / 1000 + 0.1)
+    await asyncio.sleep(max(s.work_ms) / 1000 + 0.1)
     keys = {record.key for record in records}
-    verdict = judge(records, [event for event in fleet.witnessed() if event.key in keys], LOAD_CLASS)
+    verdict = judge(records, [event for event in fleet.execution_events() if event.key in keys], LOAD_CLASS)
     # Only the lateness of the proxy counts: faults stop managers on purpose.
     verdict.late_ms = round(fleet.rig.late_ms, 1)
     return verdict, faults
@@ -524,13 +524,17 @@
             await fleet.start()
             for seed in seeds:
                 for repetition in range(MAX_ATTEMPTS):
-                    await fleet.remember()
+                    await fleet.wait_until_members_vote()
                     verdict, faults = await run_schedule(fleet, seed, repetition)
                     if logs and not verdict.clean:
                         await asyncio.to_thread(fleet.save_logs, Path(logs) / str(seed))
                     repeated = repetition < MAX_ATTEMPTS - 1 and not verdict.clean and verdict.late_ms > MAX_LATE_MS
                     yield FleetRun(
-                        seed, verdict, faults, {text: fleet.logged(text) for text in COUNTED_LOG_TEXTS}, repeated
+                        seed,
+                        verdict,
+                        faults,
+                        {text: fleet.count_log_lines(text) for text in COUNTED_LOG_TEXTS},
+                        repeated,
                     )
                     if not repeated:
                         break
@@ -538,7 +542,7 @@
             await fleet.stop()
 
 
-def described(faults: list[FleetFault]) -> list[dict[str, Any]]:
+def describe_faults(faults: list[FleetFault]) -> list[dict[str, Any]]:
     """Return faults as rows of a JSON report."""
     return [{"at_ms": round(f.at_ms), "kind": f.kind.value, "target": f.target, "other": f.other} for f in faults]
 
@@ -549,7 +553,7 @@
     return int(status.partition("VmRSS:")[2].split()[0])
 
 
-async def cost(setup: Setup, requests: int, session_count: int, seed: int) -> dict[str, dict[str, float]]:
+async def measure_key_cost(setup: Setup, requests: int, session_count: int, seed: int) -> dict[str, dict[str, float]]:
     """Measure what an idempotency key adds to the latency of a statement and to the memory of the managers.
 
     The sessions send statements without and with a key in turns, on a fleet without faults. Latency is the time in ms
@@ -586,7 +590,7 @@
         fleet = Fleet(setup, seed, folder)
         try:
             await fleet.start()
-            await fleet.remember()
+            await fleet.wait_until_members_vote()
             kib_before = sum(resident_kib(p) for p in fleet.managers.values())
             await asyncio.gather(*(run_session(fleet, i) for i in range(session_count)))
             kib_after = sum(resident_kib(p) for p in fleet.managers.values())
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class MaintenanceResult:
     """The result of one run."""
 
     case: str
@@ -67,27 +67,27 @@
     errors: int = 0
     lost: int = 0
     over_budget: int = 0  # times at which more machines were unavailable than the budget allows
-    doubled: list[str] = field(default_factory=list)  # steps done twice or left out, and rules of the case that broke
-    unsafe: int = 0  # statements that still ran on engines when these were killed for maintenance
-    ended: bool = False  # the plan completed as its case requires
-    seconds: float = 0.0  # from the request of the job to the end of the plan
+    rule_violations: list[str] = field(default_factory=list)  # wrong plan steps and broken rules of the case
+    unsafe_kills: int = 0  # statements that still ran on engines when these were killed for maintenance
+    completed: bool = False  # the plan completed as its case requires
+    duration_s: float = 0.0  # from the request of the job to the end of the plan
     overlapping: int = 0
-    again: int = 0  # requests that were executed more than once
-    faults: int = 0
+    executed_repeatedly: int = 0  # requests that were executed more than once
+    internal_errors: int = 0  # log lines on unexpected failures of managers
     late_ms: float = 0.0  # by which the network proxy, or a manager that nobody stopped, was late at worst
-    seen: list[str] = field(default_factory=list)  # notes on the course of the run
+    notes: list[str] = field(default_factory=list)  # on the course of the run
 
     @property
     def clean(self) -> bool:
         """Whether the run broke no rule and the plan completed."""
-        return self.ended and not (
+        return self.completed and not (
             self.lost
             or self.errors
             or self.over_budget
-            or self.doubled
-            or self.unsafe
+            or self.rule_violations
+            or self.unsafe_kills
             or self.overlapping
-            or self.faults
+            or self.internal_errors
         )
 
 
@@ -123,7 +123,7 @@
         self.engines_in_service: set[str] = set()  # on which the simulated operators work
         self.engines_not_restarted: set[str] = set()  # that the simulated operators leave alone
         self.over_budget = 0
-        self.unsafe = 0
+        self.unsafe_kills = 0
         self.tasks: list[asyncio.Future[None]] = []  # of the simulated operators
         self.manager_processes: list[tuple[str, Process]] = []  # all that were ever started, with their managers
 
@@ -132,9 +132,9 @@
         data = f' data="{name}.plan"' if self.keeps_plan_on_disk else ""
         return MAINTENANCE_SETTINGS.format(data=data) + (HANDOFF_SETTINGS if self.sends_keys else "")
 
-    async def up(self, name: str) -> None:
+    async def start_manager(self, name: str) -> None:
         """Start or restart a manager and record its process."""
-        await super().up(name)
+        await super().start_manager(name)
         self.manager_processes.append((name, self.managers[name]))
 
     async def query_manager(self, name: str, command: str, **arguments: Any) -> Any:
@@ -180,12 +180,12 @@
                 self.tasks.append(asyncio.ensure_future(self._service_engine(name)))
             for name, p in self.managers.items():
                 if p.exit_status() == 0:  # ended by itself; the script of the case restarts those that it killed
-                    await self.up(name)
+                    await self.start_manager(name)
             await asyncio.sleep(0.1)
 
     async def _service_engine(self, name: str) -> None:
         e = next(x for x in self.engines if x.name == name)
-        self.unsafe += self.running_statements(name)
+        self.unsafe_kills += self.running_statements(name)
         await e.kill()
         await asyncio.sleep(MACHINE_DOWNTIME_S)
         await self.start_engine(e, self.ports_by_engine[name])
@@ -200,7 +200,7 @@
 
     def running_statements(self, name: str) -> int:
         """Count the statements that run at an engine now, by its own log."""
-        events = [x for x in self.witnessed() if x.engine == name]
+        events = [x for x in self.execution_events() if x.engine == name]
         return len({x.run for x in events if x.what == "start"} - {x.run for x in events if x.what != "start"})
 
     def logged_steps(self, load_start_s: float) -> list[Step]:
@@ -226,7 +226,7 @@
 STAGE_ORDER = ("draining", "out", "warming", "done")
 
 
-def doubled(steps: list[Step]) -> list[str]:
+def step_violations(steps: list[Step]) -> list[str]:
     """Describe stages reached by two different steps, stages out of order, and stages skipped by completed machines."""
     violations = []
     step_numbers: dict[tuple[str, str], dict[str, set[int]]] = {}
@@ -242,7 +242,7 @@
     return violations
 
 
-def budget(steps: list[Step]) -> int:
+def count_budget_violations(steps: list[Step]) -> int:
     """Count the steps, in order of their numbers, after which more machines were unavailable than the budget allows."""
     stage_by_step = {(s.number, s.machine): s.stage for s in steps if s.stage != "waiting"}
     unavailable: set[str] = set()
@@ -253,7 +253,7 @@
     return violations
 
 
-async def run_case(case: str, seed: int, index: int, log_folder: str = "") -> Told:
+async def run_case(case: str, seed: int, index: int, log_folder: str = "") -> MaintenanceResult:
     """Start a fleet, run one case under load and return the result.
 
     Args:
@@ -262,7 +262,7 @@
         index: Number of the fleet among those that run side by side.
         log_folder: Folder for the logs, "" for none.
     """
-    rng, result = random.Random(f"{case}/{seed}"), Told(case, seed)
+    rng, result = random.Random(f"{case}/{seed}"), MaintenanceResult(case, seed)
     with tempfile.TemporaryDirectory() as folder:
         fleet = MaintenanceFleet(case, seed, folder, index)
         try:
@@ -270,7 +270,7 @@
             await fleet.wait_until_settled()
             await fleet.wait_until_plan_known()
             if fleet.sends_keys:  # members do not vote on handoff records earlier
-                await fleet.remember()
+                await fleet.wait_until_members_vote()
             start_s, fleet.rig.late_ms = time.monotonic(), 0.0
             clients = [
                 FailoverClients(fleet, z, random.Random(f"{case}/{seed}/{z}"), start_s, RATE_PER_S, MAX_DURATION_S)
@@ -282,29 +282,34 @@
             await asyncio.sleep(1.5)  # until the members know the load
             try:
                 await asyncio.wait_for(CASE_SCRIPTS[case](fleet, rng, result), MAX_DURATION_S - 10.0)
-                result.ended = True
+                result.completed = True
             except TimeoutError:
-                result.seen.append(f"the plan did not complete: {await fleet.latest_plan()}")
-            result.seconds = round(time.monotonic() - start_s - 1.5, 1)
+                result.notes.append(f"the plan did not complete: {await fleet.latest_plan()}")
+            result.duration_s = round(time.monotonic() - start_s - 1.5, 1)
             for c in clients:
                 c.load_end_s = time.monotonic() - start_s  # no new requests; those in flight are still answered
             calls = [call for load in loads for call in await load]
-            result.seen += [
+            result.notes += [
                 f"a task of the simulated operators failed: {t.exception()!r}"
                 for t in fleet.tasks
                 if t.done() and t.exception()
             ]
             operators.cancel()
             result.requests, result.lost = len(calls), sum(call.answer == "" for call in calls)
-            result.seen += [
+            result.notes += [
                 f"lost: {call.key} sent at {call.at:.2f} s, last to {call.manager}" for call in calls if not call.answer
             ]
             result.errors = sum(call.answer not in ("served", "") for call in calls)
             steps = fleet.logged_steps(start_s)
-            result.doubled, result.over_budget = doubled(steps), budget(steps) + fleet.over_budget
-            result.unsafe, result.late_ms = fleet.unsafe, fleet.max_lateness_ms(start_s)
-            result.overlapping, result.again = _count_repeated_executions(fleet)
-            result.faults = sum(fleet.logged(x) for x in ("Traceback", "policy-failed", "command failed"))
+            result.rule_violations, result.over_budget = (
+                step_violations(steps),
+                count_budget_violations(steps) + fleet.over_budget,
+            )
+            result.unsafe_kills, result.late_ms = fleet.unsafe_kills, fleet.max_lateness_ms(start_s)
+            result.overlapping, result.executed_repeatedly = _count_repeated_executions(fleet)
+            result.internal_errors = sum(
+                fleet.count_log_lines(x) for x in ("Traceback", "policy-failed", "command failed")
+            )
             return result
         finally:
             if log_folder:  # also for runs that did not complete
@@ -319,7 +324,7 @@
     execution because nobody cancelled it. The executions for each manager then count as separate requests.
     """
     times_s: dict[tuple[str, int], dict[tuple[str, int], list[float]]] = {}
-    for x in fleet.witnessed():
+    for x in fleet.execution_events():
         times_s.setdefault((x.key, 0 if fleet.sends_keys else x.manager), {}).setdefault((x.engine, x.run), []).append(
             x.at
         )
@@ -361,13 +366,13 @@
     return bool(plan["jobs"]) and set(_stages(plan)) == {"done"}
 
 
-async def _rolling(fleet: MaintenanceFleet, rng: random.Random, _result: Told) -> None:
+async def _rolling(fleet: MaintenanceFleet, rng: random.Random, _result: MaintenanceResult) -> None:
     """Every engine of a zone is restarted in turn, without any fault."""
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
     await _wait_for_plan(fleet, _all_done)
 
 
-async def _driver(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+async def _driver(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
     """The manager that drives the plan is killed in two of the stages and restarted a few seconds later."""
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0", "z1")
     for stage in rng.sample(("draining", "out", "warming"), 2):
@@ -375,26 +380,26 @@
         if _all_done(plan):
             break
         name = plan["driver"]
-        result.seen.append(f"{name} killed while {stage}")
+        result.notes.append(f"{name} killed while {stage}")
         await fleet.managers[name].kill()
         await asyncio.sleep(rng.uniform(1.0, 3.0))
-        await fleet.up(name)
+        await fleet.start_manager(name)
     await _wait_for_plan(fleet, _all_done)
 
 
-async def _partition(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+async def _partition(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
     """A member is partitioned from the others while a machine drains: the driver in half of the runs, else any one."""
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
     plan = await _wait_for_plan(fleet, lambda p: "draining" in _stages(p) or "out" in _stages(p))
     name = plan["driver"] if rng.random() < 0.5 else rng.choice(fleet.names)
-    result.seen.append(f"{name} partitioned{', the driver' if name == plan['driver'] else ''}")
+    result.notes.append(f"{name} partitioned{', the driver' if name == plan['driver'] else ''}")
     fleet.rig.partition(name)
     await asyncio.sleep(rng.uniform(2.0, 6.0))
     fleet.rig.heal()
     await _wait_for_plan(fleet, _all_done)
 
 
-async def _never_back(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+async def _never_back(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
     """A machine does not come back: the plan waits and gives the reason, and continues once that job is cancelled."""
     fleet.engines_not_restarted.add("e0")
     await _request_job(fleet, rng.choice(fleet.names), "broken", "e0", window_ms=1000.0)
@@ -407,15 +412,15 @@
     )
     await asyncio.sleep(2.0)
     if set(_stages(await fleet.latest_plan(), "next")) != {"waiting"}:
-        result.doubled.append("the next machine was taken out before the first had come back")
-    result.seen.append(plan["hold"])
+        result.rule_violations.append("the next machine was taken out before the first had come back")
+    result.notes.append(plan["hold"])
     e = next(e for e in fleet.engines if e.name == "e0")
     await fleet.query_manager(rng.choice(fleet.names), "plan-cancel", job="broken")
     await fleet.start_engine(e, fleet.ports_by_engine["e0"])  # it comes back although its job was cancelled
     await _wait_for_plan(fleet, lambda p: set(_stages(p, "next")) == {"done"})
 
 
-async def _overlapping_jobs(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+async def _overlapping_jobs(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
     """Two operators request jobs with common machines from two managers at the same time: one job is refused."""
     first, second = rng.sample(fleet.names, 2)
     responses = await asyncio.gather(
@@ -424,48 +429,48 @@
         return_exceptions=True,
     )
     refusals = [str(x) for x in responses if isinstance(x, ControlError)]
-    result.seen += refusals
+    result.notes += refusals
     if len(refusals) != 1 or "already" not in refusals[0]:
-        result.doubled.append(f"{len(refusals)} of two overlapping jobs refused")
+        result.rule_violations.append(f"{len(refusals)} of two overlapping jobs refused")
     await _wait_for_plan(fleet, _all_done)
 
 
-async def _zone(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+async def _zone(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
     """A zone is lost while the plan works on another one: the plan pauses until the lost zone is healthy again."""
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z1")
     await _wait_for_plan(fleet, lambda p: "warming" in _stages(p) or "done" in _stages(p))
     await fleet.kill_zones("z0")
     plan = await _wait_for_plan(fleet, lambda p: "zone z0 is not well" in p["hold"] or _all_done(p))
     if _all_done(plan):
-        result.doubled.append("the plan continued while a zone was lost")
-    result.seen.append(plan["hold"])
+        result.rule_violations.append("the plan continued while a zone was lost")
+    result.notes.append(plan["hold"])
     stages_before = _stages(plan)
     await asyncio.sleep(3.0)
     if "waiting" not in _stages(await fleet.latest_plan()):
-        result.doubled.append(
+        result.rule_violations.append(
             f"a machine was taken out while a zone was lost: {stages_before} -> {_stages(await fleet.latest_plan())}"
         )
     await fleet.restart_zones("z0")
     await _wait_for_plan(fleet, _all_done)
 
 
-async def _managers(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+async def _managers(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
     """All managers are restarted one at a time; each one ends by itself when the plan reaches it."""
     pids_before = {n: p.child.pid for n, p in fleet.managers.items()}
     await _request_job(fleet, rng.choice(fleet.names), "restart", *(f"manager:{n}" for n in fleet.names))
     await _wait_for_plan(fleet, _all_done)
     if not_restarted := [n for n, p in fleet.managers.items() if p.child.pid == pids_before[n]]:
-        result.doubled.append(f"not restarted: {not_restarted}")
+        result.rule_violations.append(f"not restarted: {not_restarted}")
 
 
-async def _all_killed(fleet: MaintenanceFleet, rng: random.Random, result: Told) -> None:
+async def _all_killed(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
     """All managers are killed at the same time and restarted: the plan continues from what they stored on disk."""
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
     stage = rng.choice(("draining", "out", "warming"))
     plan = await _wait_for_plan(fleet, partial(_has_stage_or_all_done, stage))
-    result.seen.append(f"all killed while {stage}, after step {plan['steps']}")
+    result.notes.append(f"all killed while {stage}, after step {plan['steps']}")
     await asyncio.gather(*(p.kill() for p in fleet.managers.values()))
-    await asyncio.gather(*(fleet.up(n) for n in fleet.names))
+    await asyncio.gather(*(fleet.start_manager(n) for n in fleet.names))
     await _wait_for_plan(fleet, _all_done)
 
 
@@ -483,8 +488,12 @@
 
 
 async def campaign(
-    cases: list[str], seeds: list[int], fleet_count: int, on_run: Callable[[Told], None], log_folder: str = ""
-) -> list[Told]:
+    cases: list[str],
+    seeds: list[int],
+    fleet_count: int,
+    on_run: Callable[[MaintenanceResult], None],
+    log_folder: str = "",
+) -> list[MaintenanceResult]:
     """Run every case with every seed, several fleets side by side, each in its own subprocess.
 
     Args:
@@ -497,7 +506,7 @@
     runs = [{"case": c, "seed": s, "logs": log_folder} for s in seeds for c in cases]
     return await run_side_by_side(
         f"{__name__}:isolated_run",
-        Told,
+        MaintenanceResult,
         runs,
         fleet_count,
         on_run,
@@ -505,6 +514,6 @@
     )
 
 
-async def isolated_run(case: str, seed: int, index: int, logs: str) -> AsyncIterator[Told]:
+async def isolated_run(case: str, seed: int, index: int, logs: str) -> AsyncIterator[MaintenanceResult]:
     """Run one case; called in a subprocess by `run_in_subprocess`."""
     yield await run_case(case, seed, index, logs)
--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -370,7 +370,7 @@
             verdict = judge(
                 ZoneVerdict(case, decision_mode, seed),
                 calls,
-                fleet.witnessed(),
+                fleet.execution_events(),
                 fleet.zone_state_changes(start_s),
                 fleet.zone_by_manager,
                 zone_of,
@@ -380,7 +380,7 @@
                 LOCALITY,
             )
             verdict.late_ms = fleet.max_lateness_ms(start_s)
-            verdict.faults = sum(fleet.logged(x) for x in ("Traceback", "policy-failed"))
+            verdict.faults = sum(fleet.count_log_lines(x) for x in ("Traceback", "policy-failed"))
             if log_folder:
                 run_folder = Path(log_folder) / f"{case}-{decision_mode}-{seed}"
                 run_folder.mkdir(parents=True, exist_ok=True)
--- a/decklb/lab/faults/connection_proxy.py
+++ b/decklb/lab/faults/connection_proxy.py
@@ -29,15 +29,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Strike:
+class ConnectionFault:
     """One action at one byte of the server's answers.
 
     Attributes:
-        at: Number of answer bytes, over all connections, that are forwarded before the action.
+        after_bytes: Number of answer bytes, over all connections, that are forwarded before the action.
         action: What happens then.
     """
 
-    at: int
+    after_bytes: int
     action: Action
 
 
@@ -47,13 +47,13 @@
     Attributes:
         server_port: Port of the server.
         listen_port: Port of the proxy; 0 before the start.
-        struck_at_s: Time on the monotonic clock at which the armed fault was injected; None before.
+        injected_at_s: Time on the monotonic clock at which the armed fault was injected; None before.
     """
 
     def __init__(self, server_port: int) -> None:
         self.server_port, self.listen_port = server_port, 0
-        self.struck_at_s: float | None = None
-        self._strike: Strike | None = None
+        self.injected_at_s: float | None = None
+        self._fault: ConnectionFault | None = None
         self._forwarded_bytes = 0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -71,9 +71,9 @@
         for writer in self._writers:
             writer.close()
 
-    def arm(self, strike: Strike | None) -> None:
+    def arm(self, fault: ConnectionFault | None) -> None:
         """Inject a fault once, counting from the server's next byte on; None disarms the proxy."""
-        self._strike, self._forwarded_bytes, self.struck_at_s = strike, 0, None
+        self._fault, self._forwarded_bytes, self.injected_at_s = fault, 0, None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -110,12 +110,12 @@
         split = False
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if is_from_server and (strike := self._fault_due(len(data))) is not None:
-                    size_before = strike.at - (self._forwarded_bytes - len(data))
+                if is_from_server and (fault := self._fault_due(len(data))) is not None:
+                    size_before = fault.after_bytes - (self._forwarded_bytes - len(data))
                     writer.write(data[:size_before])
-                    if not await self._perform(strike.action, writer, opposite_writer):
+                    if not await self._perform(fault.action, writer, opposite_writer):
                         return
-                    split = strike.action is Action.SPLIT
+                    split = fault.action is Action.SPLIT
                     data = data[size_before:]
                 if writer in self._silenced or opposite_writer in self._silenced:
                     continue
@@ -127,16 +127,16 @@
             if writer not in self._silenced and opposite_writer not in self._silenced and not is_from_server:
                 writer.close()
 
-    def _fault_due(self, size: int) -> Strike | None:
+    def _fault_due(self, size: int) -> ConnectionFault | None:
         """Count answer bytes, and return the armed fault if its byte is among them."""
-        strike = self._strike
-        if strike is None:
+        fault = self._fault
+        if fault is None:
             return None
         self._forwarded_bytes += size
-        if self._forwarded_bytes < strike.at:
+        if self._forwarded_bytes < fault.after_bytes:
             return None
-        self._strike, self.struck_at_s = None, time.monotonic()
-        return strike
+        self._fault, self.injected_at_s = None, time.monotonic()
+        return fault
 
     async def _perform(
         self, action: Action, writer: asyncio.StreamWriter, opposite_writer: asyncio.StreamWriter
--- a/tests/handoff_clients.py
+++ b/tests/handoff_clients.py
@@ -6,7 +6,7 @@
 
 import psycopg
 
-from decklb.lab.fault_runs.handoff_run import COME_BACK
+from decklb.lab.fault_runs.handoff_run import RETRYABLE_SQLSTATES
 
 
 class Session:
@@ -27,7 +27,7 @@
             return self.link.execute(sql).fetchone()[0]
         except psycopg.errors.Error as error:
             state = error.sqlstate or "08006"
-            return None if state in COME_BACK else f"{state} {error}"
+            return None if state in RETRYABLE_SQLSTATES else f"{state} {error}"
         finally:
             self.link.close()
 
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -30,7 +30,7 @@
         cls.addClassCleanup(cls.runner.close)
         cls.addClassCleanup(lambda: cls.runner.run(cls.fleet.stop()))
         cls.runner.run(cls.fleet.start())
-        cls.runner.run(cls.fleet.remember())
+        cls.runner.run(cls.fleet.wait_until_members_vote())
 
     def during(self, blocking, *calls):
         """A blocking client in a thread, while the rig's loop runs and faults strike."""
@@ -51,11 +51,11 @@
         await self.fleet.managers[name].kill()
 
     def runs(self, key, what="start"):
-        return sorted((x for x in self.fleet.witnessed() if x.key == key and x.what == what), key=lambda x: x.at)
+        return sorted((x for x in self.fleet.execution_events() if x.key == key and x.what == what), key=lambda x: x.at)
 
     def test_a_killed_managers_read_is_run_again_once_and_its_load_ends_in_doubt(self):
         async def restart():
-            await self.fleet.up("m0")
+            await self.fleet.start_manager("m0")
 
         for lane, key in (("read", "killed.read"), ("load", "killed.load")):
             sql = f"select 1 -- run={key} work=700"
@@ -72,7 +72,7 @@
                 self.assertIn("40003", answers.pop())
                 self.assertEqual(len(self.runs(key)), 1)
             self.runner.run(restart())
-            self.runner.run(self.fleet.remember())
+            self.runner.run(self.fleet.wait_until_members_vote())
 
     def test_what_a_killed_manager_left_running_is_ended_before_it_runs_again(self):
         sql = "select 1 -- run=long work=2000"
@@ -83,8 +83,8 @@
         (first, again), (ended,) = self.runs("long"), self.runs("long", "cancelled")
         self.assertEqual((ended.engine, ended.run), (first.engine, first.run))
         self.assertLessEqual(ended.at, again.at)
-        self.runner.run(self.fleet.up("m0"))
-        self.runner.run(self.fleet.remember())
+        self.runner.run(self.fleet.start_manager("m0"))
+        self.runner.run(self.fleet.wait_until_members_vote())
 
     def test_a_client_that_comes_back_elsewhere_gets_the_same_row_and_nothing_runs_again(self):
         sql = "select 1 -- run=again work=20"
@@ -148,7 +148,7 @@
         async def cut():
             while not self.runs("engineless"):
                 await asyncio.sleep(0.01)
-            await self.fleet.strike(FleetFault(0.0, FleetFaultKind.ENGINES, "m0"))
+            await self.fleet.inject(FleetFault(0.0, FleetFaultKind.ENGINES, "m0"))
 
         try:
             first = self.during(lambda: Session(self.fleet, "m0", "load", "engineless").run(sql), cut)
@@ -217,15 +217,15 @@
         self.assertEqual(self.fleet.managers["m0"].child.returncode, 0)
         self.assertEqual(self.client(final, "m1", "load", "drained", sql), row)
         self.assertEqual(len(self.runs("drained")), 1)
-        self.runner.run(self.fleet.up("m0"))
-        self.runner.run(self.fleet.remember())
+        self.runner.run(self.fleet.start_manager("m0"))
+        self.runner.run(self.fleet.wait_until_members_vote())
 
     def test_a_wall_clock_that_jumps_ahead_and_back_stops_nothing(self):
         """The reactor's calls went by the wall clock: after the way back, none was due for an hour."""
 
         async def jump():
             for kind in (FleetFaultKind.AHEAD, FleetFaultKind.CLOCK, FleetFaultKind.BEHIND, FleetFaultKind.CLOCK):
-                await self.fleet.strike(FleetFault(0.0, kind, "m1"))
+                await self.fleet.inject(FleetFault(0.0, kind, "m1"))
                 await asyncio.sleep(0.4)
 
         self.runner.run(jump())
@@ -267,7 +267,7 @@
         shown = []
         verdicts, counts = asyncio.run(
             campaign(
-                Setup(span=3000.0, rate=20.0),
+                Setup(duration_ms=3000.0, rate_per_s=20.0),
                 list(range(12)),
                 3,
                 lambda seed, v, faults: shown.append((seed, v, faults)),
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -171,5 +171,5 @@
         return [one async for one in play_cuts(front, seed=2, rounds=8 if front == "platform" else 20)]
 
     made = asyncio.run(play())
-    assert [(one.strike, one.violations) for one in made if one.violations] == []
-    assert any(one.struck for one in made)
+    assert [(one.fault, one.violations) for one in made if one.violations] == []
+    assert any(one.fault_injected for one in made)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -13,7 +13,8 @@
         cases = ["named", "managers", "driver", "zone", "all-killed", "overlapping", "partition", "never-back"]
         results = asyncio.run(campaign(cases, [1], 4, lambda r: None))
         self.assertEqual(sorted(r.case for r in results), sorted(cases))
-        self.assertEqual([r.again for r in results if r.case == "named"], [0])  # requests with a key run once
+        # Requests with a key run once.
+        self.assertEqual([r.executed_repeatedly for r in results if r.case == "named"], [0])
         for r in results:
             self.assertTrue(r.clean, r)
             self.assertGreater(r.requests, 100, r.case)
