--- a/decklb/cli/lab/fault_injection.py
+++ b/decklb/cli/lab/fault_injection.py
@@ -126,9 +126,9 @@
         raise click.ClickException(str(error)) from error
     click.echo(
         f"{made.managers} managers, {made.requests} requests, {made.served} served, {made.arrivals} at the cold "
-        f"engine; its fullest window held {made.worst:.2f} of what is allowed"
+        f"engine; its fullest window held {made.worst_load_ratio:.2f} of what is allowed"
     )
-    if made.worst > 1.0:
+    if made.worst_load_ratio > 1.0:
         raise SystemExit(1)
 
 
--- a/decklb/lab/fault_runs/program_process.py
+++ b/decklb/lab/fault_runs/program_process.py
@@ -260,7 +260,7 @@
             await asyncio.sleep(0.05)
         return False
 
-    async def wait_for_directory_question(self, count_before: int) -> bool:
+    async def wait_for_directory_query(self, count_before: int) -> bool:
         """Wait until the directory has received another query; return False if it receives none in time."""
         end = time.monotonic() + RECOVERY_TIMEOUT_S
         while self.directory.questions <= count_before and time.monotonic() < end:
--- a/decklb/lab/fault_runs/slow_start_run.py
+++ b/decklb/lab/fault_runs/slow_start_run.py
@@ -47,14 +47,14 @@
         requests: Requests sent after the cold engine was listed.
         served: How many of these were served.
         arrivals: Attempts at the cold engine.
-        worst: Number of requests in the fullest window divided by the number allowed; above 1 the limit was exceeded.
+        worst_load_ratio: Highest ratio of received to allowed requests in a window; above 1 the limit was exceeded.
     """
 
     managers: int
     requests: int
     served: int
     arrivals: int
-    worst: float
+    worst_load_ratio: float
 
 
 class FleetManager(ProgramProcess):
@@ -92,7 +92,7 @@
     return expected + (2 * math.sqrt(expected) + 2)
 
 
-def worst_window(arrivals_ms: list[float], started_ms: float) -> float:
+def worst_load_ratio(arrivals_ms: list[float], started_ms: float) -> float:
     """Return the highest ratio of received to allowed requests over all windows that end before the engine is warm.
 
     Args:
@@ -140,7 +140,7 @@
             requests=len(outcomes),
             served=outcomes.count(RequestOutcome.SERVED),
             arrivals=len(arrivals_ms),
-            worst=worst_window(arrivals_ms, 1000 * started_s),
+            worst_load_ratio=worst_load_ratio(arrivals_ms, 1000 * started_s),
         )
 
 
--- a/decklb/lab/fault_runs/system_call_run.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -49,20 +49,20 @@
 
 
 @dataclass(slots=True)
-class Measured:
+class FaultMeasurements:
     """Measurements taken while a fault lasted.
 
     Attributes:
         hits: Number of system calls that the fault hit.
         outcomes: Number of requests sent, by outcome.
         cpu_share: CPU time of the process as a fraction of one core.
-        directory_questions: Number of queries that the directory had received when the fault ended.
+        directory_queries: Number of queries that the directory had received when the fault ended.
     """
 
     hits: int
     outcomes: Counter[RequestOutcome]
     cpu_share: float
-    directory_questions: int
+    directory_queries: int
 
 
 class Traffic:
@@ -127,7 +127,7 @@
     violations = _violations(program, case, measured)
     if not await program.wait_until_serving(RECOVERY_TIMEOUT_S):
         violations.append("no new client is served after the fault")
-    if not await program.wait_for_directory_question(measured.directory_questions):
+    if not await program.wait_for_directory_query(measured.directory_queries):
         violations.append("the directory is not queried after the fault")
     log_excerpt: list[str] = []
     if violations:
@@ -137,7 +137,7 @@
     return CaseResult(case, measured.hits, measured.outcomes, violations, log_excerpt)
 
 
-async def _measure_under_fault(program: ProgramProcess, case: Case) -> Measured:
+async def _measure_under_fault(program: ProgramProcess, case: Case) -> FaultMeasurements:
     traffic = Traffic(program)
     await traffic.connect()
     began, cpu_before = time.monotonic(), program.cpu_seconds()
@@ -148,8 +148,8 @@
     await traffic.send_for(SPANS[case.span] or single_hit_duration_s)
     cpu_share = (program.cpu_seconds() - cpu_before) / (time.monotonic() - began)
     program.interposer.clear()
-    hits, questions = sum(rule.hits for rule in rules), program.directory.questions
-    return Measured(hits, await traffic.finish(), cpu_share, questions)
+    hits, queries = sum(rule.hits for rule in rules), program.directory.questions
+    return FaultMeasurements(hits, await traffic.finish(), cpu_share, queries)
 
 
 def _start_fault(program: ProgramProcess, case: Case) -> list[Rule]:
@@ -165,7 +165,7 @@
     return [program.interposer.add_rule(case.call, case.errno, port, count=max_hits) for port in ports]
 
 
-def _violations(program: ProgramProcess, case: Case, measured: Measured) -> list[str]:
+def _violations(program: ProgramProcess, case: Case, measured: FaultMeasurements) -> list[str]:
     """Describe the rules that were broken while the fault lasted."""
     assert program.process is not None
     violations: list[str] = []
@@ -181,7 +181,7 @@
     if case.span == "long" and measured.cpu_share > BUSY_LOOP_CPU_SHARE:
         violations.append(f"busy loop: the process used {measured.cpu_share:.2f} of a core")
     # An attempt is also unreachable if the peer closes before anything is sent, which is no local failure.
-    if "attempt ended: unreachable" in log and "no-connection" in log and not case.says_engine_failed:
+    if "attempt ended: unreachable" in log and "no-connection" in log and not case.may_be_engine_fault:
         violations.append("a local failure is attributed to an engine")
     return violations
 
--- a/decklb/lab/faults/interposer.py
+++ b/decklb/lab/faults/interposer.py
@@ -72,15 +72,15 @@
         )
         if build.returncode != 0:
             raise InterposerError(f"compilation of the interposer failed: {build.stderr}")
-        self._path = folder / "interposer.rules"
-        self._path.write_bytes(bytes(CLOCK_OFFSET.size + MAX_RULES * RULE.size))
-        with self._path.open("r+b") as file:
+        self._rules_path = folder / "interposer.rules"
+        self._rules_path.write_bytes(bytes(CLOCK_OFFSET.size + MAX_RULES * RULE.size))
+        with self._rules_path.open("r+b") as file:
             self._rules = mmap.mmap(file.fileno(), 0)
-        self._count = 0
+        self._rule_count = 0
 
     def environment(self, base: Mapping[str, str] = os.environ) -> dict[str, str]:
         """Return the environment in which a process has to be started for the rules to apply."""
-        return dict(base) | {"LD_PRELOAD": str(self._library), "DECKLB_FAULTS": str(self._path)}
+        return dict(base) | {"LD_PRELOAD": str(self._library), "DECKLB_FAULTS": str(self._rules_path)}
 
     def add_rule(
         self,
@@ -108,10 +108,10 @@
         """
         if call not in CALLS:
             raise InterposerError(f"unknown call {call!r}; must be one of {', '.join(CALLS)}")
-        if self._count >= MAX_RULES:
+        if self._rule_count >= MAX_RULES:
             raise InterposerError(f"at most {MAX_RULES} rules are possible; call clear() first")
-        offset = CLOCK_OFFSET.size + self._count * RULE.size
-        self._count += 1
+        offset = CLOCK_OFFSET.size + self._rule_count * RULE.size
+        self._rule_count += 1
         inactive, seen, hits = 0, 0, 0
         RULE.pack_into(
             self._rules,
@@ -134,7 +134,7 @@
         """Deactivate all rules."""
         for number in range(MAX_RULES):
             ACTIVE.pack_into(self._rules, CLOCK_OFFSET.size + number * RULE.size, 0)
-        self._count = 0
+        self._rule_count = 0
 
     def set_wall_clock(self, offset_s: float) -> None:
         """Set the process's wall clock this far ahead of the machine's; a negative offset sets it behind."""
--- a/decklb/lab/faults/system_call_cases.py
+++ b/decklb/lab/faults/system_call_cases.py
@@ -118,7 +118,7 @@
         return self.side == "client" and self.call in ("recv", "send") and self.error in CONNECTION_LOST
 
     @property
-    def says_engine_failed(self) -> bool:
+    def may_be_engine_fault(self) -> bool:
         """Whether the program may attribute the error to the engine."""
         return self.side == "engine" and (self.error in CONNECTION_LOST or self.error in ENGINE_FAULTS)
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -79,7 +79,7 @@
         rule = program.interposer.add_rule(call, error, count=1)
         try:
             await program.start()
-            answer, queried = await program.request_on_new_connection(), await program.wait_for_directory_question(0)
+            answer, queried = await program.request_on_new_connection(), await program.wait_for_directory_query(0)
             return rule.hits, answer, queried
         finally:
             await program.stop()
