--- a/decklb/lab/fault_runs/connection_cut_run.py
+++ b/decklb/lab/fault_runs/connection_cut_run.py
@@ -1,8 +1,8 @@
 """Fault run on connections to engines: they are cut at random bytes of the answers while requests of one key are sent.
 
 An attempt whose connection was cut has an uncertain outcome, however much of its answer arrived. So the program must
-hold back the requests of its key for a while after the cut, and must not send a request of the class `load`, which may
-run at most once, again. The run checks this by the attempts that the stand-in engines recorded.
+hold back the requests of its key for a while after the cut. A request of the class `load` may run at most once, so the
+program must not send it again. The run checks this by the attempts that the stand-in engines recorded.
 
 `play_cuts` is called by the command `decklb lab cuts`. All state is in its `ProxiedProgram`.
 """
@@ -31,17 +31,13 @@
 SHORT_GAP_S = 0.01  # between two requests: the next one is sent while the previous one runs
 LONG_GAP_S = 0.1  # long enough for a request to end if nothing disturbs it
 SHORT_GAP_PROBABILITY = 0.5
-CONNECTION_LOST = (
-    Action.RESET,
-    Action.CLOSE,
-    Action.HALF_CLOSE,
-    Action.SILENCE,
-)  # the connection is lost
+# Actions after which no further byte of the answer arrives, so that the outcome of the attempt is uncertain.
+CONNECTION_LOST = (Action.RESET, Action.CLOSE, Action.HALF_CLOSE, Action.SILENCE)
 
 
 @dataclass(slots=True)
 class CutRound:
-    """The result of one round, that is of the requests of one key.
+    """The result of one round: requests of one key, and one fault.
 
     Attributes:
         fault: The planned fault.
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -97,7 +97,10 @@
 
     @property
     def record_lifetime_ms(self) -> float:
-        """Longest time that a record exists; a restarted member does not vote on records older than its start."""
+        """Longest time that a record exists: its deadline, retention and slack, and 1% for clocks that differ.
+
+        A member that restarted without records on disk does not vote on records older than its start.
+        """
         return (self.deadline_ms + self.answer_retention_ms + 500.0) * 1.01
 
 
@@ -171,7 +174,7 @@
         self.host_by_manager = {n: f"127.0.{10 + index}.{i + 1}" for i, n in enumerate(self.names)}
         self.managers: dict[str, Process] = {}
         self.ports: dict[str, int] = {}
-        self.records_since_s: dict[str, float] = {}  # by manager: time since when it holds all records sent to it
+        self.records_since_s: dict[str, float] = {}  # by manager: monotonic time since which its records are complete
         self.engines: list[Process] = []
         self.binds: dict[str, Address] = {}
         self.rig: NetworkProxy
@@ -181,9 +184,11 @@
         """Start the engines, then the network proxy, then the managers."""
         targets: dict[str, dict[str, Address]] = {}
         for i in range(self.setup.engines):
-            e = Process(f"e{i}")
-            self.engines.append(e)
-            targets[e.name] = {n: ("127.0.0.1", p) for n, p in zip(self.names, await self.start_engine(e), strict=True)}
+            engine = Process(f"e{i}")
+            self.engines.append(engine)
+            targets[engine.name] = {
+                n: ("127.0.0.1", p) for n, p in zip(self.names, await self.start_engine(engine), strict=True)
+            }
         self.binds = {n: (self.host_by_manager[n], free_ports.free(1, self.host_by_manager[n])[0]) for n in self.names}
         self.rig = NetworkProxy(self.binds, self.seed, targets)
         await self.rig.open()
@@ -223,7 +228,7 @@
 
     def settings_xml(self, name: str) -> str:
         """Return the settings document of a manager."""
-        s = self.setup
+        setup = self.setup
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="z" kind="k" weight="8"/>'.format(
                 e.name, *self.rig.engine_addresses[name, e.name]
@@ -237,12 +242,12 @@
             keys="keys.json",
             engines=engines,
             seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
-            members=s.managers,
-            lease=f"{s.lease_ms:g}",
-            deadline=f"{s.deadline_ms:g}",
-            retention=f"{s.answer_retention_ms:g}",
+            members=setup.managers,
+            lease=f"{setup.lease_ms:g}",
+            deadline=f"{setup.deadline_ms:g}",
+            retention=f"{setup.answer_retention_ms:g}",
             socket=f"{name}.sock",
-            data=f' data="{name}.data"' if s.records_on_disk else "",
+            data=f' data="{name}.data"' if setup.records_on_disk else "",
         )
 
     async def start_manager(self, name: str) -> None:
@@ -251,14 +256,14 @@
         path.write_text(self.settings_xml(name))
         if name in self.managers:
             self.ended_log_lines += self.managers[name].log_lines
-        p = self.managers[name] = Process(name)
-        await p.start(*self.manager_module(name), "serve", "--settings", str(path), "--log-level", "DEBUG")
-        self.ports[name] = int((await p.wait_for_log_line(r"listens on [\d.]+:(\d+)"))[1])
+        process = self.managers[name] = Process(name)
+        await process.start(*self.manager_module(name), "serve", "--settings", str(path), "--log-level", "DEBUG")
+        self.ports[name] = int((await process.wait_for_log_line(r"listens on [\d.]+:(\d+)"))[1])
         if not (self.setup.records_on_disk and name in self.records_since_s):
             self.records_since_s[name] = time.monotonic()
 
     async def wait_until_members_vote(self) -> None:
-        """Wait until every manager may vote, that is until it has run for longer than the lifetime of a record.
+        """Wait until every manager may vote: it has to run for longer than the lifetime of a record.
 
         A manager that keeps its records on disk may vote right after a restart.
         """
@@ -277,9 +282,9 @@
             case FleetFaultKind.PARTITION:
                 rig.partition(fault.target)
             case FleetFaultKind.ENGINES:
-                for e in self.engines:
-                    rig.set_link(fault.target, e.name, CUT)
-                    rig.set_link(e.name, fault.target, CUT)
+                for engine in self.engines:
+                    rig.set_link(fault.target, engine.name, CUT)
+                    rig.set_link(engine.name, fault.target, CUT)
             case FleetFaultKind.CUT:
                 rig.set_link(fault.target, fault.other, CUT)
             case FleetFaultKind.LOSSY:
@@ -309,8 +314,8 @@
         The proxy measures its own lateness, managers log theirs. For runs that stop no process on purpose.
         """
         max_ms = self.rig.late_ms
-        for p in self.managers.values():
-            for line, at_s in zip(p.log_lines, p.log_times_s, strict=False):
+        for process in self.managers.values():
+            for line, at_s in zip(process.log_lines, process.log_times_s, strict=False):
                 if at_s >= since_s and (m := re.search(r"process-stalled stall_ms=(\d+)", line)):
                     max_ms = max(max_ms, float(m[1]))
         return round(max_ms, 1)
@@ -318,21 +323,21 @@
     def save_logs(self, folder: Path) -> None:
         """Write the logs of all managers and engines to a folder, and the handoff state of each manager."""
         folder.mkdir(parents=True, exist_ok=True)
-        for name, p in self.managers.items():
+        for name, process in self.managers.items():
             try:
                 state = ujson.dumps(query(str(self.folder / f"{name}.sock"), "handoff"), indent=1)
             except ControlError as error:
                 state = str(error)
-            (folder / f"{name}.log").write_text("".join([*p.log_lines, state, "\n"]))
+            (folder / f"{name}.log").write_text("".join([*process.log_lines, state, "\n"]))
         (folder / "ended.log").write_text("".join(sorted(self.ended_log_lines)))
-        for e in self.engines:
-            (folder / f"{e.name}.log").write_text((self.folder / f"{e.name}.log").read_text())
+        for engine in self.engines:
+            (folder / f"{engine.name}.log").write_text((self.folder / f"{engine.name}.log").read_text())
 
     async def stop(self) -> None:
         """Kill all processes of the fleet and close the network proxy."""
-        for p in [*self.managers.values(), *self.engines]:
-            p.signal(signal.SIGCONT)
-            await p.kill()
+        for process in [*self.managers.values(), *self.engines]:
+            process.signal(signal.SIGCONT)
+            await process.kill()
         if hasattr(self, "rig"):
             self.rig.close()
 
@@ -342,11 +347,11 @@
 
     def __init__(self, fleet: Fleet, rng: random.Random, key: str) -> None:
         self.fleet, self.rng = fleet, rng
-        now, s = time.monotonic(), fleet.setup
+        now, setup = time.monotonic(), fleet.setup
         self.record = ClientRecord(
-            key, rng.choice((READ_CLASS, LOAD_CLASS)), now, now + s.deadline_ms / 1000 + ANSWER_GRACE_S
+            key, rng.choice((READ_CLASS, LOAD_CLASS)), now, now + setup.deadline_ms / 1000 + ANSWER_GRACE_S
         )
-        self.sql = f"select 1 -- run={key} work={rng.choice(s.work_ms)}"
+        self.sql = f"select 1 -- run={key} work={rng.choice(setup.work_ms)}"
         self.attempt_timeout_s = rng.choice((0.3, 1.0, 5.0))  # on one connection
 
     async def run(self) -> ClientRecord:
@@ -354,8 +359,10 @@
         record = self.record
         await self._retry_until(lambda: bool(record.final_answers), record.due_s)
         if record.final_answers and self.rng.random() < 0.3:
-            n = len(record.final_answers)
-            await self._retry_until(lambda: len(record.final_answers) > n, min(time.monotonic() + 0.8, record.due_s))
+            answer_count = len(record.final_answers)
+            await self._retry_until(
+                lambda: len(record.final_answers) > answer_count, min(time.monotonic() + 0.8, record.due_s)
+            )
         return record
 
     async def _retry_until(self, done: Callable[[], bool], end_s: float) -> None:
@@ -425,8 +432,8 @@
         repetition: Number of the run among those of this seed on this fleet; part of the requests' keys, which must
             differ from those of earlier runs.
     """
-    s, rng = fleet.setup, random.Random(seed)
-    faults = draw_schedule(seed, fleet.names, s.duration_ms, s.faults, s.kinds)
+    setup, rng = fleet.setup, random.Random(seed)
+    faults = draw_schedule(seed, fleet.names, setup.duration_ms, setup.faults, setup.kinds)
     start_s, fleet.rig.late_ms = time.monotonic(), 0.0
 
     async def inject_faults() -> None:
@@ -437,12 +444,12 @@
     injection = asyncio.ensure_future(inject_faults())
     clients: list[asyncio.Task[ClientRecord]] = []
     due_s = start_s
-    while (due_s := due_s + rng.expovariate(s.rate_per_s)) < start_s + s.duration_ms / 1000:
+    while (due_s := due_s + rng.expovariate(setup.rate_per_s)) < start_s + setup.duration_ms / 1000:
         await asyncio.sleep(max(0.0, due_s - time.monotonic()))
         clients.append(asyncio.ensure_future(RetryingClient(fleet, rng, f"s{seed}.{repetition}.{len(clients)}").run()))
     await injection
     records = await asyncio.gather(*clients)
-    await asyncio.sleep(max(s.work_ms) / 1000 + 0.1)
+    await asyncio.sleep(max(setup.work_ms) / 1000 + 0.1)
     keys = {record.key for record in records}
     verdict = judge(records, [event for event in fleet.execution_events() if event.key in keys], LOAD_CLASS)
     # Only the lateness of the proxy counts: faults stop managers on purpose.
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -65,13 +65,13 @@
     seed: int
     requests: int = 0
     errors: int = 0
-    lost: int = 0
+    lost: int = 0  # requests without an answer
     over_budget: int = 0  # times at which more machines were unavailable than the budget allows
     rule_violations: list[str] = field(default_factory=list)  # wrong plan steps and broken rules of the case
     unsafe_kills: int = 0  # statements that still ran on engines when these were killed for maintenance
     completed: bool = False  # the plan completed as its case requires
     duration_s: float = 0.0  # from the request of the job to the end of the plan
-    overlapping: int = 0
+    overlapping: int = 0  # requests with executions that overlapped in time
     executed_repeatedly: int = 0  # requests that were executed more than once
     internal_errors: int = 0  # log lines on unexpected failures of managers
     late_ms: float = 0.0  # by which the network proxy, or a manager that nobody stopped, was late at worst
@@ -120,7 +120,7 @@
     def __init__(self, case: str, seed: int, folder: str, index: int) -> None:
         super().__init__("common", seed, folder, index)
         self.sends_keys, self.keeps_plan_on_disk = case == "named", case == "all-killed"
-        self.engines_in_service: set[str] = set()  # on which the simulated operators work
+        self.engines_being_restarted: set[str] = set()  # by the simulated operators
         self.engines_not_restarted: set[str] = set()  # that the simulated operators leave alone
         self.over_budget = 0
         self.unsafe_kills = 0
@@ -171,24 +171,28 @@
         while True:
             plan = await self.latest_plan()
             machines_out = [m for j in plan["jobs"] for m in j["machines"] if m["stage"] == "out"]
-            for m in machines_out:
-                name = m["machine"]
-                if name in self.engines_in_service or name in self.engines_not_restarted or name.startswith("manager:"):
+            for machine in machines_out:
+                name = machine["machine"]
+                if (
+                    name in self.engines_being_restarted
+                    or name in self.engines_not_restarted
+                    or name.startswith("manager:")
+                ):
                     continue
-                self.engines_in_service.add(name)
-                self.over_budget += len(self.engines_in_service) > MAX_UNAVAILABLE
-                self.tasks.append(asyncio.ensure_future(self._service_engine(name)))
-            for name, p in self.managers.items():
-                if p.exit_status() == 0:  # ended by itself; the script of the case restarts those that it killed
+                self.engines_being_restarted.add(name)
+                self.over_budget += len(self.engines_being_restarted) > MAX_UNAVAILABLE
+                self.tasks.append(asyncio.ensure_future(self._restart_engine(name)))
+            for name, process in self.managers.items():
+                if process.exit_status() == 0:  # ended by itself; the script of the case restarts those that it killed
                     await self.start_manager(name)
             await asyncio.sleep(0.1)
 
-    async def _service_engine(self, name: str) -> None:
-        e = next(x for x in self.engines if x.name == name)
+    async def _restart_engine(self, name: str) -> None:
+        engine = next(x for x in self.engines if x.name == name)
         self.unsafe_kills += self.running_statements(name)
-        await e.kill()
+        await engine.kill()
         await asyncio.sleep(MACHINE_DOWNTIME_S)
-        await self.start_engine(e, self.ports_by_engine[name])
+        await self.start_engine(engine, self.ports_by_engine[name])
         while any(
             m["stage"] == "out"
             for j in (await self.latest_plan())["jobs"]
@@ -196,7 +200,7 @@
             if m["machine"] == name
         ):
             await asyncio.sleep(0.1)
-        self.engines_in_service.discard(name)
+        self.engines_being_restarted.discard(name)
 
     def running_statements(self, name: str) -> int:
         """Count the statements that run at an engine now, by its own log."""
@@ -206,8 +210,8 @@
     def logged_steps(self, load_start_s: float) -> list[Step]:
         """Return the plan's steps as all managers logged them, ended processes included, ordered by time."""
         steps = []
-        for name, p in self.manager_processes:
-            for line, at_s in zip(p.log_lines, p.log_times_s, strict=False):
+        for name, process in self.manager_processes:
+            for line, at_s in zip(process.log_lines, process.log_times_s, strict=False):
                 if STEP_LOG_TEXT in line:
                     fields = dict(x.split("=", 1) for x in line.split(STEP_LOG_TEXT, 1)[1].split())
                     steps.append(
@@ -227,13 +231,17 @@
 
 
 def step_violations(steps: list[Step]) -> list[str]:
-    """Describe stages reached by two different steps, stages out of order, and stages skipped by completed machines."""
+    """Describe the steps that broke a rule.
+
+    A stage must not be reached by two different steps, stages must follow in their order, and a machine that is done
+    must have passed all of them.
+    """
     violations = []
     step_numbers: dict[tuple[str, str], dict[str, set[int]]] = {}
-    for s in steps:
-        if s.stage == "waiting":
+    for step in steps:
+        if step.stage == "waiting":
             continue
-        step_numbers.setdefault((s.job, s.machine), {}).setdefault(s.stage, set()).add(s.number)
+        step_numbers.setdefault((step.job, step.machine), {}).setdefault(step.stage, set()).add(step.number)
     for (job, machine), by_stage in step_numbers.items():
         violations += [f"{job} {machine}: {stage} by steps {sorted(n)}" for stage, n in by_stage.items() if len(n) > 1]
         in_stage_order = [min(by_stage[x]) for x in STAGE_ORDER if x in by_stage]
@@ -324,10 +332,10 @@
     execution because nobody cancelled it. The executions for each manager then count as separate requests.
     """
     times_s: dict[tuple[str, int], dict[tuple[str, int], list[float]]] = {}
-    for x in fleet.execution_events():
-        times_s.setdefault((x.key, 0 if fleet.sends_keys else x.manager), {}).setdefault((x.engine, x.run), []).append(
-            x.at
-        )
+    for event in fleet.execution_events():
+        times_s.setdefault((event.key, 0 if fleet.sends_keys else event.manager), {}).setdefault(
+            (event.engine, event.run), []
+        ).append(event.at)
     overlapping = 0
     for by_execution in times_s.values():
         spans = sorted((t[0], t[-1]) for t in by_execution.values() if len(t) > 1)
@@ -404,7 +412,7 @@
     fleet.engines_not_restarted.add("e0")
     await _request_job(fleet, rng.choice(fleet.names), "broken", "e0", window_ms=1000.0)
     await _wait_for_plan(fleet, lambda p: "out" in _stages(p))
-    await next(e for e in fleet.engines if e.name == "e0").kill()
+    await next(engine for engine in fleet.engines if engine.name == "e0").kill()
     await _request_job(fleet, rng.choice(fleet.names), "next", "e2")
     plan = await _wait_for_plan(
         fleet,
@@ -414,9 +422,9 @@
     if set(_stages(await fleet.latest_plan(), "next")) != {"waiting"}:
         result.rule_violations.append("the next machine was taken out before the first had come back")
     result.notes.append(plan["hold"])
-    e = next(e for e in fleet.engines if e.name == "e0")
+    engine = next(engine for engine in fleet.engines if engine.name == "e0")
     await fleet.query_manager(rng.choice(fleet.names), "plan-cancel", job="broken")
-    await fleet.start_engine(e, fleet.ports_by_engine["e0"])  # it comes back although its job was cancelled
+    await fleet.start_engine(engine, fleet.ports_by_engine["e0"])  # it comes back although its job was cancelled
     await _wait_for_plan(fleet, lambda p: set(_stages(p, "next")) == {"done"})
 
 
--- a/decklb/lab/fault_runs/program_clients.py
+++ b/decklb/lab/fault_runs/program_clients.py
@@ -16,7 +16,7 @@
 
 REQUEST_BUDGET_S = 3.0  # budget of a request; also the timeout of connecting and of the handshake
 RESPONSE_GRACE_S = 1.0  # after the budget, in which the program may still report that it is exhausted
-TABLE_GROUPS = 50  # schemas; each platform request reads one, by which the program prefers engines
+TABLE_GROUPS = 50  # schemas; each platform request reads one, and the program prefers engines by schema
 FRAME_HEADER = struct.Struct(">IBI")  # size, frame type, stream
 HEADER_BYTES_IN_SIZE = 5  # a frame's size includes its type and stream, but not the size field itself
 
--- a/decklb/lab/fault_runs/system_call_run.py
+++ b/decklb/lab/fault_runs/system_call_run.py
@@ -20,7 +20,8 @@
 from decklb.lab.faults.interposer import Rule
 from decklb.lab.faults.system_call_cases import SPANS, TRANSIENT, Case
 
-REQUEST_INTERVAL_S = 0.02  # between requests on persistent connections; every second time also one on a new connection
+# Between requests on persistent connections; at every second one, a request is also sent on a new connection.
+REQUEST_INTERVAL_S = 0.02
 TRAFFIC_AFTER_FAULT_S = 0.1  # duration of the traffic under a fault that hits a single call
 TRAFFIC_AFTER_DIRECTORY_FAULT_S = 0.5  # the same for the directory, which is queried only a few times a second
 BUSY_LOOP_CPU_SHARE = 0.7  # of one core during a long fault; the traffic alone takes under a fifth
@@ -180,7 +181,7 @@
         violations.append("the log does not mention the fault")
     if case.span == "long" and measured.cpu_share > BUSY_LOOP_CPU_SHARE:
         violations.append(f"busy loop: the process used {measured.cpu_share:.2f} of a core")
-    # An attempt is also unreachable if the peer closes before anything is sent, which is no local failure.
+    # An attempt also ends as unreachable if the peer closes before anything is sent, which is no local failure.
     if "attempt ended: unreachable" in log and "no-connection" in log and not case.may_be_engine_fault:
         violations.append("a local failure is attributed to an engine")
     return violations
--- a/decklb/lab/fault_runs/zone_run.py
+++ b/decklb/lab/fault_runs/zone_run.py
@@ -107,22 +107,22 @@
 
     def settings_xml(self, name: str) -> str:
         """Return the settings document of a manager."""
-        s = LOCALITY
+        settings = LOCALITY
         attributes = " ".join(
             f'{attribute}="{duration:g}ms"'
             for attribute, duration in (
-                ("tick", s.tick_ms),
-                ("look", s.health_check_interval_ms),
-                ("timeout", s.health_check_timeout_ms),
-                ("fresh", s.observation_ttl_ms),
-                ("settle", s.stabilization_ms),
-                ("hold", s.min_state_duration_ms),
-                ("retry", s.vote_timeout_ms),
-                ("keep", s.isolation_grace_ms),
-                ("ramp", s.recovery_ramp_ms),
+                ("tick", settings.tick_ms),
+                ("look", settings.health_check_interval_ms),
+                ("timeout", settings.health_check_timeout_ms),
+                ("fresh", settings.observation_ttl_ms),
+                ("settle", settings.stabilization_ms),
+                ("hold", settings.min_state_duration_ms),
+                ("retry", settings.vote_timeout_ms),
+                ("keep", settings.isolation_grace_ms),
+                ("ramp", settings.recovery_ramp_ms),
             )
         )
-        attributes += f' slow="{s.degraded_latency_ratio:g}"'
+        attributes += f' slow="{settings.degraded_latency_ratio:g}"'
         engines = "".join(
             '<engine id="{}" address="{}:{}" zone="{}" kind="k" weight="8"/>'.format(
                 e.name, *self.rig.engine_addresses[name, e.name], zone_of(e.name)
@@ -172,21 +172,21 @@
 
     async def restart_zones(self, *zones: str) -> None:
         """Restart the engines of zones, cold, on their previous ports."""
-        for e in self.engines_in(*zones):
-            await self.start_engine(e, self.ports_by_engine[e.name])
+        for engine in self.engines_in(*zones):
+            await self.start_engine(engine, self.ports_by_engine[engine.name])
 
     def set_links(self, managers: list[str], zone: str, conditions: LinkConditions) -> None:
         """Set the conditions of both directions between these managers and a zone's engines."""
-        for m in managers:
-            for e in self.engines_in(zone):
-                self.rig.set_link(m, e.name, conditions)
-                self.rig.set_link(e.name, m, conditions)
+        for manager in managers:
+            for engine in self.engines_in(zone):
+                self.rig.set_link(manager, engine.name, conditions)
+                self.rig.set_link(engine.name, manager, conditions)
 
     def zone_state_changes(self, load_start_s: float) -> list[ZoneStateChange]:
         """Return the state changes of zones as the managers logged them, ordered by time."""
         changes = []
-        for name, p in self.managers.items():
-            for line, at_s in zip(p.log_lines, p.log_times_s, strict=False):
+        for name, process in self.managers.items():
+            for line, at_s in zip(process.log_lines, process.log_times_s, strict=False):
                 if "zone-state zone=" in line:
                     fields = dict(x.split("=", 1) for x in line.split("zone-state ", 1)[1].split() if "=" in x)
                     changes.append(ZoneStateChange(name, fields["zone"], fields["state"], at_s - load_start_s))
@@ -278,8 +278,8 @@
             tasks.append(asyncio.ensure_future(self._send(call)))
         await asyncio.gather(*tasks)
         for sessions in self.idle_sessions.values():
-            for s in sessions:
-                s.writer.close()
+            for session in sessions:
+                session.writer.close()
         return self.calls
 
     async def _send(self, call: CallRecord) -> None:
@@ -384,8 +384,8 @@
             if log_folder:
                 run_folder = Path(log_folder) / f"{case}-{decision_mode}-{seed}"
                 run_folder.mkdir(parents=True, exist_ok=True)
-                for name, p in fleet.managers.items():
-                    (run_folder / f"{name}.log").write_text("".join(p.log_lines))
+                for name, process in fleet.managers.items():
+                    (run_folder / f"{name}.log").write_text("".join(process.log_lines))
                 (run_folder / "changes.json").write_text(
                     ujson.dumps([c.__getstate__() for c in fleet.zone_state_changes(start_s)])
                 )
--- a/decklb/lab/faults/connection_proxy.py
+++ b/decklb/lab/faults/connection_proxy.py
@@ -14,7 +14,7 @@
 
 DELAY_S = 0.05  # by which `Action.DELAY` delays the bytes after it
 CHUNK_BYTES = 65536
-LINGER_NONE = struct.pack("ii", 1, 0)  # SO_LINGER with which closing a connection resets it
+LINGER_NONE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which closing a connection resets it
 
 
 class Action(Enum):
@@ -60,7 +60,7 @@
         self._silenced: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a port of its own."""
+        """Listen on a free port, which is then `listen_port`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.listen_port = self._server.sockets[0].getsockname()[1]
 
--- a/decklb/lab/faults/interposer.c
+++ b/decklb/lab/faults/interposer.c
@@ -32,7 +32,7 @@
     int32_t error;      /* errno with which the call fails; 0: the call is made */
     int32_t port;       /* only sockets with this local or remote port; 0: any descriptor */
     int64_t skip;       /* number of matching calls before the rule applies */
-    int64_t count;      /* number of matching calls after that to which it applies */
+    int64_t count;      /* number of matching calls after the skipped ones to which it applies */
     int32_t max_bytes;  /* maximum number of bytes that the call transfers; 0: no limit */
     int32_t delay_us;   /* delay before the call */
     int64_t seen, hits; /* counted by this library: matching calls, and those to which the rule applied */
--- a/decklb/lab/faults/interposer.py
+++ b/decklb/lab/faults/interposer.py
@@ -99,7 +99,7 @@
             error: errno value with which the call fails; 0 for none.
             port: Only calls on sockets with this local or remote port; 0 for all.
             skip: Number of matching calls before the rule applies.
-            count: Number of matching calls after that to which the rule applies.
+            count: Number of matching calls after the skipped ones to which the rule applies.
             max_bytes: Maximum number of bytes that the call transfers; 0 for no limit.
             delay_s: Time by which the call is delayed.
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -24,7 +24,7 @@
     assert not any(LinkConditions(cut=True).arrival_delays_ms(random.Random(3)) for _ in range(100))
 
 
-def test_a_schedule_depends_on_its_seed_only_and_undoes_every_fault():
+def test_a_schedule_is_determined_by_its_seed_and_undoes_every_fault():
     members = ["m0", "m1", "m2", "m3"]
     schedule = draw_schedule(11, members, 10_000.0, 6)
     assert schedule == draw_schedule(11, members, 10_000.0, 6) != draw_schedule(12, members, 10_000.0, 6)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -51,7 +51,7 @@
     def event(self, what, key, run, manager, at, engine="e0"):
         return ExecutionEvent(what, key, run, manager, 100.0 + at, engine)
 
-    def test_answers_executions_and_those_outside_the_callers_zone_are_counted(self):
+    def test_answers_executions_and_executions_outside_the_clients_zone_are_counted(self):
         calls = [
             CallRecord("a", "z0", "m0", 1.0, 100, "served"),
             CallRecord("b", "z0", "m0", 1.0, 100, "53000"),
@@ -70,7 +70,7 @@
             (v.served, v.errors, v.lost, v.overlapping, v.attempts, v.stayed, v.left), (1, 1, 1, 1, 2, 2, 1)
         )
 
-    def test_decisions_are_timed_and_holding_out_a_healthy_zone_is_wrong(self):
+    def test_decisions_are_timed_and_taking_out_a_healthy_zone_is_counted_as_wrong(self):
         changes = [
             ZoneStateChange("m0", "z0", "out", 3.5),
             ZoneStateChange("m1", "z1", "out", 4.0),
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -55,8 +55,8 @@
         members = query(str(self.folder / f"{name}.sock"), "members")["members"]
         return {m["name"] for m in members if m["state"] == "alive"}
 
-    def wait_until_alive(self, name, expected, description):
-        """Wait until a member holds exactly the expected members for alive."""
+    def wait_for_alive_members(self, name, expected, description):
+        """Wait until a member considers exactly the expected members alive."""
         try:
             wait_for(lambda: self.alive(name) == set(expected), f"{name} to detect: {description}")
         except AssertionError:
@@ -65,25 +65,25 @@
 
     def test_members_detect_a_partition_a_one_way_cut_and_a_stopped_peer_and_their_end(self):
         for name in NAMES:
-            self.wait_until_alive(name, NAMES, "all members")
+            self.wait_for_alive_members(name, NAMES, "all members")
         self.assertEqual(self.proxy.lost, 0)
 
         self.call_in_loop(self.proxy.partition, "m2")
-        self.wait_until_alive("m0", ["m0", "m1"], "m2 is partitioned")
-        self.wait_until_alive("m2", ["m2"], "all others are unreachable")
+        self.wait_for_alive_members("m0", ["m0", "m1"], "m2 is partitioned")
+        self.wait_for_alive_members("m2", ["m2"], "all others are unreachable")
         self.call_in_loop(self.proxy.heal)
         for name in NAMES:
-            self.wait_until_alive(name, NAMES, "the partition has ended")
+            self.wait_for_alive_members(name, NAMES, "the partition has ended")
 
         for other in ("m0", "m2"):  # m1 receives nothing; what it sends still arrives
             self.call_in_loop(self.proxy.set_link, other, "m1", LinkConditions(cut=True))
-        self.wait_until_alive("m0", ["m0", "m2"], "m1 is cut off in one direction")
+        self.wait_for_alive_members("m0", ["m0", "m2"], "m1 is cut off in one direction")
         self.call_in_loop(self.proxy.heal)
-        self.wait_until_alive("m0", NAMES, "m1 is reachable again")
+        self.wait_for_alive_members("m0", NAMES, "m1 is reachable again")
 
         self.programs["m2"].process.send_signal(signal.SIGSTOP)
-        self.wait_until_alive("m0", ["m0", "m1"], "m2 is stopped")
+        self.wait_for_alive_members("m0", ["m0", "m1"], "m2 is stopped")
         self.programs["m2"].process.send_signal(signal.SIGCONT)
         for name in NAMES:
-            self.wait_until_alive(name, NAMES, "m2 runs again")
+            self.wait_for_alive_members(name, NAMES, "m2 runs again")
         self.assertGreater(self.proxy.lost, 0)
