--- a/decklb/cli/lab/fault_injection.py
+++ b/decklb/cli/lab/fault_injection.py
@@ -50,10 +50,10 @@
     from decklb.lab.fault_runs.program_process import ProgramStartError
     from decklb.lab.fault_runs.system_call_run import play_cases
     from decklb.lab.faults.interposer import InterposerError
-    from decklb.lab.faults.system_call_cases import all_cases, some_cases
+    from decklb.lab.faults.system_call_cases import all_cases, sample_cases
 
     log.set_up("ERROR", "text")
-    cases = all_cases() if part >= 1 else some_cases(seed, part)
+    cases = all_cases() if part >= 1 else sample_cases(seed, part)
 
     async def play() -> list[CaseResult]:
         return [_print_faults(played) async for played in play_cases(cases, at_once, program)]
--- a/decklb/lab/faults/system_call_cases.py
+++ b/decklb/lab/faults/system_call_cases.py
@@ -1,4 +1,4 @@
-"""The matrix of failing system calls: for each call that the program makes, the errors documented in its manual pages.
+"""The matrix of failing system calls: the errors that the manual pages document for each call of the program.
 
 Free of I/O. `fault_runs.system_call_run` runs the cases, each with one error for one of SPANS.
 """
@@ -14,7 +14,7 @@
 
 _OUT_OF_MEMORY = ("ENOBUFS", "ENOMEM")
 _OUT_OF_DESCRIPTORS = ("EMFILE", "ENFILE")
-# Errors by call and side, that is the peers whose sockets are affected. Sources: accept(2), connect(2), socket(2),
+# Errors by call and side (the peers whose sockets are affected). Sources: accept(2), connect(2), socket(2),
 # getsockopt(2), setsockopt(2), recv(2), send(2), epoll_ctl(2), epoll_wait(2), write(2); for errors of the network also
 # ip(7), udp(7), tcp(7).
 ERRORS: dict[tuple[str, str], tuple[str, ...]] = {
@@ -138,10 +138,10 @@
     ]
 
 
-def some_cases(seed: int, share: float) -> list[Case]:
+def sample_cases(seed: int, fraction: float) -> list[Case]:
     """Draw a fraction of the matrix by a seed, with at least one case of each call, side and front."""
     rng = random.Random(seed)
     groups: dict[tuple[str, str, str], list[Case]] = {}
     for case in all_cases():
         groups.setdefault((case.front, case.call, case.side), []).append(case)
-    return [case for group in groups.values() for case in rng.sample(group, max(1, round(share * len(group))))]
+    return [case for group in groups.values() for case in rng.sample(group, max(1, round(fraction * len(group))))]
--- a/tests/test_lab_recorded_figures.py
+++ b/tests/test_lab_recorded_figures.py
@@ -21,7 +21,7 @@
 from decklb.lab.experiments.bundled import world
 from decklb.lab.experiments.shared_duties import Experiment, run
 from decklb.lab.faults.fault_schedule import FleetFaultKind, draw_schedule
-from decklb.lab.faults.system_call_cases import all_cases, some_cases
+from decklb.lab.faults.system_call_cases import all_cases, sample_cases
 from tests.standins import ROOT
 
 GOLDEN = ROOT / "tests" / "golden"
@@ -147,7 +147,11 @@
     "theory": lambda: list(queueing_theory.table(4000, 1)),
     "interval": lambda: plain(statistics.interval(np.arange(20.0), Streams(1).get("bootstrap"))),
     "fault schedule": lambda: plain(draw_schedule(9, ["m0", "m1", "m2"], 8000.0, 6, tuple(FleetFaultKind)[:8])),
-    "system calls": lambda: [len(all_cases()), digest([str(case) for case in all_cases()]), str(some_cases(4, 0.1)[7])],
+    "system calls": lambda: [
+        len(all_cases()),
+        digest([str(case) for case in all_cases()]),
+        str(sample_cases(4, 0.1)[7]),
+    ],
 }
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("front", cases.FRONTS)
 def test_a_sample_of_the_matrix_breaks_no_rule(front):
     """The sample has at least one case of each call and side."""
-    sample = [case for case in cases.some_cases(SEED, MATRIX_FRACTION) if case.front == front]
+    sample = [case for case in cases.sample_cases(SEED, MATRIX_FRACTION) if case.front == front]
 
     async def play():
         return [result async for result in play_cases(sample, 2)]
@@ -132,6 +132,6 @@
     assert run_on_program("platform", act) == (True, 0)
 
 
-def test_the_environment_preloads_the_library_built_in_the_folder(tmp_path):
+def test_the_environment_preloads_a_library_from_the_given_folder(tmp_path):
     environment = Interposer(tmp_path).environment(os.environ)
     assert environment["LD_PRELOAD"].startswith(str(tmp_path))
