--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -31,8 +31,8 @@
 CASES = ("rolling", "driver", "partition", "never-back", "overlapping", "zone", "managers", "named", "all-killed")
 RATE_PER_S = 12.0  # requests of each zone's clients: they need 2 of the 8 cores that a zone has with one engine out
 MAX_DURATION_S = 90.0
-DRAIN_MS, WARM_UP_MS = 2000.0, 1500.0
-MACHINE_DOWNTIME_S = 0.6  # from the kill of an engine to its restart
+# MACHINE_DOWNTIME_S is the time from the kill of an engine to its restart.
+DRAIN_MS, WARM_UP_MS, MACHINE_DOWNTIME_S = 2000.0, 1500.0, 0.6
 MAX_UNAVAILABLE = 1  # machines that may be draining, out or warming at a time
 MAINTENANCE_SETTINGS = (
     f'<maintenance members="5" most="{MAX_UNAVAILABLE}" most-zone="1" most-share="50%" drain="{DRAIN_MS:g}ms" '
