--- a/decklb/cli/lab/fault_runs.py
+++ b/decklb/cli/lab/fault_runs.py
@@ -65,8 +65,8 @@
         1000.0 * seconds,
         strikes,
         kinds=tuple(FleetFaultKind(name) for name in only) or handoff_run.DEFAULT_KINDS,
-        records_on_disk=data,
-        work_ms=work or handoff_run.DEFAULT_WORK_MS,
+        data=data,
+        work=work or handoff_run.DEFAULT_WORK_MS,
     )
     output = _HandoffOutput(as_json)
     seeds = list(range(seed, seed + runs))
@@ -211,11 +211,11 @@
 
 def _maintenance_run_line(run: MaintenanceResult) -> str:
     return (
-        f"{run.case:11} seed {run.seed:3}: {run.duration_s:5.1f} s, {run.requests} requests, {run.lost} lost, "
-        f"{run.errors} errors, {run.over_budget} over budget, {len(run.rule_violations)} doubled, "
-        f"{run.unsafe_kills} unsafe, "
-        f"{run.overlapping} overlapping, {run.executed_repeatedly} ran again, late {run.late_ms:.0f} ms, "
-        f"{'clean' if run.clean else 'NOT CLEAN'} {run.rule_violations or ''} {run.notes}"
+        f"{run.case:11} seed {run.seed:3}: {run.seconds:5.1f} s, {run.requests} requests, {run.lost} lost, "
+        f"{run.errors} errors, {run.over_budget} over budget, {len(run.doubled)} doubled, "
+        f"{run.unsafe} unsafe, "
+        f"{run.overlapping} overlapping, {run.again} ran again, late {run.late_ms:.0f} ms, "
+        f"{'clean' if run.clean else 'NOT CLEAN'} {run.doubled or ''} {run.seen}"
     )
 
 
--- a/decklb/lab/fault_runs/handoff_run.py
+++ b/decklb/lab/fault_runs/handoff_run.py
@@ -81,19 +81,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """Size of a fleet, its load and its timeouts. Times are milliseconds."""
+    """Size of a fleet, its load and its timeouts. Times are milliseconds.
+
+    The field names are keys of the JSON object by which a subprocess receives it.
+    """
 
     managers: int = 3
     engines: int = 3
-    rate_per_s: float = 25.0  # requests per second
-    duration_ms: float = 5000.0  # period in which requests are sent and faults injected
+    rate: float = 25.0  # requests per second
+    span: float = 5000.0  # period in which requests are sent and faults injected
     faults: int = 1
-    deadline_ms: float = 4000.0  # of a request
-    answer_retention_ms: float = 1500.0  # for which managers keep a final answer after its deadline
-    lease_ms: float = 600.0
+    longest: float = 4000.0  # deadline of a request
+    linger: float = 1500.0  # period for which managers keep a final answer after its deadline
+    lease: float = 600.0  # duration of a holder's lease
     kinds: tuple[FleetFaultKind, ...] = DEFAULT_KINDS
-    records_on_disk: bool = False  # whether managers keep their records on disk
-    work_ms: tuple[int, ...] = DEFAULT_WORK_MS  # of statements; each one draws its execution time from these
+    data: bool = False  # whether managers keep their records on disk
+    work: tuple[int, ...] = DEFAULT_WORK_MS  # execution times; each statement draws one
 
     @property
     def record_lifetime_ms(self) -> float:
@@ -101,7 +104,7 @@
 
         A member that restarted without records on disk does not vote on records older than its start.
         """
-        return (self.deadline_ms + self.answer_retention_ms + 500.0) * 1.01
+        return (self.longest + self.linger + 500.0) * 1.01
 
 
 class Process:
@@ -243,11 +246,11 @@
             engines=engines,
             seeds="".join("<seed>{}:{}</seed>".format(*a) for a in self.rig.advertised.values()),
             members=setup.managers,
-            lease=f"{setup.lease_ms:g}",
-            deadline=f"{setup.deadline_ms:g}",
-            retention=f"{setup.answer_retention_ms:g}",
+            lease=f"{setup.lease:g}",
+            deadline=f"{setup.longest:g}",
+            retention=f"{setup.linger:g}",
             socket=f"{name}.sock",
-            data=f' data="{name}.data"' if setup.records_on_disk else "",
+            data=f' data="{name}.data"' if setup.data else "",
         )
 
     async def start_manager(self, name: str) -> None:
@@ -259,7 +262,7 @@
         process = self.managers[name] = Process(name)
         await process.start(*self.manager_module(name), "serve", "--settings", str(path), "--log-level", "DEBUG")
         self.ports[name] = int((await process.wait_for_log_line(r"listens on [\d.]+:(\d+)"))[1])
-        if not (self.setup.records_on_disk and name in self.records_since_s):
+        if not (self.setup.data and name in self.records_since_s):
             self.records_since_s[name] = time.monotonic()
 
     async def wait_until_members_vote(self) -> None:
@@ -349,9 +352,9 @@
         self.fleet, self.rng = fleet, rng
         now, setup = time.monotonic(), fleet.setup
         self.record = ClientRecord(
-            key, rng.choice((READ_CLASS, LOAD_CLASS)), now, now + setup.deadline_ms / 1000 + ANSWER_GRACE_S
+            key, rng.choice((READ_CLASS, LOAD_CLASS)), now, now + setup.longest / 1000 + ANSWER_GRACE_S
         )
-        self.sql = f"select 1 -- run={key} work={rng.choice(setup.work_ms)}"
+        self.sql = f"select 1 -- run={key} work={rng.choice(setup.work)}"
         self.attempt_timeout_s = rng.choice((0.3, 1.0, 5.0))  # on one connection
 
     async def run(self) -> ClientRecord:
@@ -433,7 +436,7 @@
             differ from those of earlier runs.
     """
     setup, rng = fleet.setup, random.Random(seed)
-    faults = draw_schedule(seed, fleet.names, setup.duration_ms, setup.faults, setup.kinds)
+    faults = draw_schedule(seed, fleet.names, setup.span, setup.faults, setup.kinds)
     start_s, fleet.rig.late_ms = time.monotonic(), 0.0
 
     async def inject_faults() -> None:
@@ -444,12 +447,12 @@
     injection = asyncio.ensure_future(inject_faults())
     clients: list[asyncio.Task[ClientRecord]] = []
     due_s = start_s
-    while (due_s := due_s + rng.expovariate(setup.rate_per_s)) < start_s + setup.duration_ms / 1000:
+    while (due_s := due_s + rng.expovariate(setup.rate)) < start_s + setup.span / 1000:
         await asyncio.sleep(max(0.0, due_s - time.monotonic()))
         clients.append(asyncio.ensure_future(RetryingClient(fleet, rng, f"s{seed}.{repetition}.{len(clients)}").run()))
     await injection
     records = await asyncio.gather(*clients)
-    await asyncio.sleep(max(setup.work_ms) / 1000 + 0.1)
+    await asyncio.sleep(max(setup.work) / 1000 + 0.1)
     keys = {record.key for record in records}
     verdict = judge(records, [event for event in fleet.execution_events() if event.key in keys], LOAD_CLASS)
     # Only the lateness of the proxy counts: faults stop managers on purpose.
@@ -469,13 +472,13 @@
 
 @dataclass(slots=True)
 class FleetRun:
-    """One run of a campaign."""
+    """One run of a campaign. The field names are keys of the JSON lines that a subprocess prints."""
 
     seed: int
     verdict: Verdict
     faults: list[FleetFault]
-    log_counts: dict[str, int]  # by text of COUNTED_LOG_TEXTS: log lines of the fleet since its start
-    repeated: bool = False  # the run is repeated because the machine delayed the proxy
+    logged: dict[str, int]  # by text of COUNTED_LOG_TEXTS: log lines of the fleet since its start
+    again: bool = False  # the run is repeated because the machine delayed the proxy
 
 
 async def campaign(
@@ -513,8 +516,8 @@
             logs=log_folder,
         ):
             on_run(run.seed, run.verdict, run.faults)
-            fleet_log_counts = run.log_counts
-            if not run.repeated:
+            fleet_log_counts = run.logged
+            if not run.again:
                 verdicts.append(run.verdict)
         for text, count in fleet_log_counts.items():
             log_counts[text] += count
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class MaintenanceResult:
-    """The result of one run."""
+    """The result of one run. The field names are keys of the JSON lines that a subprocess prints."""
 
     case: str
     seed: int
@@ -67,27 +67,27 @@
     errors: int = 0
     lost: int = 0  # requests without an answer
     over_budget: int = 0  # times at which more machines were unavailable than the budget allows
-    rule_violations: list[str] = field(default_factory=list)  # wrong plan steps and broken rules of the case
-    unsafe_kills: int = 0  # statements that still ran on engines when these were killed for maintenance
-    completed: bool = False  # the plan completed as its case requires
-    duration_s: float = 0.0  # from the request of the job to the end of the plan
+    doubled: list[str] = field(default_factory=list)  # wrong plan steps and broken rules of the case
+    unsafe: int = 0  # statements that still ran on engines when these were killed for maintenance
+    ended: bool = False  # the plan completed as its case requires
+    seconds: float = 0.0  # from the request of the job to the end of the plan
     overlapping: int = 0  # requests with executions that overlapped in time
-    executed_repeatedly: int = 0  # requests that were executed more than once
-    internal_errors: int = 0  # log lines on unexpected failures of managers
+    again: int = 0  # requests that were executed more than once
+    faults: int = 0  # log lines on unexpected failures of managers
     late_ms: float = 0.0  # by which the network proxy, or a manager that nobody stopped, was late at worst
-    notes: list[str] = field(default_factory=list)  # on the course of the run
+    seen: list[str] = field(default_factory=list)  # notes on the course of the run
 
     @property
     def clean(self) -> bool:
         """Whether the run broke no rule and the plan completed."""
-        return self.completed and not (
+        return self.ended and not (
             self.lost
             or self.errors
             or self.over_budget
-            or self.rule_violations
-            or self.unsafe_kills
+            or self.doubled
+            or self.unsafe
             or self.overlapping
-            or self.internal_errors
+            or self.faults
         )
 
 
@@ -290,34 +290,32 @@
             await asyncio.sleep(1.5)  # until the members know the load
             try:
                 await asyncio.wait_for(CASE_SCRIPTS[case](fleet, rng, result), MAX_DURATION_S - 10.0)
-                result.completed = True
+                result.ended = True
             except TimeoutError:
-                result.notes.append(f"the plan did not complete: {await fleet.latest_plan()}")
-            result.duration_s = round(time.monotonic() - start_s - 1.5, 1)
+                result.seen.append(f"the plan did not complete: {await fleet.latest_plan()}")
+            result.seconds = round(time.monotonic() - start_s - 1.5, 1)
             for c in clients:
                 c.load_end_s = time.monotonic() - start_s  # no new requests; those in flight are still answered
             calls = [call for load in loads for call in await load]
-            result.notes += [
+            result.seen += [
                 f"a task of the simulated operators failed: {t.exception()!r}"
                 for t in fleet.tasks
                 if t.done() and t.exception()
             ]
             operators.cancel()
             result.requests, result.lost = len(calls), sum(call.answer == "" for call in calls)
-            result.notes += [
+            result.seen += [
                 f"lost: {call.key} sent at {call.at:.2f} s, last to {call.manager}" for call in calls if not call.answer
             ]
             result.errors = sum(call.answer not in ("served", "") for call in calls)
             steps = fleet.logged_steps(start_s)
-            result.rule_violations, result.over_budget = (
+            result.doubled, result.over_budget = (
                 step_violations(steps),
                 count_budget_violations(steps) + fleet.over_budget,
             )
-            result.unsafe_kills, result.late_ms = fleet.unsafe_kills, fleet.max_lateness_ms(start_s)
-            result.overlapping, result.executed_repeatedly = _count_repeated_executions(fleet)
-            result.internal_errors = sum(
-                fleet.count_log_lines(x) for x in ("Traceback", "policy-failed", "command failed")
-            )
+            result.unsafe, result.late_ms = fleet.unsafe_kills, fleet.max_lateness_ms(start_s)
+            result.overlapping, result.again = _count_repeated_executions(fleet)
+            result.faults = sum(fleet.count_log_lines(x) for x in ("Traceback", "policy-failed", "command failed"))
             return result
         finally:
             if log_folder:  # also for runs that did not complete
@@ -388,7 +386,7 @@
         if _all_done(plan):
             break
         name = plan["driver"]
-        result.notes.append(f"{name} killed while {stage}")
+        result.seen.append(f"{name} killed while {stage}")
         await fleet.managers[name].kill()
         await asyncio.sleep(rng.uniform(1.0, 3.0))
         await fleet.start_manager(name)
@@ -400,7 +398,7 @@
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
     plan = await _wait_for_plan(fleet, lambda p: "draining" in _stages(p) or "out" in _stages(p))
     name = plan["driver"] if rng.random() < 0.5 else rng.choice(fleet.names)
-    result.notes.append(f"{name} partitioned{', the driver' if name == plan['driver'] else ''}")
+    result.seen.append(f"{name} partitioned{', the driver' if name == plan['driver'] else ''}")
     fleet.rig.partition(name)
     await asyncio.sleep(rng.uniform(2.0, 6.0))
     fleet.rig.heal()
@@ -420,8 +418,8 @@
     )
     await asyncio.sleep(2.0)
     if set(_stages(await fleet.latest_plan(), "next")) != {"waiting"}:
-        result.rule_violations.append("the next machine was taken out before the first had come back")
-    result.notes.append(plan["hold"])
+        result.doubled.append("the next machine was taken out before the first had come back")
+    result.seen.append(plan["hold"])
     engine = next(engine for engine in fleet.engines if engine.name == "e0")
     await fleet.query_manager(rng.choice(fleet.names), "plan-cancel", job="broken")
     await fleet.start_engine(engine, fleet.ports_by_engine["e0"])  # it comes back although its job was cancelled
@@ -437,9 +435,9 @@
         return_exceptions=True,
     )
     refusals = [str(x) for x in responses if isinstance(x, ControlError)]
-    result.notes += refusals
+    result.seen += refusals
     if len(refusals) != 1 or "already" not in refusals[0]:
-        result.rule_violations.append(f"{len(refusals)} of two overlapping jobs refused")
+        result.doubled.append(f"{len(refusals)} of two overlapping jobs refused")
     await _wait_for_plan(fleet, _all_done)
 
 
@@ -450,12 +448,12 @@
     await fleet.kill_zones("z0")
     plan = await _wait_for_plan(fleet, lambda p: "zone z0 is not well" in p["hold"] or _all_done(p))
     if _all_done(plan):
-        result.rule_violations.append("the plan continued while a zone was lost")
-    result.notes.append(plan["hold"])
+        result.doubled.append("the plan continued while a zone was lost")
+    result.seen.append(plan["hold"])
     stages_before = _stages(plan)
     await asyncio.sleep(3.0)
     if "waiting" not in _stages(await fleet.latest_plan()):
-        result.rule_violations.append(
+        result.doubled.append(
             f"a machine was taken out while a zone was lost: {stages_before} -> {_stages(await fleet.latest_plan())}"
         )
     await fleet.restart_zones("z0")
@@ -468,7 +466,7 @@
     await _request_job(fleet, rng.choice(fleet.names), "restart", *(f"manager:{n}" for n in fleet.names))
     await _wait_for_plan(fleet, _all_done)
     if not_restarted := [n for n, p in fleet.managers.items() if p.child.pid == pids_before[n]]:
-        result.rule_violations.append(f"not restarted: {not_restarted}")
+        result.doubled.append(f"not restarted: {not_restarted}")
 
 
 async def _all_killed(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
@@ -476,7 +474,7 @@
     await _request_job(fleet, rng.choice(fleet.names), "upgrade", "z0")
     stage = rng.choice(("draining", "out", "warming"))
     plan = await _wait_for_plan(fleet, partial(_has_stage_or_all_done, stage))
-    result.notes.append(f"all killed while {stage}, after step {plan['steps']}")
+    result.seen.append(f"all killed while {stage}, after step {plan['steps']}")
     await asyncio.gather(*(p.kill() for p in fleet.managers.values()))
     await asyncio.gather(*(fleet.start_manager(n) for n in fleet.names))
     await _wait_for_plan(fleet, _all_done)
--- a/tests/test_cli_fault_runs_wire_format.py
+++ b/tests/test_cli_fault_runs_wire_format.py
@@ -40,8 +40,8 @@
             raise OSError("no process can be started")
 
     async def handoff(self, setup, seeds, fleets, on_run, logs=""):
-        size = [setup.managers, setup.engines, setup.rate_per_s, setup.duration_ms, setup.faults, setup.records_on_disk]
-        self._start(size, [kind.value for kind in setup.kinds], list(setup.work_ms), seeds, logs, fleets=fleets)
+        size = [setup.managers, setup.engines, setup.rate, setup.span, setup.faults, setup.data]
+        self._start(size, [kind.value for kind in setup.kinds], list(setup.work), seeds, logs, fleets=fleets)
         verdicts = [UNCLEAN if seed % 2 else CLEAN for seed in seeds]
         for seed, verdict in zip(seeds, verdicts, strict=True):
             on_run(seed, verdict, FAULTS)
@@ -68,13 +68,13 @@
         self._start(cases, seeds, logs, fleets=fleets)
         runs = [
             maintenance_run.MaintenanceResult(
-                case, seed, requests=50, completed=True, duration_s=3.25, executed_repeatedly=1, notes=["drained"]
+                case, seed, requests=50, ended=True, seconds=3.25, again=1, seen=["drained"]
             )
             for case in cases
             for seed in seeds
         ]
         for run in runs:
-            run.rule_violations = ["step 4"] if run.seed == 3 else []
+            run.doubled = ["step 4"] if run.seed == 3 else []
             on_run(run)
         return runs
 
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -267,7 +267,7 @@
         shown = []
         verdicts, counts = asyncio.run(
             campaign(
-                Setup(duration_ms=3000.0, rate_per_s=20.0),
+                Setup(span=3000.0, rate=20.0),
                 list(range(12)),
                 3,
                 lambda seed, v, faults: shown.append((seed, v, faults)),
--- a/tests/test_handoff_restarts.py
+++ b/tests/test_handoff_restarts.py
@@ -18,7 +18,7 @@
         self.addCleanup(folder.cleanup)
         runner = asyncio.Runner()
         self.addCleanup(runner.close)
-        fleet = Fleet(Setup(records_on_disk=True, deadline_ms=longest), seed, folder.name, index)
+        fleet = Fleet(Setup(data=True, longest=longest), seed, folder.name, index)
         self.addCleanup(lambda: runner.run(fleet.stop()))
         return runner, fleet
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -14,7 +14,7 @@
         results = asyncio.run(campaign(cases, [1], 4, lambda r: None))
         self.assertEqual(sorted(r.case for r in results), sorted(cases))
         # Requests with a key run once.
-        self.assertEqual([r.executed_repeatedly for r in results if r.case == "named"], [0])
+        self.assertEqual([r.again for r in results if r.case == "named"], [0])
         for r in results:
             self.assertTrue(r.clean, r)
             self.assertGreater(r.requests, 100, r.case)
