--- a/decklb/cli/lab/fault_injection.py
+++ b/decklb/cli/lab/fault_injection.py
@@ -50,10 +50,10 @@
     from decklb.lab.fault_runs.program_process import ProgramStartError
     from decklb.lab.fault_runs.system_call_run import play_cases
     from decklb.lab.faults.interposer import InterposerError
-    from decklb.lab.faults.system_call_cases import all_cases, some_cases
+    from decklb.lab.faults.system_call_cases import all_cases, sample_cases
 
     log.set_up("ERROR", "text")
-    cases = all_cases() if part >= 1 else some_cases(seed, part)
+    cases = all_cases() if part >= 1 else sample_cases(seed, part)
 
     async def play() -> list[CaseResult]:
         return [_print_violations(result) async for result in play_cases(cases, at_once, program)]
@@ -101,7 +101,7 @@
         raise click.ClickException(str(error)) from error
     failed = sum(bool(result.violations) for result in results)
     click.echo(
-        f"{len(results)} rounds, {sum(result.struck for result in results)} in which the fault took effect, "
+        f"{len(results)} rounds, {sum(result.fault_injected for result in results)} in which the fault took effect, "
         f"{failed} with violations"
     )
     if failed:
@@ -127,16 +127,17 @@
         raise click.ClickException(str(error)) from error
     click.echo(
         f"{result.managers} managers, {result.requests} requests, {result.served} served, "
-        f"{result.arrivals} at the cold engine; its busiest window had {result.worst:.2f} times the allowed load"
+        f"{result.arrivals} at the cold engine; "
+        f"its busiest window had {result.worst_load_ratio:.2f} times the allowed load"
     )
-    if result.worst > 1.0:
+    if result.worst_load_ratio > 1.0:
         raise SystemExit(1)
 
 
 def _print_violations_of_round(result: CutRound) -> CutRound:
     """Print the violations of a round, if any, and return the result unchanged."""
     if result.violations:
-        click.echo(f"{result.strike.action.value} at byte {result.strike.at}: {'; '.join(result.violations)}")
+        click.echo(f"{result.fault.action.value} at byte {result.fault.after_bytes}: {'; '.join(result.violations)}")
     return result
 
 
--- a/tests/handoff_clients.py
+++ b/tests/handoff_clients.py
@@ -6,7 +6,7 @@
 
 import psycopg
 
-from decklb.lab.fault_runs.handoff_run import COME_BACK
+from decklb.lab.fault_runs.handoff_run import RETRYABLE_SQLSTATES
 
 
 class Session:
@@ -27,7 +27,7 @@
             return self.connection.execute(sql).fetchone()[0]
         except psycopg.errors.Error as error:
             sqlstate = error.sqlstate or "08006"
-            return None if sqlstate in COME_BACK else f"{sqlstate} {error}"
+            return None if sqlstate in RETRYABLE_SQLSTATES else f"{sqlstate} {error}"
         finally:
             self.connection.close()
 
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -30,7 +30,7 @@
         cls.addClassCleanup(cls.runner.close)
         cls.addClassCleanup(lambda: cls.runner.run(cls.fleet.stop()))
         cls.runner.run(cls.fleet.start())
-        cls.runner.run(cls.fleet.remember())
+        cls.runner.run(cls.fleet.wait_until_members_vote())
 
     def run_in_thread(self, blocking_call, *concurrent_calls):
         """Run a blocking client in a thread, make the other calls meanwhile, 0.15 s apart, and return its result."""
@@ -52,11 +52,11 @@
 
     def executions(self, key, what="start"):
         """The engines' events of one kind for a key, in order of time."""
-        return sorted((x for x in self.fleet.witnessed() if x.key == key and x.what == what), key=lambda x: x.at)
+        return sorted((x for x in self.fleet.execution_events() if x.key == key and x.what == what), key=lambda x: x.at)
 
     def test_killed_managers_read_runs_once_more_and_its_load_ends_in_doubt(self):
         async def restart():
-            await self.fleet.up("m0")
+            await self.fleet.start_manager("m0")
 
         for class_name, key in (("read", "killed.read"), ("load", "killed.load")):
             sql = f"select 1 -- run={key} work=700"
@@ -73,7 +73,7 @@
                 self.assertIn("40003", answers.pop())
                 self.assertEqual(len(self.executions(key)), 1)
             self.runner.run(restart())
-            self.runner.run(self.fleet.remember())
+            self.runner.run(self.fleet.wait_until_members_vote())
 
     def test_unfinished_execution_of_a_killed_manager_is_cancelled_before_the_request_runs_again(self):
         sql = "select 1 -- run=long work=2000"
@@ -84,8 +84,8 @@
         (first, second), (cancelled,) = self.executions("long"), self.executions("long", "cancelled")
         self.assertEqual((cancelled.engine, cancelled.run), (first.engine, first.run))
         self.assertLessEqual(cancelled.at, second.at)
-        self.runner.run(self.fleet.up("m0"))
-        self.runner.run(self.fleet.remember())
+        self.runner.run(self.fleet.start_manager("m0"))
+        self.runner.run(self.fleet.wait_until_members_vote())
 
     def test_client_that_retries_at_another_manager_gets_the_same_row_without_another_execution(self):
         sql = "select 1 -- run=again work=20"
@@ -149,7 +149,7 @@
         async def cut():
             while not self.executions("engineless"):
                 await asyncio.sleep(0.01)
-            await self.fleet.strike(FleetFault(0.0, FleetFaultKind.ENGINES, "m0"))
+            await self.fleet.inject(FleetFault(0.0, FleetFaultKind.ENGINES, "m0"))
 
         try:
             first = self.run_in_thread(lambda: Session(self.fleet, "m0", "load", "engineless").run(sql), cut)
@@ -220,15 +220,15 @@
         self.assertEqual(self.fleet.managers["m0"].child.returncode, 0)
         self.assertEqual(self.client_call(final_answer, "m1", "load", "drained", sql), row)
         self.assertEqual(len(self.executions("drained")), 1)
-        self.runner.run(self.fleet.up("m0"))
-        self.runner.run(self.fleet.remember())
+        self.runner.run(self.fleet.start_manager("m0"))
+        self.runner.run(self.fleet.wait_until_members_vote())
 
     def test_time_jumps_of_the_wall_clock_delay_no_request(self):
         """When the reactor's calls followed the wall clock, none was due for an hour after the jump back."""
 
         async def jump():
             for kind in (FleetFaultKind.AHEAD, FleetFaultKind.CLOCK, FleetFaultKind.BEHIND, FleetFaultKind.CLOCK):
-                await self.fleet.strike(FleetFault(0.0, kind, "m1"))
+                await self.fleet.inject(FleetFault(0.0, kind, "m1"))
                 await asyncio.sleep(0.4)
 
         self.runner.run(jump())
--- a/tests/test_handoff_restarts.py
+++ b/tests/test_handoff_restarts.py
@@ -24,17 +24,17 @@
 
     def assert_runs_do_not_overlap(self, fleet, key, runs):
         """A read ran `runs` times without overlap; one more run is allowed for each lease that ended."""
-        started = sum(x.key == key and x.what == "start" for x in fleet.witnessed())
-        leases_ended = fleet.logged(f"handoff-lease-ended key={key}")
+        started = sum(x.key == key and x.what == "start" for x in fleet.execution_events())
+        leases_ended = fleet.count_log_lines(f"handoff-lease-ended key={key}")
         self.assertTrue(runs <= started <= runs + leases_ended, (started, runs, leases_ended))
-        self.assertFalse(judge([], fleet.witnessed(), "load").overlapping)
+        self.assertFalse(judge([], fleet.execution_events(), "load").overlapping)
 
     def test_another_member_takes_over_if_the_new_holder_dies_during_its_takeover(self):
         runner, fleet = self.make_fleet(12_000.0, seed=6, index=61)
         sql = "select 1 -- run=chain work=1000"
 
         def starts():
-            return [x for x in fleet.witnessed() if x.key == "chain" and x.what == "start"]
+            return [x for x in fleet.execution_events() if x.key == "chain" and x.what == "start"]
 
         async def until(condition):
             for _ in range(2000):
@@ -45,7 +45,7 @@
 
         async def play():
             await fleet.start()
-            await fleet.remember()
+            await fleet.wait_until_members_vote()
             first = asyncio.ensure_future(asyncio.to_thread(lambda: Session(fleet, "m0", "read", "chain").run(sql)))
             await until(lambda: len(starts()) == 1)
             await fleet.managers["m0"].kill()
@@ -53,7 +53,7 @@
             successor = fleet.names[starts()[1].manager]
             await fleet.managers[successor].kill()
             self.assertIsNone(await first)
-            await fleet.up("m0")  # with its stored records it is the second of two voters
+            await fleet.start_manager("m0")  # with its stored records it is the second of two voters
             last = next(n for n in fleet.names if n not in ("m0", successor))
             return await asyncio.to_thread(final_answer, fleet, last, "read", "chain", sql)
 
@@ -69,16 +69,16 @@
 
         async def run_and_kill_all(key, sql):
             running = asyncio.ensure_future(asyncio.to_thread(lambda: Session(fleet, "m0", "read", key).run(sql)))
-            while not any(x.key == key for x in fleet.witnessed()):
+            while not any(x.key == key for x in fleet.execution_events()):
                 await asyncio.sleep(0.01)
             for name in fleet.names:
                 await fleet.managers[name].kill()
             answer = await running
-            await asyncio.gather(*(fleet.up(n) for n in fleet.names))
+            await asyncio.gather(*(fleet.start_manager(n) for n in fleet.names))
             return answer
 
         runner.run(fleet.start())
-        runner.run(fleet.remember())
+        runner.run(fleet.wait_until_members_vote())
         done_sql = "select 1 -- run=done work=5"
         row = ask("m1", "load", "done", done_sql)
         held_sql = "select 1 -- run=held work=1500"
@@ -86,4 +86,4 @@
         self.assertTrue(ask("m2", "read", "held", held_sql).startswith("held/"))
         self.assertEqual(ask("m2", "load", "done", done_sql), row)
         self.assert_runs_do_not_overlap(fleet, "held", 2)
-        self.assertEqual(sum(x.key == "done" and x.what == "start" for x in fleet.witnessed()), 1)
+        self.assertEqual(sum(x.key == "done" and x.what == "start" for x in fleet.execution_events()), 1)
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -178,5 +178,5 @@
         return [result async for result in play_cuts(front, seed=2, rounds=8 if front == "platform" else 20)]
 
     results = asyncio.run(play())
-    assert [(result.strike, result.violations) for result in results if result.violations] == []
-    assert any(result.struck for result in results)
+    assert [(result.fault, result.violations) for result in results if result.violations] == []
+    assert any(result.fault_injected for result in results)
