--- a/decklb/cluster/runtime.py
+++ b/decklb/cluster/runtime.py
@@ -119,7 +119,7 @@
     def startProtocol(self) -> None:
         """Join the cluster; Twisted calls this when the socket is open."""
         logger.info(
-            "cluster member {member} listens on {address}, advertised as {advertised}, {seeds} seeds",
+            "cluster member {member} on {address}, advertised as {advertised}, {seeds} seeds",
             event="cluster-listening",
             member=self.settings.member,
             address="{}:{}".format(*self.settings.bind_address),
