--- a/decklb/core/engine_client.py
+++ b/decklb/core/engine_client.py
@@ -14,9 +14,9 @@
     def start(self, attempt: Attempt) -> None:
         """Send the attempt to its engine."""
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def abandon(self, attempt: Attempt, on_released: Callable[[], None]) -> None:
         """Cancel the attempt at its engine and make no further calls on the attempt.
 
-        `freed` is called once, after this method has returned, when the attempt is no longer in flight: from then on
-        another attempt of the request may be sent.
+        `on_released` is called once, after this method has returned, when the attempt is no longer in flight: from then
+        on another attempt of the request may be sent.
         """
--- a/decklb/handoff/protected_attempts.py
+++ b/decklb/handoff/protected_attempts.py
@@ -93,27 +93,27 @@
         attempt.phase = AttemptPhase.SENT
         self.inner.start(attempt)  # type: ignore[arg-type]
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def abandon(self, attempt: Attempt, on_released: Callable[[], None]) -> None:
         """Cancel an attempt; one that still waits for its quorum is never sent."""
         protected_attempt = attempt.handle
         if not isinstance(protected_attempt, ProtectedAttempt):
-            self.inner.abandon(attempt, freed)
+            self.inner.abandon(attempt, on_released)
             return
         phase = protected_attempt.phase
         self._dispatcher.log_step(protected_attempt.protected, f"attempt cancelled, {phase.value}")
         protected_attempt.phase = AttemptPhase.ENDED
         if phase is not AttemptPhase.AWAITING_QUORUM:
-            self._cancel_sent(protected_attempt, freed)
+            self._cancel_sent(protected_attempt, on_released)
             return
         self._dispatcher.attempt_left_engine(protected_attempt)
         if protected_attempt.cancel_token:  # releases the reserved connection
-            self.inner.abandon(protected_attempt, freed)  # type: ignore[arg-type]
+            self.inner.abandon(protected_attempt, on_released)  # type: ignore[arg-type]
         else:
-            self._dispatcher.clock.call_later(0, freed)
+            self._dispatcher.clock.call_later(0, on_released)
 
-    def _cancel_sent(self, attempt: ProtectedAttempt, freed: Callable[[], None]) -> None:
+    def _cancel_sent(self, attempt: ProtectedAttempt, on_released: Callable[[], None]) -> None:
         def on_left_engine() -> None:
             self._dispatcher.attempt_left_engine(attempt)
-            freed()
+            on_released()
 
         self.inner.abandon(attempt, on_left_engine)  # type: ignore[arg-type]
--- a/decklb/lab/emulation/managers_and_clients.py
+++ b/decklb/lab/emulation/managers_and_clients.py
@@ -263,8 +263,8 @@
         known = self.context.loop.now() - self.list_updated_ms > self.context.world.tick_ms
         return known and self.listed_phases.get(engine) is not Phase.UP
 
-    def abandon_attempt(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel an attempt; `freed` is called when its engine has received the cancellation."""
+    def abandon_attempt(self, attempt: Attempt, on_released: Callable[[], None]) -> None:
+        """Cancel an attempt; `on_released` is called when its engine has received the cancellation."""
         context, incarnation, query = self.context, self.incarnation, attempt.handle
         engine = context.engines[attempt.engine_id]
         outcome = Outcome.TIMED_OUT if attempt.timed_out else Outcome.CANCELLED
@@ -277,7 +277,7 @@
             if incarnation == self.incarnation and self.up:
                 context.checker.attempt_ended(self.number, attempt.request.request_id, outcome)
                 context.records.attempt_ended(attempt, outcome)
-                freed()
+                on_released()
 
         context.loop.call_later(context.world.network_delay_ms * (1 + context.world.network_jitter), receive_cancel)
 
@@ -296,7 +296,7 @@
         if self._is_current():
             self.manager.start_attempt(attempt)
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
+    def abandon(self, attempt: Attempt, on_released: Callable[[], None]) -> None:
         """Cancel one attempt."""
         if self._is_current():
-            self.manager.abandon_attempt(attempt, freed)
+            self.manager.abandon_attempt(attempt, on_released)
--- a/decklb/middleware/application_client.py
+++ b/decklb/middleware/application_client.py
@@ -40,14 +40,14 @@
         attempt.handle = task
         task.add_done_callback(lambda ended: self._call_ended(attempt, ended))
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel the call; `freed` is called when its task has ended."""
+    def abandon(self, attempt: Attempt, on_released: Callable[[], None]) -> None:
+        """Cancel the call; `on_released` is called when its task has ended."""
         task = attempt.handle
         if isinstance(task, asyncio.Task) and not task.done():
-            task.add_done_callback(lambda _: freed())
+            task.add_done_callback(lambda _: on_released())
             task.cancel()
         else:
-            asyncio.get_running_loop().call_soon(freed)
+            asyncio.get_running_loop().call_soon(on_released)
 
     async def _call(self, attempt: Attempt) -> list[Message]:
         """Call the application and return the messages of its response."""
--- a/decklb/net/engines.py
+++ b/decklb/net/engines.py
@@ -79,8 +79,8 @@
         """Return a pool for an engine that is new or has moved."""
         return RespPool(self, engine, address)
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel an attempt; `freed` is called when its engine must have received the cancellation."""
+    def abandon(self, attempt: Attempt, on_released: Callable[[], None]) -> None:
+        """Cancel an attempt; `on_released` is called when its engine must have received the cancellation."""
         if isinstance(attempt.handle, RespCall):
             attempt.handle.connection.cancel(attempt.handle)
         if not attempt.sent:
@@ -89,4 +89,4 @@
             settle_ms = FINAL_CANCEL_SETTLE_MS
         else:
             settle_ms = CANCEL_SETTLE_MS
-        self.clock.call_later(settle_ms, freed)
+        self.clock.call_later(settle_ms, on_released)
--- a/decklb/pg/engine_connection.py
+++ b/decklb/pg/engine_connection.py
@@ -60,7 +60,7 @@
         self.sent = False  # a statement is in flight
         self.reserved = False  # reserved for the attempt, which may not be sent yet
         self.attempt: Attempt | None = None  # notified when the statement ends
-        self._on_freed: Callable[[], None] | None = None  # called instead of the attempt after its cancellation
+        self._on_released: Callable[[], None] | None = None  # called instead of the attempt after its cancellation
         self._backend_key = NO_BACKEND_KEY
         self._statements = EnginePreparedStatements()
         self._result = list[bytes]()  # messages to forward to the client
@@ -73,7 +73,7 @@
     @property
     def available(self) -> bool:
         """Whether the connection can take an attempt."""
-        return not (self.attempt or self._on_freed or self.closed)
+        return not (self.attempt or self._on_released or self.closed)
 
     @property
     def cancel_key(self) -> bytes:
@@ -97,16 +97,16 @@
         self.reserved = False
         self._send()
 
-    def cancel_attempt(self, freed: Callable[[], None]) -> None:
-        """Cancel the attempt; `freed` is called once the engine is ready again or the connection is lost."""
+    def cancel_attempt(self, on_released: Callable[[], None]) -> None:
+        """Cancel the attempt; `on_released` is called once the engine is ready again or the connection is lost."""
         if not self.sent:  # the connection is being established or was reserved: nothing was sent
             self.attempt = None
             if self.reserved:
                 self.reserved = False
                 self._schedule_idle_close()
-            self.pool.client.clock.call_later(0, freed)
+            self.pool.client.clock.call_later(0, on_released)
             return
-        self.attempt, self._on_freed = None, freed
+        self.attempt, self._on_released = None, on_released
         self.pool.cancel(self._backend_key)
         self._timer = self.pool.client.clock.call_later(CANCEL_TIMEOUT_MS, self._cancel_timed_out)
 
@@ -162,7 +162,7 @@
             self._statements.parse_complete()
 
     def _add_to_result(self, raw: bytes) -> None:
-        if not self.sent or self._on_freed is not None:
+        if not self.sent or self._on_released is not None:
             return
         self._result.append(raw)
         self._result_size += len(raw)
@@ -180,11 +180,11 @@
         if self.attempt is not None and not self.sent:  # the attempt was waiting for the connection
             self._start_pending_attempt(self.attempt)
             return
-        attempt, freed = self.attempt, self._on_freed
-        self.attempt, self._on_freed, self.sent = None, None, False
+        attempt, on_released = self.attempt, self._on_released
+        self.attempt, self._on_released, self.sent = None, None, False
         self._schedule_idle_close()
-        if freed is not None:
-            freed()
+        if on_released is not None:
+            on_released()
         elif attempt is not None:
             self._complete_attempt(attempt)
 
@@ -250,11 +250,11 @@
 
     def _ended(self, outcome: Outcome) -> None:
         uncertain_answers = self._leave_pool()
-        aborted_attempts = int(self.sent and (self.attempt is not None or self._on_freed is not None))
+        aborted_attempts = int(self.sent and (self.attempt is not None or self._on_released is not None))
         self._log_end(aborted_attempts, uncertain_answers)
-        attempt, freed = self.attempt, self._on_freed
-        self.attempt = self._on_freed = None
-        if freed is not None:
-            freed()
+        attempt, on_released = self.attempt, self._on_released
+        self.attempt = self._on_released = None
+        if on_released is not None:
+            on_released()
         if attempt is not None:
             attempt.end(outcome)
--- a/decklb/pg/engines.py
+++ b/decklb/pg/engines.py
@@ -124,10 +124,10 @@
         else:
             pool.cancel(BackendKey(*BACKEND_KEY_FORMAT.unpack(cancel_token)), done)
 
-    def abandon(self, attempt: Attempt, freed: Callable[[], None]) -> None:
-        """Cancel an attempt at its engine; `freed` is called once it is no longer in flight."""
+    def abandon(self, attempt: Attempt, on_released: Callable[[], None]) -> None:
+        """Cancel an attempt at its engine; `on_released` is called once it is no longer in flight."""
         connection = attempt.handle
         if isinstance(connection, PgConnection) and connection.attempt is attempt:
-            connection.cancel_attempt(freed)
+            connection.cancel_attempt(on_released)
         else:
-            self.clock.call_later(0, freed)
+            self.clock.call_later(0, on_released)
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -273,9 +273,9 @@
             ["start", attempt.request.incoming.client_request_id, attempt.request.incoming.statement.decode()]
         )
 
-    def abandon(self, attempt, freed):
+    def abandon(self, attempt, on_released):
         self.effects.append(["give-up", attempt.request.incoming.client_request_id])
-        freed()
+        on_released()
 
     # Steps.
 
--- a/tests/test_client_connection_close.py
+++ b/tests/test_client_connection_close.py
@@ -64,8 +64,8 @@
     def start(self, attempt):
         self.attempts.append(attempt)
 
-    def abandon(self, attempt, freed):
-        freed()
+    def abandon(self, attempt, on_released):
+        on_released()
 
     def connect_client(self):
         client, transport = ClientConnection(self.listener), ClientTransport()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -38,16 +38,16 @@
 
     def __init__(self):
         self.started, self.abandoned, self.hold = [], [], False
-        self.freed = []  # callbacks that release the abandoned attempts
+        self.release_callbacks = []  # callbacks that release the abandoned attempts
 
     def start(self, attempt):
         self.started.append(attempt)
 
-    def abandon(self, attempt, freed):
+    def abandon(self, attempt, on_released):
         self.abandoned.append(attempt)
-        self.freed.append(freed)
+        self.release_callbacks.append(on_released)
         if not self.hold:
-            freed()
+            on_released()
 
 
 class Sink:
@@ -147,7 +147,7 @@
         self.dispatcher._carry_out(api.StartAttempt(request.request_id, "e2"))
         self.clock.go(300)
         self.assertEqual(len(self.engines.started), 1)
-        self.engines.freed[0]()
+        self.engines.release_callbacks[0]()
         self.run_until_started(2)
 
     def test_an_attempt_that_times_out_is_cancelled_at_its_engine_and_its_request_answered(self):
