--- a/decklb/core/dispatcher.py
+++ b/decklb/core/dispatcher.py
@@ -208,7 +208,7 @@
         if request.answered:
             return
         logger.warning(
-            "policy did not answer {request} of class {request_class} by its deadline",
+            "deadline backstop: the policy did not answer {request} of class {request_class} in time",
             event="deadline-backstop",
             request=request.request_id,
             request_class=request.incoming.request_class,
