--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -186,7 +186,7 @@
         self.connections[number].transport.producer.resumeProducing()
 
     def step_wait(self, ms):
-        self.clock.go(ms)
+        self.clock.advance(ms)
 
     def step_close(self):
         self.engines.close()
@@ -305,7 +305,7 @@
         self.attempts[number].end(outcomes[outcome], b"x" * size)
 
     def step_wait(self, ms):
-        self.clock.go(ms)
+        self.clock.advance(ms)
 
     def step_announce(self):
         self.front.announce_drain()
--- a/tests/test_attempt_guards.py
+++ b/tests/test_attempt_guards.py
@@ -34,7 +34,7 @@
             if self.engines.abandoned:
                 break
             self.engines.started[-1].end(Outcome.SUCCESS)
-            self.clock.go(50)
+            self.clock.advance(50)
         self.assertEqual(self.engines.abandoned, [self.engines.started[0]])
 
     def test_a_request_that_is_not_idempotent_is_retried_only_if_it_was_certainly_not_executed(self):
@@ -59,7 +59,7 @@
             _, sink = self.submit("load", budget_ms=2000.0)
             self.run_until_started(1)
             self.engines.started[0].sent = sent
-            self.clock.go(2050)
+            self.clock.advance(2050)
             self.assertEqual([kind for kind, _ in sink.answers], [answer])
 
     def test_a_keyed_request_is_retried_only_within_its_deduplication_window(self):
@@ -70,7 +70,7 @@
             request, _ = self.submit("load")
             self.start_attempt(request, "e1")
             self.engines.started[0].end(Outcome.CONNECTION_RESET)
-            self.clock.go(wait_ms)
+            self.clock.advance(wait_ms)
             self.assertEqual(self.start_attempt(request), started_count)
 
     def test_an_unsent_attempt_may_start_until_its_deduplication_window_or_the_drain_grace_ends(self):
@@ -81,7 +81,7 @@
         self.start_attempt(request, "e1")
         first, drained_at = self.engines.started[0], self.clock.now()
         self.dispatcher.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.DRAINING)])
-        self.clock.go(100)
+        self.clock.advance(100)
         self.dispatcher.update_endpoints([api.Endpoint("e1", "z", "k", 0, api.Phase.DRAINING)])
         self.assertEqual(first.start_deadline_ms, drained_at + 1000.0)
         first.end(Outcome.CONNECTION_RESET)
--- a/tests/test_client_connection_close.py
+++ b/tests/test_client_connection_close.py
@@ -132,11 +132,11 @@
         client, transport = self.connect_idle_client()
         self.listener.drain()
         transport.flush()
-        self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
+        self.clock.advance(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertEqual((transport.closed, transport.aborted), (True, False))
 
     def test_a_client_that_reads_nothing_after_an_error_is_aborted(self):
         client, transport = self.connect_idle_client()
         client.dataReceived(b"\xff" * 9)
-        self.clock.go(LINGERING_CLOSE_TIMEOUT_MS + 200)
+        self.clock.advance(LINGERING_CLOSE_TIMEOUT_MS + 200)
         self.assertTrue(transport.aborted)
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -48,11 +48,11 @@
 def test_a_local_error_is_retried_until_the_connection_comes_up(error):
     dialed = DialedConnection()
     dialed.fail_try(error)
-    dialed.clock.go(REDIAL_DELAY_MS - 1)
+    dialed.clock.advance(REDIAL_DELAY_MS - 1)
     assert (dialed.pending_tries(), dialed.failures) == (0, [])
-    dialed.clock.go(2)
+    dialed.clock.advance(2)
     dialed.succeed_try()
-    dialed.clock.go(2 * TIMEOUT_MS)
+    dialed.clock.advance(2 * TIMEOUT_MS)
     assert (dialed.protocol.connected, dialed.failures) == (1, [])
 
 
@@ -62,22 +62,22 @@
     for _ in range(int(TIMEOUT_MS)):
         if dialed.pending_tries():
             dialed.fail_try(error)
-        dialed.clock.go(1)
-    dialed.clock.go(TIMEOUT_MS)
+        dialed.clock.advance(1)
+    dialed.clock.advance(TIMEOUT_MS)
     assert dialed.failures == [type(error)]
 
 
 def test_a_refusal_by_the_peer_is_reported_at_once():
     dialed = DialedConnection()
     dialed.fail_try(REFUSED)
-    dialed.clock.go(TIMEOUT_MS)
+    dialed.clock.advance(TIMEOUT_MS)
     assert (dialed.failures, dialed.pending_tries()) == ([type(REFUSED)], 0)
 
 
 def test_a_missing_answer_is_a_time_out_even_after_a_local_error():
     dialed = DialedConnection()
     dialed.fail_try(NO_FREE_PORT)
-    dialed.clock.go(TIMEOUT_MS + 1)
+    dialed.clock.advance(TIMEOUT_MS + 1)
     assert dialed.failures == [TimeoutError]
 
 
@@ -86,7 +86,7 @@
     late = TIMEOUT_MS + STALL_THRESHOLD_MS + 1
     dialed.clock.call_later(late, dialed.succeed_try)  # read in the first pass after the stall
     dialed.clock.clock.advance(late / 1000)
-    dialed.clock.go(TIMEOUT_MS)
+    dialed.clock.advance(TIMEOUT_MS)
     assert (dialed.protocol.connected, dialed.failures) == (1, [])
 
 
@@ -94,5 +94,5 @@
     dialed = DialedConnection()
     dialed.fail_try(NO_FREE_PORT)
     dialed.dial.cancel()
-    dialed.clock.go(2 * TIMEOUT_MS)
+    dialed.clock.advance(2 * TIMEOUT_MS)
     assert (len(dialed.failures), dialed.pending_tries()) == (1, 0)
--- a/tests/test_directory_client.py
+++ b/tests/test_directory_client.py
@@ -69,7 +69,7 @@
         for _ in range(400):
             if polled.directory.query_id is not None:
                 polled.answer()
-            polled.clock.go(10)
+            polled.clock.advance(10)
         assert (
             max(polled.intervals()) <= 1.2 * POLL_INTERVAL_MS + 11
             and min(polled.intervals()) >= 0.8 * POLL_INTERVAL_MS - 1
@@ -79,7 +79,7 @@
 
 def test_a_silent_directory_is_polled_with_bounded_backoff_and_steadily_after_recovery(log):
     polled = PolledDirectory()
-    polled.clock.go(60_000)
+    polled.clock.advance(60_000)
     intervals = polled.intervals()
     assert intervals[0] < intervals[1] < intervals[2] and max(intervals) <= MAX_WAIT_MS + 1 < CHANGE_BINDING_MS
     assert len(polled.queries) < 80  # 150 a minute without backoff
@@ -87,7 +87,7 @@
     query_count = len(polled.queries)
     polled.answer()
     assert polled.lists[-1] == ["s-1"] and log.count("directory-recovered") == 1
-    polled.clock.go(1.2 * POLL_INTERVAL_MS + 2)
+    polled.clock.advance(1.2 * POLL_INTERVAL_MS + 2)
     assert len(polled.queries) == query_count + 1
 
 
@@ -117,7 +117,7 @@
     polled = PolledDirectory()
     for _ in range(10):
         polled.answer(make)
-        polled.clock.go(MAX_WAIT_MS)
+        polled.clock.advance(MAX_WAIT_MS)
     assert polled.lists == [["s-0"]] and log.count(event) == 1 and len(polled.queries) > 8
     polled.answer()
     polled.answer()  # a repeated answer
@@ -127,7 +127,7 @@
 def test_an_answer_to_another_query_is_ignored(log):
     polled = PolledDirectory()
     earlier_id = polled.queries[-1][1]
-    polled.clock.go(700)
+    polled.clock.advance(700)
     assert polled.queries[-1][1] != earlier_id
     polled.directory.datagramReceived(reply(query_id=earlier_id), None)
     assert polled.lists == [["s-0"]]
@@ -155,5 +155,5 @@
     polled = PolledDirectory()
     for _ in range(5):
         polled.directory.connectionRefused()
-        polled.clock.go(MAX_WAIT_MS)
+        polled.clock.advance(MAX_WAIT_MS)
     assert log.count("directory-refused") == 1 and len(polled.queries) > 4
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -28,7 +28,7 @@
     def call_later(self, delay_ms, callback):
         return self.clock.callLater(delay_ms / 1000, callback)
 
-    def go(self, ms):
+    def advance(self, ms):
         for _ in range(int(ms)):
             self.clock.advance(0.001)
 
@@ -86,7 +86,7 @@
         for _ in range(2000):
             if len(self.engines.started) >= count:
                 return
-            self.clock.go(1)
+            self.clock.advance(1)
         self.fail("too few attempts have started")
 
 
@@ -98,7 +98,7 @@
         for outcome in (Outcome.SUCCESS, Outcome.SUCCESS, Outcome.CONNECTION_RESET):
             attempt.end(outcome, b"x")
         self.dispatcher.abandon(request)
-        self.clock.go(6000)
+        self.clock.advance(6000)
         self.assertEqual(
             (sink.answers, len(self.engines.started), self.dispatcher.open_requests), ([("served", b"x")], 1, 0)
         )
@@ -145,7 +145,7 @@
         self.dispatcher._carry_out(api.CancelAttempt(request.request_id, 0))
         # Must not start, whatever the policy decides.
         self.dispatcher._carry_out(api.StartAttempt(request.request_id, "e2"))
-        self.clock.go(300)
+        self.clock.advance(300)
         self.assertEqual(len(self.engines.started), 1)
         self.engines.release_callbacks[0]()
         self.run_until_started(2)
@@ -153,7 +153,7 @@
     def test_an_attempt_that_times_out_is_cancelled_at_its_engine_and_its_request_answered(self):
         _, sink = self.submit(budget_ms=2000.0)
         self.run_until_started(1)
-        self.clock.go(2000)
+        self.clock.advance(2000)
         self.assertEqual(len(self.engines.abandoned), 1)
         self.assertEqual([answer for answer, _ in sink.answers], ["rejected"])
 
@@ -161,7 +161,7 @@
         """A client stopped waiting 24 ms before the computed end of its budget, and the request was lost (7f7155a3)."""
         _, sink = self.submit(budget_ms=2000.0)
         self.run_until_started(1)
-        self.clock.go(1940)
+        self.clock.advance(1940)
         self.assertEqual(len(sink.answers), 1)
 
     def test_backstop_answers_when_the_policy_raises(self):
@@ -170,20 +170,20 @@
 
         self.dispatcher.gateway.step = broken
         _, sink = self.submit(budget_ms=1000.0)
-        self.clock.go(1030)
+        self.clock.advance(1030)
         self.assertEqual(sink.answers, [("failed", None)])
 
     def test_backstop_answers_while_an_abandoned_attempt_is_not_released(self):
         self.engines.hold = True
         _, sink = self.submit(budget_ms=2000.0)
         self.run_until_started(1)
-        self.clock.go(2030)
+        self.clock.advance(2030)
         self.assertEqual(sink.answers, [("failed", None)])
 
     def test_a_rejection_is_sent_at_once_and_states_when_to_retry(self):
         self.dispatcher.update_endpoints([])
         _, sink = self.submit(budget_ms=50.0)  # too short for any attempt
-        self.clock.go(20)
+        self.clock.advance(20)
         self.assertEqual(sink.answers, [("rejected", 500.0)])
 
     def test_attempts_of_a_client_that_disconnects_are_cancelled_at_once(self):
@@ -197,7 +197,7 @@
             self.submit("load", key="k")
         for n in (1, 2, 3):
             self.run_until_started(n)
-            self.clock.go(50)
+            self.clock.advance(50)
             self.assertEqual(len(self.engines.started), n)
             self.engines.started[-1].end(Outcome.SUCCESS)
 
@@ -213,7 +213,7 @@
         request, _ = self.submit()
         self.run_until_started(1)
         self.engines.started[0].end(Outcome.SUCCESS)
-        self.clock.go(20)
+        self.clock.advance(20)
         self.assertEqual((request.attempts, self.dispatcher.requests, self.dispatcher.gateway.requests), ([], {}, {}))
 
     def test_an_uncertain_completion_starts_the_hold_down_of_its_key_again(self):
@@ -228,7 +228,7 @@
             first = self.engines.started[0]
             first.end(Outcome.SUCCESS, b"x")
             self.submit("load", key="k")
-            self.clock.go(hold_down_ms / 2)
+            self.clock.advance(hold_down_ms / 2)
             if uncertain:
                 first.mark_uncertain()
             waiting_since = self.clock.now()
--- a/tests/test_engine_connection.py
+++ b/tests/test_engine_connection.py
@@ -72,7 +72,7 @@
         connection, transport = factory.buildProtocol(None), GatedTransport()
         connection.makeConnection(transport)
         same_pass()
-        self.clock.go(1)
+        self.clock.advance(1)
         return connection._wrappedProtocol, transport
 
     def abandon(self, attempt):
@@ -88,7 +88,7 @@
     def test_an_attempt_that_waited_too_long_for_its_connection_is_never_sent(self):
         a, b = self.start(), self.start()
         a.start_deadline_ms = 100.0
-        self.clock.go(150)
+        self.clock.advance(150)
         _, transport = self.connect()
         self.assertEqual([p[1] for p in transport.flush()], [b.request.incoming.client_request_id.encode()])
         self.assertEqual(self.ended, [(a, Outcome.NEVER_SENT)])
@@ -102,7 +102,7 @@
     def test_no_attempt_is_sent_behind_bytes_that_the_engine_does_not_read(self):
         first = self.start()
         connection, transport = self.connect()
-        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
+        self.clock.advance(WRITE_BLOCKED_LIMIT_MS + 1)
         cancelled, waiting = self.start(), self.start()
         self.abandon(cancelled)
         self.assertEqual([p[1] for p in transport.flush()], [first.request.incoming.client_request_id.encode()])
@@ -113,7 +113,7 @@
     def test_a_reset_ends_attempts_that_were_not_sent_as_unreachable(self):
         sent = self.start()
         connection, _ = self.connect()
-        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
+        self.clock.advance(WRITE_BLOCKED_LIMIT_MS + 1)
         waiting = self.start()
         connection.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(self.ended, [(sent, Outcome.CONNECTION_RESET), (waiting, Outcome.UNREACHABLE)])
@@ -123,9 +123,9 @@
         sent = self.start()
         connection, _ = self.connect()
         connection.dataReceived(b"rubbish\r\n")
-        self.clock.go(CANCEL_SETTLE_MS - 2)
+        self.clock.advance(CANCEL_SETTLE_MS - 2)
         self.assertEqual(self.ended, [])
-        self.clock.go(3)
+        self.clock.advance(3)
         self.assertEqual(self.ended, [(sent, Outcome.CONNECTION_RESET)])
 
     def test_a_reset_before_during_and_after_a_request(self):
@@ -169,11 +169,11 @@
                     self.clock.clock.advance((RETRYABLE_ANSWER_DELAY_MS + STALL_THRESHOLD_MS + 1) / 1000)
                 elif event == "reset":
                     lost()
-                self.clock.go(RETRYABLE_ANSWER_DELAY_MS - 1)
+                self.clock.advance(RETRYABLE_ANSWER_DELAY_MS - 1)
                 self.assertEqual(
                     self.ended, [] if event == "nothing" else [(a, Outcome.CONNECTION_RESET)], (reply_type, event)
                 )
-                self.clock.go(2)
+                self.clock.advance(2)
                 self.assertEqual(self.ended, [(a, outcome if event == "nothing" else Outcome.CONNECTION_RESET)])
 
     def test_our_own_orderly_close_makes_no_answer_uncertain(self):
@@ -181,7 +181,7 @@
         connection, transport = self.connect()
         self.answer(a, connection)
         self.engines.update_endpoints({})  # its engine was removed: unused connections close at once
-        self.clock.go(1)
+        self.clock.advance(1)
         connection.connectionLost(Failure(ConnectionDone()))
         self.assertEqual((self.ended, self.uncertain), ([(a, Outcome.SUCCESS)], []))
 
@@ -191,7 +191,7 @@
         self.answer(a, connection)
         self.answer(b, connection, b"failed")
         connection.dataReceived(b"rubbish\r\n")
-        self.clock.go(CANCEL_SETTLE_MS + 1)
+        self.clock.advance(CANCEL_SETTLE_MS + 1)
         self.assertEqual((self.ended, self.uncertain), ([(a, Outcome.SUCCESS), (b, Outcome.CONNECTION_RESET)], [a]))
 
     def test_a_late_answer_is_ignored_and_its_request_id_is_not_used_again_on_that_connection(self):
@@ -205,7 +205,7 @@
     def test_an_answer_to_an_attempt_that_was_not_sent_is_ignored(self):
         self.start()
         connection, _ = self.connect()
-        self.clock.go(WRITE_BLOCKED_LIMIT_MS + 1)
+        self.clock.advance(WRITE_BLOCKED_LIMIT_MS + 1)
         waiting = self.start()
         connection.dataReceived(
             resp.pack(waiting.request.incoming.client_request_id.encode(), b"data", b"-", b"a\tb\tc\n")
@@ -233,5 +233,5 @@
             connection.dataReceived(
                 replies.replace(b"$2\r\nID", b"$16\r\n" + a.request.incoming.client_request_id.encode())
             )
-            self.clock.go(RETRYABLE_ANSWER_DELAY_MS + 1)
+            self.clock.advance(RETRYABLE_ANSWER_DELAY_MS + 1)
             self.assertEqual(self.ended, [(a, outcome)], (preceding, reply_type))
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -35,7 +35,7 @@
             shutdown._clock, shutdown._exit_by_ms = clock, 1000.0
             shutdown._front = shutdown._reactor = FakeFront(is_pending, clock, stopped_at)
             shutdown._exit_when_flushed()
-            clock.go(2000)
+            clock.advance(2000)
             self.assertEqual(len(stopped_at), 1)
             self.assertTrue(exit_ms <= stopped_at[0] <= exit_ms + 100)
 
--- a/tests/test_stalls_and_departures.py
+++ b/tests/test_stalls_and_departures.py
@@ -22,13 +22,13 @@
     def test_no_attempt_starts_for_a_client_that_disconnected_during_the_stall(self):
         request, _ = self.submit()
         self.stall(lambda: self.dispatcher.abandon(request))
-        self.clock.go(200)
+        self.clock.advance(200)
         self.assertEqual(self.engines.started, [])
 
     def test_an_attempt_answered_during_the_stall_is_not_abandoned(self):
         _, sink = self.submit(budget_ms=1000.0)
         self.run_until_started(1)
-        self.clock.go(900 - 3 - self.clock.now())
+        self.clock.advance(900 - 3 - self.clock.now())
         self.stall(lambda: self.engines.started[0].end(Outcome.SUCCESS, b"x"))
         self.assertEqual((sink.answers, self.engines.abandoned), ([("served", b"x")], []))
 
@@ -51,17 +51,17 @@
             if not held_down:
                 self.dispatcher.abandon(waiting)
             self.engines.started[0].end(Outcome.CONNECTION_RESET)
-            self.clock.go(20)
+            self.clock.advance(20)
             if held_down:
                 self.dispatcher.abandon(waiting)
-            self.clock.go(1000)
+            self.clock.advance(1000)
             self.assertEqual(len(self.engines.started), 1)
 
     def test_no_attempt_starts_for_a_client_that_disconnected_while_no_engine_was_available(self):
         self.dispatcher.update_endpoints([])
         request, _ = self.submit()
-        self.clock.go(50)
+        self.clock.advance(50)
         self.dispatcher.abandon(request)
         self.dispatcher.update_endpoints([api.Endpoint("e3", "z", "k", 0, api.Phase.UP)])
-        self.clock.go(1000)
+        self.clock.advance(1000)
         self.assertEqual(self.engines.started, [])
