--- a/tests/pg_program.py
+++ b/tests/pg_program.py
@@ -13,7 +13,7 @@
 import psycopg
 
 from decklb.pg import messages as pg
-from tests.standins import DEADLINE, Loop, PgEngine, Program, known
+from tests.standins import DEADLINE, Loop, PgEngine, Program, endpoint_list
 
 POSTGRES = {
     "user": "decklb",
@@ -129,7 +129,7 @@
     loop = Loop()
     engines = [PgEngine(loop), PgEngine(loop)]
     ports = [engine.port for engine in engines]
-    program = Program({"known": known(*ports), "postgres": POSTGRES} | configuration)
+    program = Program({"known": endpoint_list(*ports), "postgres": POSTGRES} | configuration)
     running = PgProgram(program, engines)
     try:
         yield running
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -49,7 +49,7 @@
 }
 
 
-def known(*ports, index=1):
+def endpoint_list(*ports, index=1):
     """Return the `known` section of a configuration: the initial endpoint list, with one engine for each port."""
     instances = [
         {
--- a/tests/test_bgp_speaker.py
+++ b/tests/test_bgp_speaker.py
@@ -10,7 +10,7 @@
 from decklb.bgp import messages as bgp
 from decklb.bgp.messages import MessageType
 from tests.bgp_peer import PeerStandin
-from tests.standins import DEADLINE, Program, known, wait_for
+from tests.standins import DEADLINE, Program, endpoint_list, wait_for
 
 BGP = {"asn": 64512, "router": "127.0.0.1", "prefixes": ["10.9.8.7/32"], "hold": 9}
 
@@ -35,7 +35,7 @@
 
         def start(*engine_ports):
             section = BGP | {"peers": [{"address": f"127.0.0.1:{peer.port}", "asn": 64513}]}
-            program = Program({"known": known(*engine_ports), "bgp": section})
+            program = Program({"known": endpoint_list(*engine_ports), "bgp": section})
             started.callback(program.stop)
             return program
 
--- a/tests/test_client_protocol.py
+++ b/tests/test_client_protocol.py
@@ -8,7 +8,7 @@
 from decklb.net import frames, resp
 from decklb.net.client_connection import MAX_INVALID_FRAMES
 from tests.frame_standins import RID, Client, OneEngineTest, RespEngine, request
-from tests.standins import Loop, Program, known, wait_for
+from tests.standins import Loop, Program, endpoint_list, wait_for
 
 
 class ClientProtocol(unittest.TestCase):
@@ -16,7 +16,7 @@
     def setUpClass(cls):
         cls.loop = Loop()
         cls.engines = [RespEngine(cls.loop), RespEngine(cls.loop)]
-        cls.program = Program({"known": known(*[e.port for e in cls.engines])})
+        cls.program = Program({"known": endpoint_list(*[e.port for e in cls.engines])})
 
     @classmethod
     def tearDownClass(cls):
@@ -193,7 +193,7 @@
     """Connections of the program as seen by an engine."""
 
     def test_an_engine_connection_is_quarantined_after_a_time_out(self):
-        client = Client(self.program(known=known(self.engine.port)).port)
+        client = Client(self.program(known=endpoint_list(self.engine.port)).port)
         for stream, statement, code in ((1, b"hang", frames.REJECTED), (2, b"rows 1", frames.SERVED)):
             client.send(request(stream, statement, budget="800"))
             self.assertEqual(client.answer()[:2], (stream, code))
@@ -203,6 +203,6 @@
         free = socket.create_server(("127.0.0.1", 0))
         port = free.getsockname()[1]
         free.close()
-        client = Client(self.program(known=known(port)).port)
+        client = Client(self.program(known=endpoint_list(port)).port)
         client.send(request(1, b"rows 1", method="load", budget="1500"))
         self.assertEqual(client.answer()[1], frames.REJECTED)
--- a/tests/test_config_wire_format.py
+++ b/tests/test_config_wire_format.py
@@ -12,7 +12,7 @@
 
 from decklb import config
 from decklb.config.xml import schema_text
-from tests.standins import ROOT, SETTINGS, known
+from tests.standins import ROOT, SETTINGS, endpoint_list
 from tests.test_settings_files import BROKEN, HEAD
 
 GOLDEN = ROOT / "tests" / "golden"
@@ -191,7 +191,7 @@
     "resolver": "127.0.0.1:8",
     "settings": SETTINGS
     | {"categories": [*SETTINGS["categories"], KEYED_CLASS], "domain": {"kind_cores": [8], "dop": [1, 1, 2]}},
-    "known": known(1, 2, index=5),
+    "known": endpoint_list(1, 2, index=5),
 }
 
 
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -4,12 +4,12 @@
 
 from decklb.net import frames
 from tests.frame_standins import Client, OneEngineTest, request
-from tests.standins import known, wait_for
+from tests.standins import endpoint_list, wait_for
 
 
 class ConnectionLimits(OneEngineTest):
     def start_program_with_few_connections(self, sockets=25):  # (25 - 16) // 2 = 4 connections and one spare
-        return self.program(known=known(self.engine.port), limits={"sockets": sockets})
+        return self.program(known=endpoint_list(self.engine.port), limits={"sockets": sockets})
 
     def test_the_longest_idle_connection_is_evicted_for_a_new_one(self):
         """Guards against idle connections that keep all places: new ones were closed with their requests (21e68ef7)."""
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -13,7 +13,7 @@
 
 from decklb import config
 from decklb.daemon.service import Service
-from tests.standins import ROOT, SETTINGS, known
+from tests.standins import ROOT, SETTINGS, endpoint_list
 
 GOLDEN = ROOT / "tests" / "golden" / "daemon_lifecycle.json"
 EVERY_KEY = str(ROOT / "tests/golden/config_every_key.xml")
@@ -197,7 +197,9 @@
 
 
 def platform_config(**changes):
-    return config.from_raw({"name": "n", "listen": "127.0.0.1:0", "settings": SETTINGS, "known": known(1)} | changes)
+    return config.from_raw(
+        {"name": "n", "listen": "127.0.0.1:0", "settings": SETTINGS, "known": endpoint_list(1)} | changes
+    )
 
 
 SCENARIOS = {
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -45,12 +45,12 @@
 )
 SERVE_ON_PLATFORM_CODE = """
 import sys
-from tests.standins import SETTINGS, known
+from tests.standins import SETTINGS, endpoint_list
 from decklb import config
 from decklb.cli import main
 from twisted.internet import reactor
 from decklb.daemon.service import Service
-c = config.from_raw({"name": "n", "listen": "127.0.0.1:0", "settings": SETTINGS, "known": known(1)})
+c = config.from_raw({"name": "n", "listen": "127.0.0.1:0", "settings": SETTINGS, "known": endpoint_list(1)})
 service = Service(reactor, c, lambda: c)
 service.start()
 print(",".join(sys.modules))
--- a/tests/test_program_directory.py
+++ b/tests/test_program_directory.py
@@ -8,7 +8,7 @@
 from decklb.net import frames
 from tests.dns_answers import reply
 from tests.frame_standins import Client, OneEngineTest, request
-from tests.standins import DEADLINE, known, wait_for
+from tests.standins import DEADLINE, endpoint_list, wait_for
 
 
 class ProgramDirectory(OneEngineTest):
@@ -22,7 +22,7 @@
     def test_sighup_changes_the_resolver_and_keeps_list_requests_and_connections(self):
         """Guards against the default action of SIGHUP, which ended the process with all open requests (032f0109)."""
         (old, first), (new, second) = self.resolver(), self.resolver()
-        config = {"known": known(self.engine.port, index=7)}
+        config = {"known": endpoint_list(self.engine.port, index=7)}
         program = self.program(**config, resolver=first)
         old.recvfrom(4096)
         client = Client(program.port)
@@ -38,8 +38,8 @@
         self.assertEqual([client.answer()[:2] for _ in range(2)], [(2, frames.SERVED), (1, frames.REJECTED)])
 
     def test_sighup_loads_a_newer_list_where_no_directory_is_polled(self):
-        program = self.program(known=known())
-        program.reload({"known": known(self.engine.port, index=2)})
+        program = self.program(known=endpoint_list())
+        program.reload({"known": endpoint_list(self.engine.port, index=2)})
         wait_for(lambda: program.logged("configuration read"), "the log line")
         client = Client(program.port)
         client.send(request(1, b"rows 1"))
@@ -47,7 +47,7 @@
 
     def test_a_directory_that_is_down_at_the_start_delays_readiness_for_a_while_only(self):
         _, resolver = self.resolver()
-        client = Client(self.program(known=known(self.engine.port), resolver=resolver).port)
+        client = Client(self.program(known=endpoint_list(self.engine.port), resolver=resolver).port)
 
         def ready():
             client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
@@ -59,13 +59,13 @@
         self.assertEqual(client.answer()[1], frames.SERVED)
 
     def test_without_engines_the_program_is_not_ready(self):
-        client = Client(self.program(known=known()).port)
+        client = Client(self.program(known=endpoint_list()).port)
         client.send(frames.pack(frames.READINESS_QUERY, 1, b"\0"))
         self.assertEqual(client.next().payload[0], 0)
 
     def test_engines_come_from_complete_answers_to_the_pending_query(self):
         server, resolver = self.resolver()
-        program = self.program(known=known(), resolver=resolver)
+        program = self.program(known=endpoint_list(), resolver=resolver)
         client, query_ids = Client(program.port), set()
 
         def ready():
--- a/tests/test_rig_program.py
+++ b/tests/test_rig_program.py
@@ -15,7 +15,7 @@
 from decklb.lab.faults.fault_schedule import LinkConditions
 from decklb.lab.faults.network_proxy import NetworkProxy
 from decklb.management.control_client import query
-from tests.standins import Loop, Program, known, wait_for
+from tests.standins import Loop, Program, endpoint_list, wait_for
 
 NAMES = ["m0", "m1", "m2"]
 
@@ -42,7 +42,7 @@
                 f'exchange="500ms" settle="1s">{seeds}</cluster><control socket="{self.folder / name}.sock"/>'
                 f"</decklb>"
             )
-            self.programs[name] = program = Program({"known": known()}, xml)
+            self.programs[name] = program = Program({"known": endpoint_list()}, xml)
             self.addCleanup(program.stop)
 
     def call_in_loop(self, function, *args):
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -13,7 +13,7 @@
 from decklb import config
 from decklb.cli import main
 from decklb.config import units
-from tests.standins import ROOT, SETTINGS, known
+from tests.standins import ROOT, SETTINGS, endpoint_list
 
 HEAD = """<decklb version="1">
 <process name="n" listen="127.0.0.1:1"/>
@@ -177,7 +177,7 @@
 
     def test_settings_override_the_platform_file(self):
         with tempfile.TemporaryDirectory() as folder:
-            raw = {"name": "n", "listen": "127.0.0.1:1", "settings": SETTINGS, "known": known(1)}
+            raw = {"name": "n", "listen": "127.0.0.1:1", "settings": SETTINGS, "known": endpoint_list(1)}
             xml = (
                 '<decklb version="1"><process memory="64MiB"/><cluster name="k" bind="127.0.0.1:7" keys="sub/k.json"'
                 ' interval="1s" weight="2"><seed>127.0.0.1:8</seed></cluster>'
--- a/tests/test_shared_health_checks_program.py
+++ b/tests/test_shared_health_checks_program.py
@@ -15,7 +15,7 @@
 from decklb.cluster import keyfile
 from decklb.lab.faults import free_ports as ports
 from decklb.management.control_client import query
-from tests.standins import ROOT, Loop, PgEngine, PingEngine, Program, known, wait_for
+from tests.standins import ROOT, Loop, PgEngine, PingEngine, Program, endpoint_list, wait_for
 
 PERIOD = 1.0  # seconds
 ENGINES = 12
@@ -43,7 +43,7 @@
             f'</cluster><probing period="{PERIOD:g}s" timeout="300ms" hand-on="2"/>'
             f'<control socket="{self.socket(i)}"/></decklb>'
         )
-        return Program({"known": known(*[e.port for e in self.engines])}, xml)
+        return Program({"known": endpoint_list(*[e.port for e in self.engines])}, xml)
 
     def settled_members(self, i):
         """Return the names of the alive and settled members as seen by instance `i`."""
@@ -209,7 +209,7 @@
                 f'<decklb version="1"><postgres user="u"/><cluster name="c" bind="127.0.0.1:{port}" keys="{keys}" '
                 f'settle="100ms"/><probing period="200ms" timeout="150ms"/><control socket="{folder}/s"/></decklb>'
             )
-            program = Program({"known": known(engine.port)}, xml)
+            program = Program({"known": endpoint_list(engine.port)}, xml)
             try:
                 wait_for(lambda: any(r["up"] for r in query(f"{folder}/s", "duties")), "a probe")
                 wait_for(lambda: query(f"{folder}/s", "members")["health"]["duties"]["probe"]["started"] > 3, "probes")
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -13,7 +13,7 @@
 from decklb.net import frames
 from decklb.net.connection_limits import ACCEPT_BATCH
 from tests.frame_standins import Client, OneEngineTest, RespEngine, request
-from tests.standins import DEADLINE, Loop, Program, known, wait_for
+from tests.standins import DEADLINE, Loop, Program, endpoint_list, wait_for
 
 
 class FakeFront:
@@ -44,7 +44,7 @@
     """Drains the whole program."""
 
     def test_a_drain_notifies_clients_serves_new_requests_and_exits(self):
-        program = self.program(known=known(self.engine.port))
+        program = self.program(known=endpoint_list(self.engine.port))
         old = Client(program.port)
         old.send(request(1, b"hang", budget="2500"))
         wait_for(lambda: self.engine.received(b"do"), "do")
@@ -59,7 +59,7 @@
         self.assertEqual(program.process.wait(DEADLINE), 0)
 
     def test_a_drain_answers_requests_that_would_run_longer_than_it_and_exits(self):
-        program = self.program(known=known(self.engine.port))
+        program = self.program(known=endpoint_list(self.engine.port))
         client = Client(program.port)
         client.send(request(1, b"hang", budget="8000"), request(2, b"hang", budget="8000", method="load"))
         wait_for(lambda: len(self.engine.received(b"do")) == 2, "do")
@@ -89,7 +89,7 @@
     programs = []
 
     def start(*ports):
-        programs.append(Program({"known": known(*ports)}))
+        programs.append(Program({"known": endpoint_list(*ports)}))
         return programs[-1]
 
     yield start
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -11,7 +11,7 @@
 from decklb.net import frames, resp
 from decklb.wire.stall_detector import STALE_PASSES, StallDetector
 from tests.frame_standins import Client, RespEngine, request
-from tests.standins import Loop, Program, known, wait_for
+from tests.standins import Loop, Program, endpoint_list, wait_for
 
 BUDGET_S, STALL_S, TOLERANCE_S = 3.0, 1.0, 0.15  # the tolerance is specified by the operators
 
@@ -29,7 +29,7 @@
     """A request that was sent during a stall was once given its full budget after the stall."""
     loop = Loop()
     engine = TimedEngine(loop)
-    program = Program({"known": known(engine.port)})
+    program = Program({"known": endpoint_list(engine.port)})
     try:
         client = Client(program.port)
         client.send(request(1, b"rows 1"))
--- a/tests/test_uncertain_ends.py
+++ b/tests/test_uncertain_ends.py
@@ -20,7 +20,7 @@
 from decklb.pg import messages as pg
 from tests.frame_standins import Client, RespEngine, request
 from tests.pg_program import POSTGRES, ScriptedClient
-from tests.standins import SETTINGS, Loop, PgEngine, Program, known, wait_for
+from tests.standins import SETTINGS, Loop, PgEngine, Program, endpoint_list, wait_for
 
 HOLD_DOWN_MS = 400.0  # how long a key is blocked after an attempt with an uncertain end
 RULES = {"rules": SETTINGS["rules"] | {"settle_after_doubt": HOLD_DOWN_MS}}
@@ -113,7 +113,8 @@
     loop = Loop()
     engines = [request.param.engine(loop), request.param.engine(loop)]
     program = Program(
-        {"known": known(*[e.port for e in engines]), "settings": copy.deepcopy(SETTINGS) | RULES} | request.param.config
+        {"known": endpoint_list(*[e.port for e in engines]), "settings": copy.deepcopy(SETTINGS) | RULES}
+        | request.param.config
     )
     try:
         yield program, engines, request.param
