--- a/decklb/lab/emulation/simulated_cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -51,7 +51,7 @@
     """Hosts with cluster nodes on one simulated network, and a record of what they did.
 
     Attributes:
-        world: The simulated network.
+        network: The simulated network.
         membership, duty: Settings of all nodes.
         engines: Subjects of the health checks.
         hosts: The latest host of each address, including killed ones.
@@ -68,7 +68,7 @@
         check_ms: Duration of a health check of a running engine in ms.
     """
 
-    world: SimulatedNetwork
+    network: SimulatedNetwork
     membership: MembershipSettings
     duty: DutySettings
     engines: list[str]
@@ -114,9 +114,9 @@
             drift: Maximum drift of the hosts' clocks, in both directions.
             skew_ms: Maximum skew of the hosts' wall clocks in ms, in both directions.
         """
-        world = SimulatedNetwork(seed, faults)
+        network = SimulatedNetwork(seed, faults)
         cluster = cls(
-            world,
+            network,
             membership,
             duty,
             [f"motor-{i}" for i in range(engines)],
@@ -128,8 +128,8 @@
         if cluster.ranking is not None:
             for i in range(instances):
                 cluster.ranking.add_member(f"m{i}", membership.weight)
-        world.run_duty, world.on_notice = cluster._run_duty, cluster._on_notice
-        world.on_health_check = cluster._on_health_check
+        network.run_duty, network.on_notice = cluster._run_duty, cluster._on_notice
+        network.on_health_check = cluster._on_health_check
         cluster.seeds = [cluster.address(i) for i in range(min(MAX_SEED_MEMBERS, instances))]
         for i in range(instances):
             cluster.start(i)
@@ -151,11 +151,11 @@
             address: Address of the host; None: derived from the number.
             wall_back: Time in ms by which its wall clock is set back.
         """
-        rng = random.Random(f"{self.world.rng.random()}/{number}")
+        rng = random.Random(f"{self.network.rng.random()}/{number}")
         sealer = Sealer(self.membership.cluster_name, [bytes(KEY_BYTES)], rng.randbytes(SALT_BYTES))
         rankings = {self.duty.kind: self.ranking} if self.ranking is not None else None
         host = Host(
-            self.world,
+            self.network,
             name or f"m{number}",
             address or self.address(number),
             lambda h: Node(self.membership, [self.duty], h.name, h.address, sealer, rng, h.now(), h.wall(), rankings),
@@ -164,7 +164,7 @@
         )
         host.node.set_subjects(host.now(), self.duty.kind, self.warm_at, self.engines)
         self.hosts = [other for other in self.hosts if other.address != host.address] + [host]
-        return self.world.add(host, self.seeds)
+        return self.network.add(host, self.seeds)
 
     def _introduce_all(self) -> None:
         """Tell every host about all others, as if the cluster had already converged."""
@@ -190,7 +190,7 @@
             for record in records:
                 view.gossip.queue.drop(record.name)
             host.node.schedule_reassignment(host.now())
-            self.world.pump(host)
+            self.network.pump(host)
 
     def host(self, name: str) -> Host:
         """Return the host with that name."""
@@ -204,30 +204,30 @@
         """Partition these hosts from the others; with `one_way`, only the datagrams that they send are lost."""
         side = {self.host(n).address for n in side_names}
         if one_way:
-            self.world.cut = lambda source, target: source in side and target not in side
+            self.network.cut = lambda source, target: source in side and target not in side
         else:
-            self.world.cut = lambda source, target: (source in side) != (target in side)
+            self.network.cut = lambda source, target: (source in side) != (target in side)
 
     def heal(self) -> None:
         """End the partition."""
-        self.world.cut = lambda source, target: False
+        self.network.cut = lambda source, target: False
 
     def scheduler(self, host: Host) -> DutyScheduler:
         """Return the duty scheduler of a host."""
         return host.node.schedulers[self.duty.kind]
 
     def _run_duty(self, host: Host, duty_run: DutyRun) -> tuple[float, bool]:
-        self.runs.append(RecordedRun(self.world.now, host.name, duty_run.subject, duty_run.term))
+        self.runs.append(RecordedRun(self.network.now, host.name, duty_run.subject, duty_run.term))
         if duty_run.subject in self.down or (host.name, duty_run.subject) in self.unreachable:
             return self.duty.timeout_ms, False
         return self.check_ms, True
 
     def _on_notice(self, host: Host, event: str, fields: dict[str, object]) -> None:
         if event == "member-state-changed" and fields["state"] == "dead":
-            self.deaths.append((self.world.now, host.name, str(fields["member"])))
+            self.deaths.append((self.network.now, host.name, str(fields["member"])))
 
     def _on_health_check(self, host: Host, subject: str, up: bool) -> None:
-        self.health_results.append((self.world.now, host.name, subject, up))
+        self.health_results.append((self.network.now, host.name, subject, up))
 
     # Invariants and measurements.
 
--- a/decklb/lab/experiments/shared_duties.py
+++ b/decklb/lab/experiments/shared_duties.py
@@ -78,9 +78,9 @@
         drift=experiment.drift,
         skew_ms=experiment.skew_ms,
     )
-    world, period, quarter = cluster.world, experiment.period, experiment.periods // 4
+    network, period, quarter = cluster.network, experiment.period, experiment.periods // 4
     warm_up_ms = 2 * period if not experiment.join else 2 * period + 2 * membership.settle_time_ms
-    world.run(warm_up_ms)
+    network.run(warm_up_ms)
     figures: dict[str, Any] = {
         "instances": experiment.instances,
         "engines": experiment.engines,
@@ -98,8 +98,8 @@
     )
     figures["not_one_owner_at_end"] = len(cluster.duties_without_single_owner())
     figures["wrongly_dead_at_end"] = len(cluster.wrongly_dead())
-    figures["datagrams"] = world.delivered
-    figures["simulated_s"] = round(world.now / 1000, 1)
+    figures["datagrams"] = network.delivered
+    figures["simulated_s"] = round(network.now / 1000, 1)
     figures["took_s"] = round(time.monotonic() - started_s, 1)
     return figures
 
@@ -107,7 +107,7 @@
 def _run_steady_phase(cluster: Cluster, start: float, end: float, figures: dict[str, Any]) -> None:
     """Measure the traffic and the distribution of duties without faults."""
     sent = sum(h.node.sent_bytes for h in cluster.live())
-    cluster.world.run(end)
+    cluster.network.run(end)
     sent = sum(h.node.sent_bytes for h in cluster.live()) - sent
     run_counts = [n for row in cluster.runs_per_period(start, end).values() for n in row]
     figures["per_period_mean"] = round(sum(run_counts) / max(1, len(run_counts)), 4)
@@ -120,14 +120,14 @@
 
 def _run_kill_phase(cluster: Cluster, kill: int, duration_ms: float, figures: dict[str, Any]) -> None:
     """Kill instances, and measure how soon their duties are taken over and how many duties move."""
-    world, period = cluster.world, cluster.duty.period_ms
-    rng, start = world.rng, world.now
+    network, period = cluster.network, cluster.duty.period_ms
+    rng, start = network.rng, network.now
     owners = {subject: names[0] for subject, names in cluster.owners().items() if names}
     victims = {h.name for h in rng.sample(cluster.live(), kill)}
     for name in victims:
-        world.kill(cluster.host(name))
+        network.kill(cluster.host(name))
     runs_before, deaths_before = len(cluster.runs), len(cluster.deaths)
-    world.run(start + duration_ms)
+    network.run(start + duration_ms)
     first_run_at: dict[str, float] = {}  # by duty, time of its first run on a surviving instance
     runners: dict[str, list[str]] = defaultdict(list)  # by duty, the successive hosts that ran it
     for run in cluster.runs[runs_before:]:
@@ -149,17 +149,17 @@
     cluster: Cluster, fraction: float, duration_ms: float, healed_ms: float, figures: dict[str, Any]
 ) -> None:
     """Partition the network for `duration_ms`, heal it, and watch the cluster converge for `healed_ms`."""
-    world, period = cluster.world, cluster.duty.period_ms
+    network, period = cluster.network, cluster.duty.period_ms
     live = cluster.live()
     side = {h.name for h in live[: round(fraction * len(live))]}
     figures["doubled_after_heal_periods"] = 0.0
     figures["parted_max_per_side"] = 0
     figures["one_owner_after_heal_periods"] = 0.0
     if not side or len(side) == len(live):
-        return world.run(world.now + duration_ms + healed_ms)
+        return network.run(network.now + duration_ms + healed_ms)
     cluster.partition(side)
-    start = world.now
-    world.run(start + duration_ms)
+    start = network.now
+    network.run(start + duration_ms)
     # In the second half of the partition each side has converged by itself, so each duty should have one runner there.
     runners: dict[tuple[str, bool], set[str]] = defaultdict(set)
     for r in cluster.runs:
@@ -168,12 +168,12 @@
     figures["parted_max_per_side"] = max((len(names) for names in runners.values()), default=0)
     figures["minority_slowed"] = sum(cluster.scheduler(h).in_minority for h in live)
     cluster.heal()
-    healed_at, until = world.now, world.now + healed_ms
+    healed_at, until = network.now, network.now + healed_ms
     unsettled_periods = 0.0  # from the healing until the last moment at which a duty did not have exactly one owner
-    while world.now < until:
-        world.run(min(until, world.now + period / 10))
+    while network.now < until:
+        network.run(min(until, network.now + period / 10))
         if cluster.duties_without_single_owner():
-            unsettled_periods = (world.now - healed_at) / period
+            unsettled_periods = (network.now - healed_at) / period
     figures["one_owner_after_heal_periods"] = round(unsettled_periods, 2)
     figures["doubled_after_heal_periods"] = round(_doubled_until_periods(cluster, healed_at), 2)
     # A member that was suspected during the partition may still be declared dead shortly after the healing. That is
--- a/tests/test_cluster_wire_format.py
+++ b/tests/test_cluster_wire_format.py
@@ -141,40 +141,40 @@
     cluster = Cluster.make(
         seed, 6, 20, membership, duty, faults, shared_ranking=False, converged=False, drift=1e-4, skew_ms=20.0
     )
-    world = cluster.world
+    network = cluster.network
     digest = hashlib.sha256()
     sent = 0
-    transmit = world._transmit
+    transmit = network._transmit
 
     def record_and_transmit(source, target, data):
         nonlocal sent
         sent += 1
-        digest.update(f"{world.now!r} {source} {target} ".encode() + data)
+        digest.update(f"{network.now!r} {source} {target} ".encode() + data)
         transmit(source, target, data)
 
-    world._transmit = record_and_transmit
-    world.run(8000.0)
+    network._transmit = record_and_transmit
+    network.run(8000.0)
     cluster.down = {"motor-3"}
     cluster.unreachable = {("m1", "motor-5")}
-    world.kill(cluster.host("m4"))
-    world.run(20_000.0)
+    network.kill(cluster.host("m4"))
+    network.run(20_000.0)
     cluster.partition({"m0", "m1"})
-    world.run(35_000.0)
+    network.run(35_000.0)
     cluster.heal()
     cluster.down = set()
     cluster.start(4, wall_back=30_000.0 * (seed % 2))
-    world.run(45_000.0)
-    world.pause(cluster.host("m2"), 6000.0)
+    network.run(45_000.0)
+    network.pause(cluster.host("m2"), 6000.0)
     younger = cluster.start(9, name="m1", address=("10.9.9.9", 7946))
-    world.run(65_000.0)
+    network.run(65_000.0)
     leaving = cluster.host("m5")
     leaving.node.leave(leaving.now())
-    world.pump(leaving)
-    world.kill(leaving)
+    network.pump(leaving)
+    network.kill(leaving)
     cluster.partition({"m3"}, one_way=True)
-    world.run(75_000.0)
+    network.run(75_000.0)
     cluster.heal()
-    world.run(130_000.0)
+    network.run(130_000.0)
     assert younger.node.membership.local.is_yielding
     for run in cluster.runs:
         digest.update(f"{run.at!r} {run.host} {run.subject} {run.term}".encode())
