--- a/decklb/lab/experiments/zone_agreement.py
+++ b/decklb/lab/experiments/zone_agreement.py
@@ -1,7 +1,7 @@
 """Compares two ways of deciding zone states on a simulated network: by quorum, and by each manager alone.
 
 Managers are spread over zones, two zones to a region. Requests are modelled as a fluid: each manager divides the
-request rate of its own clients among the zones by `locality.spillover`, based on the zone states that it knows. Each
+request rate of its own clients among the zones by `locality/spillover.py`, based on the zone states that it knows. Each
 case injects a fault for a while. A run is determined by its seed, and both ways of deciding see the same faults. Used
 by `decklb lab zones` and tests. Times are simulated milliseconds unless a name says otherwise.
 """
--- a/tests/pg_program.py
+++ b/tests/pg_program.py
@@ -1,6 +1,6 @@
-"""The program with stand-in PostgreSQL engines, and a client that sends exactly what a test specifies.
+"""Runs the program with stand-in PostgreSQL engines, and has a client that sends exactly what a test specifies.
 
-`conftest.py` turns `running_pg_program` into the fixture `pg_program`.
+`conftest.py` makes the fixture `pg_program` from `running_pg_program`.
 """
 
 from __future__ import annotations
@@ -145,7 +145,7 @@
 
 
 async def _cancel_all_tasks():
-    """Cancel the tasks that still serve connections, before the loop stops."""
+    """Cancel the tasks of the stand-in engines that still serve connections, and wait until they have ended."""
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
         task.cancel()
--- a/tests/test_handoff_program.py
+++ b/tests/test_handoff_program.py
@@ -155,7 +155,7 @@
             first = self.run_in_thread(lambda: Session(self.fleet, "m0", "load", "engineless").run(sql), cut)
         finally:
             self.fleet.rig.heal()
-        self.assertTrue(first.startswith(("57014", "40003")), first)  # it was executed but its answer never arrived
+        self.assertTrue(first.startswith(("57014", "40003")), first)  # it was executed, but its answer did not arrive
         self.assertIn("40003", self.client_call(final_answer, "m1", "load", "engineless", sql))
         self.assertEqual(len(self.executions("engineless")), 1)
 
@@ -202,7 +202,7 @@
             return row
 
         row = self.runner.run(run())
-        self.assertIn(stopped_answers[0], (None, row))  # its own execution has a result, which it must not give
+        self.assertIn(stopped_answers[0], (None, row))  # m2 has a result of its own execution, but must not send it
         self.assertEqual(self.client_call(final_answer, "m2", "read", "stopped", sql), row)
         first_end, second_end = sorted(x.at for x in self.executions("stopped", "end"))
         self.assertGreater(self.executions("stopped")[1].at, first_end)
@@ -224,7 +224,7 @@
         self.runner.run(self.fleet.wait_until_members_vote())
 
     def test_time_jumps_of_the_wall_clock_delay_no_request(self):
-        """When the reactor's calls followed the wall clock, none was due for an hour after the jump back."""
+        """Fails if the reactor schedules calls by the wall clock: setting it back by an hour delays them as much."""
 
         async def jump():
             for kind in (FleetFaultKind.AHEAD, FleetFaultKind.CLOCK, FleetFaultKind.BEHIND, FleetFaultKind.CLOCK):
@@ -240,7 +240,7 @@
         async def handoff_figures():
             return await asyncio.to_thread(query, str(self.fleet.folder / "m1.sock"), "handoff")
 
-        for _ in range(100):  # its records expire only if the member's ticks continue
+        for _ in range(100):  # m1's records expire only if its ticks continue
             if self.runner.run(handoff_figures())["held"] == 0:
                 break
             self.runner.run(asyncio.sleep(0.1))
--- a/tests/test_handoff_restarts.py
+++ b/tests/test_handoff_restarts.py
@@ -41,7 +41,7 @@
                 if condition():
                     return
                 await asyncio.sleep(0.01)
-            raise AssertionError("the condition was not met within 2000 polls")
+            raise AssertionError("the condition was not met within 2000 polls, 10 ms apart")
 
         async def play():
             await fleet.start()
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -17,7 +17,7 @@
 
 
 class FakeFront:
-    """A front with clients that wait as `is_pending` says, and a reactor that records when it is stopped."""
+    """A front with pending clients while `is_pending(now)` is true, and a reactor that records when it is stopped."""
 
     def __init__(self, is_pending, clock, stopped_at):
         self.pending_now, self.stop = lambda: is_pending(clock.now()), lambda: stopped_at.append(clock.now())
