--- a/decklb/lab/faults/fault_schedule.py
+++ b/decklb/lab/faults/fault_schedule.py
@@ -88,12 +88,13 @@
     FleetFaultKind.STOP,
 )
 LINK_KINDS = (FleetFaultKind.CUT, FleetFaultKind.LOSSY)  # faults of a single link
+# Kinds that are not listed are undone by HEAL.
 UNDONE_BY = {
     FleetFaultKind.KILL: FleetFaultKind.RESTART,
     FleetFaultKind.STOP: FleetFaultKind.CONT,
     FleetFaultKind.AHEAD: FleetFaultKind.CLOCK,
     FleetFaultKind.BEHIND: FleetFaultKind.CLOCK,
-}  # all others are undone by HEAL
+}
 
 
 def draw_schedule(
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -31,9 +31,8 @@
     """Without ejection an engine whose quick errors leave it idle gets most requests and uses up the retry budget."""
     gateway, now, attempt_count = make_gateway(engines=2, retry_budget_floor=100.0, retry_budget_ratio=0.0), 2.0, 0
     first = sent(gateway.step(1.0, [arrival(f"f{i}") for i in range(8)]))
-    gateway.step(
-        2.0, [ended(send, Outcome.SUCCESS) for send in first if send.engine_id == "e0"]
-    )  # those in flight keep e1 the busier one
+    # The attempts still in flight keep e1 the busier one.
+    gateway.step(2.0, [ended(send, Outcome.SUCCESS) for send in first if send.engine_id == "e0"])
     for i in range(40):
         now += 20.0
         (send,) = sent(gateway.step(now, [arrival(f"q{i}")]))
--- a/tests/test_policy_slowdown.py
+++ b/tests/test_policy_slowdown.py
@@ -28,7 +28,6 @@
     for i in range(10):
         (send,) = sent(actions)
         assert send.engine_id != failed.engine_id
-        gateway.step(
-            10.0 + 20 * i, [ended(send, Outcome.SUCCESS, attempt=0 if i else 1, duration_ms=500.0)]
-        )  # equal to the initial guess: no slowdown
+        # The duration equals the initial guess: no slowdown.
+        gateway.step(10.0 + 20 * i, [ended(send, Outcome.SUCCESS, attempt=0 if i else 1, duration_ms=500.0)])
         actions = gateway.step(20.0 + 20 * i, [arrival(f"q{i}")])
