--- a/decklb/cluster/failure_detector.py
+++ b/decklb/cluster/failure_detector.py
@@ -108,7 +108,7 @@
         probe = self._probe = Probe(self._next_sequence(), target.name)
         messages: list[Message] = [Ping(probe.sequence, target.name)]
         if target.state == MemberState.SUSPECT:
-            # Lifeguard's buddy system: the prober tells a suspect of the suspicion, so that it can refute it early.
+            # Lifeguard's buddy system: the prober notifies a suspect of the suspicion, which can then be refuted early.
             messages.append(Suspect(target.name, target.incarnation, self.table.local.name))
         self.send(target.address, messages, piggyback=True)
         timeout = self.settings.probe_timeout_ms * multiplier
--- a/decklb/cluster/node.py
+++ b/decklb/cluster/node.py
@@ -256,7 +256,7 @@
         self.sealer = sealer
 
     def leave(self, now: float) -> None:
-        """Leave the cluster: tell the other members and own no duty from now on."""
+        """Leave the cluster: notify the other members and own no duty from now on."""
         self.timers.now = now
         self.membership.leave()
         for scheduler in self.schedulers.values():
--- a/decklb/cluster/verdicts.py
+++ b/decklb/cluster/verdicts.py
@@ -15,7 +15,7 @@
 from decklb.cluster.messages import DutyResult, HealthStatus
 from decklb.cluster.settings import DutySettings
 
-# Time between repetitions of an update that is still valid, since the policy forgets updates that are not repeated.
+# Time between repetitions of an update that is still valid, since the policy drops updates that are not repeated.
 UPDATE_INTERVAL_MS = 1000.0
 
 
--- a/decklb/daemon/readiness.py
+++ b/decklb/daemon/readiness.py
@@ -17,7 +17,7 @@
     __slots__ = ("_lifecycle", "_engines_known", "engines_up")
 
     def __init__(self, lifecycle: Lifecycle, engines_known: Callable[[], bool]) -> None:
-        """`engines_known` tells whether the endpoint list can be relied on."""
+        """`engines_known` returns whether the endpoint list can be relied on."""
         self._lifecycle = lifecycle
         self._engines_known = engines_known
         self.engines_up = 0  # number of engines that are up in the latest list
--- a/decklb/handoff/fleet_view.py
+++ b/decklb/handoff/fleet_view.py
@@ -19,7 +19,7 @@
     """Members by name, each with the incarnation of its process."""
 
     def __init__(self, settings: HandoffSettings, member: str, incarnation: int, leases: LeaseTracker) -> None:
-        """`member` and `incarnation` identify this process; `leases` knows who answered a heartbeat recently."""
+        """`member` and `incarnation` identify this process; `leases` records who answered a heartbeat recently."""
         self._settings, self._member, self._leases = settings, member, leases
         self._placement = Placement(settings.bucket_count)
         self._alive_by_membership = {member: incarnation}
--- a/decklb/handoff/protected_dispatcher.py
+++ b/decklb/handoff/protected_dispatcher.py
@@ -76,7 +76,7 @@
             answer(sink)
 
     def respond_retry(self) -> None:
-        """Tell the waiting client to retry."""
+        """Inform the waiting client, if there is one, that it may retry the request."""
         self.respond(lambda sink: sink.rejected(RETRY_AFTER_MS))
 
 
@@ -220,7 +220,7 @@
         self._start(ProtectedRequest(self, record.key, None), request)
 
     def stop(self, key: str) -> None:
-        """Cancel a request that this member may not act on now; its client is told to retry."""
+        """Cancel a request that this member may not act on now, and inform its client that it may retry."""
         protected = self._by_key.get(key)
         if protected is not None:
             self.suspend(protected)
@@ -260,7 +260,7 @@
             del self._by_key[protected.key]
 
     def suspend(self, protected: ProtectedRequest) -> None:
-        """Stop a request that this member may not act on now, and tell its client to retry."""
+        """Stop a request that this member may not act on now, and inform its client that it may retry."""
         self.log_step(protected, "suspended")
         if protected.request is not None and not protected.request.answered:
             self.dispatcher.abandon(protected.request)
--- a/decklb/lab/checks/execution_verdict.py
+++ b/decklb/lab/checks/execution_verdict.py
@@ -101,8 +101,8 @@
     Attributes:
         requests: Number of requests.
         served, failed: Number of requests with such a final answer in time.
-        refused: Number of requests that were never executed and got no final answer: the client was told to retry until
-            the end.
+        refused: Number of requests that were never executed and got no final answer: all answers until the end asked
+            the client to retry.
         lost: Descriptions of requests that were executed or answered, but got no final answer in time.
         doubled: Descriptions of requests with different final answers.
         repeated: Descriptions of at-most-once requests that were executed more than once.
--- a/decklb/lab/checks/zone_verdict.py
+++ b/decklb/lab/checks/zone_verdict.py
@@ -1,7 +1,7 @@
 """Judges a zone fault run by comparing the answers to callers, the engines' logs and the managers' decisions. No I/O.
 
 The zone fault runs collect the records; the maintenance fault runs use the record of calls. Times are seconds from the
-start of the load unless a name says otherwise.
+start of the load unless a name states otherwise.
 """
 
 from __future__ import annotations
--- a/decklb/lab/emulation/emulated_world.py
+++ b/decklb/lab/emulation/emulated_world.py
@@ -74,7 +74,7 @@
         tick_ms: Tick of the managers' policies in ms.
         max_attempts: Maximum number of attempts of one request.
         retry_budget_floor, retry_budget_ratio, retry_budget_window_ms: Retry budget of the managers.
-        max_retry_after_ms: Longest delay in ms after which managers tell clients to retry; 0: they state no delay.
+        max_retry_after_ms: Longest delay in ms that managers give clients for a retry; 0: they give none.
         faults: Faults to inject.
         speed_sigma: Sigma of the lognormal factor on the engines' speed.
         health_check_period_ms: Time in ms between two health checks of an engine, which the managers share through
--- a/decklb/lab/emulation/simulated_cluster.py
+++ b/decklb/lab/emulation/simulated_cluster.py
@@ -110,7 +110,7 @@
             duty: Settings of the health checks at all nodes.
             faults: Faults of the network.
             shared_ranking: Whether all nodes use the same ranking object.
-            converged: Whether all hosts already know each other, as after a long time without changes.
+            converged: Whether all member tables already hold all hosts, as after a long time without changes.
             drift: Maximum drift of the hosts' clocks, in both directions.
             skew_ms: Maximum skew of the hosts' wall clocks in ms, in both directions.
         """
@@ -167,7 +167,7 @@
         return self.network.add(host, self.seeds)
 
     def _introduce_all(self) -> None:
-        """Tell every host about all others, as if the cluster had already converged."""
+        """Add all hosts to the member table of every host, as if the cluster had already converged."""
         records = [
             MemberRecord(
                 local.name,
--- a/decklb/lab/experiments/zone_agreement.py
+++ b/decklb/lab/experiments/zone_agreement.py
@@ -3,7 +3,7 @@
 Managers are spread over zones, two zones to a region. Requests are modelled as a fluid: each manager divides the
 request rate of its own clients among the zones by `locality/spillover.py`, based on the zone states that it knows. Each
 case injects a fault for a while. A run is determined by its seed, and both ways of deciding see the same faults. Used
-by `decklb lab zones` and tests. Times are simulated milliseconds unless a name says otherwise.
+by `decklb lab zones` and tests. Times are simulated milliseconds unless a name states otherwise.
 """
 
 from __future__ import annotations
--- a/decklb/lab/fault_runs/maintenance_run.py
+++ b/decklb/lab/fault_runs/maintenance_run.py
@@ -4,8 +4,8 @@
 is killed, members are partitioned or zones are lost. Everything runs on loopback, with bounded time; see
 docs/faults.md.
 
-The run also does the operators' work: once the plan says that an engine is out, it kills and restarts that engine, and
-it restarts managers that ended because the plan told them to. Clients whose manager ends go to another one.
+The run also does the operators' work: once an engine is out according to the plan, it kills and restarts that engine,
+and it restarts managers that ended because of the plan. Clients whose manager ends connect to another one.
 """
 
 from __future__ import annotations
@@ -164,7 +164,7 @@
                 if all(plan["remembers"] and plan["told"] for plan in plans):
                     return
             await asyncio.sleep(0.1)
-        raise RuntimeError("the members did not learn the plan and one another within 20 s")
+        raise RuntimeError("not all members had the plan and reports of all others within 20 s")
 
     async def simulate_operators(self) -> None:
         """Restart each engine that is out, and each manager that has ended by itself, until cancelled."""
@@ -406,7 +406,7 @@
 
 
 async def _never_back(fleet: MaintenanceFleet, rng: random.Random, result: MaintenanceResult) -> None:
-    """A machine does not come back: the plan waits and gives the reason, and continues once that job is cancelled."""
+    """A machine does not return: the plan waits and gives the reason, and continues once that job is cancelled."""
     fleet.engines_not_restarted.add("e0")
     await _request_job(fleet, rng.choice(fleet.names), "broken", "e0", window_ms=1000.0)
     await _wait_for_plan(fleet, lambda p: "out" in _stages(p))
@@ -418,11 +418,11 @@
     )
     await asyncio.sleep(2.0)
     if set(_stages(await fleet.latest_plan(), "next")) != {"waiting"}:
-        result.doubled.append("the next machine was taken out before the first had come back")
+        result.doubled.append("the next machine was taken out before the first had returned")
     result.seen.append(plan["hold"])
     engine = next(engine for engine in fleet.engines if engine.name == "e0")
     await fleet.query_manager(rng.choice(fleet.names), "plan-cancel", job="broken")
-    await fleet.start_engine(engine, fleet.ports_by_engine["e0"])  # it comes back although its job was cancelled
+    await fleet.start_engine(engine, fleet.ports_by_engine["e0"])  # it returns although its job was cancelled
     await _wait_for_plan(fleet, lambda p: set(_stages(p, "next")) == {"done"})
 
 
--- a/decklb/lab/standins/engine_server.py
+++ b/decklb/lab/standins/engine_server.py
@@ -48,7 +48,7 @@
 
 
 def statement(query: Query) -> bytes:
-    """Return the statement that tells an engine to run this query."""
+    """Return the statement that makes an engine run this query."""
     return (
         f"select 1 from g_{query.table_group}.t -- work={query.work_ms:.3f} threads={query.threads} "
         f"io={query.io_share:g} memory={query.memory_mb:g} tables={query.table_group} "
--- a/decklb/maintenance/fleet_observer.py
+++ b/decklb/maintenance/fleet_observer.py
@@ -2,7 +2,7 @@
 
 Owns the last report of each member, the times at which each member was first and last heard from, and the engines that
 this member has seen down. Does no I/O. Called by `orchestrator.py`. Times are ms on this member's monotonic clock
-unless a name says otherwise.
+unless a name states otherwise.
 """
 
 from __future__ import annotations
--- a/decklb/management/control_server.py
+++ b/decklb/management/control_server.py
@@ -22,7 +22,7 @@
 
 MAX_REQUEST_BYTES = 4096  # a request has a name and few arguments
 MAX_CONNECTIONS = 8  # operators need only a few; the other file descriptors are for clients and engines
-SOCKET_MODE = 0o600  # whoever can open the socket can take machines out of service
+SOCKET_MODE = 0o600  # any user who can open the socket can take machines out of service
 
 Query = Callable[[], Any]
 # Gets the whole request. A ValueError, raised or as a failure of the Deferred, rejects the command.
--- a/decklb/net/client_connection.py
+++ b/decklb/net/client_connection.py
@@ -73,7 +73,7 @@
         self._invalid_frames = 0
 
     def connectionMade(self) -> None:
-        """Register the connection, and tell the client at once if the process is draining."""
+        """Register the connection, and notify the client at once if the process is draining."""
         self.transport.setTcpNoDelay(True)
         # As a pull producer, it is called each time that the transport has sent everything.
         self.transport.registerProducer(self, False)
--- a/decklb/net/poll_schedule.py
+++ b/decklb/net/poll_schedule.py
@@ -3,7 +3,7 @@
 Jitter spreads the queries of gateways that were started together. Backoff reduces the load on a directory that is
 overloaded or loses answers; without it, a fleet that polls as often as before, and again after each lost or invalid
 answer, adds to the overload. The longest wait stays below 1.5 s, since a change of the list is binding 1.5 s after it
-happened, whether or not the gateway has heard of it.
+happened, whether or not the gateway has received it.
 
 State: the number of consecutive failures. Owned by `directory_client`, which runs the timers.
 """
--- a/decklb/policy/records.py
+++ b/decklb/policy/records.py
@@ -3,7 +3,7 @@
 The records make no decisions. The gateway creates requests and attempts, the engine registry creates
 engines, and the mechanisms read and update them. An engine is one flat record that holds the state of every
 mechanism, since routing reads most of it for each request. Times are ms on the gateway's monotonic clock.
-An engine's record covers only the attempts of this gateway, except where it says otherwise.
+An engine's record covers only the attempts of this gateway, except where stated otherwise.
 """
 
 from __future__ import annotations
--- a/decklb/wire/engine_connection.py
+++ b/decklb/wire/engine_connection.py
@@ -67,7 +67,7 @@
             self._dial.cancel()
 
     def connect_failed(self, reason: Failure) -> None:
-        """It was not established, so nothing was sent. An error of this machine says nothing about the engine."""
+        """The connection was not established, so nothing was sent. A local error is no evidence about the engine."""
         self.end_reason = f"connect-failed ({end_reason(reason)})"
         self._ended(Outcome.NEVER_SENT if is_local_error(reason.value) else Outcome.UNREACHABLE)
 
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -208,7 +208,7 @@
 
 
 class ClientTransport(EngineTransport):
-    """The transport of a client connection; written bytes count as sent when the script says so."""
+    """The transport of a client connection; written bytes count as sent when the script specifies it."""
 
     def __init__(self, record, number):
         super().__init__(record, number)
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -1,4 +1,4 @@
-"""Failures to connect to an engine: errors of this machine are retried, since they say nothing about the engine."""
+"""Failures to connect to an engine: errors of this machine are retried, since they are no evidence about the engine."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DialedConnection:
-    """A `Dial` whose tries fail or succeed when the test says so."""
+    """A `Dial` whose tries fail or succeed when the test specifies it."""
 
     def __init__(self):
         self.reactor, self.clock, self.protocol, self.failures = MemoryReactorClock(), TestClock(), Protocol(), []
--- a/tests/test_directory_client.py
+++ b/tests/test_directory_client.py
@@ -12,7 +12,7 @@
 from decklb.net.poll_schedule import MAX_WAIT_MS, POLL_INTERVAL_MS, QUERY_TIMEOUT_MS, PollSchedule
 from tests.dns_answers import name, record, reply
 
-CHANGE_BINDING_MS = 1500.0  # ms after which a change is binding, whether heard of or not (the platform's protocol)
+CHANGE_BINDING_MS = 1500.0  # ms after which a change is binding, whether received or not (the platform's protocol)
 
 
 def empty_answer(query_id, serial):
--- a/tests/test_engine_connection.py
+++ b/tests/test_engine_connection.py
@@ -1,4 +1,4 @@
-"""Attempts on connections to RESP engines that are established, block or break when the test says so."""
+"""Attempts on connections to RESP engines that are established, block or break when the test specifies it."""
 
 from __future__ import annotations
 
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -108,7 +108,7 @@
         self.gateway = Gateway(self.settings, seed)
         self.now, self.violations, self.events = 1000.0, [], []
         self.engines: dict[str, api.Endpoint] = {}
-        self.not_up_since = {}  # by engine id: time since which the list says it drains or is removed
+        self.not_up_since = {}  # by engine id: time since which the list has it as draining or removed
         self.requests: dict[str, ExpectedRequest] = {}
         self.request_ids_by_key, self.due_outcomes = {}, []
         self.open_requests: list[ExpectedRequest] = []
