--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -186,7 +186,7 @@
         self.connections[number].transport.producer.resumeProducing()
 
     def step_wait(self, ms):
-        self.clock.go(ms)
+        self.clock.advance(ms)
 
     def step_close(self):
         self.engines.close()
@@ -208,7 +208,7 @@
 
 
 class ClientTransport(EngineTransport):
-    """The transport of a client connection; written bytes count as sent when the script says so."""
+    """The transport of a client connection; written bytes count as sent when the script specifies it."""
 
     def __init__(self, record, number):
         super().__init__(record, number)
@@ -273,9 +273,9 @@
             ["start", attempt.request.incoming.client_request_id, attempt.request.incoming.statement.decode()]
         )
 
-    def abandon(self, attempt, freed):
+    def abandon(self, attempt, on_released):
         self.effects.append(["give-up", attempt.request.incoming.client_request_id])
-        freed()
+        on_released()
 
     # Steps.
 
@@ -305,7 +305,7 @@
         self.attempts[number].end(outcomes[outcome], b"x" * size)
 
     def step_wait(self, ms):
-        self.clock.go(ms)
+        self.clock.advance(ms)
 
     def step_announce(self):
         self.front.announce_drain()
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -13,11 +13,11 @@
 from decklb.net import frames
 from decklb.net.connection_limits import ACCEPT_BATCH
 from tests.frame_standins import Client, OneEngineTest, RespEngine, request
-from tests.standins import DEADLINE, Loop, Program, known, wait_for
+from tests.standins import DEADLINE, Loop, Program, endpoint_list, wait_for
 
 
 class FakeFront:
-    """A front with clients that wait as `is_pending` says, and a reactor that records when it is stopped."""
+    """A front with pending clients while `is_pending(now)` is true, and a reactor that records when it is stopped."""
 
     def __init__(self, is_pending, clock, stopped_at):
         self.pending_now, self.stop = lambda: is_pending(clock.now()), lambda: stopped_at.append(clock.now())
@@ -35,7 +35,7 @@
             shutdown._clock, shutdown._exit_by_ms = clock, 1000.0
             shutdown._front = shutdown._reactor = FakeFront(is_pending, clock, stopped_at)
             shutdown._exit_when_flushed()
-            clock.go(2000)
+            clock.advance(2000)
             self.assertEqual(len(stopped_at), 1)
             self.assertTrue(exit_ms <= stopped_at[0] <= exit_ms + 100)
 
@@ -44,7 +44,7 @@
     """Drains the whole program."""
 
     def test_a_drain_notifies_clients_serves_new_requests_and_exits(self):
-        program = self.program(known=known(self.engine.port))
+        program = self.program(known=endpoint_list(self.engine.port))
         old = Client(program.port)
         old.send(request(1, b"hang", budget="2500"))
         wait_for(lambda: self.engine.received(b"do"), "do")
@@ -59,7 +59,7 @@
         self.assertEqual(program.process.wait(DEADLINE), 0)
 
     def test_a_drain_answers_requests_that_would_run_longer_than_it_and_exits(self):
-        program = self.program(known=known(self.engine.port))
+        program = self.program(known=endpoint_list(self.engine.port))
         client = Client(program.port)
         client.send(request(1, b"hang", budget="8000"), request(2, b"hang", budget="8000", method="load"))
         wait_for(lambda: len(self.engine.received(b"do")) == 2, "do")
@@ -89,7 +89,7 @@
     programs = []
 
     def start(*ports):
-        programs.append(Program({"known": known(*ports)}))
+        programs.append(Program({"known": endpoint_list(*ports)}))
         return programs[-1]
 
     yield start
